--- a/internal/core/dealer/adoption_test.go
+++ b/internal/core/dispatcher/adoption_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"slices"
@@ -9,8 +9,8 @@
 )
 
 func (r *rig) finds(now time.Duration, from model.ShardID, on model.MachineID, t model.Task, attempt uint64) {
-	r.d.Event(now, from, model.Event{Kind: model.Found, Machine: on, Task: t, Attempt: attempt,
-		Cell: model.Cell{Task: t, Attempt: attempt, Stage: model.Running}})
+	r.d.Event(now, from, model.Event{Kind: model.AttemptFound, Machine: on, Task: t, Attempt: attempt,
+		Status: model.AttemptStatus{Task: t, Attempt: attempt, Stage: model.Running}})
 }
 
 // Once all that was on a machine is accounted for, its tasks may have been dispatched elsewhere,
@@ -18,19 +18,19 @@
 // stopped, and its machine counts against all teams until that is done.
 func TestAttemptsOnAMachineThatIsAccountedForAreNotAdopted(t *testing.T) {
 	r := newRig(t, 100)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.job(1, 2, false)
 	r.d.Orders()
 	r.finds(time.Second, s, 1, model.Task{Job: 1}, 77)
 	orders := r.d.Orders()
-	if len(orders) != 1 || orders[0].Kind != model.KillIt {
+	if len(orders) != 1 || orders[0].Kind != model.KillAttempt {
 		t.Fatalf("orders %+v, want it stopped", orders)
 	}
-	if n := r.d.Stats().Unexpected; n != 1 {
+	if n := r.d.Stats().UnexpectedAttempts; n != 1 {
 		t.Errorf("%d unexpected attempts counted, want 1", n)
 	}
-	if r.d.Holds(model.Task{Job: 1}, s) || !r.d.Charged(model.Task{Job: 1}, 77, 1) {
+	if r.d.IsAssigned(model.Task{Job: 1}, s) || !r.d.IsCharged(model.Task{Job: 1}, 77, 1) {
 		t.Error("held for the shard, or not charged")
 	}
 }
@@ -81,19 +81,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, c.limit)
-			s := r.d.Join(0, "a")
-			r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Zone: here}, {ID: 2, Addr: "x", Zone: there}})
-			r.d.Event(0, s, model.Event{Kind: model.Remembered, Machine: 1})
-			r.d.Event(0, s, model.Event{Kind: model.Remembered, Machine: 2})
+			s := r.d.AddShard(0, "a")
+			r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Zone: here}, {ID: 2, Addr: "x", Zone: there}})
+			r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
+			r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 2})
 			sp := r.job(1, c.tasks, true)
-			sp.Together, sp.Spread = c.together, c.spread
+			sp.SameZone, sp.Spread = c.together, c.spread
 			r.d.Orders()
 			for i, zone := range c.found {
-				r.finds(time.Second, s, model.MachineID(zone)+1, model.Task{Job: 1, No: int32(i)}, uint64(70+i))
+				r.finds(time.Second, s, model.MachineID(zone)+1, model.Task{Job: 1, Index: int32(i)}, uint64(70+i))
 			}
 			var got []bool
-			for _, o := range r.orders(model.Give) {
-				got = append(got, o.Deal.Checked)
+			for _, o := range r.orders(model.AssignTask) {
+				got = append(got, o.Assignment.WithinLimits)
 			}
 			if !slices.Equal(got, c.want) {
 				t.Errorf("checked %v, want %v", got, c.want)
--- a/internal/core/dealer/blocks.go
+++ b/internal/core/dispatcher/blocks.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 
 // BlockID names a block: so many neighbouring machines, the no-th such group. Size 0
 // is the layout of 0.4 and before, whose size is Params.BlockSize.
-type BlockID struct{ Size, No uint64 }
+type BlockID struct{ Size, Index uint64 }
 
 // block is a record in the state service that names neighbouring machines: all
 // that may have been given tasks, and that a later leader must account for. A
@@ -27,18 +27,18 @@
 }
 
 // blockOf is the block that a machine is written to.
-func (d *Dealer) blockOf(id model.MachineID) BlockID {
+func (d *Dispatcher) blockOf(id model.MachineID) BlockID {
 	return BlockID{d.layout, uint64(id) / d.blockSize(d.layout)}
 }
 
-func (d *Dealer) blockSize(layout uint64) uint64 {
+func (d *Dispatcher) blockSize(layout uint64) uint64 {
 	if layout == 0 {
 		return d.p.BlockSize
 	}
 	return layout
 }
 
-func (d *Dealer) blockAt(id BlockID) *block {
+func (d *Dispatcher) blockAt(id BlockID) *block {
 	b := d.blocks[id]
 	if b == nil {
 		b = &block{}
@@ -47,13 +47,13 @@
 	return b
 }
 
-func (d *Dealer) block(id model.MachineID) *block { return d.blockAt(d.blockOf(id)) }
+func (d *Dispatcher) block(id model.MachineID) *block { return d.blockAt(d.blockOf(id)) }
 
 // Layout is the size of the blocks that are written, 0: that of 0.4 and before.
-func (d *Dealer) Layout() uint64 { return d.layout }
+func (d *Dispatcher) Layout() uint64 { return d.layout }
 
-// Relay has machines written to blocks of another size from here on.
-func (d *Dealer) Relay(size uint64) {
+// SetLayout has machines written to blocks of another size from here on.
+func (d *Dispatcher) SetLayout(size uint64) {
 	d.layout = size
 	for _, m := range d.byID {
 		if !m.recorded || m.recordedIn != size {
@@ -63,20 +63,20 @@
 }
 
 // inBlock returns the machines of a block, in order.
-func (d *Dealer) inBlock(id BlockID) []*machine {
+func (d *Dispatcher) inBlock(id BlockID) []*machine {
 	size := d.blockSize(id.Size)
 	at := func(id uint64) int {
 		i, _ := slices.BinarySearchFunc(d.byID, &machine{Machine: model.Machine{ID: model.MachineID(id)}}, compareMachines)
 		return i
 	}
-	return slices.Clone(d.byID[at(id.No*size):at((id.No+1)*size)])
+	return slices.Clone(d.byID[at(id.Index*size):at((id.Index+1)*size)])
 }
 
 // blockWrites appends the blocks to be written now, those that machines wait for
 // first, then those of another layout that nothing needs any more. A machine that is
 // left out counts as not recorded from here on: the write may be applied however late,
 // until a newer one has succeeded.
-func (d *Dealer) blockWrites(out []Write, n int) []Write {
+func (d *Dispatcher) blockWrites(out []Write, n int) []Write {
 	var ids, past []BlockID
 	waits := map[BlockID]int{}
 	for id, b := range d.blocks {
@@ -92,7 +92,7 @@
 		}
 	}
 	slices.SortFunc(ids, func(a, b BlockID) int {
-		return cmp.Or(cmp.Compare(waits[a], waits[b]), cmp.Compare(a.No, b.No))
+		return cmp.Or(cmp.Compare(waits[a], waits[b]), cmp.Compare(a.Index, b.Index))
 	})
 	for _, id := range ids {
 		if len(out) >= n {
@@ -115,8 +115,8 @@
 }
 
 // blockDrops appends the blocks of other layouts that no machine's record rests on.
-func (d *Dealer) blockDrops(out []Write, n int, past []BlockID) []Write {
-	slices.SortFunc(past, func(a, b BlockID) int { return cmp.Or(cmp.Compare(a.Size, b.Size), cmp.Compare(a.No, b.No)) })
+func (d *Dispatcher) blockDrops(out []Write, n int, past []BlockID) []Write {
+	slices.SortFunc(past, func(a, b BlockID) int { return cmp.Or(cmp.Compare(a.Size, b.Size), cmp.Compare(a.Index, b.Index)) })
 	for _, id := range past {
 		if len(out) >= n {
 			break
@@ -132,7 +132,7 @@
 
 // blockStored takes the outcome of a block's write. What became of a write
 // without an answer is told by the next one, for it bears the same version.
-func (d *Dealer) blockStored(w Write, revision uint64, ok, lost bool) {
+func (d *Dispatcher) blockStored(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
 	b.writing = false
 	if !ok {
@@ -158,7 +158,7 @@
 			}
 			if !m.recorded {
 				m.recorded = true
-				d.Use(m.ID, true)
+				d.SetUsable(m.ID, true)
 			}
 		case m.gone:
 			d.dropMachine(m)
@@ -173,7 +173,7 @@
 
 // blockDropped takes the outcome of dropping a block: ok, or lost to the version that
 // it is at, 0 if it is not there.
-func (d *Dealer) blockDropped(w Write, revision uint64, ok, lost bool) {
+func (d *Dispatcher) blockDropped(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
 	b.writing = false
 	switch {
--- a/internal/core/dealer/trouble.go
+++ b/internal/core/dispatcher/broken.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"time"
@@ -24,13 +24,13 @@
 )
 
 // failed takes an error of a job's task on a machine.
-func (d *Dealer) failed(now time.Duration, j *job, on model.MachineID) {
+func (d *Dispatcher) failed(now time.Duration, j *job, on model.MachineID) {
 	t := &j.trouble
 	if t.on == nil {
 		t.on = map[model.MachineID]bool{}
 	}
 	t.on[on] = true
-	enough := model.BrokenFrom
+	enough := model.BrokenJobMachines
 	if j.nDone > 0 {
 		enough = brokenProven
 	}
@@ -38,7 +38,7 @@
 	case !t.broken && len(t.on) >= enough:
 		t.broken, t.pause = true, firstPause
 		d.broken = append(d.broken, j.spec.ID)
-		d.toAll(model.Order{Kind: model.RecallWaiting, Job: j.spec.ID, Count: int(j.spec.Tasks)})
+		d.toAll(model.Order{Kind: model.RecallWaitingTasks, Job: j.spec.ID, Count: int(j.spec.Tasks)})
 	case t.broken && now >= j.blocked:
 		t.pause = min(2*t.pause, longestPause)
 	}
@@ -60,14 +60,14 @@
 	return 0
 }
 
-// Suspected tells whether a job is held to be broken: its failures say nothing of machines.
-func (d *Dealer) Suspected(id model.JobID) bool {
+// IsJobBroken tells whether a job is held to be broken: its failures say nothing of machines.
+func (d *Dispatcher) IsJobBroken(id model.JobID) bool {
 	j := d.jobs[id]
 	return j != nil && j.trouble.broken
 }
 
-// BrokenNow counts the jobs held to be broken.
-func (d *Dealer) BrokenNow() int {
+// BrokenJobCount counts the jobs held to be broken.
+func (d *Dispatcher) BrokenJobCount() int {
 	n := 0
 	for _, j := range d.inOrder {
 		if j.trouble.broken && !j.ended {
@@ -77,8 +77,8 @@
 	return n
 }
 
-// Broken takes away the jobs newly held to be broken.
-func (d *Dealer) Broken() []model.JobID {
+// TakeBrokenJobs takes away the jobs newly held to be broken.
+func (d *Dispatcher) TakeBrokenJobs() []model.JobID {
 	b := d.broken
 	d.broken = nil
 	return b
--- a/internal/core/dealer/trouble_test.go
+++ b/internal/core/dispatcher/broken_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -12,35 +12,35 @@
 // often, and one success clears it.
 func TestBrokenJobIsTriedWithOneTaskAtATime(t *testing.T) {
 	r := newRig(t, 1e6)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	for id := range model.MachineID(4) {
 		r.machine(0, id, s)
 	}
 	r.status(0, s, 0, 1, 2, 3)
 	sp := r.job(1, 10, false)
-	r.d.Deal(time.Second)
-	dealt := r.orders(model.Give)
+	r.d.Dispatch(time.Second)
+	dealt := r.orders(model.AssignTask)
 	if len(dealt) != 10 {
 		t.Fatalf("%d tasks dealt", len(dealt))
 	}
 	now := 2 * time.Second
 	fail := func(o model.Order, on model.MachineID) {
-		r.d.Event(now, s, model.Event{Kind: model.Gone, Task: o.Deal.Task, Cause: model.CauseError, Machine: on})
+		r.d.Event(now, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: on})
 	}
 	for i, o := range dealt {
 		fail(o, model.MachineID(i%2))
 	}
-	if n := r.d.Needs()[0].Open; n != 0 {
+	if n := r.d.Demand()[0].Unfinished; n != 0 {
 		t.Errorf("machines would be rented for %d of its tasks", n)
 	}
-	if b := r.d.Broken(); len(b) != 1 || b[0] != 1 {
+	if b := r.d.TakeBrokenJobs(); len(b) != 1 || b[0] != 1 {
 		t.Fatalf("held to be broken: %v", b)
 	}
 	var tries []time.Duration
 	for ; now < 5*time.Minute; now += time.Second {
 		r.status(now, s, 0, 1, 2, 3)
-		r.d.Deal(now)
-		for _, o := range r.orders(model.Give) {
+		r.d.Dispatch(now)
+		for _, o := range r.orders(model.AssignTask) {
 			tries = append(tries, now)
 			fail(o, 3)
 		}
@@ -55,15 +55,15 @@
 	}
 	now += 3 * time.Minute
 	r.status(now, s, 0, 1, 2, 3)
-	r.d.Deal(now)
-	probe := r.orders(model.Give)
+	r.d.Dispatch(now)
+	probe := r.orders(model.AssignTask)
 	if len(probe) != 1 {
 		t.Fatalf("given up after %v", tries)
 	}
-	r.d.Event(now, s, model.Event{Kind: model.Finished, Machine: 3, Task: probe[0].Deal.Task, Attempt: 9, Held: true})
+	r.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 3, Task: probe[0].Assignment.Task, Attempt: 9, Held: true})
 	r.status(now, s, 0, 1, 2, 3)
-	r.d.Deal(now)
-	if n := len(r.orders(model.Give)); n != int(sp.Tasks)-1 {
+	r.d.Dispatch(now)
+	if n := len(r.orders(model.AssignTask)); n != int(sp.Tasks)-1 {
 		t.Fatalf("%d tasks dealt after a success", n)
 	}
 }
@@ -71,17 +71,17 @@
 // One faulty machine is no evidence against a job: it goes on at once.
 func TestJobWithOneBadMachineGoesOnAtOnce(t *testing.T) {
 	r := newRig(t, 1e6)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.status(0, s, 1)
 	r.job(1, 4, false)
-	r.d.Deal(time.Second)
-	for _, o := range r.orders(model.Give) {
-		r.d.Event(time.Second, s, model.Event{Kind: model.Gone, Task: o.Deal.Task, Cause: model.CauseError, Machine: 1})
+	r.d.Dispatch(time.Second)
+	for _, o := range r.orders(model.AssignTask) {
+		r.d.Event(time.Second, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: 1})
 	}
 	r.status(time.Second, s, 1)
-	r.d.Deal(time.Second)
-	if n := len(r.orders(model.Give)); n != 4 {
+	r.d.Dispatch(time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 4 {
 		t.Fatalf("%d tasks dealt after errors of one machine", n)
 	}
 }
--- a/internal/core/dealer/charges.go
+++ b/internal/core/dispatcher/charges.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import "honeylock/internal/core/model"
 
@@ -30,14 +30,14 @@
 }
 
 // OnCharge has f told of each change of what teams are charged for; nil ends that.
-func (d *Dealer) OnCharge(f func(Charge)) { d.onCharge = f }
+func (d *Dispatcher) OnCharge(f func(Charge)) { d.onCharge = f }
 
-func (d *Dealer) charged(j *job, no int32, h hold, why ChargeReason) {
+func (d *Dispatcher) charged(j *job, no int32, h hold, why ChargeReason) {
 	if d.onCharge == nil {
 		return
 	}
 	d.onCharge(Charge{
-		Task:   model.Task{Job: j.spec.ID, No: no},
+		Task:   model.Task{Job: j.spec.ID, Index: no},
 		Zone:   h.zone,
 		Shard:  h.shard,
 		Reason: why,
@@ -48,23 +48,23 @@
 
 // Stats count what a term's dealer has seen; each is rare on a plain day.
 type Stats struct {
-	Lapsed     uint64 // machines whose lease was over
-	Returned   uint64 // machines that were heard of after that
-	Unexpected uint64 // attempts found on machines that were accounted for
-	Limited    uint64 // rounds in which a limit kept a job's tasks from being dispatched
+	ExpiredMachines    uint64 // machines whose lease was over
+	ReturnedMachines   uint64 // machines that were heard of after that
+	UnexpectedAttempts uint64 // attempts found on machines that were accounted for
+	LimitedRounds      uint64 // rounds in which a limit kept a job's tasks from being dispatched
 }
 
 // Stats are this term's counts.
-func (d *Dealer) Stats() Stats { return d.stats }
+func (d *Dispatcher) Stats() Stats { return d.stats }
 
-// Lapsed tells whether a machine's lease is over and nothing was heard of it since.
-func (d *Dealer) Lapsed(id model.MachineID) bool {
+// LeaseExpiryConfirmed tells whether a machine's lease is over and nothing was heard of it since.
+func (d *Dispatcher) LeaseExpiryConfirmed(id model.MachineID) bool {
 	m := d.machines[id]
 	return m != nil && m.lapsed
 }
 
 // accountedFor tells whether all that earlier owners left on a machine is known: whatever else
 // is found there is not expected.
-func (d *Dealer) accountedFor(m *machine) bool {
+func (d *Dispatcher) accountedFor(m *machine) bool {
 	return m.fenced && !d.suspects[m.ID] && len(m.groups) == 0
 }
--- a/internal/core/dealer/chunks_test.go
+++ b/internal/core/dispatcher/chunks_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -13,38 +13,38 @@
 // of a job that has ended.
 func TestAChunkIsWrittenUnderItsVersion(t *testing.T) {
 	r := newRig(t, 0)
-	shard := r.d.Join(0, "a")
+	shard := r.d.AddShard(0, "a")
 	r.machine(0, 1, shard)
 	r.job(4, 3, false)
 	finish := func(no int32) {
-		r.d.Event(time.Minute, shard, model.Event{Kind: model.Finished, Machine: 1, Task: model.Task{Job: 4, No: no},
+		r.d.Event(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 4, Index: no},
 			Attempt: 9})
 	}
 	write := func(now time.Duration, version uint64, bits byte) Write {
 		t.Helper()
-		ws := r.d.Progress(now, 9)
-		if len(ws) != 1 || ws[0].Version != version || ws[0].Open != 5 || ws[0].Bits[0] != bits {
+		ws := r.d.ProgressWrites(now, 9)
+		if len(ws) != 1 || ws[0].Version != version || ws[0].JobVersion != 5 || ws[0].Bits[0] != bits {
 			t.Fatalf("writes %+v, want %08b under version %d", ws, bits, version)
 		}
 		return ws[0]
 	}
 	finish(0)
 	lost := write(time.Minute, 0, 1)
-	r.d.Stored(time.Minute, lost, 0, false, false) // no answer
+	r.d.WriteDone(time.Minute, lost, 0, false, false) // no answer
 	finish(1)
 	w := write(2*time.Minute, 0, 3)
-	r.d.Stored(2*time.Minute, w, 60, true, false)
+	r.d.WriteDone(2*time.Minute, w, 60, true, false)
 	finish(2)
-	if ws := r.d.Urgent(9); len(ws) != 1 || ws[0].Kind != Finish {
+	if ws := r.d.UrgentWrites(9); len(ws) != 1 || ws[0].Kind != FinishJob {
 		t.Fatalf("writes %+v, want the job's end", ws)
 	}
 
 	// Should the first have got through meanwhile, the next finds its version.
 	r.job(5, 3, false)
-	r.d.Event(time.Minute, shard, model.Event{Kind: model.Finished, Machine: 1, Task: model.Task{Job: 5}, Attempt: 8})
-	ws := r.d.Progress(3*time.Minute, 9)
-	r.d.Stored(3*time.Minute, ws[0], 70, false, true)
-	if ws = r.d.Progress(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
+	r.d.Event(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5}, Attempt: 8})
+	ws := r.d.ProgressWrites(3*time.Minute, 9)
+	r.d.WriteDone(3*time.Minute, ws[0], 70, false, true)
+	if ws = r.d.ProgressWrites(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
 		t.Fatalf("writes %+v, want one under version 70", ws)
 	}
 }
--- a/internal/core/dealer/deal.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -23,38 +23,38 @@
 	return p
 }
 
-// Guarantees tells which jobs fit into their team's guarantee together with the
+// GuaranteeChecker tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs: they are asked about in the order of submission.
-type Guarantees struct {
+type GuaranteeChecker struct {
 	teams []Team
 	sum   []model.Resources
 }
 
-// NewGuarantees begins with no job.
-func NewGuarantees(teams []Team) *Guarantees {
-	return &Guarantees{teams, make([]model.Resources, len(teams))}
+// NewGuaranteeChecker begins with no job.
+func NewGuaranteeChecker(teams []Team) *GuaranteeChecker {
+	return &GuaranteeChecker{teams, make([]model.Resources, len(teams))}
 }
 
-// Within tells of the next job, which has so many tasks left.
-func (g *Guarantees) Within(sp *model.Spec, left int64) bool {
+// Fits tells of the next job, which has so many tasks left.
+func (g *GuaranteeChecker) Fits(sp *model.Spec, left int64) bool {
 	sum, have := &g.sum[sp.Team], g.teams[sp.Team].Guarantee
-	*sum = sum.Add(sp.Each.Times(left))
+	*sum = sum.Add(sp.PerTask.Times(left))
 	return sum.CPU <= have.CPU && sum.GPU <= have.GPU && have.CPU > 0
 }
 
 // reprice finds out which jobs fit into their team's guarantee together with
 // the team's earlier unfinished jobs.
-func (d *Dealer) reprice(now time.Duration, jobs []*job) {
+func (d *Dispatcher) reprice(now time.Duration, jobs []*job) {
 	if d.repriced != 0 && now-d.repriced < time.Second {
 		return
 	}
 	d.repriced = now
-	g := NewGuarantees(d.p.Teams)
+	g := NewGuaranteeChecker(d.p.Teams)
 	for _, j := range jobs {
 		if j.ended || j.waits || j.trouble.broken { // its one probe takes hardly any of the guarantee
 			continue
 		}
-		j.within = g.Within(j.spec, int64(j.spec.Tasks-j.nDone))
+		j.within = g.Fits(j.spec, int64(j.spec.Tasks-j.nDone))
 		if p := Price(j.rank, j.within); p != j.price {
 			j.price = p
 			if len(j.held) > 0 {
@@ -69,7 +69,7 @@
 
 // exposure is what may run unseen: all of every machine that an earlier leader
 // may have used, and of every machine with an attempt that must go.
-func (d *Dealer) exposure() model.Resources {
+func (d *Dispatcher) exposure() model.Resources {
 	var sum model.Resources
 	seen := map[model.MachineID]bool{}
 	add := func(id model.MachineID) {
@@ -91,8 +91,8 @@
 	return sum
 }
 
-// Left is what a team's limit leaves of what it uses.
-func (t Team) Left(used model.Resources) model.Resources {
+// Remaining is what a team's limit leaves of what it uses.
+func (t Team) Remaining(used model.Resources) model.Resources {
 	left := func(limit, used int64) int64 {
 		if limit == 0 {
 			return boundless
@@ -102,8 +102,8 @@
 	return model.Resources{CPU: left(t.Limit.CPU, used.CPU), GPU: left(t.Limit.GPU, used.GPU), Mem: boundless}
 }
 
-// Spare is the CPU that teams have left of their guarantees, in thousandths.
-func Spare(teams []Team, usage []model.Resources) int64 {
+// UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
+func UnusedGuarantees(teams []Team, usage []model.Resources) int64 {
 	var sum int64
 	for i, t := range teams {
 		sum += max(0, t.Guarantee.CPU-usage[i].CPU)
@@ -112,12 +112,12 @@
 }
 
 // headroom is what a team may still be dealt.
-func (d *Dealer) headroom(team model.Name, exposure model.Resources) model.Resources {
-	return d.p.Teams[team].Left(d.usage[team].Add(exposure))
+func (d *Dispatcher) headroom(team model.Name, exposure model.Resources) model.Resources {
+	return d.p.Teams[team].Remaining(d.usage[team].Add(exposure))
 }
 
 // undealt counts the tasks that may be dealt now.
-func (d *Dealer) undealt(now time.Duration, j *job) int32 {
+func (d *Dispatcher) undealt(now time.Duration, j *job) int32 {
 	if j.ended || j.waits || now < j.blocked || j.old && !d.Recovered() {
 		return 0
 	}
@@ -129,7 +129,7 @@
 }
 
 // take picks the next task to deal. again: it was dealt before.
-func (d *Dealer) take(j *job) (no int32, again, ok bool) {
+func (d *Dispatcher) take(j *job) (no int32, again, ok bool) {
 	for len(j.back) > 0 {
 		no := j.back[0]
 		j.back = j.back[1:]
@@ -146,9 +146,9 @@
 	return 0, false, false
 }
 
-// Deal deals waiting tasks, the highest price times wait first, as far as the
+// Dispatch deals waiting tasks, the highest price times wait first, as far as the
 // shards' machines have room, with a few more for which victims may be found.
-func (d *Dealer) Deal(now time.Duration) {
+func (d *Dispatcher) Dispatch(now time.Duration) {
 	jobs := d.sortedJobs()
 	d.reprice(now, jobs)
 	d.watch(now, jobs)
@@ -163,8 +163,8 @@
 	exposure := d.exposure()
 	for _, j := range jobs {
 		n := int64(d.undealt(now, j))
-		if allowed := j.spec.Each.Count(d.headroom(j.spec.Team, exposure)); allowed < n {
-			d.stats.Limited++
+		if allowed := j.spec.PerTask.Count(d.headroom(j.spec.Team, exposure)); allowed < n {
+			d.stats.LimitedRounds++
 			n = allowed
 		}
 		if n <= 0 {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (d *Dealer) dealPart(j *job, p part) int64 {
+func (d *Dispatcher) dealPart(j *job, p part) int64 {
 	for i := range p.n {
 		if !d.dealOne(j, p.to.id, p.zone) {
 			return i
@@ -198,7 +198,7 @@
 	n    int64
 }
 
-func (j *job) pinned() bool { return j.spec.Together || j.spec.Spread }
+func (j *job) pinned() bool { return j.spec.SameZone || j.spec.Spread }
 
 // plan takes room for up to n tasks: where there is most of it first. Tasks of a
 // job whose tasks' zones depend on each other are pinned: every task is charged
@@ -219,7 +219,7 @@
 			perZone[zone] = int64(n)
 		}
 	}
-	if j.spec.Together && len(perZone) == 0 && len(zones) > 0 {
+	if j.spec.SameZone && len(perZone) == 0 && len(zones) > 0 {
 		// The whole job should fit where it goes: the zone with most room.
 		zones = []model.Name{roomiest(j.spec, zones, n, members)}
 	}
@@ -228,7 +228,7 @@
 		var best part
 		for _, z := range zones {
 			can := n
-			if j.spec.Together && len(perZone) > 0 && perZone[z] == 0 {
+			if j.spec.SameZone && len(perZone) > 0 && perZone[z] == 0 {
 				continue
 			}
 			if j.spec.Spread {
@@ -268,14 +268,14 @@
 // dealAhead deals a few tasks without room to the shards with machines for
 // them: there they may find victims, the more the more machines there are. A
 // controller that has just come back has hardly any.
-func (d *Dealer) dealAhead(j *job, n int64, members []*member) {
-	ahead := min(n, int64(d.p.Ahead-d.Count(j.spec.ID).Waiting))
+func (d *Dispatcher) dealAhead(j *job, n int64, members []*member) {
+	ahead := min(n, int64(d.p.DispatchAhead-d.TaskCounts(j.spec.ID).Waiting))
 	if ahead <= 0 {
 		return
 	}
 	var able []*member
 	for _, m := range members {
-		if slices.ContainsFunc(m.kinds, func(k *machine) bool { return j.spec.Allows(&k.Machine) && j.spec.Each.Fits(k.Cap) }) {
+		if slices.ContainsFunc(m.kinds, func(k *machine) bool { return j.spec.Allows(&k.Machine) && j.spec.PerTask.Fits(k.Cap) }) {
 			able = append(able, m)
 		}
 	}
@@ -287,7 +287,7 @@
 		}
 		// Counted at once: the shard's own count comes later.
 		if m.jobs == nil {
-			m.jobs = map[model.JobID]model.JobCount{}
+			m.jobs = map[model.JobID]model.TaskCounts{}
 		}
 		c := m.jobs[j.spec.ID]
 		c.Waiting++
@@ -298,7 +298,7 @@
 // rebalance takes waiting tasks back from a shard that has no room for so many of them while
 // another has some. What waits where nobody has room stays: it is placed as its shard's next
 // machine reports, which is sooner than the dealer could have it there.
-func (d *Dealer) rebalance(now time.Duration, jobs []*job, members []*member) {
+func (d *Dispatcher) rebalance(now time.Duration, jobs []*job, members []*member) {
 	if len(members) < 2 || now-d.balanced < time.Second {
 		return
 	}
@@ -320,7 +320,7 @@
 				}
 			}
 			if room > 0 {
-				d.order(m.id, model.Order{Kind: model.RecallWaiting, Job: j.spec.ID, Count: int(min(room, w))})
+				d.order(m.id, model.Order{Kind: model.RecallWaitingTasks, Job: j.spec.ID, Count: int(min(room, w))})
 			}
 		}
 	}
@@ -328,10 +328,10 @@
 
 // open finds, for each shard, the machines with room for the smallest of the
 // jobs' tasks, and one machine of each kind that it has.
-func (d *Dealer) open(jobs []*job, members []*member) {
+func (d *Dispatcher) open(jobs []*job, members []*member) {
 	least := boundless
 	for _, j := range jobs {
-		least = min(least, j.spec.Each.CPU)
+		least = min(least, j.spec.PerTask.CPU)
 	}
 	for _, s := range members {
 		s.rooms, s.kinds, s.ready = s.rooms[:0], s.kinds[:0], 0
@@ -361,9 +361,9 @@
 		if zone != model.None && r.Zone != zone || !sp.Allows(&r.Machine) {
 			continue
 		}
-		if k := min(n-got, sp.Each.Count(r.avail)); k > 0 {
+		if k := min(n-got, sp.PerTask.Count(r.avail)); k > 0 {
 			if take {
-				r.avail = r.avail.Sub(sp.Each.Times(k))
+				r.avail = r.avail.Sub(sp.PerTask.Times(k))
 				s.dealtOn[r] = true
 			}
 			got += k
@@ -372,13 +372,13 @@
 	return got
 }
 
-func (d *Dealer) dealOne(j *job, to model.ShardID, zone model.Name) bool {
+func (d *Dispatcher) dealOne(j *job, to model.ShardID, zone model.Name) bool {
 	no, again, ok := d.take(j)
 	if !ok {
 		return false
 	}
 	d.hold(j, no, zone, to, Dispatched)
-	d.give(to, model.Deal{Task: model.Task{Job: j.spec.ID, No: no}, Spec: j.spec, Price: j.price, Zone: zone,
-		Since: j.since, Again: again && d.p.Tell})
+	d.give(to, model.Assignment{Task: model.Task{Job: j.spec.ID, Index: no}, Spec: j.spec, Price: j.price, Zone: zone,
+		WaitingSince: j.since, Redispatched: again && d.p.ReportInterruptions})
 	return true
 }
--- a/internal/core/dealer/dealer.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -1,8 +1,8 @@
-// Package dealer is the leader's book: open jobs, teams' limits and
+// Package dispatcher is the leader's book: open jobs, teams' limits and
 // guarantees, who holds each task, who owns each machine. It deals tasks to
 // shards and takes them back. It is a state machine without input or output of
 // its own.
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -18,17 +18,17 @@
 
 // Params of a dealer.
 type Params struct {
-	Term      uint64
-	Teams     []Team // by the team's index
-	ChunkSize int32  // tasks per stored chunk of a job's done set
-	BlockSize uint64 // machines per stored block of records, in the layout of 0.4 and before
-	Progress  time.Duration
-	Ahead     int // tasks of a job dealt beyond the free room, to find victims
-	SureLease time.Duration
-	Crowd     int           // machines that are no great load for a controller
-	Begin     time.Duration // a job's first task should begin within so long; 0: whenever
-	// Tell: it is to be told which tasks are out of work, and when they run again.
-	Tell bool
+	Term             uint64
+	Teams            []Team // by the team's index
+	ChunkSize        int32  // tasks per stored chunk of a job's done set
+	BlockSize        uint64 // machines per stored block of records, in the layout of 0.4 and before
+	ProgressInterval time.Duration
+	DispatchAhead    int // tasks of a job dealt beyond the free room, to find victims
+	MaxLease         time.Duration
+	MinOverload      int           // machines that are no great load for a controller
+	StartWithin      time.Duration // a job's first task should begin within so long; 0: whenever
+	// ReportInterruptions: it is to be told which tasks are out of work, and when they run again.
+	ReportInterruptions bool
 }
 
 // member is a shard as the dealer sees it.
@@ -36,7 +36,7 @@
 	id       model.ShardID
 	host     string
 	dealtOn  map[*machine]bool // with room taken since the shard's last word on them
-	jobs     map[model.JobID]model.JobCount
+	jobs     map[model.JobID]model.TaskCounts
 	rooms    []*machine // while dealing: its machines with room
 	kinds    []*machine // ... one of each kind that it has
 	ready    int        // ... and how many may get tasks
@@ -46,8 +46,8 @@
 	heard    time.Duration // the last time that it heard a worker
 }
 
-// Dealer is the state machine.
-type Dealer struct {
+// Dispatcher is the state machine.
+type Dispatcher struct {
 	p          Params
 	now        time.Duration // of the last input that tells it
 	owned      uint64
@@ -84,8 +84,8 @@
 
 // New returns a dealer for a term that begins now. No shard of an earlier term
 // acts beyond oldEnd.
-func New(p Params, oldEnd time.Duration) *Dealer {
-	return &Dealer{p: p, members: map[model.ShardID]*member{}, oldEnd: oldEnd, shunned: map[reach]time.Duration{},
+func New(p Params, oldEnd time.Duration) *Dispatcher {
+	return &Dispatcher{p: p, members: map[model.ShardID]*member{}, oldEnd: oldEnd, shunned: map[reach]time.Duration{},
 		heldBack: map[model.MachineID][]model.Event{},
 		barred:   map[model.MachineID]bool{}, jobs: map[model.JobID]*job{}, machines: map[model.MachineID]*machine{},
 		blocks: map[BlockID]*block{}, suspects: map[model.MachineID]bool{},
@@ -93,27 +93,27 @@
 }
 
 // Orders takes away what shards must be told.
-func (d *Dealer) Orders() []model.Order {
+func (d *Dispatcher) Orders() []model.Order {
 	o := d.orders
 	d.orders = nil
 	return o
 }
 
 // order is for one shard; 0 has no shard any more and is dropped.
-func (d *Dealer) order(to model.ShardID, o model.Order) {
+func (d *Dispatcher) order(to model.ShardID, o model.Order) {
 	if to != 0 {
 		o.To = to
 		d.orders = append(d.orders, o)
 	}
 }
 
-func (d *Dealer) toAll(o model.Order) {
+func (d *Dispatcher) toAll(o model.Order) {
 	for _, m := range d.sortedMembers() {
 		d.order(m.id, o)
 	}
 }
 
-func (d *Dealer) sortedMembers() []*member {
+func (d *Dispatcher) sortedMembers() []*member {
 	out := make([]*member, 0, len(d.members))
 	for _, m := range d.members {
 		out = append(out, m)
@@ -122,18 +122,18 @@
 	return out
 }
 
-// Join takes a new shard and returns its id.
-func (d *Dealer) Join(now time.Duration, host string) model.ShardID {
+// AddShard takes a new shard and returns its id.
+func (d *Dispatcher) AddShard(now time.Duration, host string) model.ShardID {
 	d.lastID++
 	d.members[d.lastID] = &member{id: d.lastID, host: host, joined: now, dealtOn: map[*machine]bool{}}
 	return d.lastID
 }
 
-// Attempts is the first of the attempt numbers that are a shard's alone.
-func (d *Dealer) Attempts(id model.ShardID) uint64 { return d.p.Term<<36 | uint64(id)<<22 }
+// FirstAttempt is the first of the attempt numbers that are a shard's alone.
+func (d *Dispatcher) FirstAttempt(id model.ShardID) uint64 { return d.p.Term<<36 | uint64(id)<<22 }
 
-// Dealt counts the deals made to a shard.
-func (d *Dealer) Dealt(id model.ShardID) uint64 {
+// AssignmentsSent counts the deals made to a shard.
+func (d *Dispatcher) AssignmentsSent(id model.ShardID) uint64 {
 	if m := d.members[id]; m != nil {
 		return m.deals
 	}
@@ -142,7 +142,7 @@
 
 // Status takes a shard's summary of the machines that have changed since its
 // last one.
-func (d *Dealer) Status(now time.Duration, id model.ShardID, status []model.MachineStatus, jobs map[model.JobID]model.JobCount, acked uint64) {
+func (d *Dispatcher) Status(now time.Duration, id model.ShardID, status []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, acked uint64) {
 	m := d.members[id]
 	if m == nil {
 		return
@@ -175,7 +175,7 @@
 func (m *machine) known() bool { return m.told == m.owner && m.owner != 0 }
 
 // Machines is what all shards last said of their machines.
-func (d *Dealer) Machines() []model.MachineStatus {
+func (d *Dispatcher) Machines() []model.MachineStatus {
 	out := make([]model.MachineStatus, 0, len(d.byID))
 	for _, m := range d.byID {
 		if m.known() {
@@ -187,18 +187,18 @@
 	return out
 }
 
-// Open calls f for every open job with its counts.
-func (d *Dealer) Open(f func(id model.JobID, version uint64, done, running int)) {
+// ForEachOpenJob calls f for every open job with its counts.
+func (d *Dispatcher) ForEachOpenJob(f func(id model.JobID, version uint64, done, running int)) {
 	for _, j := range d.sortedJobs() {
 		if !j.ended {
-			f(j.spec.ID, j.version, int(j.nDone), d.Count(j.spec.ID).Running)
+			f(j.spec.ID, j.version, int(j.nDone), d.TaskCounts(j.spec.ID).Running)
 		}
 	}
 }
 
-// Count sums up a job's tasks at the shards.
-func (d *Dealer) Count(id model.JobID) model.JobCount {
-	var c model.JobCount
+// TaskCounts sums up a job's tasks at the shards.
+func (d *Dispatcher) TaskCounts(id model.JobID) model.TaskCounts {
+	var c model.TaskCounts
 	for _, m := range d.members {
 		c.Waiting += m.jobs[id].Waiting
 		c.Running += m.jobs[id].Running
@@ -206,9 +206,9 @@
 	return c
 }
 
-// Sync takes the ids of all open jobs as of a revision: what is not among them
+// SyncOpenJobs takes the ids of all open jobs as of a revision: what is not among them
 // and was there by then has ended. It returns what it did not know to have ended.
-func (d *Dealer) Sync(open map[model.JobID]bool, revision uint64) (ended []model.JobID) {
+func (d *Dispatcher) SyncOpenJobs(open map[model.JobID]bool, revision uint64) (ended []model.JobID) {
 	for id, j := range d.jobs {
 		if !open[id] && j.version <= revision && !j.ended {
 			ended = append(ended, id)
@@ -216,13 +216,13 @@
 	}
 	slices.Sort(ended)
 	for _, id := range ended {
-		d.Withdrawn(id)
+		d.JobRemoved(id)
 	}
 	return ended
 }
 
 // Event takes an event of a shard.
-func (d *Dealer) Event(now time.Duration, from model.ShardID, e model.Event) {
+func (d *Dispatcher) Event(now time.Duration, from model.ShardID, e model.Event) {
 	s := d.members[from]
 	if s == nil {
 		return
@@ -235,79 +235,79 @@
 		return
 	}
 	switch e.Kind {
-	case model.Unowned:
+	case model.UnownedWorker:
 		d.unowned(now, from, &e)
-	case model.Fenced:
+	case model.WorkerFenced:
 		if owner {
 			d.heardAgain(m)
 			m.fenced, m.unfencedOwners = true, 0
 			d.resolve(m)
 		}
-	case model.Heard:
+	case model.WorkerBack:
 		if owner {
 			d.heardAgain(m)
 		}
-	case model.Silent:
+	case model.LeaseExpired:
 		if !owner || e.Token != m.token {
 			return
 		}
 		m.leaseExpired = true
 		// Nobody else may answer it, unless a lost shard still did. The shard
 		// must confirm after that: it may have answered meanwhile.
-		if now > m.authority+d.p.SureLease {
-			d.order(from, model.Order{Kind: model.Lapse, ID: m.ID})
+		if now > m.authority+d.p.MaxLease {
+			d.order(from, model.Order{Kind: model.ConfirmLeaseExpiry, ID: m.ID})
 		}
-	case model.Lapsed:
+	case model.LeaseExpiryConfirmed:
 		if owner && e.Token == m.token {
 			d.resolve(m)
 			if !m.lapsed {
-				d.stats.Lapsed++
+				d.stats.ExpiredMachines++
 			}
 			m.lapsed = true
 			d.block(m.ID).dirty = true
-			d.Use(m.ID, false)
+			d.SetUsable(m.ID, false)
 		}
-	case model.Released:
+	case model.MachineReleased:
 		d.released(now, from, m, e)
-	case model.NeedToken, model.Superseded:
+	case model.TokenNeeded, model.TokenSuperseded:
 		// A token of this term that is higher than the owner's was given by
 		// this dealer; one of a later term shows that this term is over, and
 		// then the lease says so as well.
-		if owner && !m.gone && (e.Kind == model.NeedToken || e.Token>>32 == d.p.Term) {
+		if owner && !m.gone && (e.Kind == model.TokenNeeded || e.Token>>32 == d.p.Term) {
 			d.own(m, from)
 		}
-	case model.Unanswered:
+	case model.CommandUnanswered:
 		if owner {
 			m.unanswered, m.unreachable = true, e.Held
 		}
-	case model.Kept:
+	case model.MachineKept:
 		if owner {
 			d.kept(now, from, m)
 		}
-	case model.Remembered:
+	case model.MachineRemembered:
 		// Its worker will report there again: it is fenced there, and need not
 		// change hands.
 		if m != nil && m.owner == 0 && !m.gone {
 			d.own(m, from)
 		}
-	case model.Found:
+	case model.AttemptFound:
 		d.found(now, from, e)
-	case model.Finished:
+	case model.TaskFinished:
 		d.finished(now, from, e)
-	case model.Gone:
-		if j := d.jobs[e.Task.Job]; j != nil && d.holds(j, e.Task.No, from) {
+	case model.TaskReturned:
+		if j := d.jobs[e.Task.Job]; j != nil && d.holds(j, e.Task.Index, from) {
 			d.returned(now, j, e)
 		}
-	case model.StrayGone:
+	case model.RejectedAttemptGone:
 		delete(d.strays, e.Attempt)
 		d.forgetFound(e.Attempt)
 	}
 }
 
-// Needs returns what waits for room, for the fleet: jobs with their tasks that
+// Demand returns what waits for room, for the fleet: jobs with their tasks that
 // are not on machines, as far as their teams' limits let them run.
-func (d *Dealer) Needs() []Need {
-	var out []Need
+func (d *Dispatcher) Demand() []JobDemand {
+	var out []JobDemand
 	for _, j := range d.sortedJobs() {
 		if j.ended || j.waits {
 			continue
@@ -316,23 +316,23 @@
 		if j.trouble.broken { // no machine is rented for it
 			open = int32(len(j.held))
 		}
-		out = append(out, Need{Spec: j.spec, Open: open, Held: int32(len(j.held)), Within: j.within, Since: j.since,
-			Late: j.late})
+		out = append(out, JobDemand{Spec: j.spec, Unfinished: open, Assigned: int32(len(j.held)), WithinGuarantee: j.within, WaitingSince: j.since,
+			Overdue: j.late})
 	}
 	return out
 }
 
-// Need is a job's hunger.
-type Need struct {
-	Spec       *model.Spec
-	Open, Held int32
-	Within     bool
-	Since      time.Duration
-	Late       bool // it should have begun
+// JobDemand is a job's hunger.
+type JobDemand struct {
+	Spec                 *model.Spec
+	Unfinished, Assigned int32
+	WithinGuarantee      bool
+	WaitingSince         time.Duration
+	Overdue              bool // it should have begun
 }
 
-// Bar keeps tasks from a machine, whoever owns it, or lets it have some again.
-func (d *Dealer) Bar(id model.MachineID, on bool) {
+// SetCordoned keeps tasks from a machine, whoever owns it, or lets it have some again.
+func (d *Dispatcher) SetCordoned(id model.MachineID, on bool) {
 	if on {
 		d.barred[id] = true
 	} else {
@@ -340,30 +340,30 @@
 	}
 	if m := d.machines[id]; m != nil && m.barred != on {
 		m.barred = on
-		d.Use(id, !on)
+		d.SetUsable(id, !on)
 	}
 }
 
-// LookAt asks a machine's owner what runs there. It answers with Looked, which
+// InspectMachine asks a machine's owner what runs there. It answers with Looked, which
 // bears the number.
-func (d *Dealer) LookAt(id model.MachineID, seq uint64) {
+func (d *Dispatcher) InspectMachine(id model.MachineID, seq uint64) {
 	if m := d.machines[id]; m != nil {
-		d.order(m.owner, model.Order{Kind: model.LookAt, ID: id, Token: seq})
+		d.order(m.owner, model.Order{Kind: model.InspectMachine, ID: id, Token: seq})
 	}
 }
 
 // RecallFrom has a task leave a machine, saving what it can. Wherever else it has
 // gone meanwhile it stays.
-func (d *Dealer) RecallFrom(id model.MachineID, t model.Task) {
+func (d *Dispatcher) RecallFrom(id model.MachineID, t model.Task) {
 	if m := d.machines[id]; m != nil {
-		d.order(m.owner, model.Order{Kind: model.Recall, ID: id, Task: t})
+		d.order(m.owner, model.Order{Kind: model.RecallTask, ID: id, Task: t})
 	}
 }
 
-// Known are the machines that this leader knows, and whether their owners have
+// ForEachMachine are the machines that this leader knows, and whether their owners have
 // told how they are. Those whose lease is over are not known to be anywhere: the
 // cloud's list tells.
-func (d *Dealer) Known(f func(st model.MachineStatus, told bool)) {
+func (d *Dispatcher) ForEachMachine(f func(st model.MachineStatus, told bool)) {
 	for _, m := range d.byID {
 		st := model.MachineStatus{Machine: m.Machine}
 		told := m.known() && !m.gone
@@ -378,15 +378,15 @@
 }
 
 // Spec is an open job's, nil if there is none.
-func (d *Dealer) Spec(id model.JobID) *model.Spec {
+func (d *Dispatcher) Spec(id model.JobID) *model.Spec {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		return j.spec
 	}
 	return nil
 }
 
-// Spare is the CPU that teams have left of their guarantees, in thousandths.
-func (d *Dealer) Spare() int64 { return Spare(d.p.Teams, d.usage) }
+// UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
+func (d *Dispatcher) UnusedGuarantees() int64 { return UnusedGuarantees(d.p.Teams, d.usage) }
 
-// Limit is a team's limit.
-func (d *Dealer) Limit(team model.Name) model.Resources { return d.p.Teams[team].Limit }
+// TeamLimit is a team's limit.
+func (d *Dispatcher) TeamLimit(team model.Name) model.Resources { return d.p.Teams[team].Limit }
--- a/internal/core/dealer/dealer_test.go
+++ b/internal/core/dispatcher/dispatcher_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"slices"
@@ -12,18 +12,18 @@
 
 type rig struct {
 	t *testing.T
-	d *Dealer
+	d *Dispatcher
 }
 
 func newRig(t *testing.T, limitCPUs float64) *rig {
 	d := New(Params{Term: 3, Teams: []Team{{Limit: model.Capacity(limitCPUs, 0, 0)}}, ChunkSize: 64,
-		BlockSize: 64, Ahead: 2, SureLease: sure, Crowd: 8}, 5*time.Second)
+		BlockSize: 64, DispatchAhead: 2, MaxLease: sure, MinOverload: 8}, 5*time.Second)
 	d.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 64)}})
 	return &rig{t, d}
 }
 
 func (r *rig) job(id model.JobID, tasks int32, old bool) *model.Spec {
-	sp := &model.Spec{ID: id, Tasks: tasks, Each: model.Request(2, 0, 1), Rank: model.Standard, Zone: model.None, Spot: true}
+	sp := &model.Spec{ID: id, Tasks: tasks, PerTask: model.Request(2, 0, 1), Rank: model.Standard, Zone: model.None, Spot: true}
 	r.d.AddJob(0, sp, uint64(id)+1, 0, old)
 	return sp
 }
@@ -41,11 +41,11 @@
 // machine makes a recorded machine of the shard's, with room.
 func (r *rig) machine(now time.Duration, id model.MachineID, to model.ShardID) {
 	m := model.Machine{ID: id, Addr: "x"}
-	r.d.Event(now, to, model.Event{Kind: model.Unowned, Machine: id, Report: &model.Report{Machine: m}})
+	r.d.Event(now, to, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 	for _, w := range r.d.Writes(now, 10) {
-		r.d.Stored(now, w, 50, true, false)
+		r.d.WriteDone(now, w, 50, true, false)
 	}
-	r.d.Event(now, to, model.Event{Kind: model.Fenced, Machine: id})
+	r.d.Event(now, to, model.Event{Kind: model.WorkerFenced, Machine: id})
 }
 
 func (r *rig) status(now time.Duration, to model.ShardID, ids ...model.MachineID) {
@@ -53,28 +53,28 @@
 	for _, id := range ids {
 		st = append(st, model.MachineStatus{Machine: model.Machine{ID: id}, Avail: model.Capacity(8, 0, 64), Ready: true})
 	}
-	r.d.Status(now, to, st, nil, r.d.Dealt(to))
+	r.d.Status(now, to, st, nil, r.d.AssignmentsSent(to))
 }
 
 func TestQuotaIsChargedWhenDealt(t *testing.T) {
 	r := newRig(t, 6)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.status(0, s, 1)
 	r.job(1, 4, false)
-	r.d.Deal(time.Second)
-	if n := len(r.orders(model.Give)); n != 3 {
+	r.d.Dispatch(time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 3 {
 		t.Fatalf("%d tasks of 2 CPUs dealt under a limit of 6", n)
 	}
 	r.status(time.Second, s, 1)
-	r.d.Deal(2 * time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(2 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d more dealt", n)
 	}
-	r.d.Event(3*time.Second, s, model.Event{Kind: model.Finished, Machine: 1, Task: model.Task{Job: 1, No: 0}, Attempt: 1, Held: true})
+	r.d.Event(3*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: 0}, Attempt: 1, Held: true})
 	r.status(3*time.Second, s, 1)
-	r.d.Deal(3 * time.Second)
-	if n := len(r.orders(model.Give)); n != 1 {
+	r.d.Dispatch(3 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 1 {
 		t.Fatalf("%d dealt after one is done", n)
 	}
 }
@@ -82,33 +82,33 @@
 // An old job's tasks may be on any recorded machine until each is accounted for.
 func TestNewLeaderWaitsForTheMachinesOfTheOld(t *testing.T) {
 	r := newRig(t, 100)
-	s := r.d.Join(0, "a")
-	r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
-	r.d.Event(0, s, model.Event{Kind: model.Remembered, Machine: 1})
+	s := r.d.AddShard(0, "a")
+	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
+	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	old := r.job(1, 2, true)
 	r.job(2, 1, false)
-	r.d.Deal(time.Second)
-	gives := r.orders(model.Give)
-	if len(gives) != 1 || gives[0].Deal.Task.Job != 2 {
+	r.d.Dispatch(time.Second)
+	gives := r.orders(model.AssignTask)
+	if len(gives) != 1 || gives[0].Assignment.Task.Job != 2 {
 		t.Fatalf("dealt %v, want only the job of this term", gives)
 	}
 	// One task is found, then the worker is fenced: the other is nowhere.
-	task := model.Task{Job: 1, No: 1}
+	task := model.Task{Job: 1, Index: 1}
 	r.finds(time.Second, s, 1, task, 77)
-	gives = r.orders(model.Give)
-	if len(gives) != 1 || gives[0].Deal.Attempt != 77 {
+	gives = r.orders(model.AssignTask)
+	if len(gives) != 1 || gives[0].Assignment.Attempt != 77 {
 		t.Fatalf("%v, want the found attempt adopted", gives)
 	}
-	r.d.Event(time.Second, s, model.Event{Kind: model.Fenced, Machine: 1})
+	r.d.Event(time.Second, s, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	if !r.d.Recovered() {
 		t.Fatal("all machines are accounted for")
 	}
 	r.status(time.Second, s, 1, 2)
-	r.d.Deal(2 * time.Second)
-	gives = r.orders(model.Give)
-	if len(gives) != 1 || gives[0].Deal.Task != (model.Task{Job: old.ID, No: 0}) {
+	r.d.Dispatch(2 * time.Second)
+	gives = r.orders(model.AssignTask)
+	if len(gives) != 1 || gives[0].Assignment.Task != (model.Task{Job: old.ID, Index: 0}) {
 		t.Fatalf("dealt %v, want the task that was nowhere", gives)
 	}
 }
@@ -117,14 +117,14 @@
 // against every team's limit.
 func TestUnseenMachineIsChargedInFull(t *testing.T) {
 	r := newRig(t, 9)
-	s := r.d.Join(0, "a")
-	r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
-	r.d.Event(0, s, model.Event{Kind: model.Remembered, Machine: 1})
+	s := r.d.AddShard(0, "a")
+	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
+	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	r.job(2, 4, false)
-	r.d.Deal(time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d tasks dealt with 1 CPU of the limit left", n)
 	}
 }
@@ -132,14 +132,14 @@
 // What a machine of a type that the catalog lacks may hold is anybody's guess.
 func TestUnseenMachineOfUnknownTypeStopsDealing(t *testing.T) {
 	r := newRig(t, 1000)
-	s := r.d.Join(0, "a")
-	r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Type: 9}})
-	r.d.Event(0, s, model.Event{Kind: model.Remembered, Machine: 1})
+	s := r.d.AddShard(0, "a")
+	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Type: 9}})
+	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	r.job(2, 4, false)
-	r.d.Deal(time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d tasks dealt", n)
 	}
 }
@@ -148,24 +148,24 @@
 // for a lease after that.
 func TestLostShardsTasksStayChargedUntilItsMachinesAreAccountedFor(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	r.machine(0, 1, a)
 	r.machine(0, 2, b)
 	r.status(0, a, 1)
 	r.job(1, 2, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
-	r.d.Lost(a, 8*time.Second)
+	r.d.ShardLost(a, 8*time.Second)
 	r.status(2*time.Second, b, 2)
 	r.d.Tick(17 * time.Second)
-	r.d.Deal(17 * time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(17 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d tasks dealt twice", n)
 	}
 	r.status(19*time.Second, b, 2)
 	r.d.Tick(19 * time.Second)
-	r.d.Deal(19 * time.Second)
-	if n := len(r.orders(model.Give)); n != 2 {
+	r.d.Dispatch(19 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 2 {
 		t.Fatalf("%d tasks dealt after the last lease, want 2", n)
 	}
 }
@@ -174,100 +174,100 @@
 // under a token never used before; its tasks are adopted where they are found.
 func TestMovedWorkerGetsOneOwnerAtATime(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	r.machine(0, 1, a)
-	first := r.orders(model.Own)
+	first := r.orders(model.OwnMachine)
 	r.status(0, a, 1)
 	r.job(1, 1, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
 	rep := &model.Report{Machine: model.Machine{ID: 1}}
-	r.d.Event(time.Second, b, model.Event{Kind: model.Unowned, Machine: 1, Report: rep})
+	r.d.Event(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: rep})
 	got := r.d.Orders()
-	if len(got) != 1 || got[0].Kind != model.Release || got[0].To != a {
+	if len(got) != 1 || got[0].Kind != model.ReleaseMachine || got[0].To != a {
 		t.Fatalf("orders %+v, want the old owner asked to let go", got)
 	}
 	// What the old owner finds before it lets go must not be adopted there.
-	task := model.Task{Job: 1, No: 0}
-	r.d.Event(time.Second, a, model.Event{Kind: model.Released, Machine: 1, Tasks: []model.Task{task}})
-	own := r.orders(model.Own)
+	task := model.Task{Job: 1, Index: 0}
+	r.d.Event(time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{task}})
+	own := r.orders(model.OwnMachine)
 	if len(own) != 1 || own[0].To != b || own[0].Token <= first[0].Token {
 		t.Fatalf("orders %+v, want a higher token for b", own)
 	}
 	r.finds(2*time.Second, b, 1, task, 9)
-	if g := r.orders(model.Give); len(g) != 1 || g[0].To != b || g[0].Deal.Attempt != 9 {
+	if g := r.orders(model.AssignTask); len(g) != 1 || g[0].To != b || g[0].Assignment.Attempt != 9 {
 		t.Fatalf("orders %+v, want it adopted at b", g)
 	}
-	r.d.Event(2*time.Second, b, model.Event{Kind: model.Fenced, Machine: 1})
+	r.d.Event(2*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	r.status(2*time.Second, b, 1)
-	r.d.Deal(3 * time.Second)
-	if g := r.orders(model.Give); len(g) != 0 {
+	r.d.Dispatch(3 * time.Second)
+	if g := r.orders(model.AssignTask); len(g) != 0 {
 		t.Fatalf("dealt %v though it runs", g)
 	}
 }
 
 func TestUnknownAttemptIsKilledAndChargedUntilGone(t *testing.T) {
 	r := newRig(t, 9)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.machine(0, 2, s)
 	r.d.Orders()
-	task := model.Task{Job: 99, No: 0}
+	task := model.Task{Job: 99, Index: 0}
 	r.finds(0, s, 1, task, 5)
-	if o := r.orders(model.KillIt); len(o) != 1 {
+	if o := r.orders(model.KillAttempt); len(o) != 1 {
 		t.Fatalf("orders %v, want it killed", o)
 	}
 	r.status(0, s, 2)
 	r.job(1, 4, false)
-	r.d.Deal(time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d dealt beside an attempt of unknown team", n)
 	}
-	r.d.Event(time.Second, s, model.Event{Kind: model.StrayGone, Task: task, Attempt: 5})
+	r.d.Event(time.Second, s, model.Event{Kind: model.RejectedAttemptGone, Task: task, Attempt: 5})
 	r.status(time.Second, s, 2)
-	r.d.Deal(2 * time.Second)
-	if n := len(r.orders(model.Give)); n != 4 {
+	r.d.Dispatch(2 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 4 {
 		t.Fatalf("%d dealt, want 4", n)
 	}
 }
 
 func TestDoneIsClearedAfterItsChunkIsStoredAndJobFinishesOnce(t *testing.T) {
 	r := newRig(t, 100)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.status(0, s, 1)
 	r.job(1, 2, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
 	done := func(no int32) {
-		r.d.Event(2*time.Second, s, model.Event{Kind: model.Finished, Machine: 1, Task: model.Task{Job: 1, No: no}, Attempt: uint64(no) + 1, Held: true})
+		r.d.Event(2*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: no}, Attempt: uint64(no) + 1, Held: true})
 	}
 	done(0)
 	w := r.d.Writes(2*time.Second, 10)
 	if len(w) != 1 || w[0].Kind != PutChunk || w[0].Bits[0] != 1 {
 		t.Fatalf("writes %+v, want the chunk", w)
 	}
-	if o := r.orders(model.ClearIt); len(o) != 0 {
+	if o := r.orders(model.ClearAttempt); len(o) != 0 {
 		t.Fatal("cleared before it was stored")
 	}
-	r.d.Stored(2*time.Second, w[0], 60, false, false) // in doubt: again
+	r.d.WriteDone(2*time.Second, w[0], 60, false, false) // in doubt: again
 	w = r.d.Writes(3*time.Second, 10)
 	if len(w) != 1 {
 		t.Fatalf("writes %+v, want the chunk again", w)
 	}
-	r.d.Stored(3*time.Second, w[0], 61, true, false)
-	if o := r.orders(model.ClearIt); len(o) != 1 {
+	r.d.WriteDone(3*time.Second, w[0], 61, true, false)
+	if o := r.orders(model.ClearAttempt); len(o) != 1 {
 		t.Fatalf("orders %v, want it cleared", o)
 	}
 	done(1)
 	w = r.d.Writes(4*time.Second, 10)
-	if len(w) != 1 || w[0].Kind != Finish || w[0].Version != 2 {
+	if len(w) != 1 || w[0].Kind != FinishJob || w[0].Version != 2 {
 		t.Fatalf("writes %+v, want the job finished at its version", w)
 	}
 	if more := r.d.Writes(4*time.Second, 10); len(more) != 0 {
 		t.Fatalf("writes %+v while it is being finished", more)
 	}
-	r.d.Stored(4*time.Second, w[0], 62, false, true) // cancelled meanwhile
+	r.d.WriteDone(4*time.Second, w[0], 62, false, true) // cancelled meanwhile
 	if r.d.jobs[1] != nil || len(r.orders(model.EndJob)) != 1 {
 		t.Fatal("an ended job goes on")
 	}
@@ -275,35 +275,35 @@
 
 func TestTogetherAndSpread(t *testing.T) {
 	r := newRig(t, 100)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	for id := range model.MachineID(4) {
 		m := model.Machine{ID: id, Zone: model.Name(id % 2)}
-		r.d.Event(0, s, model.Event{Kind: model.Unowned, Machine: id, Report: &model.Report{Machine: m}})
+		r.d.Event(0, s, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 	}
 	for _, w := range r.d.Writes(0, 10) {
-		r.d.Stored(0, w, 9, true, false)
+		r.d.WriteDone(0, w, 9, true, false)
 	}
 	r.d.Orders()
 	zones := func() map[model.Name]int {
 		z := map[model.Name]int{}
-		for _, o := range r.orders(model.Give) {
-			z[o.Deal.Zone]++
+		for _, o := range r.orders(model.AssignTask) {
+			z[o.Assignment.Zone]++
 		}
 		return z
 	}
-	sp := &model.Spec{ID: 1, Tasks: 12, Each: model.Request(2, 0, 1), Zone: model.None, Together: true}
+	sp := &model.Spec{ID: 1, Tasks: 12, PerTask: model.Request(2, 0, 1), Zone: model.None, SameZone: true}
 	r.d.AddJob(0, sp, 2, 0, false)
 	r.status(0, s, 0, 1, 2, 3)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	if z := zones(); len(z) != 1 {
 		t.Fatalf("a job that stays together is dealt to zones %v", z)
 	}
-	sp = &model.Spec{ID: 2, Tasks: 5, Each: model.Request(2, 0, 1), Zone: model.None, Spread: true}
+	sp = &model.Spec{ID: 2, Tasks: 5, PerTask: model.Request(2, 0, 1), Zone: model.None, Spread: true}
 	r.d.AddJob(0, sp, 2, 0, false)
 	r.status(time.Second, s, 0, 2) // room in one zone only
-	r.d.Status(time.Second, s, []model.MachineStatus{{Machine: model.Machine{ID: 1}}, {Machine: model.Machine{ID: 3}}}, nil, r.d.Dealt(s))
-	r.d.Withdrawn(1)
-	r.d.Deal(2 * time.Second)
+	r.d.Status(time.Second, s, []model.MachineStatus{{Machine: model.Machine{ID: 1}}, {Machine: model.Machine{ID: 3}}}, nil, r.d.AssignmentsSent(s))
+	r.d.JobRemoved(1)
+	r.d.Dispatch(2 * time.Second)
 	if z := zones(); z[0] != 3 || z[1] != 0 {
 		t.Fatalf("%v of 5 tasks in a zone, at most 3 may be", z)
 	}
@@ -322,16 +322,16 @@
 
 func TestAttemptsAndTokensAreNeverReused(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
-	if r.d.Attempts(a)+1<<22 > r.d.Attempts(b) {
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
+	if r.d.FirstAttempt(a)+1<<22 > r.d.FirstAttempt(b) {
 		t.Fatal("ranges of attempts overlap")
 	}
 	for id := range model.MachineID(5) {
 		r.machine(0, id, a)
 	}
-	r.d.Event(0, a, model.Event{Kind: model.NeedToken, Machine: 1})
+	r.d.Event(0, a, model.Event{Kind: model.TokenNeeded, Machine: 1})
 	var tokens []uint64
-	for _, o := range r.orders(model.Own) {
+	for _, o := range r.orders(model.OwnMachine) {
 		tokens = append(tokens, o.Token)
 	}
 	slices.Sort(tokens)
@@ -345,16 +345,16 @@
 // put again before it gets tasks, for the drop may be applied late.
 func TestLapsedMachineLosesItsRecordUntilItIsBack(t *testing.T) {
 	r := newRig(t, 100)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
-	token := r.orders(model.Own)[0].Token
+	token := r.orders(model.OwnMachine)[0].Token
 	lapse := func(now time.Duration) {
-		r.d.Event(now, s, model.Event{Kind: model.Silent, Machine: 1, Token: token})
-		if o := r.orders(model.Lapse); len(o) != 1 {
+		r.d.Event(now, s, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: token})
+		if o := r.orders(model.ConfirmLeaseExpiry); len(o) != 1 {
 			t.Fatalf("orders %v, want the shard asked to confirm", o)
 		}
-		r.d.Event(now, s, model.Event{Kind: model.Lapsed, Machine: 1, Token: token})
-		if o := r.orders(model.Use); len(o) != 1 || o[0].Usable {
+		r.d.Event(now, s, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: token})
+		if o := r.orders(model.SetUsable); len(o) != 1 || o[0].Usable {
 			t.Fatalf("orders %v, want nothing placed there", o)
 		}
 	}
@@ -364,26 +364,26 @@
 		t.Fatalf("writes %+v, want it out of its block, at the block's version", w)
 	}
 	// No answer; meanwhile the worker is back.
-	r.d.Event(21*time.Second, s, model.Event{Kind: model.Heard, Machine: 1})
-	if o := r.orders(model.Use); len(o) != 1 || o[0].Usable {
+	r.d.Event(21*time.Second, s, model.Event{Kind: model.WorkerBack, Machine: 1})
+	if o := r.orders(model.SetUsable); len(o) != 1 || o[0].Usable {
 		t.Fatalf("orders %v: used without a record", o)
 	}
-	r.d.Stored(22*time.Second, w[0], 0, false, false)
+	r.d.WriteDone(22*time.Second, w[0], 0, false, false)
 	w = r.d.Writes(22*time.Second, 10)
 	if len(w) != 1 || w[0].Version != 50 || len(w[0].Machines) != 1 {
 		t.Fatalf("writes %+v, want it recorded again, unless the write before was applied", w)
 	}
 	// It was: the block has another version now.
-	r.d.Stored(22*time.Second, w[0], 60, false, true)
-	if o := r.orders(model.Use); len(o) != 0 {
+	r.d.WriteDone(22*time.Second, w[0], 60, false, true)
+	if o := r.orders(model.SetUsable); len(o) != 0 {
 		t.Fatalf("orders %v: used without a record", o)
 	}
 	w = r.d.Writes(22*time.Second, 10)
 	if len(w) != 1 || w[0].Version != 60 || len(w[0].Machines) != 1 {
 		t.Fatalf("writes %+v, want it recorded at the new version", w)
 	}
-	r.d.Stored(22*time.Second, w[0], 70, true, false)
-	if o := r.orders(model.Use); len(o) != 1 || !o[0].Usable {
+	r.d.WriteDone(22*time.Second, w[0], 70, true, false)
+	if o := r.orders(model.SetUsable); len(o) != 1 || !o[0].Usable {
 		t.Fatalf("orders %v, want it used again", o)
 	}
 	lapse(40 * time.Second)
@@ -396,37 +396,37 @@
 // not reach the controller it was sent to, and its zone is sent there no more.
 func TestMachinesAreSpreadGently(t *testing.T) {
 	r := newRig(t, 100)
-	a := r.d.Join(0, "a")
-	r.d.Join(0, "b")
+	a := r.d.AddShard(0, "a")
+	r.d.AddShard(0, "b")
 	for id := range model.MachineID(6) {
 		r.machine(0, id, a)
 	}
 	r.d.Orders()
 	r.d.Tick(5 * time.Second)
-	if o := r.orders(model.Release); len(o) != 0 {
+	if o := r.orders(model.ReleaseMachine); len(o) != 0 {
 		t.Fatalf("%v moved to a shard that has just joined", o)
 	}
 	r.d.Tick(11 * time.Second)
-	o := r.orders(model.Release)
-	if len(o) != 1 || o[0].To != a || o[0].Keeper != "b" {
+	o := r.orders(model.ReleaseMachine)
+	if len(o) != 1 || o[0].To != a || o[0].RedirectTo != "b" {
 		t.Fatalf("orders %+v, want one machine sent to b", o)
 	}
 	r.d.Tick(15 * time.Second)
-	if o := r.orders(model.Release); len(o) != 0 {
+	if o := r.orders(model.ReleaseMachine); len(o) != 0 {
 		t.Fatalf("%v while one is on its way", o)
 	}
 	id := o[0].ID
-	r.d.Event(15*time.Second, a, model.Event{Kind: model.Released, Machine: id})
+	r.d.Event(15*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: id})
 	// It comes back to a.
-	r.d.Event(16*time.Second, a, model.Event{Kind: model.Unowned, Machine: id, Report: &model.Report{Machine: model.Machine{ID: id}}})
-	r.d.Event(16*time.Second, a, model.Event{Kind: model.Fenced, Machine: id})
+	r.d.Event(16*time.Second, a, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: model.Machine{ID: id}}})
+	r.d.Event(16*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: id})
 	r.d.Orders()
 	r.d.Tick(30 * time.Second)
-	if o := r.orders(model.Release); len(o) != 0 {
+	if o := r.orders(model.ReleaseMachine); len(o) != 0 {
 		t.Fatalf("%v sent to a controller that its zone can't reach", o)
 	}
 	r.d.Tick(10 * time.Minute)
-	if o := r.orders(model.Release); len(o) != 1 || o[0].Keeper != "b" {
+	if o := r.orders(model.ReleaseMachine); len(o) != 1 || o[0].RedirectTo != "b" {
 		t.Fatalf("orders %v, want another try later", o)
 	}
 }
@@ -436,21 +436,21 @@
 // get them to reach for, each a part.
 func TestOrphanedMachinesAreDividedAmongTheLivingShards(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	for id := range model.MachineID(6) {
-		r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: id, Addr: "x"}})
+		r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: id, Addr: "x"}})
 	}
-	r.d.Event(0, a, model.Event{Kind: model.Remembered, Machine: 0})
-	if o := r.orders(model.Own); len(o) != 1 || o[0].To != a {
+	r.d.Event(0, a, model.Event{Kind: model.MachineRemembered, Machine: 0})
+	if o := r.orders(model.OwnMachine); len(o) != 1 || o[0].To != a {
 		t.Fatalf("orders %v, want the machine with the shard that remembers it", o)
 	}
 	r.d.Tick(time.Second)
-	if o := r.orders(model.Own); len(o) != 0 {
+	if o := r.orders(model.OwnMachine); len(o) != 0 {
 		t.Fatalf("orders %v before they could report", o)
 	}
 	r.d.Tick(3 * time.Second)
 	to := map[model.ShardID]int{}
-	for _, o := range r.orders(model.Own) {
+	for _, o := range r.orders(model.OwnMachine) {
 		to[o.To]++
 	}
 	if to[a]+to[b] != 5 || to[a] < 2 || to[b] < 2 {
@@ -463,24 +463,24 @@
 // tasks of the lost shard must not wait for it: hundreds once waited for ever.
 func TestLostShardsTasksDoNotWaitForAMachineThatIsGone(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	r.machine(0, 1, a)
 	r.machine(0, 2, a)
 	r.status(0, a, 1, 2)
 	r.job(1, 8, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
-	r.d.Gone(1)
-	r.d.Lost(a, 2*time.Second)
+	r.d.MachineGone(1)
+	r.d.ShardLost(a, 2*time.Second)
 	for _, w := range r.d.Writes(2*time.Second, 10) {
-		r.d.Stored(2*time.Second, w, 60, true, false)
+		r.d.WriteDone(2*time.Second, w, 60, true, false)
 	}
-	r.d.Event(3*time.Second, b, model.Event{Kind: model.Unowned, Machine: 2, Report: &model.Report{Machine: model.Machine{ID: 2}}})
-	r.d.Event(4*time.Second, b, model.Event{Kind: model.Fenced, Machine: 2})
+	r.d.Event(3*time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 2, Report: &model.Report{Machine: model.Machine{ID: 2}}})
+	r.d.Event(4*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 2})
 	r.d.Orders()
 	r.status(5*time.Second, b, 2)
-	r.d.Deal(5 * time.Second)
-	if n := len(r.orders(model.Give)); n < 4 {
+	r.d.Dispatch(5 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n < 4 {
 		t.Fatalf("%d tasks dealt anew", n)
 	}
 }
@@ -490,22 +490,22 @@
 // would ever give them back.
 func TestTasksReleasedWithAForgottenMachineAreFree(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	r.machine(0, 1, a)
 	r.machine(0, 2, b)
 	r.status(0, a, 1)
 	r.job(1, 1, false)
-	r.d.Deal(time.Second)
-	r.d.Event(time.Second, b, model.Event{Kind: model.Unowned, Machine: 1, Report: &model.Report{Machine: model.Machine{ID: 1}}})
-	r.d.Gone(1)
+	r.d.Dispatch(time.Second)
+	r.d.Event(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: &model.Report{Machine: model.Machine{ID: 1}}})
+	r.d.MachineGone(1)
 	for _, w := range r.d.Writes(time.Second, 10) {
-		r.d.Stored(time.Second, w, 60, true, false)
+		r.d.WriteDone(time.Second, w, 60, true, false)
 	}
-	r.d.Event(2*time.Second, a, model.Event{Kind: model.Released, Machine: 1, Tasks: []model.Task{{Job: 1}}})
+	r.d.Event(2*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{{Job: 1}}})
 	r.d.Orders()
 	r.status(3*time.Second, b, 2)
-	r.d.Deal(3 * time.Second)
-	if g := r.orders(model.Give); len(g) != 1 || g[0].To != b {
+	r.d.Dispatch(3 * time.Second)
+	if g := r.orders(model.AssignTask); len(g) != 1 || g[0].To != b {
 		t.Fatalf("orders %+v, want the task dealt anew", g)
 	}
 }
--- a/internal/core/dealer/inspect.go
+++ b/internal/core/dispatcher/inspect.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import "honeylock/internal/core/model"
 
@@ -7,24 +7,24 @@
 // charged to that shard here, and an attempt on a machine is charged to its team, or the whole
 // machine is to all teams.
 
-// Holds tells whether a task is charged to a living shard.
-func (d *Dealer) Holds(t model.Task, shard model.ShardID) bool {
+// IsAssigned tells whether a task is charged to a living shard.
+func (d *Dispatcher) IsAssigned(t model.Task, shard model.ShardID) bool {
 	j := d.jobs[t.Job]
-	return j != nil && d.holds(j, t.No, shard)
+	return j != nil && d.holds(j, t.Index, shard)
 }
 
-// Charged tells whether an attempt of a task on a machine counts against its team's limit: by
+// IsCharged tells whether an attempt of a task on a machine counts against its team's limit: by
 // the task itself, or by its machine, all of which counts while it is not accounted for.
-func (d *Dealer) Charged(t model.Task, attempt uint64, on model.MachineID) bool {
-	if j := d.jobs[t.Job]; j != nil && d.isHeld(j, t.No) {
+func (d *Dispatcher) IsCharged(t model.Task, attempt uint64, on model.MachineID) bool {
+	if j := d.jobs[t.Job]; j != nil && d.isHeld(j, t.Index) {
 		return true
 	}
 	_, leaving := d.strays[attempt]
 	return leaving || d.suspects[on]
 }
 
-// HeldIn counts a job's charged tasks by the zones that they are charged to.
-func (d *Dealer) HeldIn(id model.JobID) map[model.Name]int {
+// AssignedByZone counts a job's charged tasks by the zones that they are charged to.
+func (d *Dispatcher) AssignedByZone(id model.JobID) map[model.Name]int {
 	zones := map[model.Name]int{}
 	if j := d.jobs[id]; j != nil {
 		for _, h := range j.held {
--- a/internal/core/dealer/chains_test.go
+++ b/internal/core/dispatcher/job_holds_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -13,65 +13,65 @@
 func TestHeldJobHoldsNothing(t *testing.T) {
 	r := newRig(t, 1e6)
 	r.d.p.Teams[0].Guarantee = model.Capacity(5, 0, 0)
-	r.d.Recorded(BlockID{}, 4, []model.Machine{{ID: 9, Addr: "y"}})
-	s := r.d.Join(0, "a")
+	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 9, Addr: "y"}})
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.job(1, 2, true)
-	r.d.Hold(1)
+	r.d.HoldJob(1)
 	r.job(2, 2, false)
 	r.status(time.Second, s, 1)
-	r.d.Deal(time.Second)
-	for _, o := range r.orders(model.Give) {
-		if o.Deal.Task.Job == 1 {
-			t.Fatalf("%v is dealt", o.Deal.Task)
+	r.d.Dispatch(time.Second)
+	for _, o := range r.orders(model.AssignTask) {
+		if o.Assignment.Task.Job == 1 {
+			t.Fatalf("%v is dealt", o.Assignment.Task)
 		}
-		if o.Deal.Price != Price(model.Standard, true) {
-			t.Errorf("price %v: a job that waits takes of the guarantee", o.Deal.Price)
+		if o.Assignment.Price != Price(model.Standard, true) {
+			t.Errorf("price %v: a job that waits takes of the guarantee", o.Assignment.Price)
 		}
 	}
-	if n := r.d.Needs(); len(n) != 1 || n[0].Spec.ID != 2 {
+	if n := r.d.Demand(); len(n) != 1 || n[0].Spec.ID != 2 {
 		t.Errorf("needs %+v", n)
 	}
-	r.d.Release(1, 30*time.Second, true)
+	r.d.ReleaseJob(1, 30*time.Second, true)
 	r.status(31*time.Second, s, 1)
-	r.d.Deal(31 * time.Second)
-	given := r.orders(model.Give)
+	r.d.Dispatch(31 * time.Second)
+	given := r.orders(model.AssignTask)
 	if len(given) == 0 {
 		t.Fatal("not dealt: it waits for machines that can hold nothing of it")
 	}
 	for _, o := range given {
-		if o.Deal.Since != 30*time.Second {
-			t.Errorf("it ages from %v", o.Deal.Since)
+		if o.Assignment.WaitingSince != 30*time.Second {
+			t.Errorf("it ages from %v", o.Assignment.WaitingSince)
 		}
 	}
 }
 
 func TestInheritedPriceIsToldAndTakenBack(t *testing.T) {
 	r := newRig(t, 1e6)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	sp := r.job(1, 2, false)
-	sp.CanWait = true
+	sp.BestEffort = true
 	r.status(time.Second, s, 1)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
 	for i, c := range []struct {
 		rank  model.Rank
 		aimed bool
-		aim   model.Aim
-	}{{model.Urgent, true, model.AimYes}, {model.Standard, false, model.AimNo}} {
+		aim   model.Objective
+	}{{model.Urgent, true, model.HasObjective}, {model.Standard, false, model.NoObjective}} {
 		now := time.Duration(10+10*i) * time.Second
-		r.d.Inherit(1, c.rank, c.aimed)
-		r.d.Deal(now)
-		told := r.orders(model.Reprice)
+		r.d.InheritRank(1, c.rank, c.aimed)
+		r.d.Dispatch(now)
+		told := r.orders(model.RepriceJob)
 		if len(told) == 0 {
 			t.Fatalf("%+v: the shard is not told", c)
 		}
-		if last := told[len(told)-1]; last.Price != Price(c.rank, false) || last.Aim != c.aim {
+		if last := told[len(told)-1]; last.Price != Price(c.rank, false) || last.Objective != c.aim {
 			t.Errorf("%+v: told %+v", c, last)
 		}
 	}
-	if !sp.CanWait {
+	if !sp.BestEffort {
 		t.Error("the job's own description has changed: others hold it")
 	}
 }
@@ -82,11 +82,11 @@
 func TestLargerBlockGoesLast(t *testing.T) {
 	r := newRig(t, 1e6)
 	ms := []model.Machine{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}, {ID: 5, Addr: "c"}}
-	r.d.Recorded(BlockID{}, 4, ms)
-	r.d.Relay(2)
+	r.d.AddStoredBlock(BlockID{}, 4, ms)
+	r.d.SetLayout(2)
 	stored := map[BlockID]bool{{}: true}
 	for round := range 20 {
-		ws := r.d.Urgent(1)
+		ws := r.d.UrgentWrites(1)
 		if len(ws) == 0 {
 			break
 		}
@@ -102,7 +102,7 @@
 			}
 			delete(stored, w.Block)
 		}
-		r.d.Stored(time.Second, w, uint64(60+round), ok, lost)
+		r.d.WriteDone(time.Second, w, uint64(60+round), ok, lost)
 	}
 	if stored[BlockID{}] || len(stored) != 3 {
 		t.Errorf("stored %v", stored)
@@ -112,7 +112,7 @@
 			t.Errorf("machine %d: recorded %v in %d", id, m.recorded, m.recordedIn)
 		}
 	}
-	if ws := r.d.Urgent(9); len(ws) > 0 {
+	if ws := r.d.UrgentWrites(9); len(ws) > 0 {
 		t.Errorf("%+v is still to be written", ws)
 	}
 }
--- a/internal/core/dealer/book.go
+++ b/internal/core/dispatcher/jobs.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -60,7 +60,7 @@
 
 // AddJob takes an open job. done holds its stored chunks; old tells that it
 // was accepted before this term.
-func (d *Dealer) AddJob(now time.Duration, sp *model.Spec, version uint64, waited time.Duration, old bool) {
+func (d *Dispatcher) AddJob(now time.Duration, sp *model.Spec, version uint64, waited time.Duration, old bool) {
 	if d.jobs[sp.ID] != nil || int(sp.Team) >= len(d.p.Teams) {
 		return
 	}
@@ -83,9 +83,9 @@
 	d.repriced = 0
 }
 
-// AddDone takes a stored chunk of a job's done set, whose first bit is that of task
+// AddDoneChunk takes a stored chunk of a job's done set, whose first bit is that of task
 // base, with its version.
-func (d *Dealer) AddDone(id model.JobID, chunk ChunkID, version uint64, base int32, b []byte) {
+func (d *Dispatcher) AddDoneChunk(id model.JobID, chunk ChunkID, version uint64, base int32, b []byte) {
 	j := d.jobs[id]
 	if j == nil || base < 0 {
 		return
@@ -102,7 +102,7 @@
 
 func (j *job) isDone(no int32) bool { return j.done[no/64]&(1<<(no%64)) != 0 }
 
-func (d *Dealer) setDone(j *job, no int32) bool {
+func (d *Dispatcher) setDone(j *job, no int32) bool {
 	if j.isDone(no) {
 		return false
 	}
@@ -111,22 +111,22 @@
 	return true
 }
 
-// Withdrawn takes the news that a job's open record is gone: cancelled, or
+// JobRemoved takes the news that a job's open record is gone: cancelled, or
 // ended otherwise.
-func (d *Dealer) Withdrawn(id model.JobID) {
+func (d *Dispatcher) JobRemoved(id model.JobID) {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		d.end(j)
 	}
 }
 
-func (d *Dealer) end(j *job) {
+func (d *Dispatcher) end(j *job) {
 	j.ended = true
 	d.toAll(model.Order{Kind: model.EndJob, Job: j.spec.ID})
 	d.forget(j)
 }
 
 // forget drops an ended job once none of its tasks is charged any more.
-func (d *Dealer) forget(j *job) {
+func (d *Dispatcher) forget(j *job) {
 	if j.ended && len(j.held) == 0 && !j.writing {
 		delete(d.jobs, j.spec.ID)
 		if i, ok := slices.BinarySearchFunc(d.inOrder, j, compareJobs); ok {
@@ -135,53 +135,53 @@
 	}
 }
 
-func (d *Dealer) holds(j *job, no int32, id model.ShardID) bool {
+func (d *Dispatcher) holds(j *job, no int32, id model.ShardID) bool {
 	h, ok := j.held[no]
 	return ok && h.orphans == nil && h.shard == id
 }
 
-func (d *Dealer) found(now time.Duration, from model.ShardID, e model.Event) {
+func (d *Dispatcher) found(now time.Duration, from model.ShardID, e model.Event) {
 	j := d.jobs[e.Task.Job]
-	known := j != nil && !j.ended && e.Task.No < j.spec.Tasks
+	known := j != nil && !j.ended && e.Task.Index < j.spec.Tasks
 	m := d.machines[e.Machine]
-	if e.Cell.Stage == model.Exited {
-		if known && e.Cell.Cause == model.CauseDone && !j.spec.Daemon {
+	if e.Status.Stage == model.Exited {
+		if known && e.Status.Cause == model.CauseDone && !j.spec.Daemon {
 			d.finished(now, from, e)
 			return
 		}
-		d.order(from, model.Order{Kind: model.ClearIt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
+		d.order(from, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 		return
 	}
 	if m != nil && (m.gone || m.owner != from) {
 		return // the next owner will find it
 	}
 	if m != nil && d.accountedFor(m) {
-		d.stats.Unexpected++
+		d.stats.UnexpectedAttempts++
 	}
-	if m != nil && known && !j.isDone(e.Task.No) && j.spec.Allows(&m.Machine) && d.adoptable(j, e.Task.No, m) {
-		checked := d.wouldAllow(j, e.Task.No, m.Zone)
-		if h, ok := j.held[e.Task.No]; ok {
+	if m != nil && known && !j.isDone(e.Task.Index) && j.spec.Allows(&m.Machine) && d.adoptable(j, e.Task.Index, m) {
+		checked := d.wouldAllow(j, e.Task.Index, m.Zone)
+		if h, ok := j.held[e.Task.Index]; ok {
 			delete(h.orphans.tasks, e.Task)
 			j.orphaned--
 			j.moveZone(h.zone, m.Zone)
 			h.shard, h.orphans, h.zone = from, nil, m.Zone
-			j.held[e.Task.No] = h
+			j.held[e.Task.Index] = h
 		} else {
-			d.hold(j, e.Task.No, m.Zone, from, Adopted)
+			d.hold(j, e.Task.Index, m.Zone, from, Adopted)
 		}
-		d.give(from, model.Deal{Task: e.Task, Spec: j.spec, Price: j.price, Zone: j.pin(m.Zone), Since: j.since,
-			Machine: e.Machine, Attempt: e.Attempt, Checked: checked})
+		d.give(from, model.Assignment{Task: e.Task, Spec: j.spec, Price: j.price, Zone: j.pin(m.Zone), WaitingSince: j.since,
+			Machine: e.Machine, Attempt: e.Attempt, WithinLimits: checked})
 		return
 	}
 	// It takes room, and its team's share, until it is gone.
 	d.strays[e.Attempt] = stray{e.Machine, from}
-	d.order(from, model.Order{Kind: model.KillIt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
+	d.order(from, model.Order{Kind: model.KillAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 }
 
 // adoptable: the task was orphaned and may be there, or nobody holds it and what earlier owners
 // left on the machine is not known yet. Later than that it may have been dispatched elsewhere,
 // and been taken back: to adopt it would pass by its team's limit and its job's zones.
-func (d *Dealer) adoptable(j *job, no int32, m *machine) bool {
+func (d *Dispatcher) adoptable(j *job, no int32, m *machine) bool {
 	h, ok := j.held[no]
 	if !ok {
 		return !d.accountedFor(m)
@@ -192,20 +192,20 @@
 // wouldAllow tells whether a task could be charged in a zone now, beside what else is charged: by
 // its team's limit and its job's zones. An earlier leader looked at both when it dispatched the
 // task, so what is not found yet need not be reckoned with.
-func (d *Dealer) wouldAllow(j *job, no int32, zone model.Name) bool {
+func (d *Dispatcher) wouldAllow(j *job, no int32, zone model.Name) bool {
 	used := d.usage[j.spec.Team]
 	here, all := j.heldIn[zone], int32(len(j.held))
 	if h, ok := j.held[no]; ok { // itself
-		used = used.Sub(j.spec.Each)
+		used = used.Sub(j.spec.PerTask)
 		all--
 		if h.zone == zone {
 			here--
 		}
 	}
 	switch {
-	case j.spec.Each.Count(d.p.Teams[j.spec.Team].Left(used)) <= 0:
+	case j.spec.PerTask.Count(d.p.Teams[j.spec.Team].Remaining(used)) <= 0:
 		return false
-	case j.spec.Together:
+	case j.spec.SameZone:
 		return here == all
 	case j.spec.Spread:
 		return here < j.mostInZone()
@@ -228,68 +228,68 @@
 	}
 }
 
-func (d *Dealer) give(to model.ShardID, deal model.Deal) {
+func (d *Dispatcher) give(to model.ShardID, deal model.Assignment) {
 	if m := d.members[to]; m != nil {
 		m.deals++
 	}
-	d.order(to, model.Order{Kind: model.Give, Deal: deal})
+	d.order(to, model.Order{Kind: model.AssignTask, Assignment: deal})
 }
 
 func (j *job) pin(zone model.Name) model.Name {
-	if j.spec.Together || j.spec.Spread {
+	if j.spec.SameZone || j.spec.Spread {
 		return zone
 	}
 	return model.None
 }
 
-func (d *Dealer) isHeld(j *job, no int32) bool { _, ok := j.held[no]; return ok }
+func (d *Dispatcher) isHeld(j *job, no int32) bool { _, ok := j.held[no]; return ok }
 
-func (d *Dealer) hold(j *job, no int32, zone model.Name, shard model.ShardID, why ChargeReason) {
+func (d *Dispatcher) hold(j *job, no int32, zone model.Name, shard model.ShardID, why ChargeReason) {
 	h := hold{zone: zone, shard: shard}
 	j.held[no] = h
 	j.heldIn[zone]++
-	d.usage[j.spec.Team] = d.usage[j.spec.Team].Add(j.spec.Each)
+	d.usage[j.spec.Team] = d.usage[j.spec.Team].Add(j.spec.PerTask)
 	d.charged(j, no, h, why)
 }
 
-func (d *Dealer) release(j *job, no int32, why ChargeReason) {
+func (d *Dispatcher) release(j *job, no int32, why ChargeReason) {
 	if h, ok := j.held[no]; ok {
 		if h.orphans != nil {
 			j.orphaned--
 		}
 		delete(j.held, no)
 		j.leaveZone(h.zone)
-		d.usage[j.spec.Team] = d.usage[j.spec.Team].Sub(j.spec.Each)
+		d.usage[j.spec.Team] = d.usage[j.spec.Team].Sub(j.spec.PerTask)
 		d.charged(j, no, h, why)
 	}
 }
 
-func (d *Dealer) finished(now time.Duration, from model.ShardID, e model.Event) {
+func (d *Dispatcher) finished(now time.Duration, from model.ShardID, e model.Event) {
 	j := d.jobs[e.Task.Job]
 	clear := clearing{from, e.Machine, e.Task, e.Attempt}
-	if j != nil && e.Held && d.holds(j, e.Task.No, from) {
-		d.release(j, e.Task.No, Completed)
+	if j != nil && e.Held && d.holds(j, e.Task.Index, from) {
+		d.release(j, e.Task.Index, Completed)
 	}
-	if j == nil || j.ended || e.Task.No >= j.spec.Tasks {
+	if j == nil || j.ended || e.Task.Index >= j.spec.Tasks {
 		if j != nil {
 			d.forget(j)
 		}
 		d.clearIt(clear)
 		return
 	}
-	if h, ok := j.held[e.Task.No]; ok && h.orphans == nil {
+	if h, ok := j.held[e.Task.Index]; ok && h.orphans == nil {
 		// It is done, yet started again elsewhere.
-		d.order(h.shard, model.Order{Kind: model.Recall, Task: e.Task})
+		d.order(h.shard, model.Order{Kind: model.RecallTask, Task: e.Task})
 	}
 	if j.spec.Daemon { // a replica has no end: it runs again
-		if _, ok := j.held[e.Task.No]; !ok {
-			j.back = append(j.back, e.Task.No)
+		if _, ok := j.held[e.Task.Index]; !ok {
+			j.back = append(j.back, e.Task.Index)
 		}
 		d.clearIt(clear)
 		return
 	}
-	c := e.Task.No / d.p.ChunkSize
-	if d.setDone(j, e.Task.No) {
+	c := e.Task.Index / d.p.ChunkSize
+	if d.setDone(j, e.Task.Index) {
 		j.trouble, j.blocked = trouble{}, 0
 		j.dirty[c] = true
 	} else if !j.dirty[c] && !j.writing {
@@ -299,12 +299,12 @@
 	j.clears = append(j.clears, clear)
 }
 
-func (d *Dealer) clearIt(c clearing) {
-	d.order(c.shard, model.Order{Kind: model.ClearIt, ID: c.machine, Task: c.task, Attempt: c.attempt})
+func (d *Dispatcher) clearIt(c clearing) {
+	d.order(c.shard, model.Order{Kind: model.ClearAttempt, ID: c.machine, Task: c.task, Attempt: c.attempt})
 }
 
 // freed takes the certainty that a held task is nowhere.
-func (d *Dealer) freed(j *job, no int32, why ChargeReason) {
+func (d *Dispatcher) freed(j *job, no int32, why ChargeReason) {
 	d.release(j, no, why)
 	if j.ended {
 		d.forget(j)
@@ -313,8 +313,8 @@
 	}
 }
 
-func (d *Dealer) returned(now time.Duration, j *job, e model.Event) {
-	d.freed(j, e.Task.No, Returned)
+func (d *Dispatcher) returned(now time.Duration, j *job, e model.Event) {
+	d.freed(j, e.Task.Index, Returned)
 	if e.Cause == model.CauseError {
 		d.failed(now, j, e.Machine)
 	}
@@ -329,4 +329,4 @@
 
 // sortedJobs are all jobs, the earliest first: a copy, for jobs may go
 // while it is walked.
-func (d *Dealer) sortedJobs() []*job { return slices.Clone(d.inOrder) }
+func (d *Dispatcher) sortedJobs() []*job { return slices.Clone(d.inOrder) }
--- a/internal/core/dealer/spread.go
+++ b/internal/core/dispatcher/machine_balance.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"time"
@@ -22,7 +22,7 @@
 // the loss of a controller is the worse the more it owns. The worker is told
 // where to report; if it turns up elsewhere, it could not get there, and no
 // other of its zone is sent that way for a while.
-func (d *Dealer) spread(now time.Duration) {
+func (d *Dispatcher) spread(now time.Duration) {
 	if now < d.spreadAt || !d.Recovered() {
 		return
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		m.releasing, m.movedTo, m.movedAt = true, least.id, now
-		d.order(most.id, model.Order{Kind: model.Release, ID: m.ID, Keeper: least.host})
+		d.order(most.id, model.Order{Kind: model.ReleaseMachine, ID: m.ID, RedirectTo: least.host})
 		if move--; move == 0 {
 			return
 		}
@@ -66,7 +66,7 @@
 }
 
 // arrived notes where a worker that was sent away reports.
-func (d *Dealer) arrived(now time.Duration, m *machine, at model.ShardID) {
+func (d *Dispatcher) arrived(now time.Duration, m *machine, at model.ShardID) {
 	if m.movedTo == 0 {
 		return
 	}
--- a/internal/core/dealer/owners.go
+++ b/internal/core/dispatcher/machines.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -42,12 +42,12 @@
 	movedAt        time.Duration
 }
 
-// EveryoneHere tells that all controllers have joined this term: nobody acts
+// AllControllersJoined tells that all controllers have joined this term: nobody acts
 // for an earlier one.
-func (d *Dealer) EveryoneHere(now time.Duration) { d.oldEnd = min(d.oldEnd, now) }
+func (d *Dispatcher) AllControllersJoined(now time.Duration) { d.oldEnd = min(d.oldEnd, now) }
 
 // Tick settles what time alone decides.
-func (d *Dealer) Tick(now time.Duration) {
+func (d *Dispatcher) Tick(now time.Duration) {
 	d.now = now
 	d.spread(now)
 	members := d.sortedMembers()
@@ -59,7 +59,7 @@
 			m.unownedSince = 0
 			continue
 		}
-		if now > m.authority+d.p.SureLease {
+		if now > m.authority+d.p.MaxLease {
 			d.resolve(m)
 			continue
 		}
@@ -80,10 +80,10 @@
 
 // Recovered tells whether every machine that an earlier leader may have used
 // has been accounted for.
-func (d *Dealer) Recovered() bool { return len(d.suspects) == 0 }
+func (d *Dispatcher) Recovered() bool { return len(d.suspects) == 0 }
 
 // SetTypes takes the cloud's catalog.
-func (d *Dealer) SetTypes(types []model.MachineType) {
+func (d *Dispatcher) SetTypes(types []model.MachineType) {
 	for _, t := range types {
 		d.types[t.Name] = t
 	}
@@ -101,33 +101,33 @@
 
 // sortedMachines are all machines by id: a copy, for machines may go while it
 // is walked.
-func (d *Dealer) sortedMachines() []*machine { return slices.Clone(d.byID) }
+func (d *Dispatcher) sortedMachines() []*machine { return slices.Clone(d.byID) }
 
-func (d *Dealer) addMachine(m *machine) {
+func (d *Dispatcher) addMachine(m *machine) {
 	d.machines[m.ID] = m
 	m.barred = d.barred[m.ID]
 	i, _ := slices.BinarySearchFunc(d.byID, m, compareMachines)
 	d.byID = slices.Insert(d.byID, i, m)
 }
 
-func (d *Dealer) dropMachine(m *machine) {
+func (d *Dispatcher) dropMachine(m *machine) {
 	delete(d.machines, m.ID)
 	if i, ok := slices.BinarySearchFunc(d.byID, m, compareMachines); ok {
 		d.byID = slices.Delete(d.byID, i, i+1)
 	}
 }
 
-// Recorded takes a stored block of machines that an earlier leader may have given
+// AddStoredBlock takes a stored block of machines that an earlier leader may have given
 // tasks. They are suspect until their workers are fenced or their leases are surely
 // over. Blocks of the layout that is to be written come first.
-func (d *Dealer) Recorded(id BlockID, version uint64, ms []model.Machine) {
+func (d *Dispatcher) AddStoredBlock(id BlockID, version uint64, ms []model.Machine) {
 	d.blockAt(id).version = version
 	for _, m := range ms {
 		d.suspect(m, id.Size)
 	}
 }
 
-func (d *Dealer) suspect(m model.Machine, layout uint64) {
+func (d *Dispatcher) suspect(m model.Machine, layout uint64) {
 	if d.machines[m.ID] != nil {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // own gives the machine to a shard, under a token never used before.
-func (d *Dealer) own(m *machine, to model.ShardID) {
+func (d *Dispatcher) own(m *machine, to model.ShardID) {
 	if m.owner != to {
 		m.ownedAt = d.now
 		m.leaseExpired, m.unreachable, m.told, m.fenced = false, false, 0, false
@@ -152,14 +152,14 @@
 	d.owned++
 	m.owner, m.next = to, 0
 	m.token = d.p.Term<<32 | d.owned
-	d.order(to, model.Order{Kind: model.Own, Machine: m.Machine, Token: m.token, Usable: m.usable(), Prove: m.toProve()})
+	d.order(to, model.Order{Kind: model.OwnMachine, Machine: m.Machine, Token: m.token, Usable: m.usable(), VerifyFirst: m.toProve()})
 }
 
-// Gone takes the certainty that a machine and everything on it are gone.
-func (d *Dealer) Gone(id model.MachineID) {
+// MachineGone takes the certainty that a machine and everything on it are gone.
+func (d *Dispatcher) MachineGone(id model.MachineID) {
 	if m := d.machines[id]; m != nil && !m.gone {
 		m.gone = true
-		d.order(m.owner, model.Order{Kind: model.Disown, ID: id})
+		d.order(m.owner, model.Order{Kind: model.RemoveMachine, ID: id})
 		d.resolve(m)
 		if m.stored {
 			d.block(id).dirty = true
@@ -169,9 +169,9 @@
 	}
 }
 
-// Unseen returns the machines of earlier terms that are not accounted for yet,
+// UnaccountedMachines returns the machines of earlier terms that are not accounted for yet,
 // if they are at most that share of all, or only one.
-func (d *Dealer) Unseen(share float64) []model.MachineID {
+func (d *Dispatcher) UnaccountedMachines(share float64) []model.MachineID {
 	if len(d.suspects) > max(1, int(share*float64(len(d.machines)))) {
 		return nil
 	}
@@ -184,9 +184,9 @@
 	return out
 }
 
-// Unanswering tells whether each machine of earlier terms that is not accounted
+// UnaccountedUnresponsive tells whether each machine of earlier terms that is not accounted
 // for has left a command unanswered.
-func (d *Dealer) Unanswering() bool {
+func (d *Dispatcher) UnaccountedUnresponsive() bool {
 	for id := range d.suspects {
 		if !d.machines[id].unanswered {
 			return false
@@ -195,9 +195,9 @@
 	return true
 }
 
-// Unreachable are the machines whose workers neither report nor answer though others of
+// UnreachableMachines are the machines whose workers neither report nor answer though others of
 // their zone do.
-func (d *Dealer) Unreachable() (out []model.MachineID) {
+func (d *Dispatcher) UnreachableMachines() (out []model.MachineID) {
 	for _, m := range d.byID {
 		if m.unreachable && m.owner != 0 && !m.gone {
 			out = append(out, m.ID)
@@ -207,7 +207,7 @@
 }
 
 // Owners are the owners of all machines that have one.
-func (d *Dealer) Owners() (out []model.ShardID) {
+func (d *Dispatcher) Owners() (out []model.ShardID) {
 	for _, m := range d.byID {
 		if m.owner != 0 && !m.gone {
 			out = append(out, m.owner)
@@ -217,18 +217,18 @@
 }
 
 // HasMachines tells whether there is any machine.
-func (d *Dealer) HasMachines() bool { return len(d.machines) > 0 }
+func (d *Dispatcher) HasMachines() bool { return len(d.machines) > 0 }
 
 // LeaseExpired tells whether no shard has answered a machine for its whole lease.
-func (d *Dealer) LeaseExpired(id model.MachineID) bool {
+func (d *Dispatcher) LeaseExpired(id model.MachineID) bool {
 	m := d.machines[id]
 	return m == nil || m.leaseExpired || m.gone || m.owner == 0
 }
 
-// Use lets tasks be placed on a machine, or not.
-func (d *Dealer) Use(id model.MachineID, usable bool) {
+// SetUsable lets tasks be placed on a machine, or not.
+func (d *Dispatcher) SetUsable(id model.MachineID, usable bool) {
 	if m := d.machines[id]; m != nil {
-		d.order(m.owner, model.Order{Kind: model.Use, ID: id, Usable: usable && m.usable()})
+		d.order(m.owner, model.Order{Kind: model.SetUsable, ID: id, Usable: usable && m.usable()})
 	}
 }
 
@@ -236,20 +236,20 @@
 func (m *machine) usable() bool { return m.recorded && !m.lapsed && !m.barred && m.Cap.CPU > 0 }
 
 // heardAgain takes the news that a machine's worker reports.
-func (d *Dealer) heardAgain(m *machine) {
+func (d *Dispatcher) heardAgain(m *machine) {
 	m.leaseExpired, m.unreachable = false, false
 	if !m.lapsed {
 		return
 	}
 	m.lapsed = false
-	d.stats.Returned++
+	d.stats.ReturnedMachines++
 	if !m.recorded {
 		d.block(m.ID).dirty = true
 	}
-	d.Use(m.ID, true)
+	d.SetUsable(m.ID, true)
 }
 
-func (d *Dealer) unowned(now time.Duration, from model.ShardID, e *model.Event) {
+func (d *Dispatcher) unowned(now time.Duration, from model.ShardID, e *model.Event) {
 	r := e.Report
 	m := d.machines[r.Machine.ID]
 	if m != nil {
@@ -286,6 +286,6 @@
 		// The worker has moved, unless this is a copy: its owner knows. What that knows
 		// of the machine must not be lost.
 		m.next, m.releasing = from, true
-		d.order(m.owner, model.Order{Kind: model.Release, ID: m.ID, Numbers: e.Numbers})
+		d.order(m.owner, model.Order{Kind: model.ReleaseMachine, ID: m.ID, MessageID: e.MessageID})
 	}
 }
--- a/internal/core/dealer/orphans.go
+++ b/internal/core/dispatcher/orphans.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"slices"
@@ -32,9 +32,9 @@
 	owner   model.ShardID
 }
 
-// Lost takes the loss of a shard, which may have acted, unseen, until end. Its
+// ShardLost takes the loss of a shard, which may have acted, unseen, until end. Its
 // tasks stay charged until each of its machines is accounted for.
-func (d *Dealer) Lost(id model.ShardID, end time.Duration) {
+func (d *Dispatcher) ShardLost(id model.ShardID, end time.Duration) {
 	if d.members[id] == nil {
 		return
 	}
@@ -66,18 +66,18 @@
 	d.settle(g)
 }
 
-func (d *Dealer) setOrphaned(j *job, no int32, g *orphans) {
+func (d *Dispatcher) setOrphaned(j *job, no int32, g *orphans) {
 	h := j.held[no]
 	if h.orphans == nil {
 		j.orphaned++
 	}
 	h.shard, h.orphans = 0, g
 	j.held[no] = h
-	g.tasks[model.Task{Job: j.spec.ID, No: no}] = true
+	g.tasks[model.Task{Job: j.spec.ID, Index: no}] = true
 }
 
 // settle frees what is still orphaned once no machine is left to look at.
-func (d *Dealer) settle(g *orphans) {
+func (d *Dispatcher) settle(g *orphans) {
 	if len(g.machines) > 0 {
 		return
 	}
@@ -87,9 +87,9 @@
 	}
 	slices.SortFunc(tasks, model.Task.Compare)
 	for _, t := range tasks {
-		if j := d.jobs[t.Job]; j != nil && j.held[t.No].orphans == g {
-			d.freed(j, t.No, MachinesAccounted)
-			if d.p.Tell {
+		if j := d.jobs[t.Job]; j != nil && j.held[t.Index].orphans == g {
+			d.freed(j, t.Index, MachinesAccounted)
+			if d.p.ReportInterruptions {
 				d.freedNow = append(d.freedNow, t)
 			}
 		}
@@ -99,7 +99,7 @@
 
 // resolve accounts for a machine: all that an earlier owner left there has
 // been found, or is gone.
-func (d *Dealer) resolve(m *machine) {
+func (d *Dispatcher) resolve(m *machine) {
 	delete(d.suspects, m.ID)
 	for id, a := range d.strays {
 		if a.machine == m.ID && a.owner != m.owner {
@@ -114,14 +114,14 @@
 	}
 }
 
-func (d *Dealer) released(now time.Duration, from model.ShardID, m *machine, e model.Event) {
+func (d *Dispatcher) released(now time.Duration, from model.ShardID, m *machine, e model.Event) {
 	if m != nil && m.owner != from {
 		return
 	}
 	g := newOrphans()
 	for _, t := range e.Tasks {
-		if j := d.jobs[t.Job]; j != nil && d.holds(j, t.No, from) {
-			d.setOrphaned(j, t.No, g)
+		if j := d.jobs[t.Job]; j != nil && d.holds(j, t.Index, from) {
+			d.setOrphaned(j, t.Index, g)
 		}
 	}
 	if m == nil { // only machines that are gone are forgotten: nothing is there
--- a/internal/core/dealer/crowded.go
+++ b/internal/core/dispatcher/overloaded.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"time"
@@ -20,7 +20,7 @@
 )
 
 // loads counts the machines of each shard, as of a moment ago.
-func (d *Dealer) loads(now time.Duration) map[model.ShardID]int {
+func (d *Dispatcher) loads(now time.Duration) map[model.ShardID]int {
 	if d.owns != nil && now-d.countedAt < recount {
 		return d.owns
 	}
@@ -35,13 +35,13 @@
 
 // elsewhere sends a worker that has reported to a crowded shard to another one, which
 // owns the machine from here on. It tells whether it did.
-func (d *Dealer) elsewhere(now time.Duration, m *machine, from model.ShardID) bool {
+func (d *Dispatcher) elsewhere(now time.Duration, m *machine, from model.ShardID) bool {
 	if len(d.members) < 2 || m.releasing {
 		return false
 	}
 	loads := d.loads(now)
 	part := float64(len(d.byID)) / float64(len(d.members))
-	if float64(loads[from]) < max(part*crowdedTimes, float64(d.p.Crowd)) {
+	if float64(loads[from]) < max(part*crowdedTimes, float64(d.p.MinOverload)) {
 		return false
 	}
 	to := d.members[m.owner]
@@ -55,12 +55,12 @@
 		d.own(m, to.id)
 	}
 	m.movedTo, m.movedAt = to.id, now
-	d.order(from, model.Order{Kind: model.Elsewhere, ID: m.ID, Keeper: to.host})
+	d.order(from, model.Order{Kind: model.RedirectWorker, ID: m.ID, RedirectTo: to.host})
 	return true
 }
 
 // emptiest is the shard with the fewest machines that the machine's zone can reach.
-func (d *Dealer) emptiest(now time.Duration, m *machine, loads map[model.ShardID]int) (best *member) {
+func (d *Dispatcher) emptiest(now time.Duration, m *machine, loads map[model.ShardID]int) (best *member) {
 	for _, s := range d.sortedMembers() {
 		if d.reaches(now, s, m) && (best == nil || loads[s.id] < loads[best.id]) {
 			best = s
@@ -70,14 +70,14 @@
 }
 
 // reaches tells whether a machine's worker can probably report to a shard.
-func (d *Dealer) reaches(now time.Duration, s *member, m *machine) bool {
+func (d *Dispatcher) reaches(now time.Duration, s *member, m *machine) bool {
 	return now >= d.shunned[reach{m.Zone, s.host}] && now-max(s.heard, s.joined) < heardLately
 }
 
 // heardFrom notes that a shard has heard a worker.
 func (s *member) heardFrom(now time.Duration, k model.EventKind) {
 	switch k {
-	case model.Unowned, model.Fenced, model.Found, model.Finished, model.Heard:
+	case model.UnownedWorker, model.WorkerFenced, model.AttemptFound, model.TaskFinished, model.WorkerBack:
 		s.heard = now
 	}
 }
--- a/internal/core/dealer/crowded_test.go
+++ b/internal/core/dispatcher/overloaded_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -11,10 +11,10 @@
 // told to go, "" if nowhere.
 func (r *rig) arrive(now time.Duration, id model.MachineID, at model.ShardID) (keeper string) {
 	m := model.Machine{ID: id, Addr: "x"}
-	r.d.Event(now, at, model.Event{Kind: model.Unowned, Machine: id, Report: &model.Report{Machine: m}})
+	r.d.Event(now, at, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 	for _, o := range r.d.Orders() {
-		if o.Kind == model.Elsewhere && o.To == at && o.ID == id {
-			keeper = o.Keeper
+		if o.Kind == model.RedirectWorker && o.To == at && o.ID == id {
+			keeper = o.RedirectTo
 		}
 	}
 	return keeper
@@ -24,7 +24,7 @@
 // it fell behind, lost leadership, and the next one was met the same way.
 func TestWorkersOfACrowdedShardAreSentElsewhere(t *testing.T) {
 	r := newRig(t, 100)
-	a, b, c := r.d.Join(0, "a"), r.d.Join(0, "b"), r.d.Join(0, "c")
+	a, b, c := r.d.AddShard(0, "a"), r.d.AddShard(0, "b"), r.d.AddShard(0, "c")
 	sent := map[string]int{}
 	for id := range model.MachineID(300) {
 		sent[r.arrive(time.Second, id, a)]++
@@ -42,7 +42,7 @@
 // and no other of its zone is sent there for a while.
 func TestAWorkerThatComesBackStays(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	var sent model.MachineID
 	for id := range model.MachineID(100) {
 		if r.arrive(time.Second, id, a) != "" {
@@ -53,7 +53,7 @@
 		t.Fatalf("nobody was sent to the empty shard")
 	}
 	r.arrive(6*time.Second, sent, a)
-	r.d.Event(6*time.Second, b, model.Event{Kind: model.Released, Machine: sent})
+	r.d.Event(6*time.Second, b, model.Event{Kind: model.MachineReleased, Machine: sent})
 	if m := r.d.machines[sent]; m.owner != a {
 		t.Errorf("the worker that came back has owner %d, want %d", m.owner, a)
 	}
@@ -67,14 +67,14 @@
 // A controller that is cut off from its workers stays a member: nobody is sent there.
 func TestNobodyIsSentToAShardThatHearsNoWorkers(t *testing.T) {
 	r := newRig(t, 100)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	r.machine(time.Second, 0, b)
 	for id := model.MachineID(1); id < 100; id++ {
 		if k := r.arrive(heardLately+2*time.Second, id, a); k != "" {
 			t.Fatalf("machine %d is sent to %s, which heard nobody for %v", id, k, heardLately)
 		}
 	}
-	r.d.Event(heardLately+3*time.Second, b, model.Event{Kind: model.Fenced, Machine: 0})
+	r.d.Event(heardLately+3*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 0})
 	if k := r.arrive(heardLately+4*time.Second, 100, a); k != "b" {
 		t.Errorf("b hears its workers again, and machine 100 is sent to %q", k)
 	}
@@ -84,16 +84,16 @@
 // changed hands may go unanswered though it is well.
 func TestOnlyOverdueMachinesAreDeaf(t *testing.T) {
 	r := newRig(t, 100)
-	a := r.d.Join(0, "a")
+	a := r.d.AddShard(0, "a")
 	r.machine(0, 1, a)
 	r.machine(0, 2, a)
-	r.d.Event(time.Second, a, model.Event{Kind: model.Unanswered, Machine: 1})
-	r.d.Event(time.Second, a, model.Event{Kind: model.Unanswered, Machine: 2, Held: true})
-	if got := r.d.Unreachable(); len(got) != 1 || got[0] != 2 {
+	r.d.Event(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 1})
+	r.d.Event(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 2, Held: true})
+	if got := r.d.UnreachableMachines(); len(got) != 1 || got[0] != 2 {
 		t.Errorf("deaf: %v, want machine 2", got)
 	}
-	r.d.Event(2*time.Second, a, model.Event{Kind: model.Heard, Machine: 2})
-	if got := r.d.Unreachable(); len(got) != 0 {
+	r.d.Event(2*time.Second, a, model.Event{Kind: model.WorkerBack, Machine: 2})
+	if got := r.d.UnreachableMachines(); len(got) != 0 {
 		t.Errorf("deaf: %v after it was heard", got)
 	}
 }
--- a/internal/core/dealer/reachability.go
+++ b/internal/core/dispatcher/reachability.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"slices"
@@ -35,11 +35,11 @@
 
 // meanwhile holds back what a shard tells that is to let go of a machine: orders that
 // follow from it would arrive too late there. Should it keep the machine, it counts.
-func (d *Dealer) meanwhile(e *model.Event) bool {
+func (d *Dispatcher) meanwhile(e *model.Event) bool {
 	switch e.Kind {
-	case model.Fenced, model.Lapsed:
-	case model.Found:
-		if e.Cell.Stage == model.Exited {
+	case model.WorkerFenced, model.LeaseExpiryConfirmed:
+	case model.AttemptFound:
+		if e.Status.Stage == model.Exited {
 			return false
 		}
 	default:
@@ -51,7 +51,7 @@
 
 // kept takes the news that a shard was right to keep a machine: what came in elsewhere
 // was a copy.
-func (d *Dealer) kept(now time.Duration, from model.ShardID, m *machine) {
+func (d *Dispatcher) kept(now time.Duration, from model.ShardID, m *machine) {
 	m.releasing, m.next = false, 0
 	held := d.heldBack[m.ID]
 	delete(d.heldBack, m.ID)
@@ -61,17 +61,17 @@
 }
 
 // forgetFound drops what was held back of an attempt that is nowhere any more.
-func (d *Dealer) forgetFound(attempt uint64) {
+func (d *Dispatcher) forgetFound(attempt uint64) {
 	for id, held := range d.heldBack {
 		d.heldBack[id] = slices.DeleteFunc(held, func(e model.Event) bool {
-			return e.Kind == model.Found && e.Attempt == attempt
+			return e.Kind == model.AttemptFound && e.Attempt == attempt
 		})
 	}
 }
 
-// Unverified counts the machines that have shown no owner that they receive, two in succession
+// UnverifiedCount counts the machines that have shown no owner that they receive, two in succession
 // or more.
-func (d *Dealer) Unverified() (n int) {
+func (d *Dispatcher) UnverifiedCount() (n int) {
 	for _, m := range d.byID {
 		if m.toProve() && !m.fenced && !m.gone {
 			n++
--- a/internal/core/dealer/rebalance_test.go
+++ b/internal/core/dispatcher/rebalance_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 // room for one.
 func TestAShardIsRelievedOfWhatItHasNoRoomFor(t *testing.T) {
 	r := newRig(t, 400)
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	for id := range model.MachineID(4) {
 		to := a
 		if id > 0 {
@@ -21,16 +21,16 @@
 	}
 	r.status(0, a, 0)
 	r.job(1, 40, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	r.d.Orders()
 	now := 3 * time.Second
 	little := model.MachineStatus{Machine: model.Machine{ID: 0}, Avail: model.Capacity(2, 0, 64), Ready: true}
 	r.d.Status(now, a, []model.MachineStatus{little},
-		map[model.JobID]model.JobCount{1: {Waiting: 9}}, r.d.Dealt(a))
+		map[model.JobID]model.TaskCounts{1: {Waiting: 9}}, r.d.AssignmentsSent(a))
 	r.status(now, b, 1, 2, 3) // room for twelve
-	r.d.Deal(now)
+	r.d.Dispatch(now)
 	recalled := 0
-	for _, o := range r.orders(model.RecallWaiting) {
+	for _, o := range r.orders(model.RecallWaitingTasks) {
 		if o.To != a {
 			t.Errorf("recalled from %d", o.To)
 		}
--- a/internal/core/dealer/scale_test.go
+++ b/internal/core/dispatcher/scale_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"slices"
@@ -13,7 +13,7 @@
 func TestDealCostsTheSameInALargeCluster(t *testing.T) {
 	cost := func(machines int) float64 {
 		r := newRig(t, 1e6)
-		s := r.d.Join(0, "a")
+		s := r.d.AddShard(0, "a")
 		for id := range model.MachineID(machines) {
 			r.machine(0, id, s)
 		}
@@ -30,11 +30,11 @@
 			id++
 			r.job(id, 2, false)
 			r.status(now, s, 0) // it has room again
-			r.d.Deal(now)
-			if len(r.orders(model.Give)) != 2 {
+			r.d.Dispatch(now)
+			if len(r.orders(model.AssignTask)) != 2 {
 				t.Fatal("not dealt")
 			}
-			r.d.Withdrawn(id)
+			r.d.JobRemoved(id)
 		})
 	}
 	if small, large := cost(20), cost(2000); large > small+20 {
@@ -46,8 +46,8 @@
 // are: half of it once went to a controller that had just come back with five.
 func TestDealtAheadByMachines(t *testing.T) {
 	r := newRig(t, 1e6)
-	r.d.p.Ahead = 12
-	a, b := r.d.Join(0, "a"), r.d.Join(0, "b")
+	r.d.p.DispatchAhead = 12
+	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
 	for id := range model.MachineID(12) {
 		to := a
 		if id == 0 {
@@ -58,9 +58,9 @@
 	}
 	r.d.Orders()
 	r.job(1, 100, false)
-	r.d.Deal(time.Second)
+	r.d.Dispatch(time.Second)
 	to := map[model.ShardID]int{}
-	for _, o := range r.orders(model.Give) {
+	for _, o := range r.orders(model.AssignTask) {
 		to[o.To]++
 	}
 	if to[a] != 11 || to[b] != 1 {
@@ -74,60 +74,60 @@
 	const tasks, chunk = 100_000, 65_536
 	r := newRig(t, 1e6)
 	r.d.p.ChunkSize = chunk
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	sp := r.job(1, tasks, false)
-	sp.Each = model.Request(0.001, 0, 0)
+	sp.PerTask = model.Request(0.001, 0, 0)
 	given := make([]bool, tasks)
 	var stored []Write
 	now, done := time.Second, 0
 	for done < tasks/2 {
 		now += 2 * time.Second
 		r.status(now, s, 1)
-		r.d.Deal(now)
-		for _, o := range r.orders(model.Give) {
-			no := o.Deal.Task.No
+		r.d.Dispatch(now)
+		for _, o := range r.orders(model.AssignTask) {
+			no := o.Assignment.Task.Index
 			if given[no] {
 				t.Fatalf("task %d dealt twice", no)
 			}
 			given[no] = true
 			done++
-			r.d.Event(now, s, model.Event{Kind: model.Finished, Machine: 1, Task: o.Deal.Task, Attempt: uint64(no), Held: true})
+			r.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: uint64(no), Held: true})
 		}
 		for _, w := range r.d.Writes(now, 10) {
 			if w.Kind != PutChunk {
 				t.Fatalf("%+v with half of the tasks done", w)
 			}
 			stored = append(stored, w)
-			r.d.Stored(now, w, 60, true, false)
+			r.d.WriteDone(now, w, 60, true, false)
 		}
 	}
 	// The next leader knows what was done, and deals only the rest.
 	next := newRig(t, 1e6)
 	next.d.p.ChunkSize = chunk
-	s = next.d.Join(0, "b")
+	s = next.d.AddShard(0, "b")
 	next.machine(0, 1, s)
-	next.job(1, tasks, true).Each = sp.Each
+	next.job(1, tasks, true).PerTask = sp.PerTask
 	for _, w := range stored {
-		next.d.AddDone(1, w.Chunk, 1, w.From, w.Bits)
+		next.d.AddDoneChunk(1, w.Chunk, 1, w.FirstTask, w.Bits)
 	}
 	for range 30 {
 		now += 2 * time.Second
 		next.status(now, s, 1)
-		next.d.Deal(now)
-		for _, o := range next.orders(model.Give) {
-			if given[o.Deal.Task.No] {
-				t.Fatalf("task %d, stored as done, is dealt again", o.Deal.Task.No)
+		next.d.Dispatch(now)
+		for _, o := range next.orders(model.AssignTask) {
+			if given[o.Assignment.Task.Index] {
+				t.Fatalf("task %d, stored as done, is dealt again", o.Assignment.Task.Index)
 			}
 			done++
-			next.d.Event(now, s, model.Event{Kind: model.Finished, Machine: 1, Task: o.Deal.Task, Attempt: 1, Held: true})
+			next.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1, Held: true})
 		}
 	}
 	if done != tasks {
 		t.Fatalf("%d tasks were dealt", done)
 	}
 	for _, w := range next.d.Writes(now, 1) {
-		if w.Kind != Finish || !slices.Equal(w.Kept, []ChunkID{{}}) {
+		if w.Kind != FinishJob || !slices.Equal(w.StoredChunks, []ChunkID{{}}) {
 			t.Errorf("%+v, want the end of the job and the chunk that was stored", w)
 		}
 	}
@@ -137,20 +137,20 @@
 // unanswered may be there, one that was never written is not.
 func TestFinalDeletesOnlyWhatMayBeStored(t *testing.T) {
 	r := newRig(t, 1e6)
-	s := r.d.Join(0, "a")
+	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	finish := func(id model.JobID) []ChunkID {
 		t.Helper()
-		for _, w := range r.d.Urgent(10) {
-			if w.Kind == Finish && w.Job == id {
-				return w.Kept
+		for _, w := range r.d.UrgentWrites(10) {
+			if w.Kind == FinishJob && w.Job == id {
+				return w.StoredChunks
 			}
 		}
 		t.Fatalf("job %d: no final", id)
 		return nil
 	}
 	run := func(id model.JobID, no int32) {
-		r.d.Event(time.Minute, s, model.Event{Kind: model.Finished, Machine: 1, Task: model.Task{Job: id, No: no},
+		r.d.Event(time.Minute, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: id, Index: no},
 			Attempt: uint64(no)})
 	}
 	r.job(1, 2, false)
@@ -161,11 +161,11 @@
 	}
 	r.job(2, 2, false)
 	run(2, 0)
-	for _, w := range r.d.Progress(2*time.Minute, 10) {
-		r.d.Stored(2*time.Minute, w, 0, false, false)
+	for _, w := range r.d.ProgressWrites(2*time.Minute, 10) {
+		r.d.WriteDone(2*time.Minute, w, 0, false, false)
 	}
 	run(2, 1)
-	if kept := finish(2); !slices.Equal(kept, []ChunkID{{Old: true}}) {
+	if kept := finish(2); !slices.Equal(kept, []ChunkID{{OldLayout: true}}) {
 		t.Errorf("chunks %v deleted, want the one whose write went unanswered", kept)
 	}
 }
--- a/internal/core/dealer/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -21,13 +21,13 @@
 )
 
 // watch finds the jobs that should have begun, and tells the shards.
-func (d *Dealer) watch(now time.Duration, jobs []*job) {
-	if d.p.Begin <= 0 || d.watched != 0 && now-d.watched < watchEvery {
+func (d *Dispatcher) watch(now time.Duration, jobs []*job) {
+	if d.p.StartWithin <= 0 || d.watched != 0 && now-d.watched < watchEvery {
 		return
 	}
 	d.watched = now
 	if d.starvation == nil {
-		d.starvation = starvation.New(d.p.Begin)
+		d.starvation = starvation.New(d.p.StartWithin)
 	}
 	open := make([]starvation.Job, 0, len(jobs))
 	for _, j := range jobs {
@@ -35,7 +35,7 @@
 		if j.ended || j.waits || j.trouble.broken {
 			continue
 		}
-		j.begun = j.begun || j.nDone > 0 || len(j.held) > 0 && d.Count(j.spec.ID).Running > 0
+		j.begun = j.begun || j.nDone > 0 || len(j.held) > 0 && d.TaskCounts(j.spec.ID).Running > 0
 		open = append(open, starvation.Job{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks,
 			Since: j.since, Begun: j.begun})
 	}
@@ -45,13 +45,13 @@
 		j.late = true
 		if j.pressed == 0 || now-j.pressed >= pressEvery {
 			j.pressed = now
-			d.toAll(model.Order{Kind: model.First, Job: id})
+			d.toAll(model.Order{Kind: model.ExpediteJob, Job: id})
 		}
 	}
 }
 
 // Starvation tells what part of each class, team and size has begun.
-func (d *Dealer) Starvation(now time.Duration) []starvation.Share {
+func (d *Dispatcher) Starvation(now time.Duration) []starvation.Share {
 	if d.starvation == nil {
 		return nil
 	}
@@ -60,7 +60,7 @@
 
 // ranked puts the jobs to deal in order: those that should have begun, by their wait,
 // then by priority times wait.
-func (d *Dealer) ranked(now time.Duration, jobs []*job) {
+func (d *Dispatcher) ranked(now time.Duration, jobs []*job) {
 	score := func(j *job) float64 { return j.spec.Score(j.price, now-j.since) }
 	slices.SortStableFunc(jobs, func(a, b *job) int {
 		switch {
@@ -78,7 +78,7 @@
 // dealFirst deals the first task of a late job whose tasks are pinned to zones, though
 // none has room: its shard is to make some. Pinned jobs are else dealt only where there
 // is room, and what is dealt ahead takes it first.
-func (d *Dealer) dealFirst(j *job, members []*member) {
+func (d *Dispatcher) dealFirst(j *job, members []*member) {
 	if !j.late || len(j.held) > 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 	for _, m := range members {
 		zones := map[model.Name]int64{}
 		for _, k := range d.byID {
-			if k.owner == m.id && k.known() && k.status.Ready && j.spec.Allows(&k.Machine) && j.spec.Each.Fits(k.Cap) {
+			if k.owner == m.id && k.known() && k.status.Ready && j.spec.Allows(&k.Machine) && j.spec.PerTask.Fits(k.Cap) {
 				zones[k.Zone]++
 			}
 		}
--- a/internal/core/dealer/floor_test.go
+++ b/internal/core/dispatcher/starvation_test.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"testing"
@@ -11,35 +11,35 @@
 // shards are told, again and again until it has begun.
 func TestAJobThatShouldHaveBegunIsDealtFirst(t *testing.T) {
 	r := newRig(t, 1000)
-	r.d.p.Begin = 60 * time.Second
-	r.d.p.Ahead = 1
-	a := r.d.Join(0, "a")
+	r.d.p.StartWithin = 60 * time.Second
+	r.d.p.DispatchAhead = 1
+	a := r.d.AddShard(0, "a")
 	r.machine(0, 1, a)
 	low := r.job(1, 2, false)
-	low.Rank, low.CanWait = model.Idle, true
+	low.Rank, low.BestEffort = model.Idle, true
 	r.d.jobs[1].rank = model.Idle
-	r.d.Deal(time.Second)
-	urgent := &model.Spec{ID: 2, Tasks: 50, Each: model.Request(2, 0, 1), Rank: model.Prod, Zone: model.None, Spot: true}
+	r.d.Dispatch(time.Second)
+	urgent := &model.Spec{ID: 2, Tasks: 50, PerTask: model.Request(2, 0, 1), Rank: model.Prod, Zone: model.None, Spot: true}
 	r.d.AddJob(10*time.Second, urgent, 9, 0, false)
 	r.status(61*time.Second, a, 1)
-	r.d.Deal(61 * time.Second)
+	r.d.Dispatch(61 * time.Second)
 	orders := r.d.Orders()
 	var first model.JobID
 	told := 0
 	for _, o := range orders {
-		if o.Kind == model.First && o.Job == 1 {
+		if o.Kind == model.ExpediteJob && o.Job == 1 {
 			told++
 		}
-		if o.Kind == model.Give && first == 0 {
-			first = o.Deal.Task.Job
+		if o.Kind == model.AssignTask && first == 0 {
+			first = o.Assignment.Task.Job
 		}
 	}
 	if told != 1 || first != 1 {
 		t.Fatalf("told %d times, job %d dealt first", told, first)
 	}
 	again := func(now time.Duration) (n int) {
-		r.d.Deal(now)
-		for _, o := range r.orders(model.First) {
+		r.d.Dispatch(now)
+		for _, o := range r.orders(model.ExpediteJob) {
 			if o.Job == 1 {
 				n++
 			}
@@ -49,7 +49,7 @@
 	if n := again(72 * time.Second); n != 1 {
 		t.Errorf("told %d times more after 11 s", n)
 	}
-	r.d.Status(73*time.Second, a, nil, map[model.JobID]model.JobCount{1: {Running: 1}}, r.d.Dealt(a))
+	r.d.Status(73*time.Second, a, nil, map[model.JobID]model.TaskCounts{1: {Running: 1}}, r.d.AssignmentsSent(a))
 	if n := again(90 * time.Second); n != 0 || r.d.jobs[1].late {
 		t.Error("told once more though it has begun")
 	}
@@ -59,21 +59,21 @@
 // is dealt ahead of others always took first.
 func TestAPinnedJobBeginsWithoutRoom(t *testing.T) {
 	r := newRig(t, 1000)
-	r.d.p.Begin = 60 * time.Second
-	a := r.d.Join(0, "a")
+	r.d.p.StartWithin = 60 * time.Second
+	a := r.d.AddShard(0, "a")
 	r.machine(0, 1, a)
 	r.d.Status(0, a, []model.MachineStatus{{Machine: model.Machine{ID: 1}, Ready: true}}, nil, 0) // full
-	r.job(1, 3, false).Together = true
-	r.d.Deal(59 * time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.job(1, 3, false).SameZone = true
+	r.d.Dispatch(59 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d dealt without room", n)
 	}
-	r.d.Deal(61 * time.Second)
-	if g := r.orders(model.Give); len(g) != 1 || g[0].Deal.Zone != 0 {
+	r.d.Dispatch(61 * time.Second)
+	if g := r.orders(model.AssignTask); len(g) != 1 || g[0].Assignment.Zone != 0 {
 		t.Fatalf("%+v, want one task, pinned to the zone", g)
 	}
-	r.d.Deal(63 * time.Second)
-	if n := len(r.orders(model.Give)); n != 0 {
+	r.d.Dispatch(63 * time.Second)
+	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d more dealt", n)
 	}
 }
--- a/internal/core/dealer/present.go
+++ b/internal/core/dispatcher/work_counts.go
@@ -1,24 +1,24 @@
-package dealer
+package dispatcher
 
 import "honeylock/internal/core/model"
 
-// Freed takes away the tasks that lost shards had, and that are surely nowhere now. They
+// TakeFreedTasks takes away the tasks that lost shards had, and that are surely nowhere now. They
 // are told only where the dealer is to be told what is out of work.
-func (d *Dealer) Freed() []model.Task {
+func (d *Dispatcher) TakeFreedTasks() []model.Task {
 	out := d.freedNow
 	d.freedNow = nil
 	return out
 }
 
-// AtWork counts a team's tasks, or those of one of its classes (None: all): what runs,
+// WorkCounts counts a team's tasks, or those of one of its classes (None: all): what runs,
 // what is orphaned, and what of the jobs of earlier terms is neither done nor known to run,
 // with the CPU of the last two, in thousandths.
-func (d *Dealer) AtWork(team, class model.Name) (running, orphaned, unsure int, cpu int64) {
+func (d *Dispatcher) WorkCounts(team, class model.Name) (running, orphaned, unsure int, cpu int64) {
 	for _, j := range d.inOrder {
 		if j.ended || j.waits || j.spec.Team != team || class != model.None && class != j.spec.Class {
 			continue
 		}
-		at := d.Count(j.spec.ID).Running
+		at := d.TaskCounts(j.spec.ID).Running
 		running += at
 		orphaned += int(j.orphaned)
 		out := int(j.orphaned)
@@ -27,7 +27,7 @@
 			unsure += rest
 			out += rest
 		}
-		cpu += int64(out) * j.spec.Each.CPU
+		cpu += int64(out) * j.spec.PerTask.CPU
 	}
 	return running, orphaned, unsure, cpu
 }
--- a/internal/core/dealer/writes.go
+++ b/internal/core/dispatcher/writes.go
@@ -1,4 +1,4 @@
-package dealer
+package dispatcher
 
 import (
 	"cmp"
@@ -11,16 +11,16 @@
 
 // Write is a change for the state service.
 type Write struct {
-	Kind     WriteKind
-	Block    BlockID         // PutBlock, DropBlock
-	Machines []model.Machine // PutBlock: all that the block is to hold
-	Version  uint64          // PutBlock, DropBlock: the block's; PutChunk: the chunk's; Finish: the job's
-	Job      model.JobID
-	Chunk    ChunkID
-	Open     uint64 // PutChunk: the version of the job's open record
-	From     int32  // PutChunk: the first task that its bits tell of
-	Bits     []byte
-	Kept     []ChunkID // Finish: chunks that may be stored
+	Kind         WriteKind
+	Block        BlockID         // PutBlock, DropBlock
+	Machines     []model.Machine // PutBlock: all that the block is to hold
+	Version      uint64          // PutBlock, DropBlock: the block's; PutChunk: the chunk's; Finish: the job's
+	Job          model.JobID
+	Chunk        ChunkID
+	JobVersion   uint64 // PutChunk: the version of the job's open record
+	FirstTask    int32  // PutChunk: the first task that its bits tell of
+	Bits         []byte
+	StoredChunks []ChunkID // Finish: chunks that may be stored
 
 	clears []clearing
 }
@@ -32,7 +32,7 @@
 const (
 	PutBlock WriteKind = iota
 	PutChunk
-	Finish
+	FinishJob
 	DropBlock
 )
 
@@ -40,26 +40,26 @@
 // chunk 0 of the layout of 0.4 and before, which is the same; others have chunks that
 // say themselves which task is their first.
 type ChunkID struct {
-	Old bool
-	No  int32
+	OldLayout bool
+	Index     int32
 }
 
-func compareChunks(a, b ChunkID) int { return cmp.Compare(a.No, b.No) }
+func compareChunks(a, b ChunkID) int { return cmp.Compare(a.Index, b.Index) }
 
 // chunkID is the id of a job's c-th chunk.
-func (d *Dealer) chunkID(j *job, c int32) ChunkID {
-	return ChunkID{Old: j.spec.Tasks <= d.p.ChunkSize, No: c}
+func (d *Dispatcher) chunkID(j *job, c int32) ChunkID {
+	return ChunkID{OldLayout: j.spec.Tasks <= d.p.ChunkSize, Index: c}
 }
 
 // Writes returns the changes to be stored now, at most n, the most urgent first.
-func (d *Dealer) Writes(now time.Duration, n int) []Write {
-	out := d.Urgent(n)
-	return append(out, d.Progress(now, n-len(out))...)
+func (d *Dispatcher) Writes(now time.Duration, n int) []Write {
+	out := d.UrgentWrites(n)
+	return append(out, d.ProgressWrites(now, n-len(out))...)
 }
 
-// Urgent returns at most n ends of jobs, then records of machines, to be stored
+// UrgentWrites returns at most n ends of jobs, then records of machines, to be stored
 // now. Each comes back through Stored.
-func (d *Dealer) Urgent(n int) []Write {
+func (d *Dispatcher) UrgentWrites(n int) []Write {
 	var out []Write
 	for _, j := range d.inOrder {
 		if len(out) >= n {
@@ -67,21 +67,21 @@
 		}
 		if !j.ended && !j.writing && !j.waits && !j.spec.Daemon && j.nDone == j.spec.Tasks {
 			j.writing = true
-			out = append(out, Write{Kind: Finish, Job: j.spec.ID, Version: j.version,
-				Kept: slices.SortedFunc(maps.Keys(j.kept), compareChunks)})
+			out = append(out, Write{Kind: FinishJob, Job: j.spec.ID, Version: j.version,
+				StoredChunks: slices.SortedFunc(maps.Keys(j.kept), compareChunks)})
 		}
 	}
 	return d.blockWrites(out, n)
 }
 
-// Progress returns at most n chunks of what is done, the longest not stored
+// ProgressWrites returns at most n chunks of what is done, the longest not stored
 // first. Each comes back through Stored.
-func (d *Dealer) Progress(now time.Duration, n int) []Write {
+func (d *Dispatcher) ProgressWrites(now time.Duration, n int) []Write {
 	var out []Write
 	jobs := d.sortedJobs()
 	slices.SortStableFunc(jobs, func(a, b *job) int { return int(a.stored - b.stored) })
 	for _, j := range jobs {
-		if j.ended || j.writing || now-j.stored < d.p.Progress {
+		if j.ended || j.writing || now-j.stored < d.p.ProgressInterval {
 			continue
 		}
 		for c := range j.dirty {
@@ -93,10 +93,10 @@
 			version := j.kept[id]
 			j.kept[id] = version // from here on, whatever becomes of the write
 			j.writing, j.stored = true, now
-			w := Write{Kind: PutChunk, Job: j.spec.ID, Chunk: id, From: c * d.p.ChunkSize, Bits: d.chunk(j, c),
-				Version: version, Open: j.version}
+			w := Write{Kind: PutChunk, Job: j.spec.ID, Chunk: id, FirstTask: c * d.p.ChunkSize, Bits: d.chunk(j, c),
+				Version: version, JobVersion: j.version}
 			j.clears = slices.DeleteFunc(j.clears, func(cl clearing) bool {
-				if cl.task.No/d.p.ChunkSize != c {
+				if cl.task.Index/d.p.ChunkSize != c {
 					return false
 				}
 				w.clears = append(w.clears, cl)
@@ -109,7 +109,7 @@
 	return out
 }
 
-func (d *Dealer) chunk(j *job, c int32) []byte {
+func (d *Dispatcher) chunk(j *job, c int32) []byte {
 	lo := c * d.p.ChunkSize
 	hi := min(lo+d.p.ChunkSize, j.spec.Tasks)
 	b := make([]byte, (hi-lo+7)/8)
@@ -121,14 +121,14 @@
 	return b
 }
 
-// Stored takes a write's outcome. lost tells that a Finish found the job's
+// WriteDone takes a write's outcome. lost tells that a Finish found the job's
 // record gone, for somebody else has ended it, or that a PutBlock or a PutChunk found its
 // key at another version, which is the revision then.
 //
 // What became of a write without an answer is not known, and it may be carried out after
 // newer ones: a chunk without its version then took back what was stored since, whose
 // attempts had been cleared, and a later leader ran those tasks again.
-func (d *Dealer) Stored(now time.Duration, w Write, revision uint64, ok, lost bool) {
+func (d *Dispatcher) WriteDone(now time.Duration, w Write, revision uint64, ok, lost bool) {
 	switch w.Kind {
 	case PutBlock:
 		d.blockStored(w, revision, ok, lost)
@@ -148,11 +148,11 @@
 				d.clearIt(c)
 			}
 		} else {
-			j.dirty[w.Chunk.No] = true
+			j.dirty[w.Chunk.Index] = true
 			j.clears = append(j.clears, w.clears...)
 		}
 		d.forget(j)
-	case Finish:
+	case FinishJob:
 		j := d.jobs[w.Job]
 		if j == nil {
 			return
--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -129,8 +129,8 @@
 
 // lost is the run time that a task loses when it is stopped: what it did not save.
 func (a *Ask) lost() time.Duration {
-	if a.Spec.Checkpoint > 0 {
-		return a.Spec.Save
+	if a.Spec.CheckpointInterval > 0 {
+		return a.Spec.CheckpointTime
 	}
 	return a.Ran
 }
@@ -155,7 +155,7 @@
 }
 
 func cpuSeconds(sp *model.Spec, d time.Duration) float64 {
-	return float64(sp.Each.CPU) / 1000 * d.Seconds()
+	return float64(sp.PerTask.CPU) / 1000 * d.Seconds()
 }
 
 // against tells what a budget has against a move, "" if nothing.
@@ -174,7 +174,7 @@
 	if most, bound := b.tasks(u.running); bound && u.tasks+1 > most {
 		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%d of %d tasks are", u.tasks, most)))
 	}
-	if b.CPU > 0 && u.cpu+a.Spec.Each.CPU > b.CPU {
+	if b.CPU > 0 && u.cpu+a.Spec.PerTask.CPU > b.CPU {
 		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%.1f of %.1f CPUs are", cpus(u.cpu), cpus(b.CPU))))
 	}
 	if b.LostCPU > 0 {
@@ -217,7 +217,7 @@
 	for _, o := range k.out {
 		if b.covers(o.sp) {
 			u.tasks++
-			u.cpu += o.sp.Each.CPU
+			u.cpu += o.sp.PerTask.CPU
 			u.by[o.cause]++
 			if o.back > 0 && (u.back == 0 || o.back < u.back) {
 				u.back = o.back
@@ -273,15 +273,15 @@
 // Hear takes what a shard tells of a job's task that is out of work, at work again, or done.
 func (k *Book) Hear(now time.Duration, e *model.Event, sp *model.Spec) {
 	switch e.Kind {
-	case model.Idled:
+	case model.TaskInterrupted:
 		cause := Evicted
 		if e.Cause == model.CauseOther {
 			cause = Lost
 		}
-		k.Stopped(e.Task, sp, cause, e.Ran)
-	case model.AtWork:
+		k.Stopped(e.Task, sp, cause, e.RunTime)
+	case model.TaskResumed:
 		k.Resumed(now, e.Task)
-	case model.Finished:
+	case model.TaskFinished:
 		k.Ended(e.Task)
 	}
 }
--- a/internal/core/disruption/disruption_test.go
+++ b/internal/core/disruption/disruption_test.go
@@ -16,10 +16,10 @@
 	return k
 }
 
-func spec() *model.Spec { return &model.Spec{ID: 7, Each: model.Request(4, 0, 8)} }
+func spec() *model.Spec { return &model.Spec{ID: 7, PerTask: model.Request(4, 0, 8)} }
 
 func ask(no int32, sp *model.Spec) Ask {
-	return Ask{Task: model.Task{Job: sp.ID, No: no}, Spec: sp, Ran: 30 * time.Second, Left: 30 * time.Second}
+	return Ask{Task: model.Task{Job: sp.ID, Index: no}, Spec: sp, Ran: 30 * time.Second, Left: 30 * time.Second}
 }
 
 // Each bound refuses one move too many, says why with figures, and lets go again.
@@ -52,7 +52,7 @@
 				return
 			}
 			// Back at work is not enough: what was lost must be made up for.
-			k.Resumed(10*time.Second, model.Task{Job: 7, No: 0})
+			k.Resumed(10*time.Second, model.Task{Job: 7, Index: 0})
 			if why := k.Draw(39*time.Second, ask(99, sp)); why == "" {
 				t.Error("a task counts as back before it has made up for 30 s")
 			}
@@ -72,7 +72,7 @@
 			t.Errorf("move %d: %q", i, why)
 		}
 	}
-	k.Ended(model.Task{Job: 7, No: 1})
+	k.Ended(model.Task{Job: 7, Index: 1})
 	if len(k.out) > 0 || len(k.moves) > 0 {
 		t.Error("a task that is done is kept")
 	}
@@ -84,7 +84,7 @@
 	sp := spec()
 	p := &Present{}
 	k := book(Budget{Tasks: 3}, p)
-	k.Stopped(model.Task{Job: 7, No: 1}, sp, Evicted, time.Second)
+	k.Stopped(model.Task{Job: 7, Index: 1}, sp, Evicted, time.Second)
 	p.Orphaned, p.Unsure = 1, 1
 	why := k.Draw(0, ask(9, sp))
 	if !strings.Contains(why, "1 evicted, 1 lost with their machines, 1 unknown since the change of leader") {
@@ -98,7 +98,7 @@
 		t.Errorf("%+v", k.Counts[0])
 	}
 	// The shard's word that it has stopped is about what was drawn for.
-	k.Stopped(model.Task{Job: 7, No: 9}, sp, Evicted, time.Minute)
+	k.Stopped(model.Task{Job: 7, Index: 9}, sp, Evicted, time.Minute)
 	if k.Counts[0].Eaten[Evicted] != 1 {
 		t.Error("a task that was moved counts as evicted")
 	}
@@ -123,7 +123,7 @@
 	k.Settled = true
 	k.Present = func(model.Name, model.Name) Present { return Present{Running: 60_000} }
 	for i := range int32(100) {
-		k.Stopped(model.Task{Job: 8, No: i}, sp, Evicted, time.Minute)
+		k.Stopped(model.Task{Job: 8, Index: i}, sp, Evicted, time.Minute)
 	}
 	now := time.Duration(0)
 	for i := int32(0); b.Loop(); i++ {
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -61,7 +61,7 @@
 // unless the plan says so.
 func TestWorkMovesAsThePlanSays(t *testing.T) {
 	r := three(t)
-	r.job(model.Spec{ID: 1, Class: 1, Checkpoint: time.Second}, 1)
+	r.job(model.Spec{ID: 1, Class: 1, CheckpointInterval: time.Second}, 1)
 	r.job(model.Spec{ID: 2, Class: 2}, 1)
 	r.job(model.Spec{ID: 3, Class: 3, Rank: model.Idle}, 1)
 	r.job(model.Spec{ID: 4}, 2, 2, 2, 2)
@@ -125,12 +125,12 @@
 	}{
 		"a batch that would miss its window": {func(r *rig) Spec {
 			r.job(model.Spec{ID: 9, Class: 5, Estimate: 8 * time.Minute}, 1)
-			r.ms[1].tasks[0].Ran = 7 * time.Minute
+			r.ms[1].tasks[0].RunTime = 7 * time.Minute
 			return Spec{Default: Move, Windows: []Window{noon(r, 10*time.Minute)}}
 		}, "job-000009 would end at", func(r *rig) { r.finish(9) }},
 		"a batch that would miss its deadline": {func(r *rig) Spec {
 			r.job(model.Spec{ID: 9, Class: 5, Estimate: 8 * time.Minute, Deadline: 10 * time.Minute}, 1)
-			r.ms[1].tasks[0].Ran = 7 * time.Minute
+			r.ms[1].tasks[0].RunTime = 7 * time.Minute
 			return Spec{Default: Move, Windows: []Window{{Deadline: true, Name: "its deadline"}}}
 		}, "job-000009 would end at", func(r *rig) { r.finish(9) }},
 		"waiting tasks that need the machine's room": {func(r *rig) Spec {
@@ -399,17 +399,17 @@
 // moves where there is room; what can't save, is urgent, or ends soon stays.
 func TestDearMachinesAreConsolidated(t *testing.T) {
 	r := three(t)
-	r.job(model.Spec{ID: 1, Checkpoint: time.Second, Estimate: 10 * time.Minute}, 1)
-	r.job(model.Spec{ID: 2, Checkpoint: time.Second, Estimate: 9 * time.Second}, 1)
+	r.job(model.Spec{ID: 1, CheckpointInterval: time.Second, Estimate: 10 * time.Minute}, 1)
+	r.job(model.Spec{ID: 2, CheckpointInterval: time.Second, Estimate: 9 * time.Second}, 1)
 	r.job(model.Spec{ID: 3, Estimate: 10 * time.Minute}, 1)
-	r.job(model.Spec{ID: 4, Checkpoint: time.Second, Estimate: 10 * time.Minute, Rank: model.Urgent}, 1)
+	r.job(model.Spec{ID: 4, CheckpointInterval: time.Second, Estimate: 10 * time.Minute, Rank: model.Urgent}, 1)
 	r.e.Empty([]model.MachineID{1})
 	r.ticks(10)
 	if len(r.recall) != 1 || r.recall[0].Job != 1 {
 		t.Errorf("moved %v", r.recall)
 	}
 	full := three(t)
-	full.job(model.Spec{ID: 1, Checkpoint: time.Second, Estimate: 10 * time.Minute}, 1)
+	full.job(model.Spec{ID: 1, CheckpointInterval: time.Second, Estimate: 10 * time.Minute}, 1)
 	full.job(model.Spec{ID: 2}, 2, 2, 2, 2, 3, 3, 3, 3)
 	full.e.Empty([]model.MachineID{1})
 	full.ticks(10)
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -299,7 +299,7 @@
 // Seen takes what a machine's owner told of its tasks, in answer to the Look of
 // that number. Only the answer to the newest counts: one that was asked before
 // the machine was barred proves nothing of after.
-func (e *Engine) Seen(now time.Duration, id model.MachineID, seq uint64, on []model.OnMachine,
+func (e *Engine) Seen(now time.Duration, id model.MachineID, seq uint64, on []model.PlacedTask,
 	spec func(model.JobID) *model.Spec) {
 	if a, ok := e.asked[id]; !ok || a.seq != seq {
 		return
--- a/internal/core/drain/hold.go
+++ b/internal/core/drain/hold.go
@@ -94,7 +94,7 @@
 	m := v.Machines[id].Machine
 	var out []string
 	for _, j := range v.Jobs {
-		if j.Open > 0 && j.Spec.Allows(&m) && j.Spec.Each.Fits(m.Cap) && r.holds(j.Spec, id) == 0 {
+		if j.Open > 0 && j.Spec.Allows(&m) && j.Spec.PerTask.Fits(m.Cap) && r.holds(j.Spec, id) == 0 {
 			out = append(out, v.JobName(j.Spec.ID))
 		}
 	}
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -137,7 +137,7 @@
 // moves tells whether the plan moves a running task of the job.
 func (s *Spec) moves(sp *model.Spec) bool {
 	h := s.how(sp)
-	return h == Move || h == MoveSaved && sp.Checkpoint > 0
+	return h == Move || h == MoveSaved && sp.CheckpointInterval > 0
 }
 
 // Phase of a plan.
--- a/internal/core/drain/property_test.go
+++ b/internal/core/drain/property_test.go
@@ -32,7 +32,7 @@
 		for j := range rapid.IntRange(0, 6).Draw(t, "jobs") {
 			sp := model.Spec{ID: model.JobID(j + 1), Estimate: time.Minute, Daemon: rapid.IntRange(0, 4).Draw(t, "daemon") == 0}
 			if rapid.Bool().Draw(t, "saves") {
-				sp.Checkpoint = time.Second
+				sp.CheckpointInterval = time.Second
 			}
 			r.job(sp, model.MachineID(rapid.IntRange(1, n).Draw(t, "on")))
 		}
--- a/internal/core/drain/rig_test.go
+++ b/internal/core/drain/rig_test.go
@@ -38,7 +38,7 @@
 type rigMachine struct {
 	model.Machine
 	barred bool
-	tasks  []model.OnMachine
+	tasks  []model.PlacedTask
 	boots  int // ticks until it is up
 	since  time.Duration
 	deaf   bool // its owner does not tell how it is
@@ -78,7 +78,7 @@
 
 // job adds one with a task of 2 CPUs on each of the machines.
 func (r *rig) job(sp model.Spec, on ...model.MachineID) *Job {
-	sp.Each, sp.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
+	sp.PerTask, sp.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
 	sp.Zone = model.None
 	if sp.SubmittedMS == 0 {
 		sp.SubmittedMS = r.wall.UnixMilli()
@@ -86,7 +86,7 @@
 	j := &Job{Spec: &sp, Open: len(on), Running: len(on)}
 	r.jobs[sp.ID] = j
 	for i, id := range on {
-		r.ms[id].tasks = append(r.ms[id].tasks, model.OnMachine{Task: model.Task{Job: sp.ID, No: int32(i)},
+		r.ms[id].tasks = append(r.ms[id].tasks, model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)},
 			Stage: model.Running})
 	}
 	return j
@@ -95,7 +95,7 @@
 func (m *rigMachine) free(r *rig) model.Resources {
 	f := m.Cap
 	for _, t := range m.tasks {
-		f = f.Sub(r.jobs[t.Task.Job].Spec.Each)
+		f = f.Sub(r.jobs[t.Task.Job].Spec.PerTask)
 	}
 	return f
 }
@@ -135,7 +135,7 @@
 	for _, m := range r.ms {
 		m.boots = max(0, m.boots-1)
 		for i := range m.tasks {
-			m.tasks[i].Ran += 500 * time.Millisecond
+			m.tasks[i].RunTime += 500 * time.Millisecond
 		}
 	}
 	for _, a := range r.e.Tick(r.view()) {
@@ -254,15 +254,15 @@
 // move stops a task here and places it where there is room, if there is any.
 func (r *rig) move(from model.MachineID, t model.Task) {
 	m := r.ms[from]
-	i := slices.IndexFunc(m.tasks, func(o model.OnMachine) bool { return o.Task == t })
+	i := slices.IndexFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task == t })
 	if i < 0 {
 		return
 	}
 	m.tasks = slices.Delete(m.tasks, i, i+1)
 	j := r.jobs[t.Job]
 	for _, id := range r.ids() {
-		if o := r.ms[id]; !o.barred && o.boots == 0 && j.Spec.Each.Fits(o.free(r)) && j.Spec.Allows(&o.Machine) {
-			o.tasks = append(o.tasks, model.OnMachine{Task: t, Stage: model.Running})
+		if o := r.ms[id]; !o.barred && o.boots == 0 && j.Spec.PerTask.Fits(o.free(r)) && j.Spec.Allows(&o.Machine) {
+			o.tasks = append(o.tasks, model.PlacedTask{Task: t, Stage: model.Running})
 			return
 		}
 	}
@@ -280,7 +280,7 @@
 // finish ends a job's tasks.
 func (r *rig) finish(id model.JobID) {
 	for _, m := range r.ms {
-		m.tasks = slices.DeleteFunc(m.tasks, func(o model.OnMachine) bool { return o.Task.Job == id })
+		m.tasks = slices.DeleteFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task.Job == id })
 	}
 	delete(r.jobs, id)
 }
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -90,8 +90,8 @@
 	room := e.room(v)
 	for i := range told.tasks {
 		t := &told.tasks[i]
-		long := v.left(t, likely) > 2*(t.sp.Save+5*time.Second)
-		if t.Stopping || t.sp.Daemon || t.sp.Checkpoint == 0 || t.sp.Rank >= model.Urgent || !long || !room.take(t.sp) {
+		long := v.left(t, likely) > 2*(t.sp.CheckpointTime+5*time.Second)
+		if t.Stopping || t.sp.Daemon || t.sp.CheckpointInterval == 0 || t.sp.Rank >= model.Urgent || !long || !room.take(t.sp) {
 			continue
 		}
 		if v.draws(t, true) != "" {
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -58,12 +58,12 @@
 	if v.Draw == nil {
 		return ""
 	}
-	return v.Draw(Moving{Task: t.Task, Spec: t.sp, Price: price, Ran: t.Ran, Left: v.left(t, likely)})
+	return v.Draw(Moving{Task: t.Task, Spec: t.sp, Price: price, Ran: t.RunTime, Left: v.left(t, likely)})
 }
 
 // task is what runs on a machine, with its job.
 type task struct {
-	model.OnMachine
+	model.PlacedTask
 	sp *model.Spec
 }
 
@@ -76,7 +76,7 @@
 
 // left is how long a task runs on where it is, at a part of all.
 func (v *View) left(t *task, part float64) time.Duration {
-	return max(0, v.whole(t.sp, part)-t.Ran)
+	return max(0, v.whole(t.sp, part)-t.RunTime)
 }
 
 // whole is how long a task of the job takes, at a part of all.
@@ -86,8 +86,8 @@
 
 // anew is how long it takes elsewhere once it is there.
 func (v *View) anew(t *task, part float64) time.Duration {
-	if t.sp.Checkpoint > 0 { // it saves when it is stopped
-		return v.left(t, part) + t.sp.Save
+	if t.sp.CheckpointInterval > 0 { // it saves when it is stopped
+		return v.left(t, part) + t.sp.CheckpointTime
 	}
 	return v.whole(t.sp, part)
 }
@@ -146,11 +146,11 @@
 	}
 	for _, id := range r.order {
 		f, ok := r.free[id]
-		if !ok || !sp.Each.Fits(f) {
+		if !ok || !sp.PerTask.Fits(f) {
 			continue
 		}
 		if m := r.v.Machines[id].Machine; sp.Allows(&m) {
-			r.free[id] = f.Sub(sp.Each)
+			r.free[id] = f.Sub(sp.PerTask)
 			return true
 		}
 	}
@@ -168,7 +168,7 @@
 			}
 		}
 		if count > 0 && sp.Allows(&model.Machine{Type: k.typ, Zone: k.zone, Spot: k.spot}) {
-			n += count * sp.Each.Count(k.each)
+			n += count * sp.PerTask.Count(k.each)
 		}
 	}
 	return n
--- a/internal/core/fleet/rooms.go
+++ b/internal/core/fleet/capacity.go
@@ -71,9 +71,9 @@
 func fill(lacking []lack, m *model.Machine, free model.Resources) []lack {
 	var left []lack
 	for _, l := range lacking {
-		if l.spec.Allows(m) && l.spec.Each.Fits(m.Cap) {
-			k := min(l.n, l.spec.Each.Count(free))
-			free = free.Sub(l.spec.Each.Times(k))
+		if l.spec.Allows(m) && l.spec.PerTask.Fits(m.Cap) {
+			k := min(l.n, l.spec.PerTask.Count(free))
+			free = free.Sub(l.spec.PerTask.Times(k))
 			l.n, l.stuck = l.n-k, false
 		}
 		if l.n > 0 {
@@ -96,11 +96,11 @@
 func (f *Fleet) pressing(now time.Duration, demand []Demand) []Demand {
 	out := make([]Demand, 0, len(demand))
 	for _, d := range demand {
-		if d.Need.Spec.CanWait && now-d.Need.Since < f.p.Patience {
-			if !d.Need.Late {
+		if d.Job.Spec.BestEffort && now-d.Job.WaitingSince < f.p.BestEffortWait {
+			if !d.Job.Overdue {
 				continue
 			}
-			d.Need.Open = min(d.Need.Open, d.Placed+1) // it should have begun: room for its first task
+			d.Job.Unfinished = min(d.Job.Unfinished, d.Placed+1) // it should have begun: room for its first task
 		}
 		out = append(out, d)
 	}
@@ -111,25 +111,25 @@
 func unmet(rooms []room, demand []Demand, limit func(model.Name) model.Resources) []lack {
 	left := map[model.Name]int64{}
 	for _, d := range demand {
-		t := d.Need.Spec.Team
+		t := d.Job.Spec.Team
 		if _, ok := left[t]; !ok {
 			left[t] = 1 << 50
 			if l := limit(t).CPU; l > 0 {
 				left[t] = l
 			}
 		}
-		left[t] -= int64(d.Placed) * d.Need.Spec.Each.CPU
+		left[t] -= int64(d.Placed) * d.Job.Spec.PerTask.CPU
 	}
 	var out []lack
 	open := openRooms(rooms, demand)
 	for _, d := range demand {
-		sp := d.Need.Spec
-		n := int64(d.Need.Open - d.Placed)
-		n = min(n, max(0, left[sp.Team]/max(1, sp.Each.CPU)))
+		sp := d.Job.Spec
+		n := int64(d.Job.Unfinished - d.Placed)
+		n = min(n, max(0, left[sp.Team]/max(1, sp.PerTask.CPU)))
 		if n <= 0 {
 			continue
 		}
-		left[sp.Team] -= n * sp.Each.CPU
+		left[sp.Team] -= n * sp.PerTask.CPU
 		full := 0
 		for _, r := range open {
 			if n <= 0 {
@@ -142,8 +142,8 @@
 			if !sp.Allows(&r.m) {
 				continue
 			}
-			if k := min(n, sp.Each.Count(r.avail)); k > 0 {
-				r.avail = r.avail.Sub(sp.Each.Times(k))
+			if k := min(n, sp.PerTask.Count(r.avail)); k > 0 {
+				r.avail = r.avail.Sub(sp.PerTask.Times(k))
 				r.used = true
 				n -= k
 			}
@@ -162,7 +162,7 @@
 func openRooms(rooms []room, demand []Demand) []*room {
 	least := int64(math.MaxInt64)
 	for i := range demand {
-		least = min(least, demand[i].Need.Spec.Each.CPU)
+		least = min(least, demand[i].Job.Spec.PerTask.CPU)
 	}
 	out := make([]*room, 0, len(rooms))
 	for i := range rooms {
@@ -175,7 +175,7 @@
 
 func stuck(sp *model.Spec, rooms []room) bool {
 	for i := range rooms {
-		if sp.Allows(&rooms[i].m) && sp.Each.Fits(rooms[i].m.Cap) {
+		if sp.Allows(&rooms[i].m) && sp.PerTask.Fits(rooms[i].m.Cap) {
 			return false
 		}
 	}
--- a/internal/core/fleet/drain.go
+++ b/internal/core/fleet/drain.go
@@ -25,7 +25,7 @@
 	if len(ids) == 0 {
 		return nil
 	}
-	return []Action{{Kind: Drain, Machine: ids}}
+	return []Action{{Kind: Drain, Machines: ids}}
 }
 
 // toDrain picks machines to run empty, once nothing has lacked room for a while. moving is the
@@ -39,7 +39,7 @@
 	if float64(free) < reserve*float64(have) {
 		f.tight = now
 	}
-	if now-max(f.tight, f.p.Began) < f.p.Horizon/2 {
+	if now-max(f.tight, f.p.TermStart) < f.p.Horizon/2 {
 		return nil
 	}
 	var cands []*room
@@ -96,5 +96,5 @@
 	if len(ids) == 0 {
 		return nil, lacking
 	}
-	return []Action{{Kind: Undrain, Machine: ids}}, lacking
+	return []Action{{Kind: Undrain, Machines: ids}}, lacking
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -7,19 +7,19 @@
 	"slices"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 )
 
 // Params of a fleet.
 type Params struct {
-	Term       uint64
-	Began      time.Duration // nothing could be heard of any machine before
-	ListLag    time.Duration
-	IdleReturn time.Duration // an unneeded machine is given back after so long
-	Horizon    time.Duration // waiting work should be done within so long
-	Probe      time.Duration // a kind that was refused is asked for again after
-	Patience   time.Duration // work that no aim speaks of waits so long for idle room
+	Term              uint64
+	TermStart         time.Duration // nothing could be heard of any machine before
+	ListLag           time.Duration
+	IdleReturn        time.Duration // an unneeded machine is given back after so long
+	Horizon           time.Duration // waiting work should be done within so long
+	RetryRefusedAfter time.Duration // a kind that was refused is asked for again after
+	BestEffortWait    time.Duration // work that no aim speaks of waits so long for idle room
 }
 
 type kind struct {
@@ -44,21 +44,21 @@
 
 // Action to carry out. The cloud's outcome comes back through Rented or Returned.
 type Action struct {
-	Kind    Kind
-	Rent    string // Rent: the request's name
-	Type    model.Name
-	Zone    model.Name
-	Spot    bool
-	Count   int
-	Machine []model.MachineID
+	Kind        ActionKind
+	RequestName string // Rent: the request's name
+	Type        model.Name
+	Zone        model.Name
+	Spot        bool
+	Count       int
+	Machines    []model.MachineID
 }
 
-// Kind tells actions apart.
-type Kind uint8
+// ActionKind tells actions apart.
+type ActionKind uint8
 
 // Actions.
 const (
-	Return Kind = iota
+	Return ActionKind = iota
 	Rent
 	Drain   // no more tasks for these machines
 	Undrain // they are wanted again
@@ -164,14 +164,14 @@
 
 // Rented takes the outcome of a rental: the machines, or why there are none.
 func (f *Fleet) Rented(now time.Duration, a Action, got []model.MachineID, refused, doubt bool) {
-	delete(f.renting, a.Rent)
+	delete(f.renting, a.RequestName)
 	k := kind{a.Type, a.Zone, a.Spot}
 	switch {
 	case doubt:
 		// It may have been carried out: the same request again tells.
 		f.again = append(f.again, a)
 	case refused || len(got) < a.Count:
-		f.refused[k] = now + f.p.Probe
+		f.refused[k] = now + f.p.RetryRefusedAfter
 	}
 	for _, id := range got {
 		f.unit(now, id, k)
@@ -181,7 +181,7 @@
 // Returned takes the outcome of a return.
 func (f *Fleet) Returned(now time.Duration, a Action, ok bool) {
 	f.giving = false
-	for _, id := range a.Machine {
+	for _, id := range a.Machines {
 		if ok {
 			delete(f.units, id)
 			f.gone[id] = now
@@ -201,7 +201,7 @@
 
 // Demand is what the dealer needs.
 type Demand struct {
-	Need   dealer.Need
+	Job    dispatcher.JobDemand
 	Placed int32 // of its tasks are on machines
 }
 
@@ -227,7 +227,7 @@
 	}
 	var out []Action
 	for _, a := range f.again {
-		f.renting[a.Rent] = a
+		f.renting[a.RequestName] = a
 		out = append(out, a)
 	}
 	f.again = nil
@@ -248,7 +248,7 @@
 		if !ok {
 			break
 		}
-		f.renting[a.Rent] = a
+		f.renting[a.RequestName] = a
 		out = append(out, a)
 		left = f.cover(left, a)
 	}
@@ -258,7 +258,7 @@
 			ids = f.surplus(now, status, rooms, slackening(rooms, demand), moving)
 		}
 		if len(ids) > 0 {
-			out = append(out, Action{Kind: Return, Machine: ids})
+			out = append(out, Action{Kind: Return, Machines: ids})
 			f.giving = true
 		}
 	}
@@ -314,7 +314,7 @@
 		var bestCost, ratio float64
 		for i := range f.types {
 			t := &f.types[i]
-			if l.spec.Each.Count(t.Cap) == 0 {
+			if l.spec.PerTask.Count(t.Cap) == 0 {
 				continue
 			}
 			for _, z := range t.Zones {
@@ -339,8 +339,8 @@
 		for _, o := range unmet {
 			m := model.Machine{Type: best.typ, Zone: best.zone, Spot: best.spot}
 			if o.spec.Allows(&m) {
-				need += f.worth(o, ratio) * o.spec.Each.CPU
-				demand += o.n * o.spec.Each.CPU
+				need += f.worth(o, ratio) * o.spec.PerTask.CPU
+				demand += o.n * o.spec.PerTask.CPU
 			}
 		}
 		size := f.typeOf(best.typ).Cap.CPU
@@ -355,7 +355,7 @@
 			continue
 		}
 		f.n++
-		return Action{Kind: Rent, Rent: fmt.Sprintf("t%d-%d", f.p.Term, f.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRent))}, true
+		return Action{Kind: Rent, RequestName: fmt.Sprintf("t%d-%d", f.p.Term, f.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRent))}, true
 	}
 	return Action{}, false
 }
@@ -377,7 +377,7 @@
 func slackening(rooms []room, demand []Demand) bool {
 	var cpu, have int64
 	for i := range demand {
-		cpu += int64(demand[i].Need.Open) * demand[i].Need.Spec.Each.CPU
+		cpu += int64(demand[i].Job.Unfinished) * demand[i].Job.Spec.PerTask.CPU
 	}
 	for i := range rooms {
 		have += rooms[i].m.Cap.CPU
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 )
 
 func newFleet() *Fleet {
-	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, Probe: 15 * time.Second})
+	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
 	f.List(0, 0, nil)
 	return f
@@ -19,13 +19,13 @@
 func noLimit(model.Name) model.Resources { return model.Resources{} }
 
 func demand(tasks int32, spot bool) []Demand {
-	sp := &model.Spec{ID: 1, Tasks: tasks, Each: model.Request(4, 0, 4), Zone: model.None, Spot: spot, Estimate: 10 * time.Minute}
-	return []Demand{{Need: dealer.Need{Spec: sp, Open: tasks}}}
+	sp := &model.Spec{ID: 1, Tasks: tasks, PerTask: model.Request(4, 0, 4), Zone: model.None, Spot: spot, Estimate: 10 * time.Minute}
+	return []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: tasks}}}
 }
 
 func rented(as []Action) *Action {
 	for i := range as {
-		if as[i].Rent != "" {
+		if as[i].RequestName != "" {
 			return &as[i]
 		}
 	}
@@ -49,8 +49,8 @@
 		t.Errorf("%+v though two machines boot", b)
 	}
 	b := rented(f.Step(3*time.Second, nil, demand(8, true), noLimit))
-	if b == nil || b.Rent == a.Rent {
-		t.Errorf("%+v, want another request than %q", b, a.Rent)
+	if b == nil || b.RequestName == a.RequestName {
+		t.Errorf("%+v, want another request than %q", b, a.RequestName)
 	}
 }
 
@@ -68,8 +68,8 @@
 	f := newFleet()
 	a := rented(f.Step(time.Second, nil, demand(4, true), noLimit))
 	f.Rented(2*time.Second, *a, nil, false, true)
-	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b == nil || b.Rent != a.Rent {
-		t.Errorf("%+v, want %q again", b, a.Rent)
+	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b == nil || b.RequestName != a.RequestName {
+		t.Errorf("%+v, want %q again", b, a.RequestName)
 	}
 }
 
@@ -77,7 +77,7 @@
 func TestWorkThatFitsNoMachineThereIsRentsOne(t *testing.T) {
 	f := newFleet()
 	d := demand(1, true)
-	d[0].Need.Spec.Estimate = time.Second
+	d[0].Job.Spec.Estimate = time.Second
 	if a := rented(f.Step(time.Second, nil, d, noLimit)); a == nil || a.Count != 1 {
 		t.Errorf("%+v, want one machine", a)
 	}
@@ -90,13 +90,13 @@
 	f.Observe(0, status, alive)
 	// In a lull it is kept for a while: rented anew it would boot and fetch
 	// images first. When open work has become little it goes soon.
-	sp := &model.Spec{ID: 1, Tasks: 1, Each: model.Request(4, 0, 4), Zone: model.None, Estimate: time.Minute}
-	lull := []Demand{{Need: dealer.Need{Spec: sp, Open: 1, Held: 1}, Placed: 1}}
+	sp := &model.Spec{ID: 1, Tasks: 1, PerTask: model.Request(4, 0, 4), Zone: model.None, Estimate: time.Minute}
+	lull := []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: 1, Assigned: 1}, Placed: 1}}
 	if as := f.Step(30*time.Second, status, lull, noLimit); len(as) != 0 {
 		t.Errorf("%+v, too early in a lull", as)
 	}
 	as := f.Step(30*time.Second, status, nil, noLimit)
-	if len(as) != 1 || len(as[0].Machine) != 1 {
+	if len(as) != 1 || len(as[0].Machines) != 1 {
 		t.Fatalf("%+v, want the idle machine returned", as)
 	}
 	f.Returned(2*time.Minute, as[0], true)
@@ -111,7 +111,7 @@
 // it was rented: once it gave back a hundred that were busy.
 func TestNewLeaderGivesNothingBackBeforeItCouldHear(t *testing.T) {
 	began := time.Hour
-	f := New(Params{Term: 7, Began: began, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, Probe: 15 * time.Second})
+	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
 	f.List(began, began, []Listed{{ID: 1, Age: time.Hour}})
 	silent := func(model.MachineID) bool { return true }
@@ -122,7 +122,7 @@
 		f.Observe(began+c.after, nil, silent)
 		n := 0
 		for _, a := range f.Step(began+c.after, nil, nil, noLimit) {
-			n += len(a.Machine)
+			n += len(a.Machines)
 		}
 		if n != c.want {
 			t.Errorf("%v after the term began %d machines are given back, want %d", c.after, n, c.want)
@@ -155,9 +155,9 @@
 // not forgotten where there never are any.
 func TestWorkWithoutAnAimRentsOnlyAfterAWhile(t *testing.T) {
 	f := newFleet()
-	f.p.Patience = 5 * time.Minute
+	f.p.BestEffortWait = 5 * time.Minute
 	d := demand(40, true)
-	d[0].Need.Spec.CanWait = true
+	d[0].Job.Spec.BestEffort = true
 	if a := rented(f.Step(time.Second, nil, d, noLimit)); a != nil {
 		t.Errorf("%+v for work that can wait", a)
 	}
@@ -179,9 +179,9 @@
 		for _, a := range as {
 			switch a.Kind {
 			case Drain:
-				drained = append(drained, a.Machine...)
+				drained = append(drained, a.Machines...)
 			case Undrain:
-				wanted = append(wanted, a.Machine...)
+				wanted = append(wanted, a.Machines...)
 			}
 		}
 		return drained, wanted
@@ -207,7 +207,7 @@
 		t.Errorf("%+v, want drained machines again, and none rented", as)
 	}
 	// What a plan drains is neither room nor surplus, and not drained for its price.
-	f.Hold(func(id model.MachineID) (bool, bool) { return true, true })
+	f.SetDrainPlans(func(id model.MachineID) (bool, bool) { return true, true })
 	as = f.Step(22*time.Second, status, demand(8, true), noLimit)
 	if rented(as) == nil {
 		t.Errorf("%+v: held machines count as room", as)
@@ -217,7 +217,7 @@
 	}
 	as = f.Step(time.Hour, status, nil, noLimit)
 	if d, _ := kinds(as); d != nil || slices.ContainsFunc(as,
-		func(a Action) bool { return a.Kind == Return && slices.Contains(a.Machine, 0) }) {
+		func(a Action) bool { return a.Kind == Return && slices.Contains(a.Machines, 0) }) {
 		t.Errorf("%+v of machines that plans drain", as)
 	}
 }
@@ -238,11 +238,11 @@
 	for _, moving := range []bool{true, false} {
 		f := newFleet()
 		f.Observe(0, status, func(model.MachineID) bool { return false })
-		f.Hold(func(id model.MachineID) (drains, wants bool) { return id < drained, id < drained })
+		f.SetDrainPlans(func(id model.MachineID) (drains, wants bool) { return id < drained, id < drained })
 		gone := map[model.MachineID]bool{}
 		for at := time.Second; at < 10*time.Minute; at += time.Second {
 			for _, a := range f.Step(at, status, nil, noLimit) {
-				for _, id := range a.Machine {
+				for _, id := range a.Machines {
 					gone[id] = true
 				}
 			}
--- a/internal/core/fleet/plans.go
+++ b/internal/core/fleet/plans.go
@@ -6,9 +6,9 @@
 	"honeylock/internal/core/model"
 )
 
-// Hold takes which machines plans drain, which are neither room nor surplus, and
+// SetDrainPlans takes which machines plans drain, which are neither room nor surplus, and
 // which they will, whose price is no longer asked about.
-func (f *Fleet) Hold(plans func(model.MachineID) (drains, wants bool)) {
+func (f *Fleet) SetDrainPlans(plans func(model.MachineID) (drains, wants bool)) {
 	for id, u := range f.units {
 		u.held, u.wanted = plans(id)
 		u.drain = u.drain && !u.wanted
@@ -28,9 +28,9 @@
 	return cpu
 }
 
-// Give begins a return that somebody else has decided on; false tells that one is
+// BeginReturn begins a return that somebody else has decided on; false tells that one is
 // under way, and to come back.
-func (f *Fleet) Give(ids []model.MachineID) bool {
+func (f *Fleet) BeginReturn(ids []model.MachineID) bool {
 	if f.giving {
 		return false
 	}
@@ -43,18 +43,18 @@
 	return true
 }
 
-// Adopt takes machines that somebody else has rented, as room to come.
-func (f *Fleet) Adopt(now time.Duration, ids []model.MachineID, like model.Machine) {
+// AddRented takes machines that somebody else has rented, as room to come.
+func (f *Fleet) AddRented(now time.Duration, ids []model.MachineID, like model.Machine) {
 	for _, id := range ids {
 		f.unit(now, id, kind{like.Type, like.Zone, like.Spot})
 	}
 }
 
-// Units are the machines that the cloud has, with since when: those listed, and
+// ForEachMachine are the machines that the cloud has, with since when: those listed, and
 // those too new to be. listed tells that the list has been read.
-func (f *Fleet) Units(now time.Duration, do func(m model.Machine, since time.Duration)) (listed bool) {
+func (f *Fleet) ForEachMachine(now time.Duration, do func(m model.Machine, since time.Duration)) (listed bool) {
 	for id, u := range f.units {
-		if u.first == 0 && now-max(u.since, f.p.Began) > 2*f.p.ListLag+listMargin {
+		if u.first == 0 && now-max(u.since, f.p.TermStart) > 2*f.p.ListLag+listMargin {
 			continue // it would be listed by now
 		}
 		do(model.Machine{ID: id, Type: u.typ, Zone: u.zone, Spot: u.spot}, u.since)
@@ -62,8 +62,8 @@
 	return f.listed
 }
 
-// Boot is how long a machine of a type takes to come up, as the catalog has it.
-func (f *Fleet) Boot(machineType model.Name) time.Duration {
+// BootTime is how long a machine of a type takes to come up, as the catalog has it.
+func (f *Fleet) BootTime(machineType model.Name) time.Duration {
 	if t := f.typeOf(machineType); t != nil {
 		return t.Boot
 	}
--- a/internal/core/fleet/surplus.go
+++ b/internal/core/fleet/surplus.go
@@ -47,7 +47,7 @@
 		}
 		switch {
 		case u.failed,
-			!u.heard && t != nil && now-max(u.since, f.p.Began) > 4*t.Boot+20*time.Second,
+			!u.heard && t != nil && now-max(u.since, f.p.TermStart) > 4*t.Boot+20*time.Second,
 			u.silent != 0 && now-u.silent > 20*time.Second && now-u.listed > 2*f.p.ListLag,
 			u.silent != 0 && now-u.silent > patience:
 			out = append(out, id)
--- a/internal/core/fleet/giveup.go
+++ b/internal/core/fleet/unreachable.go
@@ -11,10 +11,10 @@
 // matter of machines.
 const mostDeaf = 0.15
 
-// Deaf takes the machines whose workers neither report nor answer though others of
+// SetUnreachable takes the machines whose workers neither report nor answer though others of
 // their zone do. What ran on them goes on elsewhere as soon as they are surely gone,
 // which they are once given back, while their leases are over much later.
-func (f *Fleet) Deaf(ids []model.MachineID) {
+func (f *Fleet) SetUnreachable(ids []model.MachineID) {
 	heard := 0
 	for _, u := range f.units {
 		if u.heard && !u.drop {
--- a/internal/core/fleet/giveup_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -28,12 +28,12 @@
 			for i := range ids {
 				ids[i] = model.MachineID(i)
 			}
-			f.Deaf(ids)
-			f.Deaf(ids[c.again:])
+			f.SetUnreachable(ids)
+			f.SetUnreachable(ids[c.again:])
 			got := 0
 			for _, a := range f.Step(2*time.Second, status, demand(1, true), noLimit) {
 				if a.Kind == Return {
-					got += len(a.Machine)
+					got += len(a.Machines)
 				}
 			}
 			if got != c.want {
@@ -67,7 +67,7 @@
 		got := 0
 		for _, a := range f.Step(time.Second+c.after, status, demand(1, true), noLimit) {
 			if a.Kind == Return {
-				got += len(a.Machine)
+				got += len(a.Machines)
 			}
 		}
 		if got != c.want {
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/shard"
@@ -23,7 +23,7 @@
 type Machine struct {
 	model.Machine
 	Usable bool // it may get tasks
-	Tasks  []model.OnMachine
+	Tasks  []model.PlacedTask
 }
 
 // Job of a snapshot.
@@ -39,7 +39,7 @@
 	Wall     time.Time
 	Machines []Machine
 	Jobs     []Job // in the order of submission
-	Teams    []dealer.Team
+	Teams    []dispatcher.Team
 	Learned  func(class model.Name, part float64) float64
 	Boot     func(machineType model.Name) time.Duration
 	JobName  func(model.JobID) string // for people
@@ -124,7 +124,7 @@
 // luck is a number of 0 to 1 for a task in a play: the same without and with the
 // plan, so that they differ by the plan alone.
 func (f *Forecast) luck(t model.Task) float64 {
-	h := rand.New(rand.NewPCG(f.p.Seed+uint64(f.play)*7919, uint64(t.Job)<<20^uint64(t.No)))
+	h := rand.New(rand.NewPCG(f.p.Seed+uint64(f.play)*7919, uint64(t.Job)<<20^uint64(t.Index)))
 	return h.Float64()
 }
 
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/shard"
@@ -22,10 +22,10 @@
 // snapshot is a cluster of machines with 8 CPUs.
 func snapshot(machines int) *Snapshot {
 	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), Learned: exact,
-		Teams:   []dealer.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
+		Teams:   []dispatcher.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
 		JobName: wire.JobName,
 		Boot:    func(model.Name) time.Duration { return 10 * time.Second },
-		Shard:   shard.Params{Sample: 2, PaybackLimit: time.Minute, DemoteStep: 2}}
+		Shard:   shard.Params{VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2}}
 	for id := range machines {
 		s.Machines = append(s.Machines, Machine{Machine: model.Machine{ID: model.MachineID(id + 1),
 			Cap: model.Capacity(8, 0, 32), FetchRate: 0.5},
@@ -36,11 +36,11 @@
 
 // job adds one with a task of 2 CPUs for each of the machines, and more waiting.
 func (s *Snapshot) job(sp model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
-	sp.Each, sp.Zone, sp.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
+	sp.PerTask, sp.Zone, sp.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
 	sp.SubmittedMS = s.Wall.UnixMilli()
 	for i, m := range on {
 		s.Machines[m-1].Tasks = append(s.Machines[m-1].Tasks,
-			model.OnMachine{Task: model.Task{Job: sp.ID, No: int32(i)}, Stage: model.Running, Ran: ran})
+			model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)}, Stage: model.Running, RunTime: ran})
 	}
 	s.Jobs = append(s.Jobs, Job{Spec: &sp, Left: int(sp.Tasks), Since: s.Now})
 	return &sp
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := snapshot(3)
-			s.job(model.Spec{ID: 5, Estimate: 200 * time.Second, Checkpoint: c.saves, ImageGB: c.image}, 0, 100*time.Second, 1)
+			s.job(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.saves, ImageGB: c.image}, 0, 100*time.Second, 1)
 			r := s.play(t, params(), drain.Spec{Machines: ids, Default: c.how})
 			if c.late == 0 {
 				if len(r.Late) != 0 {
@@ -153,7 +153,7 @@
 // told with its team.
 func TestGuaranteesThatWouldNotHoldAreForeseen(t *testing.T) {
 	s := snapshot(2)
-	s.Teams = append(s.Teams, dealer.Team{Limit: model.Capacity(1e6, 0, 0)})
+	s.Teams = append(s.Teams, dispatcher.Team{Limit: model.Capacity(1e6, 0, 0)})
 	s.job(model.Spec{ID: 6, Team: 1, Estimate: 5 * time.Minute, Rank: model.Prod}, 0, 0, 2, 2, 2, 2)
 	s.job(model.Spec{ID: 5, Estimate: 60 * time.Second}, 12, 0)
 	w := drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move}
@@ -200,8 +200,8 @@
 	}
 	for j := range on {
 		s.job(model.Spec{ID: model.JobID(j + 1), Class: model.Name(j % 5), Estimate: time.Duration(40+j%60) * time.Second,
-			ImageGB:    1,
-			Checkpoint: time.Duration(j%2) * 20 * time.Second}, 2, time.Duration(j%40)*time.Second, on[j]...)
+			ImageGB:            1,
+			CheckpointInterval: time.Duration(j%2) * 20 * time.Second}, 2, time.Duration(j%40)*time.Second, on[j]...)
 	}
 	s.Learned = func(_ model.Name, part float64) float64 { return 0.5 + part }
 	return s
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/model"
 )
@@ -16,7 +16,7 @@
 		if b.at > x.now {
 			return false
 		}
-		x.r.Machine(x.now, b.m, true)
+		x.r.AddMachine(x.now, b.m, true)
 		return true
 	})
 	for id, at := range x.patched {
@@ -31,8 +31,8 @@
 	s := x.f.s
 	v := &drain.View{Now: x.now, Wall: s.Wall.Add(x.now - s.Now),
 		Machines: make(map[model.MachineID]drain.Machine, len(s.Machines)),
-		Settled:  true, Learned: s.Learned, Boot: s.Boot, JobName: s.JobName, Spare: dealer.Spare(s.Teams, x.usage)}
-	x.r.Machines(x.now, func(st model.MachineStatus) {
+		Settled:  true, Learned: s.Learned, Boot: s.Boot, JobName: s.JobName, Spare: dispatcher.UnusedGuarantees(s.Teams, x.usage)}
+	x.r.ForEachMachine(x.now, func(st model.MachineStatus) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st,
 			Told: true}
 	})
@@ -73,9 +73,9 @@
 func (x *run) do(a drain.Action) {
 	switch a.Kind {
 	case drain.Bar, drain.Unbar:
-		x.r.Use(x.now, a.Machine, a.Kind == drain.Unbar)
+		x.r.SetUsable(x.now, a.Machine, a.Kind == drain.Unbar)
 	case drain.Look:
-		x.e.Seen(x.now, a.Machine, a.Seq, x.r.On(x.now, a.Machine), func(id model.JobID) *model.Spec {
+		x.e.Seen(x.now, a.Machine, a.Seq, x.r.TasksOn(x.now, a.Machine), func(id model.JobID) *model.Spec {
 			if j := x.byID[id]; j != nil {
 				return j.Spec
 			}
@@ -86,7 +86,7 @@
 			x.stopped(s, true)
 		}
 	case drain.Give:
-		x.r.Remove(a.Machine)
+		x.r.RemoveMachine(a.Machine)
 		x.e.Given(x.now, a.Machine, true)
 	case drain.Rent:
 		m := a.Like
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/shard"
@@ -51,7 +51,7 @@
 // run is one play, without or with the plan.
 type run struct {
 	f       *Forecast
-	r       *shard.Rehearsal
+	r       *shard.Simulation
 	e       *drain.Engine // nil: without the plan
 	now     time.Duration
 	over    bool
@@ -86,9 +86,9 @@
 		usage: make([]model.Resources, len(s.Teams)), on: map[model.JobID]map[int32]bool{},
 		patched: map[model.MachineID]time.Duration{}, next: 1 << 40,
 		ends: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{}, waits: make([]time.Duration, len(s.Teams)),
-		r: shard.NewRehearsal(s.Shard, rand.New(rand.NewPCG(f.p.Seed, uint64(f.play))))}
+		r: shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.p.Seed, uint64(f.play))))}
 	for i := range s.Jobs {
-		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].Left, price: dealer.Price(s.Jobs[i].Spec.Rank, false)}
+		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].Left, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
 		x.jobs = append(x.jobs, j)
 		x.byID[j.Spec.ID] = j
 		if !j.Spec.Daemon {
@@ -126,25 +126,25 @@
 }
 
 func (x *run) machine(m *Machine) {
-	x.r.Machine(x.now, m.Machine, m.Usable)
+	x.r.AddMachine(x.now, m.Machine, m.Usable)
 	if !slices.Contains(x.zones, m.Zone) {
 		x.zones = append(x.zones, m.Zone)
 	}
 	for _, t := range m.Tasks {
 		j := x.byID[t.Task.Job]
-		if j == nil || x.on[t.Task.Job][t.Task.No] {
+		if j == nil || x.on[t.Task.Job][t.Task.Index] {
 			continue
 		}
 		if x.on[t.Task.Job] == nil {
 			x.on[t.Task.Job] = map[int32]bool{}
 		}
-		x.on[t.Task.Job][t.Task.No] = true
-		b := x.r.Running(x.now, m.ID, x.deal(j, t.Task.No, model.None), t.Ran)
+		x.on[t.Task.Job][t.Task.Index] = true
+		b := x.r.AddRunning(x.now, m.ID, x.deal(j, t.Task.Index, model.None), t.RunTime)
 		j.running++
-		x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Add(j.Spec.Each)
-		left := x.whole(j, t.Task, t.Ran) - t.Ran
+		x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Add(j.Spec.PerTask)
+		left := x.whole(j, t.Task, t.RunTime) - t.RunTime
 		if t.Adopted { // it has run for some part of that already
-			left = time.Duration(float64(left) * x.f.luck(model.Task{Job: ^t.Task.Job, No: t.Task.No}))
+			left = time.Duration(float64(left) * x.f.luck(model.Task{Job: ^t.Task.Job, Index: t.Task.Index}))
 		}
 		x.schedule(j, b, left)
 	}
@@ -164,8 +164,8 @@
 	x.on = nil
 }
 
-func (x *run) deal(j *job, no int32, zone model.Name) model.Deal {
-	return model.Deal{Task: model.Task{Job: j.Spec.ID, No: no}, Spec: j.Spec, Price: j.price, Zone: zone, Since: j.Since}
+func (x *run) deal(j *job, no int32, zone model.Name) model.Assignment {
+	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: no}, Spec: j.Spec, Price: j.price, Zone: zone, WaitingSince: j.Since}
 }
 
 // whole is a task's run time in this play; one that has run for long is known to
@@ -183,9 +183,9 @@
 }
 
 // schedule lets a task that runs come to its end.
-func (x *run) schedule(j *job, b shard.Begun, left time.Duration) {
+func (x *run) schedule(j *job, b shard.StartedTask, left time.Duration) {
 	if !j.Spec.Daemon {
-		heap.Push(&x.heap, ending{x.now + b.Fetch + max(left, time.Millisecond), b.Task, b.Attempt})
+		heap.Push(&x.heap, ending{x.now + b.FetchTime + max(left, time.Millisecond), b.Task, b.Attempt})
 	}
 }
 
@@ -233,37 +233,37 @@
 
 func (x *run) ended(e ending) {
 	j := x.byID[e.task.Job]
-	if j == nil || !x.r.Done(x.now, e.task, e.attempt) {
+	if j == nil || !x.r.FinishTask(x.now, e.task, e.attempt) {
 		return
 	}
 	j.left--
 	j.running--
-	x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Sub(j.Spec.Each)
+	x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Sub(j.Spec.PerTask)
 	if j.left == 0 {
 		x.ends[j.Spec.ID] = e.at - x.f.s.Now
 		x.open--
 	}
 }
 
-func (x *run) begun(b shard.Begun) {
+func (x *run) begun(b shard.StartedTask) {
 	j := x.byID[b.Task.Job]
 	j.running++
-	left := x.whole(j, b.Task, 0) - j.saved[b.Task.No]
+	left := x.whole(j, b.Task, 0) - j.saved[b.Task.Index]
 	x.schedule(j, b, left)
 	if c, ok := x.costs[b.Task.Job]; ok && x.e != nil && c.moved > 0 {
-		c.refetch += b.Fetch
+		c.refetch += b.FetchTime
 		x.costs[b.Task.Job] = c
 	}
 }
 
 // stopped keeps what a task has saved: all where it was given time to, else what
 // it saved by itself.
-func (x *run) stopped(s shard.Stopped, moved bool) {
+func (x *run) stopped(s shard.StoppedTask, moved bool) {
 	j := x.byID[s.Task.Job]
 	j.running--
-	ran := max(0, s.Ran)
+	ran := max(0, s.RunTime)
 	kept := time.Duration(0)
-	if cp := j.Spec.Checkpoint; cp > 0 {
+	if cp := j.Spec.CheckpointInterval; cp > 0 {
 		if kept = ran - ran%cp; moved {
 			kept = ran
 		}
@@ -272,7 +272,7 @@
 		if j.saved == nil {
 			j.saved = map[int32]time.Duration{}
 		}
-		j.saved[s.Task.No] += kept
+		j.saved[s.Task.Index] += kept
 	}
 	if moved {
 		c := x.costs[s.Task.Job]
@@ -285,15 +285,15 @@
 // reprice tells which jobs fit into their team's guarantee.
 func (x *run) reprice() {
 	x.priced = x.now
-	g := dealer.NewGuarantees(x.f.s.Teams)
+	g := dispatcher.NewGuaranteeChecker(x.f.s.Teams)
 	for _, j := range x.jobs {
 		if j.left == 0 {
 			continue
 		}
-		j.within = g.Within(j.Spec, int64(j.left))
-		if p := dealer.Price(j.Spec.Rank, j.within); p != j.price {
+		j.within = g.Fits(j.Spec, int64(j.left))
+		if p := dispatcher.Price(j.Spec.Rank, j.within); p != j.price {
 			j.price = p
-			x.r.Reprice(j.Spec.ID, p)
+			x.r.RepriceJob(j.Spec.ID, p)
 		}
 	}
 }
@@ -311,12 +311,12 @@
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
-		n := min(int64(len(j.undealt)), j.Spec.Each.Count(x.f.s.Teams[team].Left(x.usage[team])))
+		n := min(int64(len(j.undealt)), j.Spec.PerTask.Count(x.f.s.Teams[team].Remaining(x.usage[team])))
 		for _, no := range j.undealt[:n] {
-			x.r.Give(x.now, x.deal(j, no, x.zone(j)))
+			x.r.AddWaiting(x.now, x.deal(j, no, x.zone(j)))
 		}
 		j.undealt = j.undealt[n:]
-		x.usage[team] = x.usage[team].Add(j.Spec.Each.Times(n))
+		x.usage[team] = x.usage[team].Add(j.Spec.PerTask.Times(n))
 	}
 }
 
@@ -324,7 +324,7 @@
 // one, or to all in turn.
 func (x *run) zone(j *job) model.Name {
 	switch {
-	case len(x.zones) == 0 || !j.Spec.Together && !j.Spec.Spread:
+	case len(x.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
 		return model.None
 	case j.Spec.Spread:
 		j.zones++
@@ -334,7 +334,7 @@
 
 // wait notes for how long work within its guarantee has had no room.
 func (x *run) wait() {
-	waiting := x.r.Waiting()
+	waiting := x.r.WaitingJobs()
 	for _, j := range x.jobs {
 		if j.left == 0 || !j.within || !waiting[j.Spec.ID] {
 			j.waited = 0
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -41,7 +41,7 @@
 // can evict the other.
 func (s *Spec) Priority(price float64) float64 {
 	p := price * price
-	if s.CanWait {
+	if s.BestEffort {
 		p /= waiting
 	}
 	return p
@@ -111,16 +111,16 @@
 	Daemon                 bool
 	Rank                   Rank
 	Tasks                  int32
-	Each                   Resources
+	PerTask                Resources
 	ImageGB                float64
 	Types                  []Name // nil: any
 	Zone                   Name
-	Together, Spread, Spot bool
+	SameZone, Spread, Spot bool
 	Estimate               time.Duration
-	Checkpoint             time.Duration
-	Save                   time.Duration
+	CheckpointInterval     time.Duration
+	CheckpointTime         time.Duration
 	Deadline               time.Duration // from submission; 0: none
-	CanWait                bool          // no aim is stated for its class, and its team has no guarantee
+	BestEffort             bool          // no aim is stated for its class, and its team has no guarantee
 	SubmittedMS            int64         // time of day at acceptance; ordering and deadlines only, never a rule
 }
 
@@ -142,13 +142,13 @@
 
 // Task names one task of a job.
 type Task struct {
-	Job JobID
-	No  int32
+	Job   JobID
+	Index int32
 }
 
 // Compare orders tasks by job, then by number.
 func (t Task) Compare(o Task) int {
-	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.No, o.No))
+	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Index, o.Index))
 }
 
 // Machine is what is fixed about a machine.
@@ -191,13 +191,13 @@
 	CauseDone
 	CauseStopped
 	CauseError
-	CauseNoRoom
+	CauseNoCapacity
 	CauseBusy
 	CauseUnknown
 )
 
-// Cell is one attempt in a worker's report.
-type Cell struct {
+// AttemptStatus is one attempt in a worker's report.
+type AttemptStatus struct {
 	Task    Task
 	Attempt uint64
 	Stage   Stage
@@ -207,29 +207,29 @@
 
 // Report is a worker's account of itself.
 type Report struct {
-	Machine Machine // Cap and FetchRate are not filled in
-	Session uint64
-	Seq     uint64
-	Token   uint64
-	Notice  time.Duration // until the cloud takes the machine; <0: no notice
-	Cells   []Cell
+	Machine          Machine // Cap and FetchRate are not filled in
+	Session          uint64
+	Seq              uint64
+	Token            uint64
+	PreemptionNotice time.Duration // until the cloud takes the machine; <0: no notice
+	Attempts         []AttemptStatus
 }
 
-// Numbers order a worker's messages.
-type Numbers struct{ Session, Seq uint64 }
+// MessageID order a worker's messages.
+type MessageID struct{ Session, Seq uint64 }
 
-// Covers tells whether a message with these numbers is as new as another one.
-func (n Numbers) Covers(o Numbers) bool {
+// AtLeast tells whether a message with these numbers is as new as another one.
+func (n MessageID) AtLeast(o MessageID) bool {
 	return n.Session > o.Session || n.Session == o.Session && n.Seq >= o.Seq
 }
 
 // Newer orders messages of one worker.
 func (r *Report) Newer(session, seq uint64) bool {
-	return !(Numbers{session, seq}).Covers(r.Numbers())
+	return !(MessageID{session, seq}).AtLeast(r.MessageID())
 }
 
-// Numbers of the report.
-func (r *Report) Numbers() Numbers { return Numbers{r.Session, r.Seq} }
+// MessageID of the report.
+func (r *Report) MessageID() MessageID { return MessageID{r.Session, r.Seq} }
 
 // Verb of a command.
 type Verb uint8
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -14,7 +14,7 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 )
 
@@ -40,7 +40,7 @@
 func (c *Change) over(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
 
 // on is a team with the change made.
-func (c *Change) on(t dealer.Team) dealer.Team {
+func (c *Change) on(t dispatcher.Team) dispatcher.Team {
 	for _, f := range []struct {
 		to *int64
 		v  *int64
@@ -70,12 +70,12 @@
 
 // Book is the state machine.
 type Book struct {
-	base []dealer.Team
+	base []dispatcher.Team
 	of   map[model.Name]*entry
 }
 
 // New returns a book without changes to the platform's teams.
-func New(base []dealer.Team) *Book { return &Book{base: base, of: map[model.Name]*entry{}} }
+func New(base []dispatcher.Team) *Book { return &Book{base: base, of: map[model.Name]*entry{}} }
 
 func (b *Book) entry(team model.Name) *entry {
 	e := b.of[team]
@@ -169,7 +169,7 @@
 }
 
 // Team is a team's limit and guarantee now.
-func (b *Book) Team(team model.Name, wall time.Time) dealer.Team {
+func (b *Book) Team(team model.Name, wall time.Time) dispatcher.Team {
 	if e := b.of[team]; e != nil && !e.acts.over(wall) {
 		return e.acts.on(b.base[team])
 	}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 )
 
 var wall = time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC)
 
-func teams() []dealer.Team {
-	return []dealer.Team{{Limit: model.Capacity(100, 0, 0), Guarantee: model.Capacity(40, 0, 0)}, {}}
+func teams() []dispatcher.Team {
+	return []dispatcher.Team{{Limit: model.Capacity(100, 0, 0), Guarantee: model.Capacity(40, 0, 0)}, {}}
 }
 
 func cpus(n float64) *int64 { v := int64(n * 1000); return &v }
--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -6,28 +6,28 @@
 	"honeylock/internal/core/model"
 )
 
-// Direct is a command to be sent straight to a worker. Its outcome comes back
+// DirectCommand is a command to be sent straight to a worker. Its outcome comes back
 // through DirectDone.
-type Direct struct {
+type DirectCommand struct {
 	ID       uint64
 	Machine  model.MachineID
 	Addr     string
 	Token    uint64
 	Session  uint64
 	Commands []model.Command
-	Until    time.Duration // the shard's authority ends: not to be sent after
+	NotAfter time.Duration // the shard's authority ends: not to be sent after
 }
 
 // inFlight is a direct command under way, with the launches it carries.
 type inFlight struct {
 	m        *machine
 	launched []*slot
-	asks     bool          // to learn whether its worker hears
-	seen     model.Numbers // the newest message of its worker when it was sent
+	asks     bool            // to learn whether its worker hears
+	seen     model.MessageID // the newest message of its worker when it was sent
 }
 
-// Directs takes away the commands to send.
-func (s *Shard) Directs() []Direct {
+// DirectCommands takes away the commands to send.
+func (s *Shard) DirectCommands() []DirectCommand {
 	d := s.directs
 	s.directs = nil
 	return d
@@ -36,7 +36,7 @@
 // Flush sends commands that should not wait for the next report, while fewer than
 // most are under way.
 func (s *Shard) Flush(now time.Duration, most int) {
-	if !s.Granted(now) {
+	if !s.HasGrant(now) {
 		return
 	}
 	for _, m := range s.order {
@@ -58,7 +58,7 @@
 		}
 		m.probe, m.tokenSent = false, true
 		s.directID++
-		d := Direct{ID: s.directID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session), Commands: cmds, Until: s.until}
+		d := DirectCommand{ID: s.directID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session), Commands: cmds, NotAfter: s.until}
 		var launched []*slot
 		for _, c := range cmds {
 			if c.Verb == model.Launch {
@@ -67,7 +67,7 @@
 				launched = append(launched, sl)
 			}
 		}
-		s.pending[d.ID] = inFlight{m, launched, asks, model.Numbers{Session: m.session, Seq: m.seq}}
+		s.pending[d.ID] = inFlight{m, launched, asks, model.MessageID{Session: m.session, Seq: m.seq}}
 		if asks {
 			s.asking++
 		}
@@ -76,9 +76,9 @@
 	}
 }
 
-// DirectDone takes the outcome of a direct command: the worker's report after
+// DirectCommandDone takes the outcome of a direct command: the worker's report after
 // it (nil: no answer) and whether it was executed.
-func (s *Shard) DirectDone(now time.Duration, d Direct, r *model.Report, executed bool) {
+func (s *Shard) DirectCommandDone(now time.Duration, d DirectCommand, r *model.Report, executed bool) {
 	sent := s.pending[d.ID]
 	delete(s.pending, d.ID)
 	if sent.asks {
@@ -108,7 +108,7 @@
 		return
 	}
 	if r.Token > m.token {
-		s.emit(model.Event{Kind: model.Superseded, Machine: m.ID, Token: r.Token})
+		s.emit(model.Event{Kind: model.TokenSuperseded, Machine: m.ID, Token: r.Token})
 		return
 	}
 	if m.unreachable || m.leaseExpired && s.unverified(now, m) {
@@ -117,11 +117,11 @@
 	s.receives(m)
 	m.directAnswered = now
 	switch {
-	case !s.Granted(now):
+	case !s.HasGrant(now):
 	case !m.fenced:
 		// Said on a connection that was opened to it, so it holds, whatever copies told.
 		s.take(now, m, r, false)
-	case r.Token < m.first || sent.seen.Covers(r.Numbers()):
+	case r.Token < m.first || sent.seen.AtLeast(r.MessageID()):
 		s.reborn(m, r)
 	case r.Newer(m.session, m.seq) && !m.ofEndedSession(r):
 		s.take(now, m, r, false)
--- a/internal/core/shard/drain_test.go
+++ b/internal/core/shard/drain_test.go
@@ -22,13 +22,13 @@
 	r.now += 20 * time.Second
 	r.give(high, 0, 1000)
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0)) // the victim stops, its room is spoken for
-	r.s.Order(r.now, model.Order{Kind: model.Use, ID: 1})
+	r.s.Order(r.now, model.Order{Kind: model.SetUsable, ID: 1})
 	r.report(1, 5, cell(1, 0, 1001, model.Exited, model.CauseStopped))
 	r.report(1, 5)
-	r.s.Order(r.now, model.Order{Kind: model.LookAt, ID: 1, Token: 77})
-	e := r.events(model.Looked)
-	if len(e) != 1 || e[0].Token != 77 || len(e[0].On) != 0 || r.s.Waiting() != 2 {
-		t.Errorf("%+v is on a machine that gets no tasks, %d wait", e, r.s.Waiting())
+	r.s.Order(r.now, model.Order{Kind: model.InspectMachine, ID: 1, Token: 77})
+	e := r.events(model.MachineInspected)
+	if len(e) != 1 || e[0].Token != 77 || len(e[0].Placed) != 0 || r.s.WaitingCount() != 2 {
+		t.Errorf("%+v is on a machine that gets no tasks, %d wait", e, r.s.WaitingCount())
 	}
 }
 
@@ -39,28 +39,28 @@
 	r.own(1, 5, 8)
 	r.report(1, 5)
 	sp := r.spec(1, model.Standard, 2)
-	sp.Checkpoint, sp.Save = 10*time.Second, 2*time.Second
+	sp.CheckpointInterval, sp.CheckpointTime = 10*time.Second, 2*time.Second
 	r.give(sp, 0, 10)
 	r.report(1, 5)
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
 	r.now += 3 * time.Second
 	task := model.Task{Job: 1}
-	r.s.Order(r.now, model.Order{Kind: model.Recall, ID: 2, Task: task})
+	r.s.Order(r.now, model.Order{Kind: model.RecallTask, ID: 2, Task: task})
 	if got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0)); len(got) != 0 {
 		t.Fatalf("%+v for a recall from another machine", got)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.LookAt, ID: 1})
-	want := []model.OnMachine{{Task: task, Stage: model.Running, Ran: 3 * time.Second}}
-	if e := r.events(model.Looked); len(e) != 1 || cmp.Diff(want, e[0].On) != "" {
+	r.s.Order(r.now, model.Order{Kind: model.InspectMachine, ID: 1})
+	want := []model.PlacedTask{{Task: task, Stage: model.Running, RunTime: 3 * time.Second}}
+	if e := r.events(model.MachineInspected); len(e) != 1 || cmp.Diff(want, e[0].Placed) != "" {
 		t.Errorf("%+v", e)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.Recall, ID: 1, Task: task})
+	r.s.Order(r.now, model.Order{Kind: model.RecallTask, ID: 1, Task: task})
 	got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
-	if len(got) != 1 || got[0].Verb != model.Kill || got[0].Grace < sp.Save {
+	if len(got) != 1 || got[0].Verb != model.Kill || got[0].Grace < sp.CheckpointTime {
 		t.Errorf("%+v, want it to save and stop", got)
 	}
 	r.report(1, 5, cell(1, 0, 1001, model.Exited, model.CauseStopped))
-	if e := r.events(model.Gone); len(e) != 1 || e[0].Task != task {
+	if e := r.events(model.TaskReturned); len(e) != 1 || e[0].Task != task {
 		t.Errorf("%+v, want it given back", e)
 	}
 }
@@ -68,18 +68,18 @@
 // A rehearsal chooses as the shard that acts does: same machines, same victims.
 func TestRehearsalPlacesAsTheShardDoes(t *testing.T) {
 	acts := newRig(t)
-	p := NewRehearsal(acts.s.p, acts.s.rng)
+	p := NewSimulation(acts.s.p, acts.s.rng)
 	for id := range model.MachineID(6) {
 		acts.own(id+1, 5, float64(8+id))
 		acts.report(id+1, 5)
-		p.Machine(acts.now, model.Machine{ID: id + 1, Cap: model.Capacity(float64(8+id), 0, 64)}, true)
+		p.AddMachine(acts.now, model.Machine{ID: id + 1, Cap: model.Capacity(float64(8+id), 0, 64)}, true)
 	}
 	for job := range model.JobID(12) {
 		sp := acts.spec(job+1, model.Rank(job%3), float64(1+job%4))
 		for no := range int32(3) {
 			acts.give(sp, no, 10)
-			p.Give(acts.now, model.Deal{Task: model.Task{Job: sp.ID, No: no}, Spec: sp, Price: 10, Zone: model.None,
-				Since: acts.now - time.Second})
+			p.AddWaiting(acts.now, model.Assignment{Task: model.Task{Job: sp.ID, Index: no}, Spec: sp, Price: 10, Zone: model.None,
+				WaitingSince: acts.now - time.Second})
 		}
 	}
 	acts.s.Place(acts.now)
@@ -92,7 +92,7 @@
 			t.Errorf("%v goes to %d, and to %v where it counts", b.Task, b.Machine, on)
 		}
 	}
-	if !p.Done(acts.now, begun[0].Task, begun[0].Attempt) || p.Done(acts.now, begun[0].Task, begun[0].Attempt) {
+	if !p.FinishTask(acts.now, begun[0].Task, begun[0].Attempt) || p.FinishTask(acts.now, begun[0].Task, begun[0].Attempt) {
 		t.Error("a task that ends does not end once")
 	}
 }
--- a/internal/core/shard/first.go
+++ b/internal/core/shard/expedite.go
@@ -48,7 +48,7 @@
 		return
 	}
 	for _, g := range s.ranked {
-		if len(g.tasks) > 0 && s.first(now, g.job) && g.spec.Each.Fits(m.Cap.Sub(m.used)) && s.allows(now, g, m) {
+		if len(g.tasks) > 0 && s.first(now, g.job) && g.spec.PerTask.Fits(m.Cap.Sub(m.used)) && s.allows(now, g, m) {
 			s.putNext(m, g)
 			s.leave(g)
 		}
--- a/internal/core/shard/first_test.go
+++ b/internal/core/shard/expedite_test.go
@@ -11,7 +11,7 @@
 // begins or the time is over. It returns how long that took.
 func (r *rig) small(machines int, job model.JobID, press bool) time.Duration {
 	type on struct {
-		c   model.Cell
+		c   model.AttemptStatus
 		end time.Duration
 	}
 	running := map[model.MachineID][]on{}
@@ -24,10 +24,10 @@
 			next++
 		}
 		if press {
-			r.s.Order(r.now, model.Order{Kind: model.First, Job: job})
+			r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: job})
 		}
 		for id := range model.MachineID(machines) {
-			var cells []model.Cell
+			var cells []model.AttemptStatus
 			for i, o := range running[id] {
 				if r.now >= o.end {
 					o.c.Stage, o.c.Cause = model.Exited, model.CauseDone
@@ -49,12 +49,12 @@
 				if c.Task.Job == job {
 					return r.now - began
 				}
-				running[id] = append(running[id], on{model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Running},
-					r.now + time.Duration(5+c.Task.No%7)*time.Second})
+				running[id] = append(running[id], on{model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running},
+					r.now + time.Duration(5+c.Task.Index%7)*time.Second})
 			}
 			for _, e := range r.s.Events() {
-				if e.Kind == model.Finished {
-					r.s.Order(r.now, model.Order{Kind: model.ClearIt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
+				if e.Kind == model.TaskFinished {
+					r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 				}
 			}
 		}
@@ -110,15 +110,15 @@
 	for no := range int32(12) { // four run, the others wait
 		r.give(full, no, 100)
 	}
-	cells := map[model.MachineID][]model.Cell{}
+	cells := map[model.MachineID][]model.AttemptStatus{}
 	for id := range model.MachineID(2) {
 		for _, c := range r.report(id, 5) {
-			cells[id] = append(cells[id], model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+			cells[id] = append(cells[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 		}
 		r.report(id, 5, cells[id]...)
 	}
 	r.give(r.spec(2, model.Idle, 4), 0, 1)
-	r.s.Order(r.now, model.Order{Kind: model.First, Job: 2})
+	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now) // one machine is kept for it
 	free := model.MachineID(0)
@@ -144,13 +144,13 @@
 	for no := range int32(2) {
 		r.give(full, no, 100)
 	}
-	var cells []model.Cell
+	var cells []model.AttemptStatus
 	for _, c := range r.report(0, 5) {
-		cells = append(cells, model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+		cells = append(cells, model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 	}
 	r.report(0, 5, cells...)
 	r.give(r.spec(2, model.Idle, 8), 0, 1) // it needs the whole machine
-	r.s.Order(r.now, model.Order{Kind: model.First, Job: 2})
+	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now)
 	cells[0].Stage, cells[0].Cause = model.Exited, model.CauseDone
@@ -169,18 +169,18 @@
 func TestAMachineIsKeptNoLongerThanItIsNeeded(t *testing.T) {
 	r := newRig(t)
 	full := r.spec(1, model.Urgent, 8)
-	cells := map[model.MachineID][]model.Cell{}
+	cells := map[model.MachineID][]model.AttemptStatus{}
 	for id := range model.MachineID(2) {
 		r.own(id, 5, 8)
 		r.report(id, 5)
 		r.give(full, int32(id), 100)
 		for _, c := range r.report(id, 5) {
-			cells[id] = append(cells[id], model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+			cells[id] = append(cells[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 		}
 		r.report(id, 5, cells[id]...)
 	}
 	r.give(r.spec(2, model.Idle, 8), 0, 1)
-	r.s.Order(r.now, model.Order{Kind: model.First, Job: 2})
+	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now)
 	kept, other := model.MachineID(0), model.MachineID(1)
--- a/internal/core/shard/faults.go
+++ b/internal/core/shard/faults.go
@@ -33,7 +33,7 @@
 }
 
 // broken tells whether the job, not the machines, is held to be at fault.
-func (r *record) broken() bool { return r != nil && !r.ok && len(r.on) >= model.BrokenFrom }
+func (r *record) broken() bool { return r != nil && !r.ok && len(r.on) >= model.BrokenJobMachines }
 
 // blame notes an error of a job's task on a machine.
 func (s *Shard) blame(now time.Duration, m *machine, job model.JobID) {
--- a/internal/core/shard/faults_test.go
+++ b/internal/core/shard/faults_test.go
@@ -29,10 +29,10 @@
 		r.give(sp, no, 10)
 	}
 	r.s.Place(r.now)
-	attempts := map[model.MachineID][]model.Cell{}
+	attempts := map[model.MachineID][]model.AttemptStatus{}
 	for id := range model.MachineID(machines) {
 		for _, c := range r.report(id, 5) {
-			attempts[id] = append(attempts[id], model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Exited, Cause: model.CauseError})
+			attempts[id] = append(attempts[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Exited, Cause: model.CauseError})
 		}
 	}
 	for id := range model.MachineID(machines) {
--- a/internal/core/shard/lapse.go
+++ b/internal/core/shard/lease_expiry.go
@@ -23,7 +23,7 @@
 // lapse takes the word that a machine's lease is surely over.
 func (s *Shard) lapse(now time.Duration, m *machine) {
 	s.loseAll(now, m)
-	s.emit(model.Event{Kind: model.Lapsed, Machine: m.ID, Token: m.token})
+	s.emit(model.Event{Kind: model.LeaseExpiryConfirmed, Machine: m.ID, Token: m.token})
 	switch {
 	case m.fenced:
 		m.endedSession = m.session
--- a/internal/core/shard/lapse_test.go
+++ b/internal/core/shard/lease_expiry_test.go
@@ -21,7 +21,7 @@
 func (r *rig) lapse(id model.MachineID) {
 	r.t.Helper()
 	r.lapseUnchecked(id)
-	if e := r.events(model.Lapsed); len(e) != 1 {
+	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 1 {
 		r.t.Fatalf("%d machines lapsed, want one", len(e))
 	}
 }
@@ -39,7 +39,7 @@
 	}
 	for _, e := range r.s.Events() {
 		switch e.Kind {
-		case model.Found, model.Heard, model.Fenced:
+		case model.AttemptFound, model.WorkerBack, model.WorkerFenced:
 			t.Errorf("event %d came of a report of a session whose lease is over", e.Kind)
 		}
 	}
@@ -60,12 +60,12 @@
 	r.s.Report(r.now, late)
 	r.s.Answer(r.now, late)
 	for _, e := range r.s.Events() {
-		if e.Kind == model.Found || e.Kind == model.Fenced {
+		if e.Kind == model.AttemptFound || e.Kind == model.WorkerFenced {
 			t.Errorf("event %d came of a report under a token of before the lapse", e.Kind)
 		}
 	}
 	r.s.Report(r.now, r.old(1, 2, 51, 9))
-	if e := r.events(model.Fenced); len(e) != 1 {
+	if e := r.events(model.WorkerFenced); len(e) != 1 {
 		t.Error("not fenced by the token that was given since")
 	}
 }
@@ -79,7 +79,7 @@
 	if !r.s.Report(r.now, next) || !r.s.Answer(r.now, next).OK {
 		t.Fatal("the next session's report was refused")
 	}
-	if e := r.events(model.Heard); len(e) != 1 || !r.s.machines[1].fenced {
+	if e := r.events(model.WorkerBack); len(e) != 1 || !r.s.machines[1].fenced {
 		t.Error("it is not back")
 	}
 }
@@ -90,13 +90,13 @@
 	r.runsOne()
 	r.s.machines[1].probe, r.s.machines[1].wake = true, true
 	r.s.Flush(r.now, 100)
-	d := r.s.Directs()
+	d := r.s.DirectCommands()
 	if len(d) != 1 {
 		t.Fatalf("%d questions, want one", len(d))
 	}
 	r.lapse(1)
-	r.s.DirectDone(r.now, d[0], r.old(1, 1, r.seq+1, 5, cell(1, 0, 1001, model.Running, 0)), true)
-	if e := r.events(model.Found); len(e) != 0 {
+	r.s.DirectCommandDone(r.now, d[0], r.old(1, 1, r.seq+1, 5, cell(1, 0, 1001, model.Running, 0)), true)
+	if e := r.events(model.AttemptFound); len(e) != 0 {
 		t.Error("what it listed was found")
 	}
 }
@@ -111,9 +111,9 @@
 	for range 3 {
 		r.now += 6 * time.Second
 		r.s.Tick(r.now)
-		r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: 1})
+		r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 		for _, e := range r.s.Events() {
-			if e.Kind == model.NeedToken {
+			if e.Kind == model.TokenNeeded {
 				t.Fatal("a token was asked for again")
 			}
 		}
@@ -131,20 +131,20 @@
 	if r.s.Report(r.now, r.old(1, 1, 1, 0)) {
 		t.Fatal("answered before it is known to be no copy")
 	}
-	r.ask(func(Direct) (*model.Report, bool) { return r.old(1, 1, 2, 0), false })
-	if e := r.events(model.NeedToken); len(e) != 1 {
+	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 2, 0), false })
+	if e := r.events(model.TokenNeeded); len(e) != 1 {
 		t.Fatalf("%+v, want a new token asked for", e)
 	}
 	r.own(1, 9, 8)
 	earlier := r.old(1, 3, 90, 5, cell(1, 0, 77, model.Running, 0)) // written before it began anew
 	r.s.Report(r.now, earlier)
 	r.s.Answer(r.now, earlier)
-	if r.s.machines[1].fenced || len(r.events(model.Found)) != 0 {
+	if r.s.machines[1].fenced || len(r.events(model.AttemptFound)) != 0 {
 		t.Fatal("fenced by a report of its earlier life")
 	}
 	for range 2 { // the first question finds its session out again
 		r.now += time.Second
-		r.ask(func(d Direct) (*model.Report, bool) {
+		r.ask(func(d DirectCommand) (*model.Report, bool) {
 			if d.Session != 1 {
 				return r.old(1, 1, 2, 0), false
 			}
@@ -176,10 +176,10 @@
 			r.adopt(1, 77)
 			r.s.Events()
 			lose(r)
-			if e := r.events(model.Gone); len(e) != 1 || e[0].Task != (model.Task{Job: 1}) {
+			if e := r.events(model.TaskReturned); len(e) != 1 || e[0].Task != (model.Task{Job: 1}) {
 				t.Errorf("events %+v, want it told to be gone", e)
 			}
-			if n := r.s.Waiting(); n != 0 || r.s.tasks[model.Task{Job: 1}] != nil {
+			if n := r.s.WaitingCount(); n != 0 || r.s.tasks[model.Task{Job: 1}] != nil {
 				t.Errorf("%d tasks wait here to be started again", n)
 			}
 		})
@@ -191,12 +191,12 @@
 	r := newRig(t)
 	r.own(1, 5, 8)
 	r.report(1, 5, cell(1, 0, 77, model.Running, 0))
-	r.s.Order(r.now, model.Order{Kind: model.Give, Deal: model.Deal{Task: model.Task{Job: 1},
-		Spec: r.spec(1, model.Standard, 2), Price: 10, Zone: model.None, Machine: 1, Attempt: 77, Checked: true}})
+	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: 1},
+		Spec: r.spec(1, model.Standard, 2), Price: 10, Zone: model.None, Machine: 1, Attempt: 77, WithinLimits: true}})
 	r.s.Events()
 	r.lapseUnchecked(1)
-	if e := r.events(model.Gone); len(e) != 0 || r.s.Waiting() != 1 {
-		t.Errorf("events %+v, %d tasks wait here; want it kept", e, r.s.Waiting())
+	if e := r.events(model.TaskReturned); len(e) != 0 || r.s.WaitingCount() != 1 {
+		t.Errorf("events %+v, %d tasks wait here; want it kept", e, r.s.WaitingCount())
 	}
 }
 
@@ -212,8 +212,8 @@
 			lose(r)
 			r.s.Events()
 			r.adopt(1, 77)
-			if e := r.events(model.Gone); len(e) != 1 || r.s.Waiting() != 0 {
-				t.Errorf("events %+v, %d tasks wait here; want it told to be gone", e, r.s.Waiting())
+			if e := r.events(model.TaskReturned); len(e) != 1 || r.s.WaitingCount() != 0 {
+				t.Errorf("events %+v, %d tasks wait here; want it told to be gone", e, r.s.WaitingCount())
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 func (r *rig) lapseUnchecked(id model.MachineID) {
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: id})
+	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: id})
 }
 
 // findsOne gives the shard two machines, the first of which runs attempt 77 of a task of job 1.
@@ -237,6 +237,6 @@
 
 // adopt gives the shard a task that it found on machine 1.
 func (r *rig) adopt(job model.JobID, attempt uint64) {
-	r.s.Order(r.now, model.Order{Kind: model.Give, Deal: model.Deal{Task: model.Task{Job: job},
+	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: job},
 		Spec: r.spec(job, model.Standard, 2), Price: 10, Zone: model.None, Machine: 1, Attempt: attempt}})
 }
