--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -51,7 +51,7 @@
 // long as only machines' room has changed, only those machines are looked at:
 // elsewhere there was no room for what waits.
 func (s *Shard) Place(now time.Duration) {
-	if !s.Granted(now) {
+	if !s.HasGrant(now) {
 		return
 	}
 	roomier := s.roomier
@@ -78,7 +78,7 @@
 // PlaceOn puts waiting tasks on one machine, so that the answer to its report
 // can carry them.
 func (s *Shard) PlaceOn(now time.Duration, id model.MachineID) {
-	if m := s.machines[id]; m != nil && m.roomier && s.Granted(now) {
+	if m := s.machines[id]; m != nil && m.roomier && s.HasGrant(now) {
 		s.placeOn(now, m)
 	}
 }
@@ -86,10 +86,10 @@
 func (s *Shard) placeOn(now time.Duration, m *machine) {
 	s.placeFirstsOn(now, m)
 	for _, g := range s.ranked {
-		if len(g.tasks) == 0 || !g.spec.Each.Fits(m.Cap.Sub(m.used)) || !s.allows(now, g, m) {
+		if len(g.tasks) == 0 || !g.spec.PerTask.Fits(m.Cap.Sub(m.used)) || !s.allows(now, g, m) {
 			continue
 		}
-		for len(g.tasks) > 0 && g.spec.Each.Fits(m.Cap.Sub(m.used)) {
+		for len(g.tasks) > 0 && g.spec.PerTask.Fits(m.Cap.Sub(m.used)) {
 			s.putNext(m, g)
 		}
 		s.leave(g)
@@ -110,13 +110,13 @@
 	for _, g := range s.queue {
 		g.worth = g.score(now)
 		s.ranked = append(s.ranked, g)
-		least = min(least, g.spec.Each.CPU)
+		least = min(least, g.spec.PerTask.CPU)
 	}
 	slices.SortFunc(s.ranked, func(a, b *group) int {
 		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.job, b.job), cmp.Compare(a.zone, b.zone))
 	})
 	var open []*machine
-	s.Stats.Looked += uint64(len(s.order))
+	s.Stats.MachinesExamined += uint64(len(s.order))
 	for _, m := range s.order {
 		if m.Cap.CPU-m.used.CPU >= least && s.ready(now, m) {
 			open = append(open, m)
@@ -148,9 +148,9 @@
 }
 
 func (s *Shard) allows(now time.Duration, g *group, m *machine) bool {
-	s.Stats.Looked++
+	s.Stats.MachinesExamined++
 	return s.ready(now, m) && !m.kept(now, g.job) && (g.zone == model.None || g.zone == m.Zone) &&
-		g.spec.Allows(&m.Machine) && g.spec.Each.Fits(m.Cap) && !s.shuns(now, g.job, m)
+		g.spec.Allows(&m.Machine) && g.spec.PerTask.Fits(m.Cap) && !s.shuns(now, g.job, m)
 }
 
 // rooms are the machines with a group's full request free, as a heap: the one
@@ -172,7 +172,7 @@
 		return r
 	}
 	for _, m := range open {
-		if g.spec.Each.Fits(m.Cap.Sub(m.used)) && s.allows(now, g, m) {
+		if g.spec.PerTask.Fits(m.Cap.Sub(m.used)) && s.allows(now, g, m) {
 			r.at = append(r.at, roomAt{m, s.level(m)})
 		}
 	}
@@ -210,7 +210,7 @@
 	if len(r.at) == 0 {
 		return
 	}
-	if m := r.at[0].m; r.sp.Each.Fits(m.Cap.Sub(m.used)) {
+	if m := r.at[0].m; r.sp.PerTask.Fits(m.Cap.Sub(m.used)) {
 		r.at[0].level = r.s.level(m)
 		heap.Fix(r, 0)
 	} else {
@@ -237,7 +237,7 @@
 // done since it last saved by itself.
 func loss(now time.Duration, sl *slot) time.Duration {
 	ran := sl.ran(now)
-	if cp := sl.t.Spec.Checkpoint; cp > 0 {
+	if cp := sl.t.Spec.CheckpointInterval; cp > 0 {
 		ran %= cp
 	}
 	return ran
@@ -253,7 +253,7 @@
 // parting is the time a victim gets to save: none where saving takes as long as
 // the work that it would save, nor for urgent work, which can't wait for it.
 func parting(now time.Duration, sl *slot, rank model.Rank) time.Duration {
-	if rank >= model.Urgent || loss(now, sl) <= sl.t.Spec.Save {
+	if rank >= model.Urgent || loss(now, sl) <= sl.t.Spec.CheckpointTime {
 		return 0
 	}
 	return graceOf(sl.t.Spec)
@@ -279,7 +279,7 @@
 		return
 	}
 	v.known, v.lowest = true, math.Inf(1)
-	v.s.Stats.Looked += uint64(len(v.s.order))
+	v.s.Stats.MachinesExamined += uint64(len(v.s.order))
 	for _, m := range v.s.order {
 		if p := m.cheapest(); !math.IsInf(p, 1) && v.s.ready(v.now, m) {
 			v.at = append(v.at, preyAt{m, p})
@@ -325,7 +325,7 @@
 	var bestVictims []*slot
 	var bestCost, bestTotal time.Duration
 	tooDear := false
-	for _, i := range v.sample(g, s.p.Sample) {
+	for _, i := range v.sample(g, s.p.VictimSample) {
 		m := v.at[i].m
 		victims, cost, ok := s.victims(now, m, g)
 		total := cost + m.fetch(g.spec)
@@ -342,7 +342,7 @@
 		if tooDear && g.price > 1 {
 			g.nextEvict = now + time.Second
 			s.Stats.Demoted++
-			g.price = max(1, g.price/s.p.DemoteStep)
+			g.price = max(1, g.price/s.p.DemotionStep)
 		}
 		return nil
 	}
@@ -401,14 +401,14 @@
 	var out []*slot
 	var cost time.Duration
 	for _, c := range cands {
-		if g.spec.Each.Fits(room) {
+		if g.spec.PerTask.Fits(room) {
 			break
 		}
 		room = room.Add(c.each)
 		out = append(out, c)
 		cost += payback(now, c, g.price)
 	}
-	return out, cost, g.spec.Each.Fits(room)
+	return out, cost, g.spec.PerTask.Fits(room)
 }
 
 // fetch is how long the machine takes to get a task's image, if it is not known
@@ -433,7 +433,7 @@
 	t := g.tasks[0]
 	g.tasks = g.tasks[1:]
 	s.attempt++
-	sl := &slot{key: key{t.Task, s.attempt}, t: t, each: t.Spec.Each}
+	sl := &slot{key: key{t.Task, s.attempt}, t: t, each: t.Spec.PerTask}
 	s.put(m, sl)
 	m.used = m.used.Add(sl.each)
 	if s.rehearsal != nil {
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -82,7 +82,7 @@
 // numbers anew; an answer on a connection that is opened to it tells.
 func (s *Shard) stale(now time.Duration, m *machine) {
 	if now >= m.nextStaleQuestion {
-		m.nextStaleQuestion = now + max(s.p.Report, overtakenFor)
+		m.nextStaleQuestion = now + max(s.p.ReportInterval, overtakenFor)
 		m.probe, m.wake = true, true
 	}
 }
@@ -92,12 +92,12 @@
 // and a question besides; or other owners have had no better luck. Answered on, its lease
 // would count as renewed for ever, and all that may be there would wait for that.
 func (s *Shard) unverified(now time.Duration, m *machine) bool {
-	return !m.fenced && (m.unproven || m.questionFailed && m.tokenOffered != 0 && now-m.tokenOffered > s.p.Overdue())
+	return !m.fenced && (m.unproven || m.questionFailed && m.tokenOffered != 0 && now-m.tokenOffered > s.p.OverdueAfter())
 }
 
-// Proving tells whether an unverified worker is being asked: its report
+// Verifying tells whether an unverified worker is being asked: its report
 // may wait a moment for that.
-func (s *Shard) Proving(now time.Duration, id model.MachineID) bool {
+func (s *Shard) Verifying(now time.Duration, id model.MachineID) bool {
 	m := s.machines[id]
 	return m != nil && s.unverified(now, m) && (m.inFlight > 0 || m.wake && now >= m.quietUntil)
 }
@@ -144,7 +144,7 @@
 // endedDespiteAnswers takes a new session of a worker that was fenced. A session ends for want
 // of answers: one that was given a moment ago has not arrived.
 func (s *Shard) endedDespiteAnswers(now time.Duration, m *machine) {
-	if m.spoke && now-m.answered < s.p.SureLease/2 {
+	if m.spoke && now-m.answered < s.p.MaxLease/2 {
 		m.inboundLost = true
 	}
 }
@@ -152,10 +152,10 @@
 // pause is how long a worker that did not answer a question is left alone.
 func (s *Shard) pause(now time.Duration, m *machine) time.Duration {
 	if !m.inboundLost && !s.unverified(now, m) {
-		return s.p.DoubtPause
+		return s.p.DirectRetryDelay
 	}
 	m.failedQuestions = min(m.failedQuestions+1, 8)
-	return min(s.p.DoubtPause<<(m.failedQuestions-1), longestQuestionPause)
+	return min(s.p.DirectRetryDelay<<(m.failedQuestions-1), longestQuestionPause)
 }
 
 // reborn has a worker that has begun its numbers anew fenced once more, under a token
--- a/internal/core/shard/reachability_test.go
+++ b/internal/core/shard/reachability_test.go
@@ -10,24 +10,24 @@
 )
 
 // old is a message of the worker's, not necessarily a new one.
-func (r *rig) old(id model.MachineID, session, seq, token uint64, cells ...model.Cell) *model.Report {
-	return &model.Report{Machine: model.Machine{ID: id}, Session: session, Seq: seq, Token: token, Notice: -1,
-		Cells: cells}
+func (r *rig) old(id model.MachineID, session, seq, token uint64, cells ...model.AttemptStatus) *model.Report {
+	return &model.Report{Machine: model.Machine{ID: id}, Session: session, Seq: seq, Token: token, PreemptionNotice: -1,
+		Attempts: cells}
 }
 
 // ask lets the shard send its direct commands and answers each with f.
-func (r *rig) ask(f func(d Direct) (*model.Report, bool)) (n int) {
+func (r *rig) ask(f func(d DirectCommand) (*model.Report, bool)) (n int) {
 	r.s.Tick(r.now)
 	r.s.Flush(r.now, 100)
-	for _, d := range r.s.Directs() {
+	for _, d := range r.s.DirectCommands() {
 		rep, executed := f(d)
-		r.s.DirectDone(r.now, d, rep, executed)
+		r.s.DirectCommandDone(r.now, d, rep, executed)
 		n++
 	}
 	return n
 }
 
-func unanswered(Direct) (*model.Report, bool) { return nil, false }
+func unanswered(DirectCommand) (*model.Report, bool) { return nil, false }
 
 // A copy of a report kept a machine that had died alive, and was answered with launches
 // under its old number, which the next genuine report seemed to disprove.
@@ -48,7 +48,7 @@
 		}
 		r.ask(unanswered)
 	}
-	if e := r.events(model.Silent); len(e) == 0 {
+	if e := r.events(model.LeaseExpired); len(e) == 0 {
 		t.Fatal("the machine counts as alive after its lease")
 	}
 	if sl := r.s.ofJob[1]; len(sl) != 0 {
@@ -60,7 +60,7 @@
 func TestAnOvertakenReportIsNewOnce(t *testing.T) {
 	r := newRig(t)
 	r.own(1, 5, 8)
-	r.ask(func(Direct) (*model.Report, bool) { return r.old(1, 1, 7, 5), true })
+	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 7, 5), true })
 	late := r.old(1, 1, 6, 0)
 	if !r.s.Report(r.now, late) {
 		t.Fatal("refused, though its worker waits for the answer")
@@ -82,14 +82,14 @@
 	r.report(1, 5)
 	r.report(1, 5)
 	release := func(seq uint64) {
-		r.s.Order(r.now, model.Order{Kind: model.Release, ID: 1, Numbers: model.Numbers{Session: 1, Seq: seq}})
+		r.s.Order(r.now, model.Order{Kind: model.ReleaseMachine, ID: 1, MessageID: model.MessageID{Session: 1, Seq: seq}})
 	}
 	release(2)
-	if !r.s.Owns(1) || len(r.events(model.Kept)) != 1 {
+	if !r.s.Owns(1) || len(r.events(model.MachineKept)) != 1 {
 		t.Fatal("a copy took the machine")
 	}
 	release(3)
-	if e := r.events(model.Released); r.s.Owns(1) || len(e) != 1 || e[0].Held {
+	if e := r.events(model.MachineReleased); r.s.Owns(1) || len(e) != 1 || e[0].Held {
 		t.Fatalf("%+v, want it let go of, and as answered", e)
 	}
 }
@@ -114,13 +114,13 @@
 	if last > began+10*time.Second {
 		t.Fatalf("answered for %v", last-began)
 	}
-	if len(r.events(model.Silent)) == 0 {
+	if len(r.events(model.LeaseExpired)) == 0 {
 		t.Fatal("not told to be silent")
 	}
 	// It hears again: a question is answered, and so are its reports.
 	r.now += longestQuestionPause
 	r.s.Report(r.now, r.old(1, 7, 1000, 0))
-	if n := r.ask(func(d Direct) (*model.Report, bool) { return r.old(1, 7, 1001, d.Token), true }); n != 1 {
+	if n := r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(1, 7, 1001, d.Token), true }); n != 1 {
 		t.Fatalf("%d questions, want one", n)
 	}
 	if !r.s.Report(r.now, r.old(1, 7, 1002, 5)) || r.s.machines[1].leaseExpired {
@@ -148,7 +148,7 @@
 	}
 	r.now += longestQuestionPause
 	r.report(1, 5)
-	r.ask(func(d Direct) (*model.Report, bool) { r.seq++; return r.old(1, 1, r.seq, d.Token), true })
+	r.ask(func(d DirectCommand) (*model.Report, bool) { r.seq++; return r.old(1, 1, r.seq, d.Token), true })
 	r.s.Tick(r.now)
 	if cmds := r.report(1, 5); len(cmds) != 1 {
 		t.Fatalf("%v, want the task launched once it hears", cmds)
@@ -180,20 +180,20 @@
 	if r.s.Report(r.now, r.old(1, 1, 3, 0)) {
 		t.Fatal("answered before it is known to be no copy")
 	}
-	r.ask(func(Direct) (*model.Report, bool) { return r.old(1, 1, 4, 0), false })
-	if e := r.events(model.NeedToken); len(e) != 1 {
+	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 4, 0), false })
+	if e := r.events(model.TokenNeeded); len(e) != 1 {
 		t.Fatalf("%+v, want a new token asked for", e)
 	}
 	if len(r.s.ofJob[1]) != 1 {
 		t.Fatal("its task is free before the new token was shown")
 	}
-	r.s.Order(r.now, model.Order{Kind: model.Own, Machine: model.Machine{ID: 1, Addr: "x", Cap: model.Capacity(8, 0, 64)},
+	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 1, Addr: "x", Cap: model.Capacity(8, 0, 64)},
 		Token: 9, Usable: true})
 	r.s.Report(r.now, r.old(1, 1, 43, 5, cell(1, 0, 1001, model.Running, 0))) // a copy of its earlier life
 	if r.s.machines[1].fenced {
 		t.Fatal("fenced by a copy")
 	}
-	r.ask(func(d Direct) (*model.Report, bool) { return r.old(1, 1, 6, d.Token), true })
+	r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(1, 1, 6, d.Token), true })
 	if !r.s.machines[1].fenced || r.s.tasks[model.Task{Job: 1}].slot != nil && r.s.ofJob[1][0].attempt == 1001 {
 		t.Fatal("the task that is gone is not placed anew")
 	}
@@ -212,23 +212,23 @@
 	r.now += lease // its lease is over, and it has begun a session
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.s.machines[1].probe, r.s.machines[1].wake = true, true
-	r.ask(func(Direct) (*model.Report, bool) { return r.old(1, 2, 50, 5), false })
+	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 2, 50, 5), false })
 	r.now += lease / 2
-	r.ask(func(d Direct) (*model.Report, bool) { return r.old(1, 2, 51, d.Token), true })
-	r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: 1})
-	if e := r.events(model.Lapsed); len(e) != 0 {
+	r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(1, 2, 51, d.Token), true })
+	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 0 {
 		t.Fatal("its lease counts as over half a lease after its session began")
 	}
 	// So does that of a worker which an owner fenced without ever answering it.
-	r.s.Order(r.now, model.Order{Kind: model.Own, Machine: model.Machine{ID: 2, Addr: "x"}, Token: 9, Prove: true})
+	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 2, Addr: "x"}, Token: 9, VerifyFirst: true})
 	r.s.Report(r.now, r.old(2, 3, 1, 0))
-	r.ask(func(d Direct) (*model.Report, bool) { return r.old(d.Machine, 3, 52, d.Token), true })
+	r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(d.Machine, 3, 52, d.Token), true })
 	r.now += lease / 2
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: 2})
-	r.s.Order(r.now, model.Order{Kind: model.Release, ID: 2})
+	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 2})
+	r.s.Order(r.now, model.Order{Kind: model.ReleaseMachine, ID: 2})
 	for _, e := range r.s.Events() {
-		if e.Machine == 2 && (e.Kind == model.Lapsed || e.Kind == model.Released && e.Held) {
+		if e.Machine == 2 && (e.Kind == model.LeaseExpiryConfirmed || e.Kind == model.MachineReleased && e.Held) {
 			t.Fatalf("event %d: what was launched there may run", e.Kind)
 		}
 	}
@@ -241,17 +241,17 @@
 	r.own(1, 5, 8)
 	r.report(1, 5)
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
-	r.ask(func(d Direct) (*model.Report, bool) {
+	r.ask(func(d DirectCommand) (*model.Report, bool) {
 		r.seq++
 		return r.old(1, 1, r.seq, d.Token, cell(1, 0, 1001, model.Running, 0)), true
 	})
 	done := cell(1, 0, 1001, model.Exited, model.CauseDone)
 	r.report(1, 5, done)
-	r.s.Order(r.now, model.Order{Kind: model.ClearIt, ID: 1, Task: done.Task, Attempt: 1001})
+	r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: done.Task, Attempt: 1001})
 	if c := r.report(1, 5, done); len(c) != 0 {
 		t.Fatalf("%v, though the launch may come once more", c)
 	}
-	if e := r.events(model.NeedToken); len(e) != 0 {
+	if e := r.events(model.TokenNeeded); len(e) != 0 {
 		t.Fatal("a higher token is asked for at once, for one attempt")
 	}
 	if b := r.s.brief(r.now, r.s.machines[1]); b.slots != 0 {
@@ -259,7 +259,7 @@
 	}
 	r.now += unclearedFor
 	r.report(1, 5, done)
-	if e := r.events(model.NeedToken); len(e) != 1 {
+	if e := r.events(model.TokenNeeded); len(e) != 1 {
 		t.Fatalf("%+v, want a higher token asked for, once", e)
 	}
 	r.own(1, 6, 8)
@@ -271,7 +271,7 @@
 	}
 	// One that a machine has lost, without a new session, is not placed anew before that.
 	r.give(r.spec(1, model.Standard, 2), 1, 10)
-	r.ask(func(d Direct) (*model.Report, bool) {
+	r.ask(func(d DirectCommand) (*model.Report, bool) {
 		r.seq++
 		return r.old(1, 1, r.seq, d.Token, cell(1, 1, 1002, model.Running, 0)), true
 	})
@@ -290,7 +290,7 @@
 	r := newRig(t)
 	r.runsOne()
 	r.now += lease
-	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, Notice: -1}
+	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, PreemptionNotice: -1}
 	for range 2 { // the first is the first sign of life for a lease
 		rep.Seq++
 		r.s.Report(r.now, rep)
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -20,7 +20,7 @@
 // Report takes a worker's report and tells whether this shard is entitled to
 // answer it.
 func (s *Shard) Report(now time.Duration, r *model.Report) bool {
-	if !s.Granted(now) {
+	if !s.HasGrant(now) {
 		return false
 	}
 	m := s.machines[r.Machine.ID]
@@ -28,16 +28,16 @@
 		if s.moved[r.Machine.ID] != "" {
 			return false
 		}
-		s.emit(model.Event{Kind: model.Unowned, Machine: r.Machine.ID, Report: r, Numbers: r.Numbers()})
+		s.emit(model.Event{Kind: model.UnownedWorker, Machine: r.Machine.ID, Report: r, MessageID: r.MessageID()})
 		return false
 	}
 	if r.Token > m.token {
 		// Somebody has been entitled after us: an answer would be dropped.
-		s.emit(model.Event{Kind: model.Superseded, Machine: m.ID, Token: r.Token})
+		s.emit(model.Event{Kind: model.TokenSuperseded, Machine: m.ID, Token: r.Token})
 		return false
 	}
 	if m.ofEndedSession(r) {
-		s.Stats.OfLapsed++
+		s.Stats.ExpiredSessionReports++
 		s.stale(now, m)
 		return false
 	}
@@ -62,7 +62,7 @@
 // worker's lease counts as renewed.
 func (s *Shard) Answer(now time.Duration, r *model.Report) Answer {
 	m := s.machines[r.Machine.ID]
-	if m == nil || !s.Granted(now) {
+	if m == nil || !s.HasGrant(now) {
 		return Answer{}
 	}
 	m.answered, m.spoke, m.tokenSent = now, true, true
@@ -86,7 +86,7 @@
 	if s.open == nil {
 		return nil
 	}
-	for _, c := range r.Cells {
+	for _, c := range r.Attempts {
 		if c.Stage == model.Exited || s.open[c.Task.Job] {
 			continue
 		}
@@ -116,9 +116,9 @@
 	if m.Addr == "" && r.Machine.Addr != "" {
 		m.Addr, m.anew = r.Machine.Addr, true
 	}
-	if r.Notice >= 0 {
+	if r.PreemptionNotice >= 0 {
 		if m.noticeAt == 0 {
-			m.noticeAt = now + r.Notice
+			m.noticeAt = now + r.PreemptionNotice
 		}
 	} else {
 		m.noticeAt = 0
@@ -129,7 +129,7 @@
 		return
 	}
 	s.takes++
-	for _, c := range r.Cells {
+	for _, c := range r.Attempts {
 		s.cell(now, m, key{c.Task, c.Attempt}, c)
 	}
 	var unseen []*slot
@@ -146,11 +146,11 @@
 		s.mayLast(now, m)
 		s.receives(m)
 		s.replan = true
-		s.emit(model.Event{Kind: model.Fenced, Machine: m.ID})
+		s.emit(model.Event{Kind: model.WorkerFenced, Machine: m.ID})
 	}
 }
 
-func (s *Shard) cell(now time.Duration, m *machine, k key, c model.Cell) {
+func (s *Shard) cell(now time.Duration, m *machine, k key, c model.AttemptStatus) {
 	sl := m.slots.get(k)
 	if sl == nil {
 		sl = &slot{key: k, sent: true, state: live, stage: c.Stage, stray: true, seen: s.takes}
@@ -158,7 +158,7 @@
 		if c.Stage == model.Exited {
 			sl.state, sl.stray = exited, false
 		}
-		s.emit(model.Event{Kind: model.Found, Machine: m.ID, Task: k.task, Attempt: k.attempt, Cell: c})
+		s.emit(model.Event{Kind: model.AttemptFound, Machine: m.ID, Task: k.task, Attempt: k.attempt, Status: c})
 		return
 	}
 	sl.seen = s.takes
@@ -175,7 +175,7 @@
 			sl.runSince = now
 			if t := sl.t; t != nil && t.told {
 				t.told = false
-				s.emit(model.Event{Kind: model.AtWork, Machine: m.ID, Task: t.Task})
+				s.emit(model.Event{Kind: model.TaskResumed, Machine: m.ID, Task: t.Task})
 			}
 		}
 		return
@@ -194,16 +194,16 @@
 		}
 		s.strayGone(sl)
 		// Cleared once its completion is stored.
-		s.emit(model.Event{Kind: model.Finished, Machine: m.ID, Task: k.task, Attempt: k.attempt, Held: held,
-			Ran: sl.ran(now)})
+		s.emit(model.Event{Kind: model.TaskFinished, Machine: m.ID, Task: k.task, Attempt: k.attempt, Held: held,
+			RunTime: sl.ran(now)})
 		return
 	case model.CauseError:
 		s.Stats.Errors++
 		s.blame(now, m, k.task.Job)
-	case model.CauseNoRoom, model.CauseBusy:
+	case model.CauseNoCapacity, model.CauseBusy:
 		s.Stats.Refused++
 		// Our books were wrong about this machine: let reports catch up.
-		m.refusedUntil = now + s.p.Report
+		m.refusedUntil = now + s.p.ReportInterval
 	}
 	sl.clear = true
 	m.wake = true
@@ -321,10 +321,10 @@
 		m.unclearedSince = now
 	}
 	due := (kept >= mostUncleared || now-m.unclearedSince >= unclearedFor) &&
-		(m.raised == 0 || now-m.raised >= s.p.SureLease/2)
+		(m.raised == 0 || now-m.raised >= s.p.MaxLease/2)
 	if m.token == m.shown && (due || kept >= tooManyUncleared) {
 		m.raised = now
-		s.emit(model.Event{Kind: model.NeedToken, Machine: m.ID})
+		s.emit(model.Event{Kind: model.TokenNeeded, Machine: m.ID})
 	}
 }
 
@@ -339,6 +339,6 @@
 func (s *Shard) askToken(m *machine) {
 	if !m.needToken {
 		m.needToken = true
-		s.emit(model.Event{Kind: model.NeedToken, Machine: m.ID})
+		s.emit(model.Event{Kind: model.TokenNeeded, Machine: m.ID})
 	}
 }
--- a/internal/core/shard/scale_test.go
+++ b/internal/core/shard/scale_test.go
@@ -41,12 +41,12 @@
 		for _, sl := range m.slots {
 			held = sl.key
 		}
-		before := r.s.Stats.Looked
-		got := r.report(m.ID, 5, model.Cell{Task: held.task, Attempt: held.attempt, Stage: model.Exited, Cause: model.CauseDone})
+		before := r.s.Stats.MachinesExamined
+		got := r.report(m.ID, 5, model.AttemptStatus{Task: held.task, Attempt: held.attempt, Stage: model.Exited, Cause: model.CauseDone})
 		if len(got) != 1 || got[0].Verb != model.Launch {
 			t.Fatalf("commands %v, want the room filled in the answer", got)
 		}
-		looked = r.s.Stats.Looked - before
+		looked = r.s.Stats.MachinesExamined - before
 		return looked, testing.AllocsPerRun(20, func() { r.report(m.ID, 5) })
 	}
 	smallLooked, smallAllocs := cost(20)
@@ -65,7 +65,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := newRig(t)
 		for id := range model.MachineID(30) {
-			r.s.Order(r.now, model.Order{Kind: model.Own, Usable: true, Token: 5, Machine: model.Machine{ID: id, Addr: "x",
+			r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: 5, Machine: model.Machine{ID: id, Addr: "x",
 				Spot: rng.IntN(2) == 0, Cap: model.Capacity(float64(4+4*rng.IntN(3)), 0, 64)}})
 			r.report(id, 5)
 		}
@@ -75,7 +75,7 @@
 			g := &group{job: sp.ID, zone: model.None, spec: sp, price: 1, tasks: []*task{{}}}
 			var plain *machine
 			for _, m := range r.s.order {
-				if !sp.Each.Fits(m.Cap.Sub(m.used)) {
+				if !sp.PerTask.Fits(m.Cap.Sub(m.used)) {
 					continue
 				}
 				if plain == nil || lowest(m) < lowest(plain) || lowest(m) == lowest(plain) && preferred(sp, m, plain) {
@@ -139,7 +139,7 @@
 func TestALowestPriceIsNeverOfBefore(t *testing.T) {
 	r := newRig(t)
 	r.own(1, 5, 8)
-	running := model.Cell{Task: model.Task{Job: 9, No: 3}, Attempt: 77, Stage: model.Running}
+	running := model.AttemptStatus{Task: model.Task{Job: 9, Index: 3}, Attempt: 77, Stage: model.Running}
 	r.report(1, 5, running)
 	low := func(want float64, when string) {
 		t.Helper()
@@ -150,10 +150,10 @@
 	}
 	low(math.Inf(1), "with nothing of its own")
 	adopted := r.spec(9, model.Idle, 2)
-	r.s.Order(r.now, model.Order{Kind: model.Give, Deal: model.Deal{Task: running.Task, Spec: adopted, Price: 7,
+	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: running.Task, Spec: adopted, Price: 7,
 		Zone: model.None, Machine: 1, Attempt: 77}})
 	low(7, "with one that was adopted")
-	r.s.Order(r.now, model.Order{Kind: model.Reprice, Job: 9, Price: 3})
+	r.s.Order(r.now, model.Order{Kind: model.RepriceJob, Job: 9, Price: 3})
 	low(3, "at its new price")
 	r.give(r.spec(10, model.Idle, 2), 0, 1)
 	r.s.Place(r.now)
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -15,16 +15,16 @@
 
 // Params of a shard.
 type Params struct {
-	SureLease    time.Duration // a worker not answered for so long holds nothing
-	Report       time.Duration
-	Sample       int           // machines sampled for a victim
-	PaybackLimit time.Duration // no eviction pays back later than this
-	DemoteStep   float64       // a task that found no victim has its price divided by this
-	DoubtPause   time.Duration // no direct commands for so long after one went unanswered
+	MaxLease         time.Duration // a worker not answered for so long holds nothing
+	ReportInterval   time.Duration
+	VictimSample     int           // machines sampled for a victim
+	PaybackLimit     time.Duration // no eviction pays back later than this
+	DemotionStep     float64       // a task that found no victim has its price divided by this
+	DirectRetryDelay time.Duration // no direct commands for so long after one went unanswered
 }
 
 type task struct {
-	model.Deal
+	model.Assignment
 	price  float64 // after demotions
 	slot   *slot   // nil: it waits
 	queued time.Duration
@@ -87,10 +87,10 @@
 	tells    bool                                    // the dealer wants to know what is out of work
 	records  map[model.JobID]*record                 // of jobs that have failed
 	events   []model.Event
-	directs  []Direct
+	directs  []DirectCommand
 	Stats    Stats
 	// rehearsal is told what is placed and stopped; nil where the shard acts.
-	rehearsal *Rehearsal
+	rehearsal *Simulation
 }
 
 // New returns a shard without a grant. attempts is the first of a range of
@@ -101,17 +101,17 @@
 		pending: map[uint64]inFlight{}, moved: map[model.MachineID]string{}, records: map[model.JobID]*record{}}
 }
 
-// Tell has the dealer told of tasks that are out of work, and when they run again.
-func (s *Shard) Tell(on bool) { s.tells = on }
+// ReportInterruptions has the dealer told of tasks that are out of work, and when they run again.
+func (s *Shard) ReportInterruptions(on bool) { s.tells = on }
 
 // Grant lets the shard act until the given time.
 func (s *Shard) Grant(until time.Duration) { s.until = until }
 
-// Open takes the leader's picture of the open jobs.
-func (s *Shard) Open(jobs map[model.JobID]bool) { s.open = jobs }
+// SetOpenJobs takes the leader's picture of the open jobs.
+func (s *Shard) SetOpenJobs(jobs map[model.JobID]bool) { s.open = jobs }
 
-// Granted tells whether the shard may act.
-func (s *Shard) Granted(now time.Duration) bool { return now < s.until }
+// HasGrant tells whether the shard may act.
+func (s *Shard) HasGrant(now time.Duration) bool { return now < s.until }
 
 // Events takes away what the dealer must be told.
 func (s *Shard) Events() []model.Event {
@@ -125,14 +125,14 @@
 // Order takes an order of the dealer.
 func (s *Shard) Order(now time.Duration, o model.Order) {
 	switch o.Kind {
-	case model.Own:
+	case model.OwnMachine:
 		s.own(now, o)
-	case model.Disown:
+	case model.RemoveMachine:
 		if m := s.machines[o.ID]; m != nil {
 			s.loseAll(now, m)
 			s.remove(m)
 		}
-	case model.Use:
+	case model.SetUsable:
 		if m := s.machines[o.ID]; m != nil {
 			m.usable = o.Usable
 			s.replan = true
@@ -140,21 +140,21 @@
 				s.unreserve(now, m)
 			}
 		}
-	case model.Give:
-		s.give(now, o.Deal)
-	case model.Recall:
+	case model.AssignTask:
+		s.give(now, o.Assignment)
+	case model.RecallTask:
 		if t := s.tasks[o.Task]; t != nil && (o.ID == 0 || t.on() != nil && t.on().ID == o.ID) {
 			s.recall(now, t)
 		}
-	case model.LookAt:
+	case model.InspectMachine:
 		s.lookAt(now, o)
-	case model.ClearIt:
+	case model.ClearAttempt:
 		if m := s.machines[o.ID]; m != nil {
 			if sl := m.slots.get(key{o.Task, o.Attempt}); sl != nil {
 				sl.clear = true
 			}
 		}
-	case model.KillIt:
+	case model.KillAttempt:
 		if m := s.machines[o.ID]; m != nil {
 			if sl := m.slots.get(key{o.Task, o.Attempt}); sl != nil {
 				s.stop(now, sl, 0)
@@ -165,26 +165,26 @@
 		delete(s.records, o.Job)
 		s.pressed(o.Job)
 		s.endJob(now, o.Job)
-	case model.Reprice:
-		s.reprice(o.Job, o.Price, o.Aim)
-	case model.RecallWaiting:
+	case model.RepriceJob:
+		s.reprice(o.Job, o.Price, o.Objective)
+	case model.RecallWaitingTasks:
 		s.recallWaiting(o.Job, o.Count)
-	case model.Release:
+	case model.ReleaseMachine:
 		if m := s.machines[o.ID]; m != nil && m.fenced && o.Session != 0 &&
-			(model.Numbers{Session: m.session, Seq: m.reported}).Covers(o.Numbers) {
+			(model.MessageID{Session: m.session, Seq: m.reported}).AtLeast(o.MessageID) {
 			// What came in elsewhere was a copy: the worker reports here.
 			s.stale(now, m)
-			s.emit(model.Event{Kind: model.Kept, Machine: o.ID})
+			s.emit(model.Event{Kind: model.MachineKept, Machine: o.ID})
 			return
 		}
-		s.letGo(o.ID, o.Keeper)
-	case model.First:
+		s.letGo(o.ID, o.RedirectTo)
+	case model.ExpediteJob:
 		s.press(now, o.Job)
-	case model.Elsewhere:
+	case model.RedirectWorker:
 		if s.machines[o.ID] == nil {
-			s.moved[o.ID] = o.Keeper
+			s.moved[o.ID] = o.RedirectTo
 		}
-	case model.Lapse:
+	case model.ConfirmLeaseExpiry:
 		// Only the dealer knows that nobody else has answered the worker; only
 		// this shard, that it has not answered it since it said so.
 		if m := s.machines[o.ID]; m != nil && m.leaseExpired {
@@ -221,7 +221,7 @@
 // letGo drops a machine from the books. Its tasks are where they are: the
 // dealer waits for the next owner to find them.
 func (s *Shard) letGo(id model.MachineID, keeper string) {
-	e := model.Event{Kind: model.Released, Machine: id}
+	e := model.Event{Kind: model.MachineReleased, Machine: id}
 	if m := s.machines[id]; m != nil {
 		e.Held = !m.spoke && !m.fenced // it launched nothing either, and renewed nothing
 		for _, sl := range slices.Clone(m.slots) {
@@ -252,9 +252,9 @@
 	s.order = slices.DeleteFunc(s.order, func(x *machine) bool { return x == m })
 }
 
-// Moved tells where a machine that was let go of should report instead.
+// TakeRedirect tells where a machine that was let go of should report instead.
 // It is told once: a worker that comes back could not go there, and is welcome.
-func (s *Shard) Moved(id model.MachineID) string {
+func (s *Shard) TakeRedirect(id model.MachineID) string {
 	k := s.moved[id]
 	delete(s.moved, id)
 	return k
@@ -265,9 +265,9 @@
 	delete(s.moved, o.Machine.ID)
 	if m == nil {
 		m = &machine{Machine: o.Machine, first: o.Token, answered: now, idleSince: now,
-			images: s.images[o.Machine.ID], anew: true, reachability: reachability{unproven: o.Prove}}
-		if o.Prove { // this shard does not answer it before it is shown to hear
-			m.answered = now - s.p.SureLease
+			images: s.images[o.Machine.ID], anew: true, reachability: reachability{unproven: o.VerifyFirst}}
+		if o.VerifyFirst { // this shard does not answer it before it is shown to hear
+			m.answered = now - s.p.MaxLease
 		}
 		if m.images == nil {
 			m.images = map[model.Name]bool{}
@@ -290,12 +290,12 @@
 	m.wake, m.patient = true, 0
 }
 
-func (s *Shard) give(now time.Duration, d model.Deal) {
+func (s *Shard) give(now time.Duration, d model.Assignment) {
 	s.deals++
 	if s.tasks[d.Task] != nil {
 		return
 	}
-	t := &task{Deal: d, price: d.Price, told: d.Again}
+	t := &task{Assignment: d, price: d.Price, told: d.Redispatched}
 	s.tasks[d.Task] = t
 	if d.Attempt != 0 {
 		m := s.machines[d.Machine]
@@ -307,12 +307,12 @@
 		if sl := m.slots.get(key{d.Task, d.Attempt}); sl != nil && sl.state == live {
 			sl.t, t.slot, sl.stray = t, sl, false
 			m.priced = false
-			sl.adopted, sl.unchecked = true, !d.Checked
+			sl.adopted, sl.unchecked = true, !d.WithinLimits
 			if sl.stage == model.Running {
 				sl.runSince = now
 			}
-			m.used = m.used.Sub(sl.each).Add(d.Spec.Each)
-			sl.each = d.Spec.Each
+			m.used = m.used.Sub(sl.each).Add(d.Spec.PerTask)
+			sl.each = d.Spec.PerTask
 			m.images[d.Spec.Image] = true
 			return
 		}
@@ -328,10 +328,10 @@
 	k := groupKey{t.Task.Job, t.Zone}
 	g := s.queue[k]
 	if g == nil {
-		g = &group{job: t.Task.Job, zone: t.Zone, spec: t.Spec, price: t.price, since: t.Since}
+		g = &group{job: t.Task.Job, zone: t.Zone, spec: t.Spec, price: t.price, since: t.WaitingSince}
 		s.queue[k] = g
 	}
-	g.since = min(g.since, t.Since)
+	g.since = min(g.since, t.WaitingSince)
 	g.tasks = append(g.tasks, t)
 	s.replan = true
 }
@@ -359,7 +359,7 @@
 // release gives a task that is nowhere back to the dealer.
 func (s *Shard) release(t *task, c model.Cause) {
 	delete(s.tasks, t.Task)
-	e := model.Event{Kind: model.Gone, Task: t.Task, Cause: c}
+	e := model.Event{Kind: model.TaskReturned, Task: t.Task, Cause: c}
 	if m := t.on(); m != nil {
 		e.Machine = m.ID
 	}
@@ -391,15 +391,15 @@
 
 // reprice changes the price of all of a job's tasks, waiting ones included: a
 // task that kept an older, lower price could fall victim to its own job.
-func (s *Shard) reprice(job model.JobID, price float64, aim model.Aim) {
+func (s *Shard) reprice(job model.JobID, price float64, aim model.Objective) {
 	var was, is *model.Spec
 	spec := func(sp *model.Spec) *model.Spec {
-		if aim == model.AimKept || sp.CanWait == (aim == model.AimNo) {
+		if aim == model.ObjectiveUnchanged || sp.BestEffort == (aim == model.NoObjective) {
 			return sp
 		}
 		if sp != was { // others hold the one of before
 			c := *sp
-			c.CanWait = !c.CanWait
+			c.BestEffort = !c.BestEffort
 			was, is = sp, &c
 		}
 		return is
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -21,19 +21,19 @@
 
 func newRig(t testing.TB) *rig {
 	r := &rig{t: t, now: time.Second}
-	r.s = New(Params{SureLease: lease, Report: time.Second, Sample: 2, PaybackLimit: time.Minute, DemoteStep: 2,
-		DoubtPause: time.Second}, 1000, rand.New(rand.NewPCG(1, 1)))
+	r.s = New(Params{MaxLease: lease, ReportInterval: time.Second, VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2,
+		DirectRetryDelay: time.Second}, 1000, rand.New(rand.NewPCG(1, 1)))
 	r.s.Grant(time.Hour)
 	return r
 }
 
 func (r *rig) own(id model.MachineID, token uint64, cpus float64) {
-	r.s.Order(r.now, model.Order{Kind: model.Own, Usable: true, Token: token,
+	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: token,
 		Machine: model.Machine{ID: id, Addr: "x", Cap: model.Capacity(cpus, 0, 64)}})
 }
 
 // report reports at a token and returns the commands.
-func (r *rig) report(id model.MachineID, token uint64, cells ...model.Cell) []model.Command {
+func (r *rig) report(id model.MachineID, token uint64, cells ...model.AttemptStatus) []model.Command {
 	r.t.Helper()
 	r.seq++
 	rep := r.old(id, 1, r.seq, token, cells...)
@@ -82,11 +82,11 @@
 }
 
 func (r *rig) spec(job model.JobID, rank model.Rank, cpus float64) *model.Spec {
-	return &model.Spec{ID: job, Rank: rank, Tasks: 10, Each: model.Request(cpus, 0, 1), Zone: model.None, Spot: true}
+	return &model.Spec{ID: job, Rank: rank, Tasks: 10, PerTask: model.Request(cpus, 0, 1), Zone: model.None, Spot: true}
 }
 
 func (r *rig) give(sp *model.Spec, no int32, price float64) {
-	r.s.Order(r.now, model.Order{Kind: model.Give, Deal: model.Deal{Task: model.Task{Job: sp.ID, No: no}, Spec: sp, Price: price, Zone: model.None, Since: r.now - time.Second}})
+	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: sp.ID, Index: no}, Spec: sp, Price: price, Zone: model.None, WaitingSince: r.now - time.Second}})
 }
 
 func (r *rig) events(kind model.EventKind) []model.Event {
@@ -99,13 +99,13 @@
 	return out
 }
 
-func cell(job model.JobID, no int32, attempt uint64, st model.Stage, c model.Cause) model.Cell {
-	t := model.Task{Job: job, No: no}
-	return model.Cell{Task: t, Attempt: attempt, Stage: st, Cause: c}
+func cell(job model.JobID, no int32, attempt uint64, st model.Stage, c model.Cause) model.AttemptStatus {
+	t := model.Task{Job: job, Index: no}
+	return model.AttemptStatus{Task: t, Attempt: attempt, Stage: st, Cause: c}
 }
 
 func launch(job model.JobID, no int32, attempt uint64) model.Command {
-	return model.Command{Verb: model.Launch, Task: model.Task{Job: job, No: no}, Attempt: attempt}
+	return model.Command{Verb: model.Launch, Task: model.Task{Job: job, Index: no}, Attempt: attempt}
 }
 
 func TestNothingIsPlacedBeforeTheWorkerIsFenced(t *testing.T) {
@@ -126,11 +126,11 @@
 	r := newRig(t)
 	r.own(1, 5, 8)
 	r.s.Grant(r.now)
-	if r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, Notice: -1}) {
+	if r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}) {
 		t.Fatal("answered without a grant")
 	}
 	r.s.Flush(r.now, 8)
-	if d := r.s.Directs(); len(d) != 0 {
+	if d := r.s.DirectCommands(); len(d) != 0 {
 		t.Fatalf("commands %v without a grant", d)
 	}
 }
@@ -161,33 +161,33 @@
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.s.Place(r.now)
 	r.s.Flush(r.now, 8)
-	d := r.s.Directs()
+	d := r.s.DirectCommands()
 	if len(d) != 1 || len(d[0].Commands) != 1 {
 		t.Fatalf("directs %v, want one launch", d)
 	}
-	r.s.DirectDone(r.now, d[0], nil, false)
+	r.s.DirectCommandDone(r.now, d[0], nil, false)
 	r.s.Events()
-	r.s.Order(r.now, model.Order{Kind: model.Recall, Task: model.Task{Job: 1}})
+	r.s.Order(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
 	r.report(1, 5)
 	r.report(1, 5)
 	evs := r.s.Events()
 	needs := false
 	for _, e := range evs {
-		if e.Kind == model.Gone {
+		if e.Kind == model.TaskReturned {
 			t.Fatal("taken for gone while the launch may yet be executed")
 		}
-		needs = needs || e.Kind == model.NeedToken
+		needs = needs || e.Kind == model.TokenNeeded
 	}
 	if !needs {
 		t.Fatal("no higher token was asked for")
 	}
 	r.own(1, 6, 8)
 	r.report(1, 5)
-	if e := r.events(model.Gone); len(e) != 0 {
+	if e := r.events(model.TaskReturned); len(e) != 0 {
 		t.Fatal("the worker has not shown the new token yet")
 	}
 	r.report(1, 6)
-	if e := r.events(model.Gone); len(e) != 1 {
+	if e := r.events(model.TaskReturned); len(e) != 1 {
 		t.Fatalf("gone %v, want the task back", e)
 	}
 }
@@ -200,19 +200,19 @@
 	r.report(1, 5)
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.report(1, 5) // carries the launch
-	r.s.Order(r.now, model.Order{Kind: model.Recall, Task: model.Task{Job: 1}})
+	r.s.Order(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
 	r.s.Flush(r.now, 8)
-	d := r.s.Directs()
+	d := r.s.DirectCommands()
 	if len(d) != 1 {
 		t.Fatalf("directs %v, want the kill", d)
 	}
 	r.seq++
-	r.s.DirectDone(r.now, d[0], &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, Notice: -1}, true)
-	if e := r.events(model.Gone); len(e) != 0 {
+	r.s.DirectCommandDone(r.now, d[0], &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: -1}, true)
+	if e := r.events(model.TaskReturned); len(e) != 0 {
 		t.Fatal("the launch may still arrive with the report's answer")
 	}
 	r.report(1, 5)
-	if e := r.events(model.Gone); len(e) != 1 {
+	if e := r.events(model.TaskReturned); len(e) != 1 {
 		t.Fatal("a later report proves it")
 	}
 }
@@ -220,7 +220,7 @@
 func TestLateReportIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.runsOne()
-	old := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, Notice: -1}
+	old := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}
 	r.s.Report(r.now, old)
 	if got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0)); len(got) != 0 {
 		t.Fatalf("a late report without the task made %v", got)
@@ -235,21 +235,21 @@
 	r.s.Events()
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
-	if n := len(r.s.Jobs(r.now)); n != 1 {
+	if n := len(r.s.TaskCounts(r.now)); n != 1 {
 		t.Fatal("lost on the shard's own judgement")
 	}
-	if e := r.events(model.Silent); len(e) != 1 {
+	if e := r.events(model.LeaseExpired); len(e) != 1 {
 		t.Fatalf("events %v, want silence told", e)
 	}
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
-	r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: 1})
-	if e := r.events(model.Lapsed); len(e) != 0 {
+	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 0 {
 		t.Fatal("the worker is back")
 	}
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.Lapse, ID: 1})
-	if e := r.events(model.Lapsed); len(e) != 1 {
+	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 1 {
 		t.Fatal("the dealer's word was not taken")
 	}
 }
@@ -264,7 +264,7 @@
 	if got := r.report(1, 5, done); len(got) != 0 {
 		t.Fatalf("commands %v before the completion is stored", got)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.ClearIt, ID: 1, Task: model.Task{Job: 1}, Attempt: 1001})
+	r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: model.Task{Job: 1}, Attempt: 1001})
 	if got := r.report(1, 5, done); len(got) != 1 || got[0].Verb != model.Clear {
 		t.Fatalf("commands %v, want it cleared", got)
 	}
@@ -303,7 +303,7 @@
 	r.give(sp, 0, 10)
 	r.give(sp, 1, 10)
 	r.s.Place(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.Reprice, Job: 1, Price: 300})
+	r.s.Order(r.now, model.Order{Kind: model.RepriceJob, Job: 1, Price: 300})
 	r.s.Place(r.now)
 	if r.s.Stats.Evicted != 0 {
 		t.Fatal("a job evicted itself")
@@ -338,7 +338,7 @@
 	r.give(r.spec(2, model.Standard, 2), 0, 10)
 	r.report(1, 5)
 	r.report(1, 5, cell(1, 0, 1001, model.Exited, model.CauseError), cell(2, 0, 1002, model.Exited, model.CauseError))
-	gone := r.events(model.Gone)
+	gone := r.events(model.TaskReturned)
 	if !r.s.Status(r.now)[0].Faulty || len(gone) != 2 {
 		t.Fatalf("gone %v: want the machine condemned and both tasks back", gone)
 	}
@@ -349,22 +349,22 @@
 	r.own(1, 5, 8)
 	r.report(1, 5)
 	saver := r.spec(1, model.Standard, 2)
-	saver.Checkpoint, saver.Save = 10*time.Second, 3*time.Second
+	saver.CheckpointInterval, saver.CheckpointTime = 10*time.Second, 3*time.Second
 	quick := r.spec(2, model.Standard, 2)
 	quick.Estimate = 5 * time.Second
 	r.give(saver, 0, 10)
 	r.report(1, 5)
 	r.give(quick, 0, 10)
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
-	cells := []model.Cell{cell(1, 0, 1001, model.Running, 0), cell(2, 0, 1002, model.Running, 0)}
+	cells := []model.AttemptStatus{cell(1, 0, 1001, model.Running, 0), cell(2, 0, 1002, model.Running, 0)}
 	r.seq++
-	r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, Notice: 8 * time.Second, Cells: cells})
+	r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: 8 * time.Second, Attempts: cells})
 	r.s.Tick(r.now)
 	r.seq++
-	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, Notice: 8 * time.Second, Cells: cells}
+	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: 8 * time.Second, Attempts: cells}
 	r.s.Report(r.now, rep)
 	got := r.s.Answer(r.now, rep).Commands
-	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < saver.Save {
+	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < saver.CheckpointTime {
 		t.Fatalf("commands %v, want only the saving task stopped, with time to save", got)
 	}
 }
@@ -377,7 +377,7 @@
 		r.own(1, 5, 4)
 		r.report(1, 5)
 		low := r.spec(1, model.Idle, 4)
-		low.Checkpoint, low.Save = 15*time.Second, 3*time.Second
+		low.CheckpointInterval, low.CheckpointTime = 15*time.Second, 3*time.Second
 		r.give(low, 0, 1)
 		r.report(1, 5)
 		running := cell(1, 0, 1001, model.Running, 0)
@@ -388,7 +388,7 @@
 		r.now += time.Second
 		r.s.Tick(r.now)
 		got := r.report(1, 5, running)
-		if len(got) != 1 || got[0].Verb != model.Kill || (got[0].Grace >= low.Save) != grace {
+		if len(got) != 1 || got[0].Verb != model.Kill || (got[0].Grace >= low.CheckpointTime) != grace {
 			t.Errorf("rank %d: commands %+v, time to save %v wanted", rank, got, grace)
 		}
 	}
@@ -400,8 +400,8 @@
 func TestFirstAnswerEndsWhatIsNotOpen(t *testing.T) {
 	r := newRig(t)
 	r.own(1, 5, 8)
-	r.s.Open(map[model.JobID]bool{2: true})
-	held := []model.Cell{cell(1, 0, 7, model.Running, 0), cell(2, 0, 8, model.Running, 0)}
+	r.s.SetOpenJobs(map[model.JobID]bool{2: true})
+	held := []model.AttemptStatus{cell(1, 0, 7, model.Running, 0), cell(2, 0, 8, model.Running, 0)}
 	want := []model.Command{{Verb: model.Kill, Task: model.Task{Job: 1}, Attempt: 7}}
 	if diff := cmp.Diff(want, r.report(1, 3, held...)); diff != "" {
 		t.Fatal(diff)
@@ -471,8 +471,8 @@
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.s.Place(r.now)
 	r.s.Flush(r.now, 8)
-	d := r.s.Directs()
-	if len(d) != 1 || d[0].Until != r.now+3*time.Second {
+	d := r.s.DirectCommands()
+	if len(d) != 1 || d[0].NotAfter != r.now+3*time.Second {
 		t.Fatalf("commands %+v, want one to be sent within the grant", d)
 	}
 }
--- a/internal/core/shard/slot.go
+++ b/internal/core/shard/slot.go
@@ -58,10 +58,10 @@
 
 // graceOf is the time that a task gets to save, with some room for timers.
 func graceOf(sp *model.Spec) time.Duration {
-	if sp == nil || sp.Checkpoint == 0 {
+	if sp == nil || sp.CheckpointInterval == 0 {
 		return 0
 	}
-	return sp.Save + sp.Save/10 + 100*time.Millisecond
+	return sp.CheckpointTime + sp.CheckpointTime/10 + 100*time.Millisecond
 }
 
 // stop has an attempt end, with a time to save. One that was never sent to its machine is free at
@@ -81,7 +81,7 @@
 	}
 	sl.stop, sl.grace = true, grace
 	sl.m.priced = false
-	sl.hardAt = now + grace + s.p.Report + 2*time.Second
+	sl.hardAt = now + grace + s.p.ReportInterval + 2*time.Second
 	sl.m.wake = true
 }
 
@@ -134,14 +134,14 @@
 		return
 	}
 	t.told = true
-	s.emit(model.Event{Kind: model.Idled, Machine: sl.m.ID, Task: t.Task, Cause: c, Held: t.recalled, Ran: loss(now, sl)})
+	s.emit(model.Event{Kind: model.TaskInterrupted, Machine: sl.m.ID, Task: t.Task, Cause: c, Held: t.recalled, RunTime: loss(now, sl)})
 }
 
 // strayGone tells that a found attempt which was not adopted is gone.
 func (s *Shard) strayGone(sl *slot) {
 	if sl.stray {
 		sl.stray = false
-		s.emit(model.Event{Kind: model.StrayGone, Task: sl.task, Attempt: sl.attempt})
+		s.emit(model.Event{Kind: model.RejectedAttemptGone, Task: sl.task, Attempt: sl.attempt})
 	}
 }
 
--- a/internal/core/shard/status.go
+++ b/internal/core/shard/status.go
@@ -9,8 +9,8 @@
 // Stats count what the shard has done.
 type Stats struct {
 	Placed, Evicted, Demoted, Lost, Refused, Errors uint64
-	Looked                                          uint64 // machines looked at for waiting tasks
-	OfLapsed                                        uint64 // reports refused: their session's lease is over
+	MachinesExamined                                uint64 // machines looked at for waiting tasks
+	ExpiredSessionReports                           uint64 // reports refused: their session's lease is over
 }
 
 // Status summarises the machines whose summary has changed since it was last
@@ -70,8 +70,8 @@
 		IdleSince: b.idleSince, Faulty: b.faulty}
 }
 
-// Waiting returns how many tasks wait.
-func (s *Shard) Waiting() int {
+// WaitingCount returns how many tasks wait.
+func (s *Shard) WaitingCount() int {
 	n := 0
 	for _, g := range s.queue {
 		n += len(g.tasks)
@@ -89,19 +89,19 @@
 	return out
 }
 
-// Remember takes what the controller's shard of an earlier term knew of images:
+// SetImages takes what the controller's shard of an earlier term knew of images:
 // a hint for placing, which the machines keep when a leader is lost.
-func (s *Shard) Remember(images map[model.MachineID]map[model.Name]bool) { s.images = images }
+func (s *Shard) SetImages(images map[model.MachineID]map[model.Name]bool) { s.images = images }
 
 // Owns tells whether the machine is this shard's.
 func (s *Shard) Owns(id model.MachineID) bool { return s.machines[id] != nil }
 
-// Deals counts the deals received.
-func (s *Shard) Deals() uint64 { return s.deals }
+// AssignmentsReceived counts the deals received.
+func (s *Shard) AssignmentsReceived() uint64 { return s.deals }
 
-// Jobs counts the waiting and the running tasks of each job. The running ones,
+// TaskCounts counts the waiting and the running tasks of each job. The running ones,
 // which are for display only, are counted once a second.
-func (s *Shard) Jobs(now time.Duration) map[model.JobID]model.JobCount {
+func (s *Shard) TaskCounts(now time.Duration) map[model.JobID]model.TaskCounts {
 	if s.running == nil || now-s.counted >= time.Second {
 		s.running, s.counted = map[model.JobID]int{}, now
 		for job, l := range s.ofJob {
@@ -112,9 +112,9 @@
 			}
 		}
 	}
-	out := make(map[model.JobID]model.JobCount, len(s.running))
+	out := make(map[model.JobID]model.TaskCounts, len(s.running))
 	for id, n := range s.running {
-		out[id] = model.JobCount{Running: n}
+		out[id] = model.TaskCounts{Running: n}
 	}
 	for k, g := range s.queue {
 		c := out[k.job]
@@ -131,15 +131,15 @@
 	if m == nil {
 		return // the next owner is asked
 	}
-	s.emit(model.Event{Kind: model.Looked, Machine: m.ID, Token: o.Token, On: m.on(now)})
+	s.emit(model.Event{Kind: model.MachineInspected, Machine: m.ID, Token: o.Token, Placed: m.on(now)})
 }
 
 // on is what is on the machine, or may be.
-func (m *machine) on(now time.Duration) []model.OnMachine {
-	var out []model.OnMachine
+func (m *machine) on(now time.Duration) []model.PlacedTask {
+	var out []model.PlacedTask
 	for _, sl := range m.slots {
 		if sl.state != exited {
-			out = append(out, model.OnMachine{Task: sl.task, Stage: sl.stage, Ran: max(0, sl.ran(now)), Stopping: sl.stop,
+			out = append(out, model.PlacedTask{Task: sl.task, Stage: sl.stage, RunTime: max(0, sl.ran(now)), Stopping: sl.stop,
 				Adopted: sl.adopted})
 		}
 	}
--- a/internal/core/shard/tick.go
+++ b/internal/core/shard/tick.go
@@ -10,11 +10,11 @@
 // Tick settles what time alone decides.
 func (s *Shard) Tick(now time.Duration) {
 	for _, m := range s.order {
-		if now-m.answered > s.p.SureLease && (!m.leaseExpired || now-m.expiryTold > 5*time.Second) {
+		if now-m.answered > s.p.MaxLease && (!m.leaseExpired || now-m.expiryTold > 5*time.Second) {
 			// Its lease is over, unless another controller has answered it:
 			// the dealer knows.
 			m.leaseExpired, m.expiryTold = true, now
-			s.emit(model.Event{Kind: model.Silent, Machine: m.ID, Token: m.token})
+			s.emit(model.Event{Kind: model.LeaseExpired, Machine: m.ID, Token: m.token})
 		}
 		s.probe(now, m)
 		if m.noticeAt != 0 {
@@ -24,7 +24,7 @@
 			s.unreserve(now, m)
 		}
 	}
-	if s.Granted(now) {
+	if s.HasGrant(now) {
 		s.replan = true // machines may have become ready, victims cheap
 		s.Place(now)
 	}
@@ -46,7 +46,7 @@
 
 // quiet tells whether a worker's report is overdue: nothing new goes there.
 func (s *Shard) quiet(now time.Duration, m *machine) bool {
-	return now-m.answered > s.p.Report*5/2+500*time.Millisecond
+	return now-m.answered > s.p.ReportInterval*5/2+500*time.Millisecond
 }
 
 // evacuate moves tasks off a machine that will be taken: those that save, just
@@ -63,9 +63,9 @@
 		}
 		left := m.noticeAt - now
 		switch {
-		case sp.Checkpoint > 0 || sp.Daemon:
+		case sp.CheckpointInterval > 0 || sp.Daemon:
 			// The notice may be half its nominal value: do not cut it fine.
-			if left/2 < graceOf(sp)+s.p.Report {
+			if left/2 < graceOf(sp)+s.p.ReportInterval {
 				s.stop(now, sl, graceOf(sp))
 			}
 		case sl.stage == model.Fetching || sp.Estimate-sl.ran(now) > left:
--- a/internal/core/shard/unreachable.go
+++ b/internal/core/shard/unreachable.go
@@ -17,10 +17,12 @@
 	reportingPart = 0.6 // of the zone's other machines that must have reported in time
 )
 
-// Overdue is after how long without a report a worker should have reported.
-func (p *Params) Overdue() time.Duration { return p.Report*5/4 + secondTry }
+// OverdueAfter is after how long without a report a worker should have reported.
+func (p *Params) OverdueAfter() time.Duration { return p.ReportInterval*5/4 + secondTry }
 
-func (s *Shard) overdue(now time.Duration, m *machine) bool { return now-m.answered > s.p.Overdue() }
+func (s *Shard) overdue(now time.Duration, m *machine) bool {
+	return now-m.answered > s.p.OverdueAfter()
+}
 
 // probe asks an overdue worker directly, once in a while.
 func (s *Shard) probe(now time.Duration, m *machine) {
@@ -36,7 +38,7 @@
 	unreachable := m.fenced && (s.overdue(now, m) || asked) && s.zoneReports(now, m)
 	if !m.fenced || unreachable {
 		m.unreachable = unreachable
-		s.emit(model.Event{Kind: model.Unanswered, Machine: m.ID, Held: unreachable})
+		s.emit(model.Event{Kind: model.CommandUnanswered, Machine: m.ID, Held: unreachable})
 	}
 }
 
@@ -44,7 +46,7 @@
 func (s *Shard) signOfLife(m *machine) {
 	if m.leaseExpired || m.unreachable {
 		m.leaseExpired, m.unreachable = false, false
-		s.emit(model.Event{Kind: model.Heard, Machine: m.ID})
+		s.emit(model.Event{Kind: model.WorkerBack, Machine: m.ID})
 	}
 }
 
@@ -56,7 +58,7 @@
 			continue
 		}
 		all++
-		if now-o.answered <= s.p.Report*5/4 && !o.inboundLost {
+		if now-o.answered <= s.p.ReportInterval*5/4 && !o.inboundLost {
 			heard++
 		}
 	}
--- a/internal/core/shard/unreachable_test.go
+++ b/internal/core/shard/unreachable_test.go
@@ -19,18 +19,18 @@
 		}
 		r.s.Tick(r.now)
 		r.s.Flush(r.now, 100)
-		for _, d := range r.s.Directs() {
+		for _, d := range r.s.DirectCommands() {
 			if silent(d.Machine) {
-				r.s.DirectDone(r.now, d, nil, false)
+				r.s.DirectCommandDone(r.now, d, nil, false)
 			} else {
 				r.t.Errorf("machine %d, which reports, is asked directly", d.Machine)
 			}
 		}
 		for _, e := range r.s.Events() {
 			switch e.Kind {
-			case model.Unanswered:
+			case model.CommandUnanswered:
 				unreachable[e.Machine] = true
-			case model.Heard:
+			case model.WorkerBack:
 				delete(unreachable, e.Machine)
 			}
 		}
@@ -56,7 +56,7 @@
 		t.Fatalf("unreachable: %v, want machines 0 and 1 before their lease of 10 s is over", unreachable)
 	}
 	r.report(0, 5)
-	if e := r.events(model.Heard); len(e) != 1 || e[0].Machine != 0 {
+	if e := r.events(model.WorkerBack); len(e) != 1 || e[0].Machine != 0 {
 		t.Errorf("events %+v, want machine 0 heard", e)
 	}
 }
--- a/internal/core/sim/beside_test.go
+++ b/internal/core/sim/beside_test.go
@@ -48,14 +48,14 @@
 			}
 		}
 	}
-	if on+len(u.done) >= int(u.spec.Tasks) || w.used(u.spec.Team)+u.spec.Each.CPU > teamLimit.CPU {
+	if on+len(u.done) >= int(u.spec.Tasks) || w.used(u.spec.Team)+u.spec.PerTask.CPU > teamLimit.CPU {
 		return false
 	}
 	for _, m := range w.workers {
 		at := m.Machine
 		switch {
-		case m.dead, w.now < m.hungUntil, !u.spec.Allows(&at), !u.spec.Each.Fits(m.free()):
-		case u.spec.Together && on > 0 && zones[m.Zone] == 0:
+		case m.dead, w.now < m.hungUntil, !u.spec.Allows(&at), !u.spec.PerTask.Fits(m.free()):
+		case u.spec.SameZone && on > 0 && zones[m.Zone] == 0:
 		case u.spec.Spread && zones[m.Zone] >= (int(u.spec.Tasks)+1)/2:
 		default:
 			return true
--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	l := x.l
-	for _, t := range l.d.Freed() {
+	for _, t := range l.d.TakeFreedTasks() {
 		if sp := l.d.Spec(t.Job); sp != nil {
 			x.book.Stopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
@@ -34,7 +34,7 @@
 	x.book.Sweep(func(id model.JobID) bool { return l.d.Spec(id) != nil })
 	x.book.Settled = l.d.Recovered() || l.c.w.p.forgetDraws
 	x.book.Present = func(team, class model.Name) (p disruption.Present) {
-		p.Running, p.Orphaned, p.Unsure, p.CPU = l.d.AtWork(team, class)
+		p.Running, p.Orphaned, p.Unsure, p.CPU = l.d.WorkCounts(team, class)
 		if l.c.w.p.forgetDraws {
 			p.Unsure, p.Orphaned, p.CPU = 0, 0, 0
 		}
@@ -51,7 +51,7 @@
 		return
 	}
 	x.book.Hear(now, e, sp)
-	if e.Kind == model.Idled && x.l.c.w.p.unpaid {
+	if e.Kind == model.TaskInterrupted && x.l.c.w.p.unpaid {
 		x.book.Ended(e.Task)
 	}
 }
--- a/internal/core/sim/chains_test.go
+++ b/internal/core/sim/chains_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
@@ -28,8 +28,8 @@
 	if p.l.loaded {
 		since = p.l.fresh
 	}
-	if p.g.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, Aimed: !o.spec.CanWait, Awaits: o.awaits}, since) {
-		p.l.d.Hold(o.spec.ID)
+	if p.g.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, Aimed: !o.spec.BestEffort, Awaits: o.awaits}, since) {
+		p.l.d.HoldJob(o.spec.ID)
 	}
 }
 
@@ -43,10 +43,10 @@
 
 func (p *chains) settle() {
 	for _, r := range p.g.Released() {
-		p.l.d.Release(r.ID, p.l.c.now(), r.Now)
+		p.l.d.ReleaseJob(r.ID, p.l.c.now(), r.Now)
 	}
 	for _, c := range p.g.Changed() {
-		p.l.d.Inherit(c.ID, c.Rank, c.Aimed)
+		p.l.d.InheritRank(c.ID, c.Rank, c.Aimed)
 	}
 }
 
@@ -55,7 +55,7 @@
 func (p *chains) tick(now time.Duration) {
 	l, c := p.l, p.l.c
 	if c.w.p.resize > 0 && c.w.now > c.w.p.resize && l.d.Layout() == 0 {
-		l.d.Relay(smallBlock)
+		l.d.SetLayout(smallBlock)
 	}
 	for _, id := range p.g.Ask(now, 4) {
 		c.storeCall(func() any { c.w.store.expire(); return c.w.store.ending(id) }, func(v any) {
@@ -79,10 +79,10 @@
 			r, _ := v.(written)
 			switch {
 			case r.ok:
-				l.d.Withdrawn(id)
+				l.d.JobRemoved(id)
 				p.ended(id, pipeline.Cancelled)
 			case r.lost:
-				l.d.Withdrawn(id)
+				l.d.JobRemoved(id)
 				p.ended(id, pipeline.Unknown)
 			default:
 				p.g.Kept(c.now(), id)
@@ -117,18 +117,18 @@
 }
 
 // loadRecords takes the stored blocks, those of the layout last written first.
-func (l *lead) loadRecords(records map[dealer.BlockID]record) {
-	ids := slices.SortedFunc(maps.Keys(records), func(a, b dealer.BlockID) int {
+func (l *lead) loadRecords(records map[dispatcher.BlockID]record) {
+	ids := slices.SortedFunc(maps.Keys(records), func(a, b dispatcher.BlockID) int {
 		if (a.Size == 0) != (b.Size == 0) {
 			return int(b.Size) - int(a.Size)
 		}
-		return int(a.No) - int(b.No)
+		return int(a.Index) - int(b.Index)
 	})
 	for _, id := range ids {
-		l.d.Recorded(id, records[id].version, records[id].machines)
+		l.d.AddStoredBlock(id, records[id].version, records[id].machines)
 	}
 	if len(ids) > 0 && ids[0].Size != 0 {
-		l.d.Relay(smallBlock)
+		l.d.SetLayout(smallBlock)
 	}
 }
 
@@ -182,7 +182,7 @@
 func (p *chains) tell(now time.Duration) map[model.JobID]bool {
 	doubted := p.doubts.Take(now, p.g)
 	out := map[model.JobID]bool{}
-	p.l.d.Open(func(id model.JobID, _ uint64, _, _ int) {
+	p.l.d.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) {
 		out[id] = doubted[id]
 	})
 	return out
--- a/internal/core/sim/ctl_test.go
+++ b/internal/core/sim/ctl_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"honeylock/internal/core/cancellog"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/election"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
@@ -207,10 +207,10 @@
 }
 
 func (c *ctl) newSeat(attempts uint64) *seat {
-	st := &seat{c: c, heard: c.now(), s: shard.New(shard.Params{SureLease: c.sureLease(), Report: c.w.p.report,
-		Sample: 2, PaybackLimit: time.Minute, DemoteStep: 2, DoubtPause: 2 * time.Second},
+	st := &seat{c: c, heard: c.now(), s: shard.New(shard.Params{MaxLease: c.sureLease(), ReportInterval: c.w.p.report,
+		VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2, DirectRetryDelay: 2 * time.Second},
 		attempts, rand.New(rand.NewPCG(c.w.rng.Uint64(), 1)))}
-	st.s.Tell(c.w.p.budget > 0)
+	st.s.ReportInterruptions(c.w.p.budget > 0)
 	return st
 }
 
@@ -245,13 +245,13 @@
 	if c.w.p.trustOldEnd {
 		end = now - time.Hour
 	}
-	l.d = dealer.New(dealer.Params{Term: l.term, Teams: []dealer.Team{{Limit: teamLimit}, {Limit: teamLimit}}, ChunkSize: 64, BlockSize: blockSize,
-		Progress: time.Second, Ahead: 4, Begin: c.w.p.begin(), SureLease: c.sureLease(), Tell: c.w.p.budget > 0}, end)
+	l.d = dispatcher.New(dispatcher.Params{Term: l.term, Teams: []dispatcher.Team{{Limit: teamLimit}, {Limit: teamLimit}}, ChunkSize: 64, BlockSize: blockSize,
+		ProgressInterval: time.Second, DispatchAhead: 4, StartWithin: c.w.p.begin(), MaxLease: c.sureLease(), ReportInterruptions: c.w.p.budget > 0}, end)
 	l.d.SetTypes([]model.MachineType{theType})
-	l.local = l.d.Join(now, c.host)
+	l.local = l.d.AddShard(now, c.host)
 	l.drains = l.newDrains()
 	l.chains = &chains{l: l, g: pipeline.New()}
-	c.seat = c.newSeat(l.d.Attempts(l.local))
+	c.seat = c.newSeat(l.d.FirstAttempt(l.local))
 	c.seat.id = l.local
 	l.load()
 }
@@ -289,14 +289,14 @@
 func (c *ctl) flush() {
 	st := c.seat
 	st.s.Flush(c.now(), 8)
-	for _, d := range st.s.Directs() {
+	for _, d := range st.s.DirectCommands() {
 		life, answered := c.life, false
 		finish := func(r *model.Report, executed bool) {
 			if answered || !c.up || c.life != life {
 				return
 			}
 			answered = true
-			st.s.DirectDone(c.now(), d, r, executed)
+			st.s.DirectCommandDone(c.now(), d, r, executed)
 			if c.seat == st {
 				c.pump()
 			}
@@ -333,8 +333,8 @@
 	for _, e := range st.s.Events() {
 		if st.l != nil {
 			if c.old || st.l.c.old {
-				e.Numbers = model.Numbers{}
-				e.Held = e.Held && e.Kind != model.Released
+				e.MessageID = model.MessageID{}
+				e.Held = e.Held && e.Kind != model.MachineReleased
 			}
 			st.up(func(l *lead, k *link) {
 				l.hear(l.c.now(), st.id, e)
@@ -356,7 +356,7 @@
 		if st.l != nil && st.joined && now-st.asked > 400*time.Millisecond {
 			st.asked = now
 			echo := st.grants
-			status, counts, deals := st.s.Status(now), st.s.Jobs(now), st.s.Deals()
+			status, counts, deals := st.s.Status(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()
 			served, known := c.stands.Served()
 			stateAge := now - served
 			toldFor, told := now-c.told.Since(), []model.JobID(nil)
@@ -414,7 +414,7 @@
 	keeper := ""
 	try := func() bool {
 		now := c.now()
-		if !c.up || c.life != life || c.seat == nil || !c.seat.s.Granted(now) {
+		if !c.up || c.life != life || c.seat == nil || !c.seat.s.HasGrant(now) {
 			return false
 		}
 		s := c.seat.s
@@ -426,7 +426,7 @@
 			}
 		}
 		if !ok {
-			keeper = s.Moved(r.Machine.ID)
+			keeper = s.TakeRedirect(r.Machine.ID)
 			c.pump()
 			return false
 		}
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -59,11 +59,11 @@
 			v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m.Machine}}
 		}
 	}
-	x.l.d.Known(func(st model.MachineStatus, told bool) {
+	x.l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Told: told}
 	})
-	for _, n := range x.l.d.Needs() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, Open: int(n.Open), Running: x.l.d.Count(n.Spec.ID).Running})
+	for _, n := range x.l.d.Demand() {
+		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, Open: int(n.Unfinished), Running: x.l.d.TaskCounts(n.Spec.ID).Running})
 	}
 	for _, a := range x.e.Tick(v) {
 		x.do(a)
@@ -96,9 +96,9 @@
 	w := l.c.w
 	switch a.Kind {
 	case drain.Bar, drain.Unbar:
-		l.d.Bar(a.Machine, a.Kind == drain.Bar)
+		l.d.SetCordoned(a.Machine, a.Kind == drain.Bar)
 	case drain.Look:
-		l.d.LookAt(a.Machine, a.Seq)
+		l.d.InspectMachine(a.Machine, a.Seq)
 	case drain.Recall:
 		w.recalled++
 		w.observe(a)
@@ -109,7 +109,7 @@
 		l.c.storeCall(func() any { w.giveBack(a.Machine); return true }, func(r any) {
 			ok, _ := r.(bool)
 			if l.c.lead == l && ok {
-				l.d.Gone(a.Machine)
+				l.d.MachineGone(a.Machine)
 			}
 			x.e.Given(l.c.now(), a.Machine, ok)
 		})
--- a/internal/core/sim/evidence_test.go
+++ b/internal/core/sim/evidence_test.go
@@ -102,7 +102,7 @@
 	for _, m := range w.workers {
 		for k, a := range m.cells {
 			if u := w.users[k.t.Job]; u.spec.Team == team && a.Stage != model.Exited {
-				cpu += u.spec.Each.CPU
+				cpu += u.spec.PerTask.CPU
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 // keep keeps the first report of each machine, once that is asked for.
 func (w *world) keep(m *machine, r *model.Report) {
 	for _, h := range w.kept {
-		if h.m == m && !h.taken && len(r.Cells) > 0 {
+		if h.m == m && !h.taken && len(r.Attempts) > 0 {
 			h.r, h.taken, h.term = r, true, w.store.term
 		}
 	}
--- a/internal/core/sim/join_test.go
+++ b/internal/core/sim/join_test.go
@@ -41,14 +41,14 @@
 							l.lose(id, o.now())
 						}
 					}
-					id := l.d.Join(o.now(), c.host)
+					id := l.d.AddShard(o.now(), c.host)
 					l.newest = id
 					k.heard = o.now()
 					l.hosts[c.host] = true
 					if len(l.hosts) == c.w.p.controllers-1 {
-						l.d.EveryoneHere(o.now())
+						l.d.AllControllersJoined(o.now())
 					}
-					attempts, picture := l.d.Attempts(id), l.open()
+					attempts, picture := l.d.FirstAttempt(id), l.open()
 					c.w.send(host, c.host, true, func() {
 						if !c.up || c.life != life || c.lead != nil || c.seat != nil {
 							return
@@ -56,13 +56,13 @@
 						n := c.newSeat(attempts)
 						st.s, st.id, st.joined, st.heard = n.s, id, true, c.now()
 						if !c.w.p.unvetted {
-							st.s.Open(picture)
+							st.s.SetOpenJobs(picture)
 						}
 						c.w.changed = c.w.now
 						c.seat = st
 						for _, mid := range c.kept {
 							st.up(func(l *lead, _ *link) {
-								l.d.Event(l.c.now(), id, model.Event{Kind: model.Remembered, Machine: mid})
+								l.d.Event(l.c.now(), id, model.Event{Kind: model.MachineRemembered, Machine: mid})
 								l.exchange()
 							})
 						}
--- a/internal/core/sim/lapse_test.go
+++ b/internal/core/sim/lapse_test.go
@@ -17,12 +17,12 @@
 // jobs keeps its tasks together, a third has a fixed zone.
 func (w *world) limited(sp *model.Spec) {
 	sp.Tasks = int32(3 + w.rng.IntN(6))
-	sp.Each = model.Request(4, 0, 4)
+	sp.PerTask = model.Request(4, 0, 4)
 	sp.Estimate = w.between(8*time.Second, 30*time.Second)
-	sp.Spread, sp.Together, sp.Zone = false, false, model.None
+	sp.Spread, sp.SameZone, sp.Zone = false, false, model.None
 	switch sp.ID % 3 {
 	case 0:
-		sp.Together = true
+		sp.SameZone = true
 	case 1:
 		sp.Zone = model.Name(w.rng.IntN(3))
 	}
@@ -147,7 +147,7 @@
 			continue // it holds nothing, or will find so
 		}
 		for k, a := range m.cells {
-			if a.on && !l.d.Charged(k.t, k.a, m.ID) {
+			if a.on && !l.d.IsCharged(k.t, k.a, m.ID) {
 				w.fail("accounting", "task %v runs on %s in attempt %d, and counts against no limit", k.t, m.host, k.a)
 			}
 		}
@@ -164,18 +164,18 @@
 		}
 	}
 	for id, u := range w.users {
-		if !u.spec.Together {
+		if !u.spec.SameZone {
 			continue
 		}
-		if zones := l.d.HeldIn(id); len(zones) > 1 {
+		if zones := l.d.AssignedByZone(id); len(zones) > 1 {
 			w.fail("accounting", "job %d, whose tasks stay together, is charged to zones %v", id, zones)
 		}
 	}
 }
 
 func (l *lead) checkShard(st *seat, id model.ShardID) {
-	st.s.Tasks(func(t model.Task) {
-		if !l.d.Holds(t, id) {
+	st.s.ForEachTask(func(t model.Task) {
+		if !l.d.IsAssigned(t, id) {
 			l.c.w.fail("accounting", "shard %d of %s holds task %v, which is not charged to it", id, st.c.host, t)
 		}
 	})
--- a/internal/core/sim/lead_test.go
+++ b/internal/core/sim/lead_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"honeylock/internal/core/cancellog"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
@@ -16,7 +16,7 @@
 	c       *ctl
 	term    uint64
 	guard   uint64
-	d       *dealer.Dealer
+	d       *dispatcher.Dispatcher
 	local   model.ShardID
 	links   map[model.ShardID]*link
 	hosts   map[string]bool
@@ -34,7 +34,7 @@
 type snapshot struct {
 	open    map[model.JobID]openJob
 	done    map[model.JobID]map[int32]chunk
-	records map[dealer.BlockID]record
+	records map[dispatcher.BlockID]record
 	plans   map[string]drain.Stored
 	rev     uint64
 }
@@ -42,7 +42,7 @@
 func (s *store) snapshot() any {
 	s.expire()
 	v := snapshot{open: map[model.JobID]openJob{}, done: map[model.JobID]map[int32]chunk{},
-		records: map[dealer.BlockID]record{}, rev: s.rev, plans: maps.Clone(s.plans)}
+		records: map[dispatcher.BlockID]record{}, rev: s.rev, plans: maps.Clone(s.plans)}
 	for k, x := range s.open {
 		v.open[k] = x
 	}
@@ -94,7 +94,7 @@
 				l.chains.add(&o)
 				if fresh {
 					for i, b := range snap.done[o.spec.ID] {
-						l.d.AddDone(o.spec.ID, dealer.ChunkID{Old: true, No: i}, b.version, i*64, b.bits)
+						l.d.AddDoneChunk(o.spec.ID, dispatcher.ChunkID{OldLayout: true, Index: i}, b.version, i*64, b.bits)
 					}
 				}
 			}
@@ -102,7 +102,7 @@
 		if !l.loaded {
 			l.drains.load(now, snap.plans)
 		}
-		for _, id := range l.d.Sync(known, snap.rev) {
+		for _, id := range l.d.SyncOpenJobs(known, snap.rev) {
 			l.chains.ended(id, pipeline.Unknown)
 		}
 		l.fresh = asked
@@ -111,7 +111,7 @@
 		l.exchange()
 		l.picture.Read(asked)
 		if !c.w.p.unvetted {
-			c.seat.s.Open(l.open())
+			c.seat.s.SetOpenJobs(l.open())
 		}
 		l.pump()
 	})
@@ -120,7 +120,7 @@
 // open is the set of open jobs as the leader sees them.
 func (l *lead) open() map[model.JobID]bool {
 	open := map[model.JobID]bool{}
-	l.d.Open(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
+	l.d.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
 	return open
 }
 
@@ -131,7 +131,7 @@
 // cancelled takes a controller's word that it told a user of a cancellation.
 func (l *lead) cancelled(now time.Duration, id model.JobID) {
 	if l.picture.Told(now, id) && l.d.Version(id) != 0 {
-		l.d.Withdrawn(id)
+		l.d.JobRemoved(id)
 		l.chains.ended(id, pipeline.Cancelled)
 	}
 }
@@ -209,10 +209,10 @@
 	for _, wr := range l.d.Writes(now, 20) {
 		c.storeTxn(func() any { return c.w.store.write(l.guard, wr) }, func(v any) {
 			r, _ := v.(written)
-			l.d.Stored(c.now(), wr, r.rev, r.ok, r.lost)
-			if wr.Kind == dealer.Finish && r.ok {
+			l.d.WriteDone(c.now(), wr, r.rev, r.ok, r.lost)
+			if wr.Kind == dispatcher.FinishJob && r.ok {
 				l.chains.ended(wr.Job, pipeline.Done)
-			} else if wr.Kind == dealer.Finish && r.lost {
+			} else if wr.Kind == dispatcher.FinishJob && r.lost {
 				l.chains.ended(wr.Job, pipeline.Unknown)
 			}
 			if c.lead == l {
@@ -262,7 +262,7 @@
 		end = l.c.now() - time.Hour
 	}
 	l.c.w.changed = l.c.w.now
-	l.d.Lost(id, end)
+	l.d.ShardLost(id, end)
 	l.pump()
 }
 
@@ -270,8 +270,8 @@
 	s := l.c.seat.s
 	now := l.c.now()
 	l.exchange()
-	l.d.Status(now, l.local, s.Status(now), s.Jobs(now), l.d.Dealt(l.local))
-	l.d.Deal(now)
+	l.d.Status(now, l.local, s.Status(now), s.TaskCounts(now), l.d.AssignmentsSent(l.local))
+	l.d.Dispatch(now)
 	l.pump()
 }
 
@@ -288,7 +288,7 @@
 				s.Order(now, o)
 			} else if k := l.links[o.To]; k != nil {
 				if l.c.old || k.peer.c.old {
-					o.Prove, o.Numbers, o.Deal.Checked = false, model.Numbers{}, false
+					o.VerifyFirst, o.MessageID, o.Assignment.WithinLimits = false, model.MessageID{}, false
 				}
 				l.down(k, func(st *seat) { st.s.Order(st.c.now(), shift(o, now, st.c.now())) })
 			}
@@ -301,15 +301,15 @@
 
 func (l *lead) hear(now time.Duration, from model.ShardID, e model.Event) {
 	l.drains.hear(now, &e)
-	if e.Kind == model.Looked {
-		l.drains.e.Seen(now, e.Machine, e.Token, e.On, l.d.Spec)
+	if e.Kind == model.MachineInspected {
+		l.drains.e.Seen(now, e.Machine, e.Token, e.Placed, l.d.Spec)
 	}
 	l.d.Event(now, from, e)
 }
 
 // shift brings a deal's times into the receiver's clock.
 func shift(o model.Order, from, to time.Duration) model.Order {
-	o.Deal.Since += to - from
+	o.Assignment.WaitingSince += to - from
 	return o
 }
 
--- a/internal/core/sim/looks_test.go
+++ b/internal/core/sim/looks_test.go
@@ -73,22 +73,22 @@
 func (w *world) shape(u *user) {
 	sp, r := u.spec, w.rng
 	if w.p.heavy {
-		sp.Tasks, sp.Each = int32(3+r.IntN(9)), model.Request(float64(3+r.IntN(2)), 0, 4)
-		sp.Together, sp.Spread, sp.Zone = false, false, model.None
+		sp.Tasks, sp.PerTask = int32(3+r.IntN(9)), model.Request(float64(3+r.IntN(2)), 0, 4)
+		sp.SameZone, sp.Spread, sp.Zone = false, false, model.None
 		sp.Estimate = w.p.cancel + w.between(time.Second, w.p.cancel/4) // all tasks run for as long
 	}
 	if w.p.limited {
 		w.limited(sp)
 	}
 	if w.p.zoned {
-		sp.Spread, sp.Together, sp.Zone = false, sp.ID%3 == 0, model.None
-		if !sp.Together {
+		sp.Spread, sp.SameZone, sp.Zone = false, sp.ID%3 == 0, model.None
+		if !sp.SameZone {
 			sp.Zone = model.Name(r.IntN(3))
 		}
 	}
 	if w.p.swarm {
-		sp.Tasks, sp.Each, sp.CanWait = 1, model.Request(1, 0, 1), false
-		sp.Together, sp.Spread, sp.Zone = false, false, model.None
+		sp.Tasks, sp.PerTask, sp.BestEffort = 1, model.Request(1, 0, 1), false
+		sp.SameZone, sp.Spread, sp.Zone = false, false, model.None
 		sp.Estimate = w.between(time.Second, 4*time.Second)
 	}
 }
--- a/internal/core/sim/machine_test.go
+++ b/internal/core/sim/machine_test.go
@@ -10,7 +10,7 @@
 )
 
 type attempt struct {
-	model.Cell
+	model.AttemptStatus
 	readyAt, endAt time.Duration
 	on             bool // it has its image: it counts for the rules
 }
@@ -135,8 +135,8 @@
 		if a.t.Job != b.t.Job {
 			return int(a.t.Job) - int(b.t.Job)
 		}
-		if a.t.No != b.t.No {
-			return int(a.t.No - b.t.No)
+		if a.t.Index != b.t.Index {
+			return int(a.t.Index - b.t.Index)
 		}
 		return int(int64(a.a) - int64(b.a))
 	})
@@ -145,9 +145,9 @@
 
 func (m *machine) report() *model.Report {
 	m.seq++
-	r := &model.Report{Machine: m.Machine, Session: m.session, Seq: m.seq, Token: m.token, Notice: -1}
+	r := &model.Report{Machine: m.Machine, Session: m.session, Seq: m.seq, Token: m.token, PreemptionNotice: -1}
 	for _, k := range m.sorted() {
-		r.Cells = append(r.Cells, m.cells[k].Cell)
+		r.Attempts = append(r.Attempts, m.cells[k].AttemptStatus)
 	}
 	return r
 }
@@ -257,7 +257,7 @@
 	room := theType.Cap
 	for k, a := range m.cells {
 		if a.Stage != model.Exited {
-			room = room.Sub(m.w.users[k.t.Job].spec.Each)
+			room = room.Sub(m.w.users[k.t.Job].spec.PerTask)
 		}
 	}
 	return room
@@ -273,7 +273,7 @@
 			if a != nil {
 				continue
 			}
-			a = &attempt{Cell: model.Cell{Task: c.Task, Attempt: c.Attempt}}
+			a = &attempt{AttemptStatus: model.AttemptStatus{Task: c.Task, Attempt: c.Attempt}}
 			u := w.users[c.Task.Job]
 			cause := model.CauseOther
 			for o, x := range m.cells {
@@ -284,8 +284,8 @@
 			switch {
 			case u == nil:
 				cause = model.CauseUnknown
-			case cause == model.CauseOther && !u.spec.Each.Fits(m.free()):
-				cause = model.CauseNoRoom
+			case cause == model.CauseOther && !u.spec.PerTask.Fits(m.free()):
+				cause = model.CauseNoCapacity
 			}
 			m.cells[k] = a
 			if cause != model.CauseOther {
@@ -295,15 +295,15 @@
 			a.readyAt = w.now + w.between(0, 2*time.Second)
 			a.endAt = a.readyAt + w.between(time.Second, 2*u.spec.Estimate)
 			if w.p.apart {
-				a.endAt = a.readyAt + w.runsFor(u, c.Task.No)
+				a.endAt = a.readyAt + w.runsFor(u, c.Task.Index)
 			}
 		case model.Kill:
 			if a == nil || a.Stage == model.Exited {
 				continue
 			}
 			sp := w.users[c.Task.Job].spec
-			if a.Stage == model.Running && sp.Checkpoint > 0 && c.Grace >= sp.Save {
-				a.Stage, a.endAt = model.Saving, w.now+sp.Save
+			if a.Stage == model.Running && sp.CheckpointInterval > 0 && c.Grace >= sp.CheckpointTime {
+				a.Stage, a.endAt = model.Saving, w.now+sp.CheckpointTime
 			} else if a.Stage != model.Saving || c.Grace == 0 {
 				m.exit(a, model.CauseStopped)
 			}
--- a/internal/core/sim/page_test.go
+++ b/internal/core/sim/page_test.go
@@ -218,7 +218,7 @@
 func zoneLoses(w *world) time.Duration {
 	for range 1 + w.rng.IntN(3) {
 		m := w.workers[w.rng.IntN(len(w.workers))]
-		if u, _ := w.heldBy(m); u != nil && (u.spec.Together || u.spec.Zone != model.None) {
+		if u, _ := w.heldBy(m); u != nil && (u.spec.SameZone || u.spec.Zone != model.None) {
 			w.saw("a machine with tasks bound to a zone is lost")
 		}
 		if w.rng.IntN(2) == 0 {
--- a/internal/core/sim/rules_test.go
+++ b/internal/core/sim/rules_test.go
@@ -34,18 +34,18 @@
 func (w *world) submit(id model.JobID) {
 	r := w.rng
 	sp := &model.Spec{ID: id, Team: model.Name(r.IntN(2)), Rank: model.Rank(r.IntN(3)), Tasks: int32(1 + r.IntN(12)),
-		Each: model.Request(float64(1+r.IntN(4)), 0, float64(1+r.IntN(8))), Zone: model.None, Spot: r.IntN(3) > 0,
+		PerTask: model.Request(float64(1+r.IntN(4)), 0, float64(1+r.IntN(8))), Zone: model.None, Spot: r.IntN(3) > 0,
 		Estimate: w.between(2*time.Second, 20*time.Second)}
 	switch r.IntN(8) {
 	case 0:
-		sp.Together = true
+		sp.SameZone = true
 	case 1:
 		sp.Spread = true
 	case 2:
 		sp.Zone = model.Name(r.IntN(3))
 	}
 	if r.IntN(3) == 0 {
-		sp.Checkpoint, sp.Save = 5*time.Second, time.Second
+		sp.CheckpointInterval, sp.CheckpointTime = 5*time.Second, time.Second
 	}
 	u := &user{spec: sp, submitted: true, done: map[int32]bool{}}
 	if w.p.apart {
@@ -54,10 +54,10 @@
 	if w.p.guests {
 		switch {
 		case id%20 == 0: // one array of many small tasks
-			sp.Tasks, sp.Each, sp.Rank, sp.CanWait = 400, model.Request(0.25, 0, 0.25), model.Idle, true
-			sp.Estimate, sp.Together, sp.Spread, sp.Zone = w.between(time.Second, 3*time.Second), false, false, model.None
+			sp.Tasks, sp.PerTask, sp.Rank, sp.BestEffort = 400, model.Request(0.25, 0, 0.25), model.Idle, true
+			sp.Estimate, sp.SameZone, sp.Spread, sp.Zone = w.between(time.Second, 3*time.Second), false, false, model.None
 		case id%3 == 0: // a swarm of single small ones
-			sp.Tasks, sp.Each, sp.CanWait = 1, model.Request(0.25, 0, 0.25), true
+			sp.Tasks, sp.PerTask, sp.BestEffort = 1, model.Request(0.25, 0, 0.25), true
 		}
 		u.fails = r.IntN(8) == 0
 	}
@@ -194,7 +194,7 @@
 
 func (w *world) completed(t model.Task) {
 	u := w.users[t.Job]
-	u.done[t.No], u.movedAt = true, w.now
+	u.done[t.Index], u.movedAt = true, w.now
 	delete(w.moved, t)
 	if len(u.done) == int(u.spec.Tasks) {
 		w.meetsEnd(u)
@@ -227,7 +227,7 @@
 				continue
 			}
 			x := w.users[k.t.Job]
-			used[x.spec.Team] += x.spec.Each.CPU
+			used[x.spec.Team] += x.spec.PerTask.CPU
 			if k.t == t && o != m {
 				w.fail("ran_twice", "task %v starts on %s and is on %s", t, m.host, o.host)
 			}
@@ -239,7 +239,7 @@
 	if used[u.spec.Team] > teamLimit.CPU {
 		w.fail("quota", "team %d uses %d of %d", u.spec.Team, used[u.spec.Team], teamLimit.CPU)
 	}
-	if u.spec.Together && len(zones) > 1 {
+	if u.spec.SameZone && len(zones) > 1 {
 		w.fail("wrong_place", "job %d is in %d zones", t.Job, len(zones))
 	}
 	if u.spec.Spread && zones[m.Zone] > (int(u.spec.Tasks)+1)/2 {
--- a/internal/core/sim/store_test.go
+++ b/internal/core/sim/store_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/election"
 	"honeylock/internal/core/jobs"
@@ -42,7 +42,7 @@
 	open    map[model.JobID]openJob
 	done    map[model.JobID]map[int32]chunk
 	final   map[model.JobID]jobs.Stage
-	records map[dealer.BlockID]record
+	records map[dispatcher.BlockID]record
 	plans   map[string]drain.Stored
 	refuses map[string]time.Duration // controllers that it alone refuses, until then
 	late    time.Duration            // until when a part of the transactions is carried out late
@@ -54,7 +54,7 @@
 func newStore(w *world) *store {
 	return &store{w: w, rev: 1, leases: map[uint64]time.Duration{}, open: map[model.JobID]openJob{},
 		done: map[model.JobID]map[int32]chunk{}, final: map[model.JobID]jobs.Stage{},
-		records: map[dealer.BlockID]record{}, plans: map[string]drain.Stored{}, refuses: map[string]time.Duration{},
+		records: map[dispatcher.BlockID]record{}, plans: map[string]drain.Stored{}, refuses: map[string]time.Duration{},
 		unread: map[model.JobID]string{}}
 }
 
@@ -209,34 +209,34 @@
 }
 
 // write applies a leader's write, guarded by the leader key's version.
-func (s *store) write(guard uint64, wr dealer.Write) any {
+func (s *store) write(guard uint64, wr dispatcher.Write) any {
 	s.expire()
 	if (!s.leader.Present || s.leader.Version != guard) && !s.w.p.unguarded {
 		return written{}
 	}
 	s.rev++
 	switch wr.Kind {
-	case dealer.PutBlock:
+	case dispatcher.PutBlock:
 		if v := s.records[wr.Block].version; v != wr.Version && !s.w.p.unguarded {
 			return written{rev: v, lost: true}
 		}
 		s.records[wr.Block] = record{wr.Machines, s.rev}
-	case dealer.DropBlock:
+	case dispatcher.DropBlock:
 		if v := s.records[wr.Block].version; v != wr.Version {
 			return written{rev: v, lost: true}
 		}
 		delete(s.records, wr.Block)
-	case dealer.PutChunk:
+	case dispatcher.PutChunk:
 		if s.done[wr.Job] == nil {
 			s.done[wr.Job] = map[int32]chunk{}
 		}
-		v := s.done[wr.Job][wr.Chunk.No].version
-		if (v != wr.Version || s.open[wr.Job].version != wr.Open) && !s.w.p.unguarded {
+		v := s.done[wr.Job][wr.Chunk.Index].version
+		if (v != wr.Version || s.open[wr.Job].version != wr.JobVersion) && !s.w.p.unguarded {
 			return written{rev: v, lost: true}
 		}
 		s.checkUndone(wr)
-		s.done[wr.Job][wr.Chunk.No] = chunk{wr.Bits, s.rev}
-	case dealer.Finish:
+		s.done[wr.Job][wr.Chunk.Index] = chunk{wr.Bits, s.rev}
+	case dispatcher.FinishJob:
 		if o, ok := s.open[wr.Job]; !ok || o.version != wr.Version {
 			return written{lost: true}
 		}
@@ -248,10 +248,10 @@
 }
 
 // checkUndone: a chunk that is written after a newer one takes back what is stored as done.
-func (s *store) checkUndone(wr dealer.Write) {
-	for i, b := range s.done[wr.Job][wr.Chunk.No].bits {
+func (s *store) checkUndone(wr dispatcher.Write) {
+	for i, b := range s.done[wr.Job][wr.Chunk.Index].bits {
 		if i >= len(wr.Bits) || b&^wr.Bits[i] != 0 {
-			s.w.fail("undone", "job %d: %08b over %08b", wr.Job, wr.Bits, s.done[wr.Job][wr.Chunk.No].bits)
+			s.w.fail("undone", "job %d: %08b over %08b", wr.Job, wr.Bits, s.done[wr.Job][wr.Chunk.Index].bits)
 			return
 		}
 	}
--- a/internal/core/sim/yard_test.go
+++ b/internal/core/sim/yard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/fleet"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/shard"
@@ -17,7 +17,7 @@
 // that do as they are told at once. It measures what decisions cost; nothing is
 // lost or late in it.
 type yard struct {
-	d       *dealer.Dealer
+	d       *dispatcher.Dispatcher
 	f       *fleet.Fleet
 	shards  []*shard.Shard // by id, from 1; the first is the leader's own
 	hands   []*hand
@@ -54,14 +54,14 @@
 	token uint64
 	seq   uint64
 	next  time.Duration
-	cells []model.Cell
+	cells []model.AttemptStatus
 	ends  []time.Duration // of cells
 }
 
 // account is its next message about itself.
 func (h *hand) account() *model.Report {
 	h.seq++
-	return &model.Report{Machine: h.m, Session: 1, Seq: h.seq, Token: h.token, Notice: -1, Cells: h.cells}
+	return &model.Report{Machine: h.m, Session: 1, Seq: h.seq, Token: h.token, PreemptionNotice: -1, Attempts: h.cells}
 }
 
 func (l load) types() []model.MachineType {
@@ -86,18 +86,18 @@
 
 // lead begins a term.
 func (y *yard) lead(term uint64) {
-	y.d = dealer.New(dealer.Params{Term: term, Teams: []dealer.Team{{}}, ChunkSize: 64, BlockSize: 128,
-		Progress: 2 * time.Second, Ahead: 12, SureLease: 43 * time.Second}, y.now)
+	y.d = dispatcher.New(dispatcher.Params{Term: term, Teams: []dispatcher.Team{{}}, ChunkSize: 64, BlockSize: 128,
+		ProgressInterval: 2 * time.Second, DispatchAhead: 12, MaxLease: 43 * time.Second}, y.now)
 	y.d.SetTypes(y.load.types())
-	y.f = fleet.New(fleet.Params{Term: term, Began: y.now, ListLag: 10 * time.Second, IdleReturn: time.Hour,
-		Horizon: 90 * time.Second, Probe: 15 * time.Second})
+	y.f = fleet.New(fleet.Params{Term: term, TermStart: y.now, ListLag: 10 * time.Second, IdleReturn: time.Hour,
+		Horizon: 90 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	y.f.SetTypes(y.load.types())
 	y.f.List(y.now, y.now, nil)
 	y.shards = nil
 	for i := range y.load.shards {
-		id := y.d.Join(y.now, fmt.Sprint("c", i))
-		s := shard.New(shard.Params{SureLease: 43 * time.Second, Report: y.load.every(), Sample: 3,
-			PaybackLimit: time.Minute, DemoteStep: 2, DoubtPause: time.Second}, y.d.Attempts(id), y.rng)
+		id := y.d.AddShard(y.now, fmt.Sprint("c", i))
+		s := shard.New(shard.Params{MaxLease: 43 * time.Second, ReportInterval: y.load.every(), VictimSample: 3,
+			PaybackLimit: time.Minute, DemotionStep: 2, DirectRetryDelay: time.Second}, y.d.FirstAttempt(id), y.rng)
 		s.Grant(time.Hour * 24)
 		y.shards = append(y.shards, s)
 	}
@@ -120,7 +120,7 @@
 		for i, s := range y.shards {
 			for _, e := range s.Events() {
 				again = true
-				if e.Kind == model.Finished {
+				if e.Kind == model.TaskFinished {
 					y.done++
 				}
 				y.d.Event(y.now, model.ShardID(i+1), e)
@@ -157,7 +157,7 @@
 		}
 		switch {
 		case c.Verb == model.Launch && at < 0:
-			h.cells = append(h.cells, model.Cell{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+			h.cells = append(h.cells, model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 			h.ends = append(h.ends, y.now+time.Duration(20+y.rng.IntN(60))*time.Second)
 		case c.Verb == model.Kill && at >= 0:
 			h.cells[at].Stage, h.cells[at].Cause = model.Exited, model.CauseStopped
@@ -174,7 +174,7 @@
 	for y.owed += y.arrive / 10; y.owed >= 1; y.owed-- {
 		y.nextJob++
 		sp := &model.Spec{ID: y.nextJob, Rank: model.Rank(y.rng.IntN(2)), Tasks: int32(20 + y.rng.IntN(60)),
-			Zone: model.None, Each: model.Request(y.load.each, 0, y.load.each*(1.1+0.7*y.rng.Float64())), Spot: true,
+			Zone: model.None, PerTask: model.Request(y.load.each, 0, y.load.each*(1.1+0.7*y.rng.Float64())), Spot: true,
 			Estimate: 50 * time.Second, Image: model.Name(y.rng.IntN(y.load.images))}
 		y.specs[sp.ID] = sp
 		y.d.AddJob(y.now, sp, uint64(y.nextJob), 0, false)
@@ -208,7 +208,7 @@
 	y.timed("flush", y.flush)
 	y.timed("writes", func() {
 		for _, w := range y.d.Writes(y.now, 3) {
-			y.d.Stored(y.now, w, uint64(y.now), true, false)
+			y.d.WriteDone(y.now, w, uint64(y.now), true, false)
 		}
 	})
 	y.timed("events", y.exchange)
@@ -220,20 +220,20 @@
 func (y *yard) deal() {
 	y.timed("status", func() {
 		for i, s := range y.shards {
-			y.d.Status(y.now, model.ShardID(i+1), s.Status(y.now), s.Jobs(y.now), s.Deals())
+			y.d.Status(y.now, model.ShardID(i+1), s.Status(y.now), s.TaskCounts(y.now), s.AssignmentsReceived())
 		}
 	})
-	y.timed("deal", func() { y.d.Deal(y.now) })
+	y.timed("deal", func() { y.d.Dispatch(y.now) })
 }
 
 func (y *yard) flush() {
 	for _, s := range y.shards {
 		s.Flush(y.now, 48)
-		for _, d := range s.Directs() {
+		for _, d := range s.DirectCommands() {
 			h := y.hands[d.Machine]
 			y.directs++
 			y.obey(h, d.Token, d.Commands)
-			s.DirectDone(y.now, d, h.account(), true)
+			s.DirectCommandDone(y.now, d, h.account(), true)
 		}
 	}
 }
@@ -242,10 +242,10 @@
 	status := y.d.Machines()
 	y.f.Observe(y.now, status, y.d.LeaseExpired)
 	var demand []fleet.Demand
-	for _, need := range y.d.Needs() {
-		demand = append(demand, fleet.Demand{Need: need, Placed: need.Held - int32(y.d.Count(need.Spec.ID).Waiting)})
+	for _, need := range y.d.Demand() {
+		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(y.d.TaskCounts(need.Spec.ID).Waiting)})
 	}
-	y.f.Step(y.now, status, demand, y.d.Limit)
+	y.f.Step(y.now, status, demand, y.d.TeamLimit)
 }
 
 // BenchmarkCalm measures what the decisions of a calm second cost, all shards'
@@ -299,7 +299,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				open := map[model.JobID]bool{}
-				y.d.Open(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
+				y.d.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
 				y.d, y.f, y.shards = nil, nil, nil
 				before := inUse()
 				began, at := time.Now(), y.now
@@ -325,7 +325,7 @@
 	for i := range y.hands {
 		m := y.hands[i].m
 		m.Cap = y.load.types()[0].Cap
-		y.d.Recorded(dealer.BlockID{}, 1, []model.Machine{m})
+		y.d.AddStoredBlock(dispatcher.BlockID{}, 1, []model.Machine{m})
 	}
 	for id := range y.nextJob + 1 {
 		if open[id] {
--- a/internal/node/chaining.go
+++ b/internal/node/chaining.go
@@ -37,8 +37,8 @@
 
 // add takes an open job; the end of one that it awaits may have been told since.
 func (p *chaining) add(sp *model.Spec, awaits []model.JobID, since time.Duration) {
-	if p.g.Add(pipeline.Job{ID: sp.ID, Rank: sp.Rank, Aimed: !sp.CanWait, Awaits: awaits}, since) {
-		p.l.d.Hold(sp.ID)
+	if p.g.Add(pipeline.Job{ID: sp.ID, Rank: sp.Rank, Aimed: !sp.BestEffort, Awaits: awaits}, since) {
+		p.l.d.HoldJob(sp.ID)
 	}
 	for _, id := range awaits {
 		if s := p.l.d.Spec(id); s != nil && s.Daemon {
@@ -62,10 +62,10 @@
 		if r.AtMS > 0 && !r.Now {
 			since -= min(max(0, time.Since(time.UnixMilli(r.AtMS))), time.Hour)
 		}
-		p.l.d.Release(r.ID, since, r.Now)
+		p.l.d.ReleaseJob(r.ID, since, r.Now)
 	}
 	for _, c := range p.g.Changed() {
-		p.l.d.Inherit(c.ID, c.Rank, c.Aimed)
+		p.l.d.InheritRank(c.ID, c.Rank, c.Aimed)
 	}
 	if len(released) > 0 {
 		p.l.deals.due = true
@@ -148,10 +148,10 @@
 func (p *chaining) cancelled(now time.Duration, id model.JobID, o outcome) {
 	switch {
 	case o.err == nil:
-		p.l.d.Withdrawn(id)
+		p.l.d.JobRemoved(id)
 		p.ended(now, id, pipeline.Cancelled)
 	case o.conflict && o.at == 0: // its user was faster, or an answer was lost
-		p.l.d.Withdrawn(id)
+		p.l.d.JobRemoved(id)
 		p.ended(now, id, pipeline.Unknown)
 	default:
 		p.g.Kept(now, id)
--- a/internal/node/dealing.go
+++ b/internal/node/dealing.go
@@ -6,7 +6,7 @@
 
 	"honeylock/internal/core/budget"
 	"honeylock/internal/core/cancellog"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
@@ -18,7 +18,7 @@
 // dealing is the leader's part that deals tasks to the shards.
 type dealing struct {
 	l *leadership
-	d *dealer.Dealer
+	d *dispatcher.Dispatcher
 	// fresh is when the last question about open jobs that was answered was
 	// asked: a leader that hears of no cancellations must not go on.
 	fresh time.Duration
@@ -53,7 +53,7 @@
 		p.d.Tick(now)
 		p.due = true
 		p.turn(now)
-		for _, id := range p.d.Broken() {
+		for _, id := range p.d.TakeBrokenJobs() {
 			l.n.log.Info("job held to be broken: it fails on several machines, and is tried with one task at a time", "job",
 				wire.JobName(id))
 		}
@@ -74,8 +74,8 @@
 	began := p.l.n.now()
 	p.due, p.dealt = false, now
 	s := p.l.n.seat.s
-	p.d.Status(now, p.l.local, s.Status(now), s.Jobs(now), p.d.Dealt(p.l.local))
-	p.d.Deal(now)
+	p.d.Status(now, p.l.local, s.Status(now), s.TaskCounts(now), p.d.AssignmentsSent(p.l.local))
+	p.d.Dispatch(now)
 	p.dealCost = p.l.n.now() - began
 }
 
@@ -135,14 +135,14 @@
 	p.told = p.fresh
 	p.l.n.vouch.Told(p.told)
 	doubted := p.l.chains.doubts.Take(p.l.n.now(), p.l.chains.g)
-	p.d.Open(func(id model.JobID, version uint64, done, running int) {
-		waits := p.d.Waits(id)
+	p.d.ForEachOpenJob(func(id model.JobID, version uint64, done, running int) {
+		waits := p.d.OnHold(id)
 		p.l.n.progress[id] = progress{done, running, version, waits, doubted[id]}
 		open[id] = true
 		m.Jobs = append(m.Jobs, &peerpb.JobProgress{Job: uint64(id), Done: int32(done), Running: int32(running),
 			Version: version, Waits: waits, Doubt: doubted[id]})
 	})
-	p.l.n.seat.s.Open(open)
+	p.l.n.seat.s.SetOpenJobs(open)
 	return &peerpb.Down{Msg: &peerpb.Down_Progress{Progress: m}}
 }
 
@@ -151,66 +151,66 @@
 	var out []write
 	switch c {
 	case budget.Finals:
-		for _, w := range p.d.Urgent(n) {
+		for _, w := range p.d.UrgentWrites(n) {
 			out = append(out, p.encode(w))
 		}
 	case budget.Progress:
-		for _, w := range p.d.Progress(now, n) {
+		for _, w := range p.d.ProgressWrites(now, n) {
 			out = append(out, p.encode(w))
 		}
 	}
 	return out
 }
 
-func (p *dealing) encode(w dealer.Write) write {
+func (p *dealing) encode(w dispatcher.Write) write {
 	out := write{done: func(now time.Duration, o outcome) {
 		// A Finish is lost once the job's record is gone, a block's or a chunk's write
 		// once that is at another version.
-		block := w.Kind == dealer.PutBlock || w.Kind == dealer.DropBlock
-		lost := o.conflict && (block || w.Kind == dealer.PutChunk || o.at == 0)
+		block := w.Kind == dispatcher.PutBlock || w.Kind == dispatcher.DropBlock
+		lost := o.conflict && (block || w.Kind == dispatcher.PutChunk || o.at == 0)
 		if o.conflict {
 			o.rev = o.at
 		}
-		p.d.Stored(now, w, o.rev, o.err == nil, lost)
+		p.d.WriteDone(now, w, o.rev, o.err == nil, lost)
 		switch {
 		case block && errors.Is(o.err, state.ErrInvalid):
 			p.l.tooLarge(w.Block)
-		case w.Kind == dealer.Finish && o.err == nil:
+		case w.Kind == dispatcher.FinishJob && o.err == nil:
 			p.l.n.cacheFinal(w.Job, jobs.Done)
 			p.l.chains.ended(now, w.Job, pipeline.Done)
-		case w.Kind == dealer.Finish && lost:
+		case w.Kind == dispatcher.FinishJob && lost:
 			p.l.chains.ended(now, w.Job, pipeline.Unknown)
 		}
 	}}
 	switch w.Kind {
-	case dealer.PutBlock:
+	case dispatcher.PutBlock:
 		// Its version: applied late, this must not undo a later record.
 		key := blockKey(w.Block)
 		out.guards = []wire.Guard{{Key: key, Version: w.Version}}
 		out.ops = []wire.Op{{Put: key, Value: encode(wire.EncodeMachines(w.Machines, p.l.n.names))}}
-	case dealer.DropBlock:
+	case dispatcher.DropBlock:
 		key := blockKey(w.Block)
 		out.guards = []wire.Guard{{Key: key, Version: w.Version}}
 		out.ops = []wire.Op{{Delete: key}}
-	case dealer.PutChunk:
-		ch := wire.Chunk{Part: w.Bits, From: w.From}
-		if w.Chunk.Old {
+	case dispatcher.PutChunk:
+		ch := wire.Chunk{Part: w.Bits, From: w.FirstTask}
+		if w.Chunk.OldLayout {
 			ch = wire.Chunk{Bits: w.Bits}
 		}
 		// Its version, as above, and the job's: applied after the job's end, this must not
 		// bring back what that dropped.
 		key := chunkKey(w.Job, w.Chunk)
-		out.guards = []wire.Guard{{Key: key, Version: w.Version}, {Key: openKeys + wire.JobName(w.Job), Version: w.Open}}
+		out.guards = []wire.Guard{{Key: key, Version: w.Version}, {Key: openKeys + wire.JobName(w.Job), Version: w.JobVersion}}
 		out.ops = []wire.Op{{Put: key, Value: encode(ch)}}
 		out.joins = true
-	case dealer.Finish:
+	case dispatcher.FinishJob:
 		out.guards = []wire.Guard{{Key: openKeys + wire.JobName(w.Job), Version: w.Version}}
 		out.ops = finalOps(w.Job, jobs.Done)
 		room := max(0, p.l.n.cfg.Cluster.TxnOps()-len(out.ops))
-		for _, c := range w.Kept[:min(room, len(w.Kept))] {
+		for _, c := range w.StoredChunks[:min(room, len(w.StoredChunks))] {
 			out.ops = append(out.ops, wire.Op{Delete: chunkKey(w.Job, c)})
 		}
-		if rest := w.Kept[min(room, len(w.Kept)):]; len(rest) > 0 {
+		if rest := w.StoredChunks[min(room, len(w.StoredChunks)):]; len(rest) > 0 {
 			p.dropAfter(&out, w.Job, rest)
 		}
 	}
@@ -219,7 +219,7 @@
 
 // dropAfter drops the chunks that a final's transaction has no room for, once it is
 // stored. What is left of them if this leader ends, the next one drops.
-func (p *dealing) dropAfter(w *write, id model.JobID, chunks []dealer.ChunkID) {
+func (p *dealing) dropAfter(w *write, id model.JobID, chunks []dispatcher.ChunkID) {
 	done := w.done
 	w.done = func(now time.Duration, o outcome) {
 		done(now, o)
--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 	"honeylock/internal/wire"
 )
@@ -23,7 +23,7 @@
 	if !l.n.logs(slog.LevelDebug) {
 		return
 	}
-	l.d.OnCharge(func(c dealer.Charge) {
+	l.d.OnCharge(func(c dispatcher.Charge) {
 		l.n.log.Debug("charge", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
 			"zone", l.n.zoneName(c.Zone), "used_cpu", c.Used.CPU, "limit_cpu", c.Limit.CPU, "term", l.term)
 	})
@@ -39,32 +39,32 @@
 // logEvent tells of an event of a shard, before it is taken.
 func (l *leadership) logEvent(from model.ShardID, e *model.Event) {
 	switch e.Kind {
-	case model.Lapsed:
-		if l.d.Lapsed(e.Machine) {
+	case model.LeaseExpiryConfirmed:
+		if l.d.LeaseExpiryConfirmed(e.Machine) {
 			return // told again
 		}
 		l.n.log.Info("machine's lease is over: what it ran is lost", "machine", wire.MachineName(e.Machine), "shard", from,
 			"token", e.Token)
-	case model.Heard, model.Fenced:
-		if l.d.Lapsed(e.Machine) {
+	case model.WorkerBack, model.WorkerFenced:
+		if l.d.LeaseExpiryConfirmed(e.Machine) {
 			l.n.log.Info("machine is back after its lease was over", "machine", wire.MachineName(e.Machine), "shard", from)
 		}
-	case model.Found:
+	case model.AttemptFound:
 		if l.n.logs(slog.LevelDebug) {
 			l.n.log.Debug("attempt found", "task", wire.TaskName(e.Task), "attempt", e.Attempt,
 				"machine", wire.MachineName(e.Machine), "shard", from)
 		}
-	case model.Released, model.Kept:
+	case model.MachineReleased, model.MachineKept:
 		if l.n.logs(slog.LevelDebug) {
 			l.n.log.Debug("machine let go of, or kept", "machine", wire.MachineName(e.Machine), "shard", from,
-				"kept", e.Kind == model.Kept, "tasks", len(e.Tasks))
+				"kept", e.Kind == model.MachineKept, "tasks", len(e.Tasks))
 		}
 	}
 }
 
 // logOrder tells of an order to a shard.
 func (l *leadership) logOrder(o *model.Order) {
-	if o.Kind == model.KillIt {
+	if o.Kind == model.KillAttempt {
 		l.n.log.Info("attempt found that must not be: it is stopped", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
 			"machine", wire.MachineName(o.ID), "shard", o.To)
 		return
@@ -73,11 +73,11 @@
 		return
 	}
 	switch o.Kind {
-	case model.Own:
+	case model.OwnMachine:
 		l.n.log.Debug("machine owned", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token", o.Token)
-	case model.Give:
-		l.n.log.Debug("task given", "task", wire.TaskName(o.Deal.Task), "shard", o.To, "adopted", o.Deal.Attempt)
-	case model.Lapse:
+	case model.AssignTask:
+		l.n.log.Debug("task given", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted", o.Assignment.Attempt)
+	case model.ConfirmLeaseExpiry:
 		l.n.log.Debug("lease to be confirmed as over", "machine", wire.MachineName(o.ID), "shard", o.To)
 	}
 }
@@ -103,7 +103,7 @@
 
 // logGrant tells when this controller's shard may act no more, and when it may again.
 func (n *Node) logGrant(now time.Duration, st *seat) {
-	granted := st.s.Granted(now)
+	granted := st.s.HasGrant(now)
 	if granted == st.granted {
 		return
 	}
--- a/internal/node/disrupting.go
+++ b/internal/node/disrupting.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	l := p.l
-	for _, t := range l.d.Freed() {
+	for _, t := range l.d.TakeFreedTasks() {
 		if sp := l.d.Spec(t.Job); sp != nil { // nobody saw how long it had run
 			p.book.Stopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
@@ -55,7 +55,7 @@
 		w := work{team, class}
 		x, ok := told[w]
 		if !ok {
-			x.Running, x.Orphaned, x.Unsure, x.CPU = l.d.AtWork(team, class)
+			x.Running, x.Orphaned, x.Unsure, x.CPU = l.d.WorkCounts(team, class)
 			told[w] = x
 		}
 		return x
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -149,7 +149,7 @@
 		p.do(now, a)
 	}
 	p.give(now, empty)
-	p.l.rents.f.Hold(p.e.Plans()) // after: with the last plan's end nothing is held
+	p.l.rents.f.SetDrainPlans(p.e.Plans()) // after: with the last plan's end nothing is held
 	p.l.n.soon()
 }
 
@@ -158,11 +158,11 @@
 	l := p.l
 	switch a.Kind {
 	case drain.Bar, drain.Unbar:
-		l.d.Bar(a.Machine, a.Kind == drain.Bar)
+		l.d.SetCordoned(a.Machine, a.Kind == drain.Bar)
 		l.n.log.Info("machine drained or wanted again", "machine", wire.MachineName(a.Machine), "drained",
 			a.Kind == drain.Bar)
 	case drain.Look:
-		l.d.LookAt(a.Machine, a.Seq)
+		l.d.InspectMachine(a.Machine, a.Seq)
 	case drain.Recall:
 		l.d.RecallFrom(a.Machine, a.Task)
 	case drain.Rent:
@@ -177,7 +177,7 @@
 		return
 	}
 	some := ids[:min(len(ids), fleet.MaxReturn)]
-	if !p.l.rents.f.Give(some) {
+	if !p.l.rents.f.BeginReturn(some) {
 		some = nil
 	}
 	for _, id := range ids[len(some):] {
@@ -186,7 +186,7 @@
 	if some == nil {
 		return
 	}
-	go p.l.rents.giveBack(fleet.Action{Kind: fleet.Return, Machine: some}, func(now time.Duration, ok bool) {
+	go p.l.rents.giveBack(fleet.Action{Kind: fleet.Return, Machines: some}, func(now time.Duration, ok bool) {
 		for _, id := range some {
 			p.e.Given(now, id, ok)
 		}
@@ -199,7 +199,7 @@
 	p.l.n.mu.Lock()
 	defer p.l.n.mu.Unlock()
 	now := p.l.n.now()
-	p.l.rents.f.Adopt(now, got, like)
+	p.l.rents.f.AddRented(now, got, like)
 	p.e.Rented(now, a, got, refused)
 }
 
@@ -214,19 +214,19 @@
 		p.fare(e)
 	}
 	switch e.Kind {
-	case model.Looked:
+	case model.MachineInspected:
 		if p.ahead.heard(e) {
 			return
 		}
-		p.e.Seen(now, e.Machine, e.Token, e.On, p.l.d.Spec)
-	case model.Finished:
+		p.e.Seen(now, e.Machine, e.Token, e.Placed, p.l.d.Spec)
+	case model.TaskFinished:
 		if p.l.n.set.Operator == nil {
 			return
 		}
 		// How long it ran is seen from reports: of short tasks that tells little.
 		sp := p.l.d.Spec(e.Task.Job)
 		if sp != nil && sp.Estimate >= learnFrom*config.Seconds(p.l.n.cfg.Cluster.Workers.ReportS) {
-			p.learnt.Add(sp.Class, sp.Estimate, e.Ran)
+			p.learnt.Add(sp.Class, sp.Estimate, e.RunTime)
 		}
 	}
 }
@@ -235,13 +235,13 @@
 func (p *draining) fare(e *model.Event) {
 	switch sp := p.l.d.Spec(e.Task.Job); {
 	case sp == nil || sp.Daemon:
-	case e.Kind == model.Finished:
-		ran := e.Ran
+	case e.Kind == model.TaskFinished:
+		ran := e.RunTime
 		if sp.Estimate < learnFrom*config.Seconds(p.l.n.cfg.Cluster.Workers.ReportS) {
 			ran = 0 // of short tasks reports tell too little
 		}
 		p.fares.Done(e.Machine, sp.Class, sp.Estimate, ran)
-	case e.Kind == model.Gone && e.Cause == model.CauseError && !p.l.d.Suspected(e.Task.Job):
+	case e.Kind == model.TaskReturned && e.Cause == model.CauseError && !p.l.d.IsJobBroken(e.Task.Job):
 		p.fares.Failed(e.Machine)
 	}
 }
@@ -249,20 +249,20 @@
 // view is the present for the engine.
 func (p *draining) view(now time.Duration) *drain.View {
 	l := p.l
-	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{}, Spare: l.d.Spare(),
-		Learned: p.learnt.Factor, Boot: l.rents.f.Boot, JobName: wire.JobName}
-	listed := l.rents.f.Units(now, func(m model.Machine, since time.Duration) {
+	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{}, Spare: l.d.UnusedGuarantees(),
+		Learned: p.learnt.Factor, Boot: l.rents.f.BootTime, JobName: wire.JobName}
+	listed := l.rents.f.ForEachMachine(now, func(m model.Machine, since time.Duration) {
 		v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, Since: since}
 	})
-	l.d.Known(func(st model.MachineStatus, told bool) {
+	l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Told: told, Since: v.Machines[st.Machine.ID].Since}
 	})
 	if p.fares != nil {
 		v.Judge = p.fares.Judge
 	}
 	v.Settled = listed && l.d.Recovered()
-	for _, need := range l.d.Needs() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, Open: int(need.Open), Running: l.d.Count(need.Spec.ID).Running})
+	for _, need := range l.d.Demand() {
+		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, Open: int(need.Unfinished), Running: l.d.TaskCounts(need.Spec.ID).Running})
 	}
 	return v
 }
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"honeylock/internal/config"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/forecast"
 	"honeylock/internal/core/model"
@@ -32,7 +32,7 @@
 type survey struct {
 	seq  uint64
 	left map[model.MachineID]bool
-	on   map[model.MachineID][]model.OnMachine
+	on   map[model.MachineID][]model.PlacedTask
 }
 
 // Surveys are numbered apart from the engine's questions.
@@ -45,7 +45,7 @@
 	}
 	if s := f.survey; s != nil && s.seq == e.Token {
 		delete(s.left, e.Machine)
-		s.on[e.Machine] = e.On
+		s.on[e.Machine] = e.Placed
 	}
 	return true
 }
@@ -101,15 +101,15 @@
 	}
 	p.ahead.n++
 	s := &survey{seq: surveyBase + p.ahead.n, left: map[model.MachineID]bool{},
-		on: map[model.MachineID][]model.OnMachine{}}
+		on: map[model.MachineID][]model.PlacedTask{}}
 	p.ahead.survey = s
-	p.l.d.Known(func(st model.MachineStatus, told bool) {
+	p.l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		if told {
 			s.left[st.Machine.ID] = true
 		}
 	})
 	for id := range s.left {
-		p.l.d.LookAt(id, s.seq)
+		p.l.d.InspectMachine(id, s.seq)
 	}
 	p.l.n.soon()
 	go p.play(x, s, plan, patch)
@@ -205,32 +205,32 @@
 		boots[t.Name] = t.Boot
 	}
 	out.Boot = func(t model.Name) time.Duration { return boots[t] }
-	l.d.Known(func(st model.MachineStatus, told bool) {
+	l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		on, ok := s.on[st.Machine.ID]
 		if told && ok {
 			out.Machines = append(out.Machines, forecast.Machine{Machine: st.Machine, Tasks: on,
 				Usable: st.Ready && !st.Draining && !st.Faulty})
 		}
 	})
-	for _, need := range l.d.Needs() {
-		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, Left: int(need.Open), Since: need.Since})
+	for _, need := range l.d.Demand() {
+		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, Left: int(need.Unfinished), Since: need.WaitingSince})
 	}
 	return out
 }
 
-func (n *Node) teams() []dealer.Team {
-	out := make([]dealer.Team, len(n.cfg.Cluster.Teams))
+func (n *Node) teams() []dispatcher.Team {
+	out := make([]dispatcher.Team, len(n.cfg.Cluster.Teams))
 	for i, t := range n.cfg.Cluster.Teams {
-		out[i] = dealer.Team{Guarantee: model.Capacity(t.CPUs, t.GPUs, 0), Limit: model.Capacity(t.CPUsMax, t.GPUsMax, 0)}
+		out[i] = dispatcher.Team{Guarantee: model.Capacity(t.CPUs, t.GPUs, 0), Limit: model.Capacity(t.CPUsMax, t.GPUsMax, 0)}
 	}
 	return out
 }
 
 func (n *Node) shardParams() shard.Params {
 	c := &n.cfg.Cluster
-	return shard.Params{SureLease: c.SureLease(), Report: config.Seconds(c.Workers.ReportS), Sample: n.set.SampleSize,
-		PaybackLimit: n.set.PaybackLimit, DemoteStep: n.set.DemotionStep,
-		DoubtPause: config.Seconds(c.Workers.ReportS) + 2*time.Second}
+	return shard.Params{MaxLease: c.SureLease(), ReportInterval: config.Seconds(c.Workers.ReportS), VictimSample: n.set.SampleSize,
+		PaybackLimit: n.set.PaybackLimit, DemotionStep: n.set.DemotionStep,
+		DirectRetryDelay: config.Seconds(c.Workers.ReportS) + 2*time.Second}
 }
 
 // askForecast answers with a forecast, or with how far it is.
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"honeylock/internal/config"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/fleet"
 	"honeylock/internal/core/forecast"
@@ -19,18 +19,18 @@
 func BenchmarkGrownSnapshot(b *testing.B) {
 	n := &Node{cfg: &config.Platform{}, set: config.DefaultSettings()}
 	n.cfg.Cluster.Teams = []config.Team{{Name: "t", CPUs: 100, CPUsMax: 1e6}}
-	l := &leadership{n: n, d: dealer.New(dealer.Params{Term: 1, Teams: n.teams(), ChunkSize: 64, BlockSize: 64}, 0)}
+	l := &leadership{n: n, d: dispatcher.New(dispatcher.Params{Term: 1, Teams: n.teams(), ChunkSize: 64, BlockSize: 64}, 0)}
 	l.rents = &renting{l: l, f: fleet.New(fleet.Params{})}
 	p := l.newDraining()
 	l.d.SetTypes([]model.MachineType{{Cap: model.Capacity(64, 0, 256)}})
-	s := &survey{on: map[model.MachineID][]model.OnMachine{}}
-	shard := l.d.Join(0, "a")
+	s := &survey{on: map[model.MachineID][]model.PlacedTask{}}
+	shard := l.d.AddShard(0, "a")
 	var status []model.MachineStatus
 	for id := range model.MachineID(1636) {
 		m := model.Machine{ID: id, Addr: "x"}
-		l.d.Event(0, shard, model.Event{Kind: model.Unowned, Machine: id, Report: &model.Report{Machine: m}})
+		l.d.Event(0, shard, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 		status = append(status, model.MachineStatus{Machine: m, Ready: true})
-		s.on[id] = make([]model.OnMachine, 24)
+		s.on[id] = make([]model.PlacedTask, 24)
 	}
 	l.d.Status(0, shard, status, nil, 0)
 	for id := range model.JobID(800) {
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -119,12 +119,12 @@
 		}
 	}
 	r.l.tick(now)
-	if r.n.seat.s.Granted(now) {
+	if r.n.seat.s.HasGrant(now) {
 		t.Error("its own shard acts")
 	}
 	r.l.deals.seen(now, now-time.Second)
 	r.l.tick(now)
-	if !r.n.seat.s.Granted(now) {
+	if !r.n.seat.s.HasGrant(now) {
 		t.Error("its own shard does not act on a picture of a second ago")
 	}
 }
--- a/internal/node/lead.go
+++ b/internal/node/lead.go
@@ -8,7 +8,7 @@
 
 	"honeylock/internal/config"
 	"honeylock/internal/core/budget"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/fleet"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
@@ -40,7 +40,7 @@
 	cancel   context.CancelFunc
 	term     uint64
 	guard    wire.Guard
-	d        *dealer.Dealer
+	d        *dispatcher.Dispatcher
 	local    model.ShardID
 	links    map[model.ShardID]*link
 	hosts    map[string]uint32 // siblings that have joined this term, with their releases
@@ -94,22 +94,22 @@
 	// Shards of the term before may act on grants that reach to the end of
 	// their leader's authority, even if its lease was ended early: up to one
 	// whole length of it from now, unless they are heard to have stopped.
-	l.d = dealer.New(dealer.Params{Term: l.term, Teams: n.teams(), ChunkSize: chunkSize(c.ValueKB()),
-		BlockSize: oldBlockSize(c.State.ValueKB), Progress: 2 * time.Second,
-		Ahead: n.set.DealAhead, SureLease: c.SureLease(), Crowd: crowd(c),
-		Begin: n.set.BeginWithin,
-		Tell:  len(n.set.Budgets) > 0}, now+max(n.ttl, config.Promise)+time.Second)
+	l.d = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teams(), ChunkSize: chunkSize(c.ValueKB()),
+		BlockSize: oldBlockSize(c.State.ValueKB), ProgressInterval: 2 * time.Second,
+		DispatchAhead: n.set.DealAhead, MaxLease: c.SureLease(), MinOverload: crowd(c),
+		StartWithin:         n.set.BeginWithin,
+		ReportInterruptions: len(n.set.Budgets) > 0}, now+max(n.ttl, config.Promise)+time.Second)
 	l.logCharges()
 	if len(n.cfg.Siblings) == 0 {
-		l.d.EveryoneHere(now)
+		l.d.AllControllersJoined(now)
 	}
-	l.local = l.d.Join(now, n.cfg.HostName)
+	l.local = l.d.AddShard(now, n.cfg.HostName)
 	n.leaveSeat()
-	n.takeSeat(n.newSeat(l.d.Attempts(l.local)))
-	n.seat.s.Tell(len(n.set.Budgets) > 0)
-	f := fleet.New(fleet.Params{Term: l.term, Began: now, ListLag: config.Seconds(c.Cloud.ListLagS),
+	n.takeSeat(n.newSeat(l.d.FirstAttempt(l.local)))
+	n.seat.s.ReportInterruptions(len(n.set.Budgets) > 0)
+	f := fleet.New(fleet.Params{Term: l.term, TermStart: now, ListLag: config.Seconds(c.Cloud.ListLagS),
 		IdleReturn: n.set.IdleReturn,
-		Horizon:    n.set.RentHorizon, Probe: rentProbe, Patience: 10 * n.set.RentHorizon})
+		Horizon:    n.set.RentHorizon, RetryRefusedAfter: rentProbe, BestEffortWait: 10 * n.set.RentHorizon})
 	l.deals = &dealing{l: l, d: l.d, fresh: now}
 	l.chains = &chaining{l: l, g: pipeline.New()}
 	l.rents = &renting{l: l, f: f}
--- a/internal/node/limiting.go
+++ b/internal/node/limiting.go
@@ -10,7 +10,7 @@
 
 	"honeylock/internal/config"
 	"honeylock/internal/core/audit"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/quota"
 	"honeylock/internal/wire"
@@ -138,8 +138,8 @@
 	for i, t := range p.l.d.TeamStatus() {
 		cpu := func(n int64) float64 { return float64(n) / 1000 }
 		r := TeamReply{Team: p.l.n.names.Teams.Name(model.Name(i)), Limit: cpu(t.Limit.CPU), Guarantee: cpu(t.Guarantee.CPU),
-			Used: cpu(t.Used.CPU), Borrowed: cpu(max(0, t.Used.CPU-t.Guarantee.CPU)), Unseen: cpu(t.Unseen.CPU),
-			Waiting: t.Waiting + t.Old, Awaiting: t.Awaiting, Holds: holds(&t)}
+			Used: cpu(t.Used.CPU), Borrowed: cpu(max(0, t.Used.CPU-t.Guarantee.CPU)), Unseen: cpu(t.Unaccounted.CPU),
+			Waiting: t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, Holds: holds(&t)}
 		if c, ok := p.teams.Changed(model.Name(i), wall); ok {
 			r.Changed = "by " + c.By
 			if c.UntilMS > 0 {
@@ -152,18 +152,18 @@
 }
 
 // holds is what holds a team, in one line.
-func holds(t *dealer.TeamStatus) string {
+func holds(t *dispatcher.TeamStatus) string {
 	switch {
-	case t.Old > 0:
-		return count(t.Old, "task") + " of before the change of leader wait for machines that are not accounted for"
-	case t.Stopped() && t.Unseen.CPU > 0:
+	case t.AwaitingRecovery > 0:
+		return count(t.AwaitingRecovery, "task") + " of before the change of leader wait for machines that are not accounted for"
+	case t.LimitReached() && t.Unaccounted.CPU > 0:
 		return "its limit, with what is charged for machines that are not accounted for"
-	case t.Stopped():
+	case t.LimitReached():
 		return "its limit"
 	case t.Waiting > 0:
 		return "room"
-	case t.Awaiting > 0:
-		return count(t.Awaiting, "job") + " of its own wait for others"
+	case t.JobsOnHold > 0:
+		return count(t.JobsOnHold, "job") + " of its own wait for others"
 	}
 	return "nothing"
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -102,7 +102,7 @@
 		n.log.Info("member lost", "host", k.host, "shard", id, "err", err, "authority_left", k.until-now)
 		delete(l.links, id)
 		l.lost = now
-		l.d.Lost(id, max(now, k.until))
+		l.d.ShardLost(id, max(now, k.until))
 		n.soon()
 	}
 	n.mu.Unlock()
@@ -145,12 +145,12 @@
 		if o.host == host {
 			// Its Hello says that the shard before acts no more.
 			delete(l.links, id)
-			l.d.Lost(id, now)
+			l.d.ShardLost(id, now)
 		}
 	}
-	id := l.d.Join(now, host)
+	id := l.d.AddShard(now, host)
 	l.links[id] = k
-	k.out.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term, Attempts: l.d.Attempts(id),
+	k.out.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term, Attempts: l.d.FirstAttempt(id),
 		Tell: l.drains.book.On(), Compares: true}}})
 	k.out.Send(l.deals.progress())
 	k.told = l.deals.told
@@ -162,7 +162,7 @@
 		all, oldest = all && here, min(oldest, r)
 	}
 	if all {
-		l.d.EveryoneHere(now)
+		l.d.AllControllersJoined(now)
 		l.upgraded(oldest)
 	}
 	l.n.soon()
--- a/internal/node/loading.go
+++ b/internal/node/loading.go
@@ -13,7 +13,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"honeylock/internal/core/cancellog"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
 	"honeylock/internal/core/ratelimit"
@@ -57,13 +57,13 @@
 
 type storedBlock struct {
 	wire.MachineBlock
-	id      dealer.BlockID
+	id      dispatcher.BlockID
 	version uint64
 }
 
 type storedChunk struct {
 	id    model.JobID
-	chunk dealer.ChunkID
+	chunk dispatcher.ChunkID
 	from  int32 // the task of its first bit
 	bits  []byte
 	// version of the record
@@ -94,13 +94,13 @@
 				return fmt.Errorf("machine records: %w", err)
 			}
 			machines += len(ms)
-			p.d.Recorded(r.id, r.version, ms)
+			p.d.AddStoredBlock(r.id, r.version, ms)
 		}
 		if size := layoutOf(recs, p.d.Layout()); size != 0 {
 			p.l.relay(size)
 		}
 		for id := range n.kept {
-			p.d.Event(now, p.l.local, model.Event{Kind: model.Remembered, Machine: id})
+			p.d.Event(now, p.l.local, model.Event{Kind: model.MachineRemembered, Machine: id})
 		}
 		told, _ := n.told.From(0) // some perhaps since that was asked
 		for _, id := range told {
@@ -111,7 +111,7 @@
 		}
 		p.l.chains.settle(now)
 		for _, c := range parts {
-			p.d.AddDone(c.id, c.chunk, c.version, c.from, c.bits)
+			p.d.AddDoneChunk(c.id, c.chunk, c.version, c.from, c.bits)
 		}
 		p.rev, p.orphans = rev, orphans
 		p.seen(now, asked)
@@ -141,7 +141,7 @@
 }
 
 // layoutAge orders layouts: they have only ever become smaller.
-func layoutAge(id dealer.BlockID) uint64 {
+func layoutAge(id dispatcher.BlockID) uint64 {
 	if id.Size == 0 {
 		return math.MaxUint64
 	}
@@ -176,8 +176,8 @@
 		if err := json.Unmarshal(it.Value, &ch); err != nil {
 			return fmt.Errorf("done record %s: %w", it.Key, err)
 		}
-		if c.Old {
-			parts = append(parts, storedChunk{id, c, c.No * chunkSize(p.l.n.cfg.Cluster.State.ValueKB), ch.Bits, it.Version})
+		if c.OldLayout {
+			parts = append(parts, storedChunk{id, c, c.Index * chunkSize(p.l.n.cfg.Cluster.State.ValueKB), ch.Bits, it.Version})
 		} else {
 			parts = append(parts, storedChunk{id, c, ch.From, ch.Part, it.Version})
 		}
@@ -264,7 +264,7 @@
 		case e.Put != "":
 			p.add(now, stored{sub, e.Version}, p.fresh)
 		default:
-			p.d.Withdrawn(id)
+			p.d.JobRemoved(id)
 			p.l.chains.ended(now, id, pipeline.Unknown)
 		}
 	}
@@ -290,7 +290,7 @@
 	if !p.picture.Told(now, id) || p.d.Version(id) == 0 {
 		return
 	}
-	p.d.Withdrawn(id)
+	p.d.JobRemoved(id)
 	p.l.chains.ended(now, id, pipeline.Cancelled)
 	p.due = true
 	p.l.n.soon()
@@ -347,7 +347,7 @@
 		known[id] = true
 		p.add(now, st, p.fresh)
 	}
-	for _, id := range p.d.Sync(known, rev) {
+	for _, id := range p.d.SyncOpenJobs(known, rev) {
 		p.l.chains.ended(now, id, pipeline.Unknown)
 	}
 	p.l.chains.settle(now)
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -24,19 +24,19 @@
 		return
 	}
 	classes := map[model.Name]*classLoad{}
-	for _, need := range p.d.Needs() {
+	for _, need := range p.d.Demand() {
 		c := classes[need.Spec.Class]
 		if c == nil {
 			c = &classLoad{}
 			classes[need.Spec.Class] = c
 		}
 		c.jobs++
-		if need.Open == 0 { // its final is not stored yet
+		if need.Unfinished == 0 { // its final is not stored yet
 			c.ending++
 		}
-		c.open += int(need.Open)
-		c.held += int(need.Held)
-		c.running += p.d.Count(need.Spec.ID).Running
+		c.open += int(need.Unfinished)
+		c.held += int(need.Assigned)
+		c.running += p.d.TaskCounts(need.Spec.ID).Running
 	}
 	var machines, ready, spot, faulty int
 	var cpus, free int64
@@ -56,7 +56,7 @@
 	}
 	awaiting, unknown, doomed := p.l.chains.g.Counts()
 	p.l.n.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", doomed,
-		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", p.d.Unverified(), "cpus", cpus/1000,
+		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", p.d.UnverifiedCount(), "cpus", cpus/1000,
 		"free", free/1000)
 	for _, s := range starvation.Danger(p.d.Starvation(p.l.n.now())) {
 		p.l.n.log.Warn("jobs wait for too long to begin", "of", p.l.n.groupName(s.Group), "begun", s.Begun, "late", s.Late,
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -33,7 +33,7 @@
 		if n.seat == nil {
 			return 0
 		}
-		return float64(n.seat.s.Waiting())
+		return float64(n.seat.s.WaitingCount())
 	})
 	counter("halts", "Times that this controller stood still for more than a second.", func() uint64 { return n.stats.Halts })
 	gauge("lag_seconds", "How far behind this process is, by its timers.", func() float64 {
@@ -76,7 +76,7 @@
 		return (n.now() - n.lead.chains.settled(n.now())).Seconds()
 	})
 	gauge("jobs_broken", "Open jobs held to be broken, on the leader.", whileLeading(n, func(l *leadership) float64 {
-		return float64(l.d.BrokenNow())
+		return float64(l.d.BrokenJobCount())
 	}))
 	gauge("machines_faulty", "Machines held to be faulty, on the leader.", whileLeading(n, func(l *leadership) float64 {
 		faulty := 0
@@ -88,7 +88,7 @@
 		return float64(faulty)
 	}))
 	gauge("machines_unheard", "Machines that report and that nothing shows to hear, on the leader.",
-		whileLeading(n, func(l *leadership) float64 { return float64(l.d.Unverified()) }))
+		whileLeading(n, func(l *leadership) float64 { return float64(l.d.UnverifiedCount()) }))
 	gauge("drain_plans", "Drain plans under way, on the leader.", whileLeading(n, func(l *leadership) float64 {
 		plans, _ := l.drains.e.Active()
 		return float64(plans)
@@ -107,14 +107,14 @@
 	counter("reports", "Workers' reports received.", func() uint64 { return n.stats.Reports })
 	counter("reports_redirected", "Workers' reports answered with 421.", func() uint64 { return n.stats.Redirected })
 	counter("machines_lapsed", "Machines whose lease was over, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().Lapsed }))
+		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().ExpiredMachines }))
 	counter("machines_returned", "Machines heard of again after their lease was over, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().Returned }))
+		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().ReturnedMachines }))
 	counter("attempts_unexpected",
 		"Attempts found on machines that were accounted for, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().Unexpected }))
+		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().UnexpectedAttempts }))
 	counter("dispatch_limited", "Times that a team's limit kept a job's tasks waiting, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().Limited }))
+		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().LimitedRounds }))
 	stat := func(f func() uint64) func() uint64 {
 		return func() uint64 {
 			if n.seat == nil {
@@ -124,12 +124,12 @@
 		}
 	}
 	counter("reports_lapsed", "Reports refused by this controller's present shard because their session's lease is over.",
-		stat(func() uint64 { return n.seat.s.Stats.OfLapsed }))
+		stat(func() uint64 { return n.seat.s.Stats.ExpiredSessionReports }))
 	counter("tasks_placed", "Tasks placed on machines by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Placed }))
 	counter("tasks_evicted", "Tasks evicted for higher-priced ones by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Evicted }))
 	counter("tasks_demoted", "Demotions by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Demoted }))
 	counter("tasks_lost", "Tasks lost with their machines by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Lost }))
-	counter("machines_looked_at", "Machines looked at for waiting tasks by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Looked }))
+	counter("machines_looked_at", "Machines looked at for waiting tasks by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.MachinesExamined }))
 	counter("task_errors", "Tasks that ended with an error by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Errors }))
 }
 
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -313,9 +313,9 @@
 // candidates are the machines that a plan may mean.
 func (p *draining) candidates(now time.Duration) []planfile.Candidate {
 	ages := map[model.MachineID]time.Duration{}
-	p.l.rents.f.Units(now, func(m model.Machine, since time.Duration) { ages[m.ID] = now - since })
+	p.l.rents.f.ForEachMachine(now, func(m model.Machine, since time.Duration) { ages[m.ID] = now - since })
 	var out []planfile.Candidate
-	p.l.d.Known(func(st model.MachineStatus, told bool) {
+	p.l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		out = append(out, planfile.Candidate{Machine: st.Machine, Age: ages[st.Machine.ID], Free: st.Avail.CPU})
 	})
 	return out
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 	"honeylock/internal/wire"
 )
@@ -21,14 +21,14 @@
 // done/job-000412/0.3. A leader of 0.4 that lists them takes the machines in and the
 // chunks for empty ones (docs/upgrade.md).
 
-func blockKey(id dealer.BlockID) string {
+func blockKey(id dispatcher.BlockID) string {
 	if id.Size == 0 {
-		return fmt.Sprintf("%s%08d", recordKeys, id.No)
+		return fmt.Sprintf("%s%08d", recordKeys, id.Index)
 	}
-	return fmt.Sprintf("%ss%d/%08d", recordKeys, id.Size, id.No)
+	return fmt.Sprintf("%ss%d/%08d", recordKeys, id.Size, id.Index)
 }
 
-func parseBlockKey(key string) (id dealer.BlockID, err error) {
+func parseBlockKey(key string) (id dispatcher.BlockID, err error) {
 	no := strings.TrimPrefix(key, recordKeys)
 	if size, rest, sized := strings.Cut(no, "/"); sized {
 		if id.Size, err = strconv.ParseUint(strings.TrimPrefix(size, "s"), 10, 32); err != nil || id.Size == 0 {
@@ -36,28 +36,28 @@
 		}
 		no = rest
 	}
-	if id.No, err = strconv.ParseUint(no, 10, 64); err != nil {
+	if id.Index, err = strconv.ParseUint(no, 10, 64); err != nil {
 		return id, fmt.Errorf("machine records %s: %w", key, err)
 	}
 	return id, nil
 }
 
-func chunkKey(id model.JobID, c dealer.ChunkID) string {
+func chunkKey(id model.JobID, c dispatcher.ChunkID) string {
 	sub := ""
-	if !c.Old {
+	if !c.OldLayout {
 		sub = "0."
 	}
-	return fmt.Sprintf("%s%s/%s%d", doneKeys, wire.JobName(id), sub, c.No)
+	return fmt.Sprintf("%s%s/%s%d", doneKeys, wire.JobName(id), sub, c.Index)
 }
 
-func parseChunkKey(key string) (id model.JobID, c dealer.ChunkID, err error) {
+func parseChunkKey(key string) (id model.JobID, c dispatcher.ChunkID, err error) {
 	name, no, _ := strings.Cut(strings.TrimPrefix(key, doneKeys), "/")
 	if id, err = wire.ParseJob(name); err != nil {
 		return id, c, err
 	}
 	sub, later := strings.CutPrefix(no, "0.")
 	n, err := strconv.ParseInt(sub, 10, 32)
-	return id, dealer.ChunkID{Old: !later, No: int32(n)}, err
+	return id, dispatcher.ChunkID{OldLayout: !later, Index: int32(n)}, err
 }
 
 // upgraded takes the oldest release among all controllers, now that all have joined
@@ -74,7 +74,7 @@
 // tooLarge takes a block that the state service refused for its size: limits that were
 // announced hold, or names are long. Written again as it is it would be refused for
 // ever, and its machines would get no task.
-func (l *leadership) tooLarge(id dealer.BlockID) {
+func (l *leadership) tooLarge(id dispatcher.BlockID) {
 	if id.Size != l.d.Layout() || id.Size == 1 {
 		return // the layout has changed since
 	}
@@ -90,6 +90,6 @@
 
 // relay has everything that may be too large for the limits to come written smaller.
 func (l *leadership) relay(size uint64) {
-	l.d.Relay(size)
+	l.d.SetLayout(size)
 	l.drains.e.Pack()
 }
--- a/internal/node/renting.go
+++ b/internal/node/renting.go
@@ -63,19 +63,19 @@
 	switch {
 	case waited > config.Seconds(1.25*p.l.n.cfg.Cluster.Workers.ReportS)+2250*time.Millisecond:
 		share = someUnseen
-	case p.l.d.Unanswering():
+	case p.l.d.UnaccountedUnresponsive():
 		share = fewUnseen
 	default:
 		return
 	}
-	ids := p.l.d.Unseen(share)
+	ids := p.l.d.UnaccountedMachines(share)
 	if len(ids) == 0 {
 		return
 	}
 	p.settling = true
 	p.l.n.log.Info("returning machines that can't be reached", "count", len(ids))
 	for some := range slices.Chunk(ids, fleet.MaxReturn) {
-		go p.giveBack(fleet.Action{Kind: fleet.Return, Machine: some}, nil)
+		go p.giveBack(fleet.Action{Kind: fleet.Return, Machines: some}, nil)
 	}
 }
 
@@ -83,21 +83,21 @@
 	status := p.l.d.Machines()
 	p.f.Observe(now, status, p.l.d.LeaseExpired)
 	if p.worthGivingUp() {
-		p.f.Deaf(p.l.d.Unreachable())
+		p.f.SetUnreachable(p.l.d.UnreachableMachines())
 	}
 	var demand []fleet.Demand
-	for _, need := range p.l.d.Needs() {
-		demand = append(demand, fleet.Demand{Need: need, Placed: need.Held - int32(p.l.d.Count(need.Spec.ID).Waiting)})
+	for _, need := range p.l.d.Demand() {
+		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(p.l.d.TaskCounts(need.Spec.ID).Waiting)})
 	}
-	for _, a := range p.f.Step(now, status, demand, p.l.d.Limit) {
+	for _, a := range p.f.Step(now, status, demand, p.l.d.TeamLimit) {
 		switch a.Kind {
 		case fleet.Drain:
-			p.l.drains.e.Empty(a.Machine)
+			p.l.drains.e.Empty(a.Machines)
 		case fleet.Undrain:
-			p.l.drains.e.Keep(a.Machine)
+			p.l.drains.e.Keep(a.Machines)
 		case fleet.Return:
-			for _, id := range a.Machine {
-				p.l.d.Use(id, false)
+			for _, id := range a.Machines {
+				p.l.d.SetUsable(id, false)
 			}
 			go p.giveBack(a, nil)
 		case fleet.Rent:
@@ -115,15 +115,15 @@
 // much longer than it takes to find that out that its work should not wait for it.
 func (p *renting) worthGivingUp() bool {
 	s := p.l.n.shardParams()
-	return s.SureLease-s.Overdue()-directTimeout > 15*time.Second
+	return s.MaxLease-s.OverdueAfter()-directTimeout > 15*time.Second
 }
 
 // giveBack returns machines to the cloud. told, if it is given, hears under the lock
 // whether it has them.
 func (p *renting) giveBack(a fleet.Action, told func(now time.Duration, ok bool)) {
 	n := p.l.n
-	names := make([]string, len(a.Machine))
-	for i, id := range a.Machine {
+	names := make([]string, len(a.Machines))
+	for i, id := range a.Machines {
 		names[i] = wire.MachineName(id)
 	}
 	err := errTermOver
@@ -135,11 +135,11 @@
 	defer n.mu.Unlock()
 	now := n.now()
 	p.f.Returned(now, a, err == nil)
-	for _, id := range a.Machine {
+	for _, id := range a.Machines {
 		if err == nil {
-			p.l.d.Gone(id)
+			p.l.d.MachineGone(id)
 		} else {
-			p.l.d.Use(id, true)
+			p.l.d.SetUsable(id, true)
 		}
 	}
 	if told != nil {
@@ -151,7 +151,7 @@
 }
 
 func (p *renting) rent(a fleet.Action) {
-	got, refused, doubt := p.ask(a.Rent, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, a.Count)
+	got, refused, doubt := p.ask(a.RequestName, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, a.Count)
 	p.l.n.mu.Lock()
 	defer p.l.n.mu.Unlock()
 	p.f.Rented(p.l.n.now(), a, got, refused, doubt)
@@ -197,7 +197,7 @@
 		slices.SortFunc(out, func(a, b fleet.Listed) int { return cmp.Compare(a.ID, b.ID) })
 		gone := p.f.List(n.now(), asked, out)
 		for _, id := range gone {
-			p.l.d.Gone(id)
+			p.l.d.MachineGone(id)
 		}
 		if n.lead == p.l && len(gone) > 0 {
 			n.log.Info("machines gone from the list", "count", len(gone))
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -40,7 +40,7 @@
 		// The leader is asked whose machine it is; that takes a moment.
 		a, keeper = n.answerLater(ctx, r)
 	}
-	if !a.OK && n.seat != nil && n.seat.s.Proving(n.now(), r.Machine.ID) {
+	if !a.OK && n.seat != nil && n.seat.s.Verifying(n.now(), r.Machine.ID) {
 		// Nothing shows that it hears; it is being asked, and mostly answers at once.
 		a, keeper = n.answerLater(ctx, r)
 	}
@@ -85,11 +85,11 @@
 // shard may act, but does not own the machine.
 func (n *Node) answer(r *model.Report) (a shard.Answer, keeper string, unowned bool) {
 	now := n.now()
-	if n.seat == nil || !n.seat.s.Granted(now) {
+	if n.seat == nil || !n.seat.s.HasGrant(now) {
 		return a, "", false
 	}
 	s := n.seat.s
-	refused := s.Stats.OfLapsed
+	refused := s.Stats.ExpiredSessionReports
 	ok := s.Report(now, r)
 	if !ok && n.lead != nil { // the dealer is at hand: it may be ours by now
 		n.lead.deals.exchange(now)
@@ -100,10 +100,10 @@
 		a = s.Answer(now, r)
 		n.logStarts(r.Machine.ID, a.Token, r.Session, a.Commands, false)
 	} else {
-		if s.Stats.OfLapsed > refused {
+		if s.Stats.ExpiredSessionReports > refused {
 			n.logRefused(r)
 		}
-		keeper = s.Moved(r.Machine.ID)
+		keeper = s.TakeRedirect(r.Machine.ID)
 		n.tell(now) // at once: the worker waits for its owner
 	}
 	n.soon()
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -45,7 +45,7 @@
 func (n *Node) newSeat(attempts uint64) *seat {
 	st := &seat{asked: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
 		s: shard.New(n.shardParams(), attempts, n.rng)}
-	st.s.Remember(n.kept)
+	st.s.SetImages(n.kept)
 	return st
 }
 
@@ -117,16 +117,16 @@
 func (n *Node) flush(now time.Duration) {
 	st := n.seat
 	st.s.Flush(now, n.health.atOnce(now, maxDirect))
-	for _, d := range st.s.Directs() {
+	for _, d := range st.s.DirectCommands() {
 		n.logStarts(d.Machine, d.Token, d.Session, d.Commands, true)
 		go n.direct(st, d)
 	}
 }
 
-func (n *Node) direct(st *seat, d shard.Direct) {
+func (n *Node) direct(st *seat, d shard.DirectCommand) {
 	// Opening the connection takes time, and the process may stand still: what is
 	// decided under a grant is not sent once it is over.
-	ctx, cancel := context.WithTimeout(context.Background(), d.Until-n.now())
+	ctx, cancel := context.WithTimeout(context.Background(), d.NotAfter-n.now())
 	defer cancel()
 	raw, executed, err := n.work.Send(ctx, d.Addr, d.Token, d.Session, d.Commands)
 	n.mu.Lock()
@@ -140,7 +140,7 @@
 		n.log.Debug("direct command unanswered", "machine", wire.MachineName(d.Machine), "err", err)
 		rep = nil
 	}
-	st.s.DirectDone(now, d, rep, executed)
+	st.s.DirectCommandDone(now, d, rep, executed)
 	if n.seat == st {
 		if rep != nil {
 			n.wake(d.Machine)
@@ -187,7 +187,7 @@
 	}
 	if st.dirty {
 		st.dirty = false
-		st.out.Send(st.codec.Status(now, st.s.Status(now), st.s.Jobs(now), st.s.Deals()))
+		st.out.Send(st.codec.Status(now, st.s.Status(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()))
 	}
 }
 
@@ -195,8 +195,8 @@
 func (n *Node) owned(o *model.Order) {
 	id := o.Machine.ID
 	switch o.Kind {
-	case model.Own:
-	case model.Elsewhere:
+	case model.OwnMachine:
+	case model.RedirectWorker:
 		id = o.ID
 	default:
 		return
@@ -353,7 +353,7 @@
 			}
 			st = n.newSeat(msg.Welcome.GetAttempts())
 			st.out = out
-			st.s.Tell(msg.Welcome.GetTell())
+			st.s.ReportInterruptions(msg.Welcome.GetTell())
 			n.leader = host
 			n.takeSeat(st)
 			if msg.Welcome.GetCompares() {
@@ -361,7 +361,7 @@
 			}
 			n.log.Info("joined", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.kept))
 			for id := range n.kept {
-				out.Send(st.codec.Event(&model.Event{Kind: model.Remembered, Machine: id}))
+				out.Send(st.codec.Event(&model.Event{Kind: model.MachineRemembered, Machine: id}))
 			}
 		case *peerpb.Down_Progress:
 			n.leaderStateAt = now - time.Duration(msg.Progress.GetStateAgeUs())*time.Microsecond
@@ -369,7 +369,7 @@
 			n.progress = make(map[model.JobID]progress, len(msg.Progress.GetJobs()))
 			open := make(map[model.JobID]bool, len(msg.Progress.GetJobs()))
 			if st != nil {
-				st.s.Open(open)
+				st.s.SetOpenJobs(open)
 			}
 			for _, j := range msg.Progress.GetJobs() {
 				open[model.JobID(j.GetJob())] = true
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 
 	"honeylock/internal/config"
-	"honeylock/internal/core/dealer"
+	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/model"
 	"honeylock/internal/peer"
 	"honeylock/internal/peer/peerpb"
@@ -152,7 +152,7 @@
 	}
 	c := peer.NewCodec(&wire.Names{})
 	o, err := c.FromOrder(0, down.GetOrder())
-	if err != nil || o.Kind != model.Reprice || o.Price != 3000 || o.Aim != model.AimKept {
+	if err != nil || o.Kind != model.RepriceJob || o.Price != 3000 || o.Objective != model.ObjectiveUnchanged {
 		t.Errorf("%+v, %v", o, err)
 	}
 	// A member of the last release tells no session, and its leader asks for none: a
@@ -162,14 +162,14 @@
 		t.Fatal(err)
 	}
 	o, err = c.FromOrder(0, down.GetOrder())
-	if err != nil || o.Kind != model.Release || o.Numbers != (model.Numbers{}) || o.Prove {
+	if err != nil || o.Kind != model.ReleaseMachine || o.MessageID != (model.MessageID{}) || o.VerifyFirst {
 		t.Errorf("%+v, %v", o, err)
 	}
 	var up peerpb.Up
 	if err := proto.Unmarshal(golden(t, "0.5/released.binpb"), &up); err != nil {
 		t.Fatal(err)
 	}
-	if e := c.FromEvent(up.GetEvent()); e.Kind != model.Released || e.Session != 0 || e.Held || len(e.Tasks) != 1 {
+	if e := c.FromEvent(up.GetEvent()); e.Kind != model.MachineReleased || e.Session != 0 || e.Held || len(e.Tasks) != 1 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -229,8 +229,8 @@
 }
 
 func TestKeysOfBothLayouts(t *testing.T) {
-	for key, want := range map[string]dealer.BlockID{
-		"machines/00000003": {No: 3}, "machines/s19/00000012": {Size: 19, No: 12},
+	for key, want := range map[string]dispatcher.BlockID{
+		"machines/00000003": {Index: 3}, "machines/s19/00000012": {Size: 19, Index: 12},
 	} {
 		if id, err := parseBlockKey(key); err != nil || id != want || blockKey(id) != key {
 			t.Errorf("%s: %+v, %v, %s", key, id, err, blockKey(id))
@@ -241,8 +241,8 @@
 			t.Errorf("%s: %+v", key, id)
 		}
 	}
-	for key, want := range map[string]dealer.ChunkID{
-		"done/job-000412/1": {Old: true, No: 1}, "done/job-000412/0.3": {No: 3},
+	for key, want := range map[string]dispatcher.ChunkID{
+		"done/job-000412/1": {OldLayout: true, Index: 1}, "done/job-000412/0.3": {Index: 3},
 	} {
 		if id, c, err := parseChunkKey(key); err != nil || id != 412 || c != want || chunkKey(id, c) != key {
 			t.Errorf("%s: %v %+v, %v", key, id, c, err)
@@ -277,8 +277,8 @@
 	}
 	// A job's final drops what it has room for, the rest comes after it.
 	n := &Node{cfg: &config.Platform{Cluster: c}}
-	p := &dealing{l: &leadership{n: n}, d: dealer.New(dealer.Params{}, 0)}
-	w := p.encode(dealer.Write{Kind: dealer.Finish, Job: 4, Kept: make([]dealer.ChunkID, 9)})
+	p := &dealing{l: &leadership{n: n}, d: dispatcher.New(dispatcher.Params{}, 0)}
+	w := p.encode(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
 	if len(w.ops) != 5 {
 		t.Errorf("%d changes in one transaction", len(w.ops))
 	}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -21,10 +21,10 @@
 // NewCodec returns a stream's codec.
 func NewCodec(n *wire.Names) *Codec { return &Codec{names: n, specs: map[model.JobID]*model.Spec{}} }
 
-func task(t model.Task) *peerpb.Task { return &peerpb.Task{Job: uint64(t.Job), No: t.No} }
+func task(t model.Task) *peerpb.Task { return &peerpb.Task{Job: uint64(t.Job), No: t.Index} }
 
 func fromTask(t *peerpb.Task) model.Task {
-	return model.Task{Job: model.JobID(t.GetJob()), No: t.GetNo()}
+	return model.Task{Job: model.JobID(t.GetJob()), Index: t.GetNo()}
 }
 
 func (c *Codec) machine(m *model.Machine) *peerpb.Machine {
@@ -40,10 +40,10 @@
 // Event encodes a shard's event.
 func (c *Codec) Event(e *model.Event) *peerpb.Up {
 	p := &peerpb.Event{Kind: uint32(e.Kind), Machine: uint64(e.Machine), Task: task(e.Task), Attempt: e.Attempt,
-		Stage: uint32(e.Cell.Stage), CellCause: uint32(e.Cell.Cause), Cause: uint32(e.Cause),
-		Token: e.Token, Held: e.Held, RanUs: e.Ran.Microseconds(), Session: e.Session, Seq: e.Seq}
-	for _, o := range e.On {
-		p.On = append(p.On, &peerpb.OnMachine{Task: task(o.Task), Stage: uint32(o.Stage), RanUs: o.Ran.Microseconds(),
+		Stage: uint32(e.Status.Stage), CellCause: uint32(e.Status.Cause), Cause: uint32(e.Cause),
+		Token: e.Token, Held: e.Held, RanUs: e.RunTime.Microseconds(), Session: e.Session, Seq: e.Seq}
+	for _, o := range e.Placed {
+		p.On = append(p.On, &peerpb.OnMachine{Task: task(o.Task), Stage: uint32(o.Stage), RanUs: o.RunTime.Microseconds(),
 			Stopping: o.Stopping, Adopted: o.Adopted})
 	}
 	if e.Report != nil {
@@ -59,13 +59,13 @@
 func (c *Codec) FromEvent(p *peerpb.Event) model.Event {
 	t := fromTask(p.GetTask())
 	e := model.Event{Kind: model.EventKind(p.GetKind()), Machine: model.MachineID(p.GetMachine()), Task: t, Attempt: p.GetAttempt(),
-		Cell:  model.Cell{Task: t, Attempt: p.GetAttempt(), Stage: model.Stage(p.GetStage()), Cause: model.Cause(p.GetCellCause())},
-		Cause: model.Cause(p.GetCause()), Token: p.GetToken(), Held: p.GetHeld(),
-		Numbers: model.Numbers{Session: p.GetSession(), Seq: p.GetSeq()},
-		Ran:     time.Duration(p.GetRanUs()) * time.Microsecond}
+		Status: model.AttemptStatus{Task: t, Attempt: p.GetAttempt(), Stage: model.Stage(p.GetStage()), Cause: model.Cause(p.GetCellCause())},
+		Cause:  model.Cause(p.GetCause()), Token: p.GetToken(), Held: p.GetHeld(),
+		MessageID: model.MessageID{Session: p.GetSession(), Seq: p.GetSeq()},
+		RunTime:   time.Duration(p.GetRanUs()) * time.Microsecond}
 	for _, o := range p.GetOn() {
-		e.On = append(e.On, model.OnMachine{Task: fromTask(o.GetTask()), Stage: model.Stage(o.GetStage()),
-			Ran: time.Duration(o.GetRanUs()) * time.Microsecond, Stopping: o.GetStopping(), Adopted: o.GetAdopted()})
+		e.Placed = append(e.Placed, model.PlacedTask{Task: fromTask(o.GetTask()), Stage: model.Stage(o.GetStage()),
+			RunTime: time.Duration(o.GetRanUs()) * time.Microsecond, Stopping: o.GetStopping(), Adopted: o.GetAdopted()})
 	}
 	if r := p.GetReporter(); r != nil {
 		e.Report = &model.Report{Machine: c.fromMachine(r)}
@@ -77,7 +77,7 @@
 }
 
 // Status encodes a shard's summary.
-func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.JobCount, deals uint64) *peerpb.Up {
+func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, deals uint64) *peerpb.Up {
 	p := &peerpb.Status{Deals: deals}
 	for i := range ms {
 		m := &ms[i]
@@ -91,7 +91,7 @@
 }
 
 // FromStatus decodes a shard's summary; its times become this clock's.
-func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus, map[model.JobID]model.JobCount) {
+func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus, map[model.JobID]model.TaskCounts) {
 	ms := make([]model.MachineStatus, 0, len(p.GetMachines()))
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	for _, m := range p.GetMachines() {
@@ -99,19 +99,19 @@
 			Avail: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, Ready: m.GetReady(), Draining: m.GetDraining(),
 			Slots: int(m.GetSlots()), IdleSince: now - us(m.GetIdleUs()), Faulty: m.GetBad()})
 	}
-	jobs := make(map[model.JobID]model.JobCount, len(p.GetJobs()))
+	jobs := make(map[model.JobID]model.TaskCounts, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
-		jobs[model.JobID(j.GetJob())] = model.JobCount{Waiting: int(j.GetWaiting()), Running: int(j.GetRunning())}
+		jobs[model.JobID(j.GetJob())] = model.TaskCounts{Waiting: int(j.GetWaiting()), Running: int(j.GetRunning())}
 	}
 	return ms, jobs
 }
 
 func (c *Codec) spec(s *model.Spec) *peerpb.Spec {
 	p := &peerpb.Spec{Job: uint64(s.ID), Class: c.names.Classes.Name(s.Class), Team: c.names.Teams.Name(s.Team), Image: c.names.Images.Name(s.Image),
-		Daemon: s.Daemon, Rank: uint32(s.Rank), Tasks: s.Tasks, Cpu: s.Each.CPU, Gpu: s.Each.GPU, Mem: s.Each.Mem, ImageGb: s.ImageGB,
-		AnyType: s.Types == nil, Together: s.Together, Spread: s.Spread, Spot: s.Spot, EstimateUs: s.Estimate.Microseconds(),
-		CheckpointUs: s.Checkpoint.Microseconds(), SaveUs: s.Save.Microseconds(), DeadlineUs: s.Deadline.Microseconds(),
-		SubmittedMs: s.SubmittedMS, Aimed: !s.CanWait}
+		Daemon: s.Daemon, Rank: uint32(s.Rank), Tasks: s.Tasks, Cpu: s.PerTask.CPU, Gpu: s.PerTask.GPU, Mem: s.PerTask.Mem, ImageGb: s.ImageGB,
+		AnyType: s.Types == nil, Together: s.SameZone, Spread: s.Spread, Spot: s.Spot, EstimateUs: s.Estimate.Microseconds(),
+		CheckpointUs: s.CheckpointInterval.Microseconds(), SaveUs: s.CheckpointTime.Microseconds(), DeadlineUs: s.Deadline.Microseconds(),
+		SubmittedMs: s.SubmittedMS, Aimed: !s.BestEffort}
 	for _, t := range s.Types {
 		p.Types = append(p.Types, c.names.Types.Name(t))
 	}
@@ -125,11 +125,11 @@
 func (c *Codec) fromSpec(p *peerpb.Spec) *model.Spec {
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	s := &model.Spec{ID: model.JobID(p.GetJob()), Class: c.names.Classes.ID(p.GetClass()), Team: c.names.Teams.ID(p.GetTeam()), Image: c.names.Images.ID(p.GetImage()),
-		Daemon: p.GetDaemon(), Rank: model.Rank(p.GetRank()), Tasks: p.GetTasks(), Each: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
-		ImageGB: p.GetImageGb(), Zone: model.None, Together: p.GetTogether(), Spread: p.GetSpread(), Spot: p.GetSpot(),
-		Estimate: us(p.GetEstimateUs()), Checkpoint: us(p.GetCheckpointUs()), Save: us(p.GetSaveUs()), Deadline: us(p.GetDeadlineUs()),
+		Daemon: p.GetDaemon(), Rank: model.Rank(p.GetRank()), Tasks: p.GetTasks(), PerTask: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
+		ImageGB: p.GetImageGb(), Zone: model.None, SameZone: p.GetTogether(), Spread: p.GetSpread(), Spot: p.GetSpot(),
+		Estimate: us(p.GetEstimateUs()), CheckpointInterval: us(p.GetCheckpointUs()), CheckpointTime: us(p.GetSaveUs()), Deadline: us(p.GetDeadlineUs()),
 		SubmittedMS: p.GetSubmittedMs()}
-	s.CanWait = !p.GetAimed() && c.names.CanWait(s.Class, s.Team)
+	s.BestEffort = !p.GetAimed() && c.names.CanWait(s.Class, s.Team)
 	if !p.GetAnyType() {
 		s.Types = []model.Name{}
 		for _, t := range p.GetTypes() {
@@ -145,16 +145,16 @@
 // Order encodes an order.
 func (c *Codec) Order(now time.Duration, o *model.Order) *peerpb.Down {
 	p := &peerpb.Order{Kind: uint32(o.Kind), Token: o.Token, Usable: o.Usable, Id: uint64(o.ID), Task: task(o.Task), Attempt: o.Attempt,
-		Job: uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.Keeper,
-		Aim: uint32(o.Aim), Prove: o.Prove, Session: o.Session, Seq: o.Seq}
+		Job: uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.RedirectTo,
+		Aim: uint32(o.Objective), Prove: o.VerifyFirst, Session: o.Session, Seq: o.Seq}
 	switch o.Kind {
-	case model.Own:
+	case model.OwnMachine:
 		p.Machine = c.machine(&o.Machine)
-	case model.Give:
-		d := &o.Deal
+	case model.AssignTask:
+		d := &o.Assignment
 		p.Task, p.Price, p.Id, p.Attempt = task(d.Task), d.Price, uint64(d.Machine), d.Attempt
-		p.Again, p.Checked = d.Again, d.Checked
-		p.WaitedUs = (now - d.Since).Microseconds()
+		p.Again, p.Checked = d.Redispatched, d.WithinLimits
+		p.WaitedUs = (now - d.WaitingSince).Microseconds()
 		if d.Zone != model.None {
 			z := c.names.Zones.Name(d.Zone)
 			p.Zone = &z
@@ -174,12 +174,12 @@
 	o := model.Order{Kind: model.OrderKind(p.GetKind()), Token: p.GetToken(), Usable: p.GetUsable(), ID: model.MachineID(p.GetId()),
 		Task: fromTask(p.GetTask()), Attempt: p.GetAttempt(), Job: model.JobID(p.GetJob()),
 		Price: p.GetPrice(), Count: int(p.GetCount()),
-		Keeper: p.GetKeeper(), Aim: model.Aim(p.GetAim()), Prove: p.GetProve(),
-		Numbers: model.Numbers{Session: p.GetSession(), Seq: p.GetSeq()}}
+		RedirectTo: p.GetKeeper(), Objective: model.Objective(p.GetAim()), VerifyFirst: p.GetProve(),
+		MessageID: model.MessageID{Session: p.GetSession(), Seq: p.GetSeq()}}
 	switch o.Kind {
-	case model.Own:
+	case model.OwnMachine:
 		o.Machine = c.fromMachine(p.GetMachine())
-	case model.Give:
+	case model.AssignTask:
 		if s := p.GetSpec(); s != nil {
 			c.specs[o.Task.Job] = c.fromSpec(s)
 		}
@@ -187,16 +187,16 @@
 		if sp == nil {
 			return o, fmt.Errorf("a task of %s came without its job", wire.JobName(o.Task.Job))
 		}
-		o.Deal = model.Deal{Task: o.Task, Spec: sp, Price: o.Price, Zone: model.None, Machine: o.ID, Attempt: o.Attempt,
-			Again: p.GetAgain(), Checked: p.GetChecked(), Since: now - time.Duration(p.GetWaitedUs())*time.Microsecond}
+		o.Assignment = model.Assignment{Task: o.Task, Spec: sp, Price: o.Price, Zone: model.None, Machine: o.ID, Attempt: o.Attempt,
+			Redispatched: p.GetAgain(), WithinLimits: p.GetChecked(), WaitingSince: now - time.Duration(p.GetWaitedUs())*time.Microsecond}
 		if p.Zone != nil {
-			o.Deal.Zone = c.names.Zones.ID(p.GetZone())
+			o.Assignment.Zone = c.names.Zones.ID(p.GetZone())
 		}
-	case model.Reprice:
+	case model.RepriceJob:
 		// Later deals of the job come without its description.
-		if sp := c.specs[o.Job]; sp != nil && o.Aim != model.AimKept {
+		if sp := c.specs[o.Job]; sp != nil && o.Objective != model.ObjectiveUnchanged {
 			again := *sp
-			again.CanWait = o.Aim == model.AimNo
+			again.BestEffort = o.Objective == model.NoObjective
 			c.specs[o.Job] = &again
 		}
 	case model.EndJob:
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -28,11 +28,11 @@
 	a, b := names(0), names(1)
 	from, to := NewCodec(a), NewCodec(b)
 	sp := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"), Rank: model.Urgent, Tasks: 3,
-		Each: model.Request(2, 1, 4), Types: []model.Name{a.Types.ID("g8")}, Zone: a.Zones.ID("z"), Spread: true, Spot: true,
-		Estimate: time.Minute, Checkpoint: time.Second, Save: 2 * time.Second, Deadline: time.Hour, SubmittedMS: 9}
-	deal := model.Deal{Task: model.Task{Job: 5, No: 2}, Spec: sp, Price: 300, Zone: sp.Zone, Since: 10 * time.Second, Machine: 8, Attempt: 99}
+		PerTask: model.Request(2, 1, 4), Types: []model.Name{a.Types.ID("g8")}, Zone: a.Zones.ID("z"), Spread: true, Spot: true,
+		Estimate: time.Minute, CheckpointInterval: time.Second, CheckpointTime: 2 * time.Second, Deadline: time.Hour, SubmittedMS: 9}
+	deal := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: sp, Price: 300, Zone: sp.Zone, WaitingSince: 10 * time.Second, Machine: 8, Attempt: 99}
 	for i := range 2 { // the job travels with its first task only
-		p := from.Order(15*time.Second, &model.Order{Kind: model.Give, Deal: deal}).GetOrder()
+		p := from.Order(15*time.Second, &model.Order{Kind: model.AssignTask, Assignment: deal}).GetOrder()
 		if (p.Spec != nil) != (i == 0) {
 			t.Fatalf("deal %d: spec %v", i, p.Spec)
 		}
@@ -41,12 +41,12 @@
 			t.Fatal(err)
 		}
 		want := deal
-		want.Since = 95 * time.Second // waits 5 s by either clock
+		want.WaitingSince = 95 * time.Second // waits 5 s by either clock
 		ws := *sp
 		ws.Class, ws.Team, ws.Image = b.Classes.ID("c"), b.Teams.ID("t"), b.Images.ID("img")
 		ws.Types, ws.Zone = []model.Name{b.Types.ID("g8")}, b.Zones.ID("z")
 		want.Spec, want.Zone = &ws, ws.Zone
-		if diff := cmp.Diff(want, got.Deal); diff != "" {
+		if diff := cmp.Diff(want, got.Assignment); diff != "" {
 			t.Fatal(diff)
 		}
 	}
@@ -54,16 +54,16 @@
 
 func TestEventsAndStatusCross(t *testing.T) {
 	a, b := names(0), names(1)
-	task := model.Task{Job: 7, No: 3}
-	e := model.Event{Kind: model.Found, Machine: 4, Task: task, Attempt: 1 << 60, Cell: model.Cell{Task: task, Attempt: 1 << 60, Stage: model.Exited, Cause: model.CauseDone},
-		Cause: model.CauseError, Token: 1 << 40, Held: true, Tasks: []model.Task{{Job: 1, No: 2}},
-		Ran: 3 * time.Second, On: []model.OnMachine{{Task: task, Stage: model.Saving, Ran: time.Minute, Stopping: true, Adopted: true}}}
+	task := model.Task{Job: 7, Index: 3}
+	e := model.Event{Kind: model.AttemptFound, Machine: 4, Task: task, Attempt: 1 << 60, Status: model.AttemptStatus{Task: task, Attempt: 1 << 60, Stage: model.Exited, Cause: model.CauseDone},
+		Cause: model.CauseError, Token: 1 << 40, Held: true, Tasks: []model.Task{{Job: 1, Index: 2}},
+		RunTime: 3 * time.Second, Placed: []model.PlacedTask{{Task: task, Stage: model.Saving, RunTime: time.Minute, Stopping: true, Adopted: true}}}
 	got := NewCodec(b).FromEvent(NewCodec(a).Event(&e).GetEvent())
 	if diff := cmp.Diff(e, got); diff != "" {
 		t.Fatal(diff)
 	}
 	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2, IdleSince: 8 * time.Second}}
-	jobs := map[model.JobID]model.JobCount{7: {Waiting: 1, Running: 2}}
+	jobs := map[model.JobID]model.TaskCounts{7: {Waiting: 1, Running: 2}}
 	up := NewCodec(a).Status(10*time.Second, ms, jobs, 5).GetStatus()
 	gotMS, gotJobs := NewCodec(b).FromStatus(20*time.Second, up)
 	ms[0].IdleSince = 18 * time.Second
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -184,12 +184,12 @@
 	sp := &model.Spec{
 		ID: id, Class: n.Classes.ID(*s.Class), Team: n.Teams.ID(*s.Team), Image: n.Images.ID(*s.Image),
 		Daemon: *s.Shape == "daemon", Rank: ranks[*s.Rank], Tasks: int32(*s.Tasks),
-		Each: model.Request(*s.CPUs, *s.GPUs, *s.MemGB), ImageGB: *s.ImageGB, Zone: model.None,
-		Together: *s.Together, Spread: *s.Spread, Spot: *s.Spot,
-		Estimate: Duration(*s.EstimateS), Checkpoint: Duration(*s.CheckpointS), Save: Duration(*s.SaveS),
+		PerTask: model.Request(*s.CPUs, *s.GPUs, *s.MemGB), ImageGB: *s.ImageGB, Zone: model.None,
+		SameZone: *s.Together, Spread: *s.Spread, Spot: *s.Spot,
+		Estimate: Duration(*s.EstimateS), CheckpointInterval: Duration(*s.CheckpointS), CheckpointTime: Duration(*s.SaveS),
 		SubmittedMS: s.SubmittedMS,
 	}
-	sp.CanWait = n.CanWait(sp.Class, sp.Team)
+	sp.BestEffort = n.CanWait(sp.Class, sp.Team)
 	if s.DeadlineS != nil {
 		sp.Deadline = Duration(*s.DeadlineS)
 	}
@@ -239,7 +239,7 @@
 var stages = map[string]model.Stage{"fetching": model.Fetching, "running": model.Running, "saving": model.Saving, "exited": model.Exited}
 
 var causes = map[string]model.Cause{"done": model.CauseDone, "stopped": model.CauseStopped, "error": model.CauseError,
-	"no_room": model.CauseNoRoom, "busy": model.CauseBusy, "unknown": model.CauseUnknown}
+	"no_room": model.CauseNoCapacity, "busy": model.CauseBusy, "unknown": model.CauseUnknown}
 
 // RawReport is a worker's report before its names are looked up, so that the
 // costly parsing needs no lock.
@@ -266,11 +266,11 @@
 	}
 	out := &model.Report{
 		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Breed), Zone: n.Zones.ID(b.Yard), Spot: b.SwarmBoxes},
-		Session: b.Flight, Seq: b.Buzz, Token: b.QueenMark, Notice: -1,
-		Cells: make([]model.Cell, 0, len(b.Cells)),
+		Session: b.Flight, Seq: b.Buzz, Token: b.QueenMark, PreemptionNotice: -1,
+		Attempts: make([]model.AttemptStatus, 0, len(b.Cells)),
 	}
 	if b.SmokeS != nil {
-		out.Notice = Duration(max(0, *b.SmokeS))
+		out.PreemptionNotice = Duration(max(0, *b.SmokeS))
 	}
 	for _, c := range b.Cells {
 		t, err := parseTask(c.Cell)
@@ -282,7 +282,7 @@
 			// A stage of other days' protocols still occupies the machine.
 			st = model.Running
 		}
-		out.Cells = append(out.Cells, model.Cell{Task: t, Attempt: c.Brood, Stage: st, Cause: causes[c.Cause], Saved: c.Saved})
+		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Brood, Stage: st, Cause: causes[c.Cause], Saved: c.Saved})
 	}
 	return out, nil
 }
@@ -300,11 +300,11 @@
 	if err != nil || k < 0 {
 		return model.Task{}, fmt.Errorf("task %q", s)
 	}
-	return model.Task{Job: id, No: int32(k)}, nil
+	return model.Task{Job: id, Index: int32(k)}, nil
 }
 
 // TaskName is the name of a task.
-func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.No)) }
+func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
 type dance struct {
 	Dance   string   `json:"Dance"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -63,10 +63,10 @@
 		t.Fatal(err)
 	}
 	want := &model.Report{Machine: model.Machine{ID: 231, Addr: "10.1.0.232:9000", Type: 1, Zone: 0, Spot: true}, Session: 1, Seq: 88, Token: 41,
-		Notice: 2500e6, Cells: []model.Cell{
-			{Task: model.Task{Job: 412, No: 3}, Attempt: 2, Stage: model.Running},
+		PreemptionNotice: 2500e6, Attempts: []model.AttemptStatus{
+			{Task: model.Task{Job: 412, Index: 3}, Attempt: 2, Stage: model.Running},
 			{Task: model.Task{Job: 398}, Attempt: 1, Stage: model.Exited, Cause: model.CauseDone},
-			{Task: model.Task{Job: 398, No: 1}, Attempt: 1<<64 - 1, Stage: model.Exited, Cause: model.CauseStopped, Saved: true}}}
+			{Task: model.Task{Job: 398, Index: 1}, Attempt: 1<<64 - 1, Stage: model.Exited, Cause: model.CauseStopped, Saved: true}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
