--- a/internal/core/dispatcher/adoption_test.go
+++ b/internal/core/dispatcher/adoption_test.go
@@ -9,7 +9,7 @@
 )
 
 func (r *rig) finds(now time.Duration, from model.ShardID, on model.MachineID, t model.Task, attempt uint64) {
-	r.d.Event(now, from, model.Event{Kind: model.AttemptFound, Machine: on, Task: t, Attempt: attempt,
+	r.d.HandleEvent(now, from, model.Event{Kind: model.AttemptFound, Machine: on, Task: t, Attempt: attempt,
 		Status: model.AttemptStatus{Task: t, Attempt: attempt, Stage: model.Running}})
 }
 
@@ -21,9 +21,9 @@
 	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.job(1, 2, false)
-	r.d.Orders()
+	r.d.TakeOrders()
 	r.finds(time.Second, s, 1, model.Task{Job: 1}, 77)
-	orders := r.d.Orders()
+	orders := r.d.TakeOrders()
 	if len(orders) != 1 || orders[0].Kind != model.KillAttempt {
 		t.Fatalf("orders %+v, want it stopped", orders)
 	}
@@ -83,11 +83,11 @@
 			r := newRig(t, c.limit)
 			s := r.d.AddShard(0, "a")
 			r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Zone: here}, {ID: 2, Addr: "x", Zone: there}})
-			r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
-			r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 2})
+			r.d.HandleEvent(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
+			r.d.HandleEvent(0, s, model.Event{Kind: model.MachineRemembered, Machine: 2})
 			sp := r.job(1, c.tasks, true)
 			sp.SameZone, sp.Spread = c.together, c.spread
-			r.d.Orders()
+			r.d.TakeOrders()
 			for i, zone := range c.found {
 				r.finds(time.Second, s, model.MachineID(zone)+1, model.Task{Job: 1, Index: int32(i)}, uint64(70+i))
 			}
--- a/internal/core/dispatcher/broken_test.go
+++ b/internal/core/dispatcher/broken_test.go
@@ -25,7 +25,7 @@
 	}
 	now := 2 * time.Second
 	fail := func(o model.Order, on model.MachineID) {
-		r.d.Event(now, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: on})
+		r.d.HandleEvent(now, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: on})
 	}
 	for i, o := range dealt {
 		fail(o, model.MachineID(i%2))
@@ -60,7 +60,7 @@
 	if len(probe) != 1 {
 		t.Fatalf("given up after %v", tries)
 	}
-	r.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 3, Task: probe[0].Assignment.Task, Attempt: 9, Held: true})
+	r.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 3, Task: probe[0].Assignment.Task, Attempt: 9, Held: true})
 	r.status(now, s, 0, 1, 2, 3)
 	r.d.Dispatch(now)
 	if n := len(r.orders(model.AssignTask)); n != int(sp.Tasks)-1 {
@@ -77,7 +77,7 @@
 	r.job(1, 4, false)
 	r.d.Dispatch(time.Second)
 	for _, o := range r.orders(model.AssignTask) {
-		r.d.Event(time.Second, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: 1})
+		r.d.HandleEvent(time.Second, s, model.Event{Kind: model.TaskReturned, Task: o.Assignment.Task, Cause: model.CauseError, Machine: 1})
 	}
 	r.status(time.Second, s, 1)
 	r.d.Dispatch(time.Second)
--- a/internal/core/dispatcher/chunks_test.go
+++ b/internal/core/dispatcher/chunks_test.go
@@ -17,7 +17,7 @@
 	r.machine(0, 1, shard)
 	r.job(4, 3, false)
 	finish := func(no int32) {
-		r.d.Event(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 4, Index: no},
+		r.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 4, Index: no},
 			Attempt: 9})
 	}
 	write := func(now time.Duration, version uint64, bits byte) Write {
@@ -41,7 +41,7 @@
 
 	// Should the first have got through meanwhile, the next finds its version.
 	r.job(5, 3, false)
-	r.d.Event(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5}, Attempt: 8})
+	r.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5}, Attempt: 8})
 	ws := r.d.ProgressWrites(3*time.Minute, 9)
 	r.d.WriteDone(3*time.Minute, ws[0], 70, false, true)
 	if ws = r.d.ProgressWrites(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -18,15 +18,15 @@
 
 // Params of a dealer.
 type Params struct {
-	Term             uint64
-	Teams            []Team // by the team's index
-	ChunkSize        int32  // tasks per stored chunk of a job's done set
-	BlockSize        uint64 // machines per stored block of records, in the layout of 0.4 and before
-	ProgressInterval time.Duration
-	DispatchAhead    int // tasks of a job dealt beyond the free room, to find victims
-	MaxLease         time.Duration
-	MinOverload      int           // machines that are no great load for a controller
-	StartWithin      time.Duration // a job's first task should begin within so long; 0: whenever
+	Term                uint64
+	Teams               []Team // by the team's index
+	ChunkSize           int32  // tasks per stored chunk of a job's done set
+	BlockSize           uint64 // machines per stored block of records, in the layout of 0.4 and before
+	ProgressInterval    time.Duration
+	DispatchAhead       int // tasks of a job dealt beyond the free room, to find victims
+	MaxLease            time.Duration
+	MinOverloadMachines int           // machines that are no great load for a controller
+	StartWithin         time.Duration // a job's first task should begin within so long; 0: whenever
 	// ReportInterruptions: it is to be told which tasks are out of work, and when they run again.
 	ReportInterruptions bool
 }
@@ -92,8 +92,8 @@
 		strays: map[uint64]stray{}, usage: make([]model.Resources, len(p.Teams)), types: map[model.Name]model.MachineType{}}
 }
 
-// Orders takes away what shards must be told.
-func (d *Dispatcher) Orders() []model.Order {
+// TakeOrders takes away what shards must be told.
+func (d *Dispatcher) TakeOrders() []model.Order {
 	o := d.orders
 	d.orders = nil
 	return o
@@ -140,9 +140,9 @@
 	return 0
 }
 
-// Status takes a shard's summary of the machines that have changed since its
+// UpdateStatus takes a shard's summary of the machines that have changed since its
 // last one.
-func (d *Dispatcher) Status(now time.Duration, id model.ShardID, status []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, acked uint64) {
+func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, acked uint64) {
 	m := d.members[id]
 	if m == nil {
 		return
@@ -174,8 +174,8 @@
 // known tells whether the machine's owner has told how it is.
 func (m *machine) known() bool { return m.told == m.owner && m.owner != 0 }
 
-// Machines is what all shards last said of their machines.
-func (d *Dispatcher) Machines() []model.MachineStatus {
+// MachineStatuses is what all shards last said of their machines.
+func (d *Dispatcher) MachineStatuses() []model.MachineStatus {
 	out := make([]model.MachineStatus, 0, len(d.byID))
 	for _, m := range d.byID {
 		if m.known() {
@@ -221,8 +221,8 @@
 	return ended
 }
 
-// Event takes an event of a shard.
-func (d *Dispatcher) Event(now time.Duration, from model.ShardID, e model.Event) {
+// HandleEvent takes an event of a shard.
+func (d *Dispatcher) HandleEvent(now time.Duration, from model.ShardID, e model.Event) {
 	s := d.members[from]
 	if s == nil {
 		return
--- a/internal/core/dispatcher/dispatcher_test.go
+++ b/internal/core/dispatcher/dispatcher_test.go
@@ -17,7 +17,7 @@
 
 func newRig(t *testing.T, limitCPUs float64) *rig {
 	d := New(Params{Term: 3, Teams: []Team{{Limit: model.Capacity(limitCPUs, 0, 0)}}, ChunkSize: 64,
-		BlockSize: 64, DispatchAhead: 2, MaxLease: sure, MinOverload: 8}, 5*time.Second)
+		BlockSize: 64, DispatchAhead: 2, MaxLease: sure, MinOverloadMachines: 8}, 5*time.Second)
 	d.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 64)}})
 	return &rig{t, d}
 }
@@ -30,7 +30,7 @@
 
 func (r *rig) orders(k model.OrderKind) []model.Order {
 	var out []model.Order
-	for _, o := range r.d.Orders() {
+	for _, o := range r.d.TakeOrders() {
 		if o.Kind == k {
 			out = append(out, o)
 		}
@@ -41,11 +41,11 @@
 // machine makes a recorded machine of the shard's, with room.
 func (r *rig) machine(now time.Duration, id model.MachineID, to model.ShardID) {
 	m := model.Machine{ID: id, Addr: "x"}
-	r.d.Event(now, to, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
+	r.d.HandleEvent(now, to, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 	for _, w := range r.d.Writes(now, 10) {
 		r.d.WriteDone(now, w, 50, true, false)
 	}
-	r.d.Event(now, to, model.Event{Kind: model.WorkerFenced, Machine: id})
+	r.d.HandleEvent(now, to, model.Event{Kind: model.WorkerFenced, Machine: id})
 }
 
 func (r *rig) status(now time.Duration, to model.ShardID, ids ...model.MachineID) {
@@ -53,7 +53,7 @@
 	for _, id := range ids {
 		st = append(st, model.MachineStatus{Machine: model.Machine{ID: id}, Avail: model.Capacity(8, 0, 64), Ready: true})
 	}
-	r.d.Status(now, to, st, nil, r.d.AssignmentsSent(to))
+	r.d.UpdateStatus(now, to, st, nil, r.d.AssignmentsSent(to))
 }
 
 func TestQuotaIsChargedWhenDealt(t *testing.T) {
@@ -71,7 +71,7 @@
 	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d more dealt", n)
 	}
-	r.d.Event(3*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: 0}, Attempt: 1, Held: true})
+	r.d.HandleEvent(3*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: 0}, Attempt: 1, Held: true})
 	r.status(3*time.Second, s, 1)
 	r.d.Dispatch(3 * time.Second)
 	if n := len(r.orders(model.AssignTask)); n != 1 {
@@ -84,7 +84,7 @@
 	r := newRig(t, 100)
 	s := r.d.AddShard(0, "a")
 	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
-	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
+	r.d.HandleEvent(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	old := r.job(1, 2, true)
@@ -101,7 +101,7 @@
 	if len(gives) != 1 || gives[0].Assignment.Attempt != 77 {
 		t.Fatalf("%v, want the found attempt adopted", gives)
 	}
-	r.d.Event(time.Second, s, model.Event{Kind: model.WorkerFenced, Machine: 1})
+	r.d.HandleEvent(time.Second, s, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	if !r.d.Recovered() {
 		t.Fatal("all machines are accounted for")
 	}
@@ -119,7 +119,7 @@
 	r := newRig(t, 9)
 	s := r.d.AddShard(0, "a")
 	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x"}})
-	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
+	r.d.HandleEvent(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	r.job(2, 4, false)
@@ -134,7 +134,7 @@
 	r := newRig(t, 1000)
 	s := r.d.AddShard(0, "a")
 	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 1, Addr: "x", Type: 9}})
-	r.d.Event(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
+	r.d.HandleEvent(0, s, model.Event{Kind: model.MachineRemembered, Machine: 1})
 	r.machine(0, 2, s)
 	r.status(0, s, 2)
 	r.job(2, 4, false)
@@ -154,7 +154,7 @@
 	r.status(0, a, 1)
 	r.job(1, 2, false)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	r.d.ShardLost(a, 8*time.Second)
 	r.status(2*time.Second, b, 2)
 	r.d.Tick(17 * time.Second)
@@ -180,16 +180,16 @@
 	r.status(0, a, 1)
 	r.job(1, 1, false)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	rep := &model.Report{Machine: model.Machine{ID: 1}}
-	r.d.Event(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: rep})
-	got := r.d.Orders()
+	r.d.HandleEvent(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: rep})
+	got := r.d.TakeOrders()
 	if len(got) != 1 || got[0].Kind != model.ReleaseMachine || got[0].To != a {
 		t.Fatalf("orders %+v, want the old owner asked to let go", got)
 	}
 	// What the old owner finds before it lets go must not be adopted there.
 	task := model.Task{Job: 1, Index: 0}
-	r.d.Event(time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{task}})
+	r.d.HandleEvent(time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{task}})
 	own := r.orders(model.OwnMachine)
 	if len(own) != 1 || own[0].To != b || own[0].Token <= first[0].Token {
 		t.Fatalf("orders %+v, want a higher token for b", own)
@@ -198,7 +198,7 @@
 	if g := r.orders(model.AssignTask); len(g) != 1 || g[0].To != b || g[0].Assignment.Attempt != 9 {
 		t.Fatalf("orders %+v, want it adopted at b", g)
 	}
-	r.d.Event(2*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
+	r.d.HandleEvent(2*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	r.status(2*time.Second, b, 1)
 	r.d.Dispatch(3 * time.Second)
 	if g := r.orders(model.AssignTask); len(g) != 0 {
@@ -211,7 +211,7 @@
 	s := r.d.AddShard(0, "a")
 	r.machine(0, 1, s)
 	r.machine(0, 2, s)
-	r.d.Orders()
+	r.d.TakeOrders()
 	task := model.Task{Job: 99, Index: 0}
 	r.finds(0, s, 1, task, 5)
 	if o := r.orders(model.KillAttempt); len(o) != 1 {
@@ -223,7 +223,7 @@
 	if n := len(r.orders(model.AssignTask)); n != 0 {
 		t.Fatalf("%d dealt beside an attempt of unknown team", n)
 	}
-	r.d.Event(time.Second, s, model.Event{Kind: model.RejectedAttemptGone, Task: task, Attempt: 5})
+	r.d.HandleEvent(time.Second, s, model.Event{Kind: model.RejectedAttemptGone, Task: task, Attempt: 5})
 	r.status(time.Second, s, 2)
 	r.d.Dispatch(2 * time.Second)
 	if n := len(r.orders(model.AssignTask)); n != 4 {
@@ -238,9 +238,9 @@
 	r.status(0, s, 1)
 	r.job(1, 2, false)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	done := func(no int32) {
-		r.d.Event(2*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: no}, Attempt: uint64(no) + 1, Held: true})
+		r.d.HandleEvent(2*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 1, Index: no}, Attempt: uint64(no) + 1, Held: true})
 	}
 	done(0)
 	w := r.d.Writes(2*time.Second, 10)
@@ -278,12 +278,12 @@
 	s := r.d.AddShard(0, "a")
 	for id := range model.MachineID(4) {
 		m := model.Machine{ID: id, Zone: model.Name(id % 2)}
-		r.d.Event(0, s, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
+		r.d.HandleEvent(0, s, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 	}
 	for _, w := range r.d.Writes(0, 10) {
 		r.d.WriteDone(0, w, 9, true, false)
 	}
-	r.d.Orders()
+	r.d.TakeOrders()
 	zones := func() map[model.Name]int {
 		z := map[model.Name]int{}
 		for _, o := range r.orders(model.AssignTask) {
@@ -301,7 +301,7 @@
 	sp = &model.Spec{ID: 2, Tasks: 5, PerTask: model.Request(2, 0, 1), Zone: model.None, Spread: true}
 	r.d.AddJob(0, sp, 2, 0, false)
 	r.status(time.Second, s, 0, 2) // room in one zone only
-	r.d.Status(time.Second, s, []model.MachineStatus{{Machine: model.Machine{ID: 1}}, {Machine: model.Machine{ID: 3}}}, nil, r.d.AssignmentsSent(s))
+	r.d.UpdateStatus(time.Second, s, []model.MachineStatus{{Machine: model.Machine{ID: 1}}, {Machine: model.Machine{ID: 3}}}, nil, r.d.AssignmentsSent(s))
 	r.d.JobRemoved(1)
 	r.d.Dispatch(2 * time.Second)
 	if z := zones(); z[0] != 3 || z[1] != 0 {
@@ -329,7 +329,7 @@
 	for id := range model.MachineID(5) {
 		r.machine(0, id, a)
 	}
-	r.d.Event(0, a, model.Event{Kind: model.TokenNeeded, Machine: 1})
+	r.d.HandleEvent(0, a, model.Event{Kind: model.TokenNeeded, Machine: 1})
 	var tokens []uint64
 	for _, o := range r.orders(model.OwnMachine) {
 		tokens = append(tokens, o.Token)
@@ -349,11 +349,11 @@
 	r.machine(0, 1, s)
 	token := r.orders(model.OwnMachine)[0].Token
 	lapse := func(now time.Duration) {
-		r.d.Event(now, s, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: token})
+		r.d.HandleEvent(now, s, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: token})
 		if o := r.orders(model.ConfirmLeaseExpiry); len(o) != 1 {
 			t.Fatalf("orders %v, want the shard asked to confirm", o)
 		}
-		r.d.Event(now, s, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: token})
+		r.d.HandleEvent(now, s, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: token})
 		if o := r.orders(model.SetUsable); len(o) != 1 || o[0].Usable {
 			t.Fatalf("orders %v, want nothing placed there", o)
 		}
@@ -364,7 +364,7 @@
 		t.Fatalf("writes %+v, want it out of its block, at the block's version", w)
 	}
 	// No answer; meanwhile the worker is back.
-	r.d.Event(21*time.Second, s, model.Event{Kind: model.WorkerBack, Machine: 1})
+	r.d.HandleEvent(21*time.Second, s, model.Event{Kind: model.WorkerBack, Machine: 1})
 	if o := r.orders(model.SetUsable); len(o) != 1 || o[0].Usable {
 		t.Fatalf("orders %v: used without a record", o)
 	}
@@ -401,7 +401,7 @@
 	for id := range model.MachineID(6) {
 		r.machine(0, id, a)
 	}
-	r.d.Orders()
+	r.d.TakeOrders()
 	r.d.Tick(5 * time.Second)
 	if o := r.orders(model.ReleaseMachine); len(o) != 0 {
 		t.Fatalf("%v moved to a shard that has just joined", o)
@@ -416,11 +416,11 @@
 		t.Fatalf("%v while one is on its way", o)
 	}
 	id := o[0].ID
-	r.d.Event(15*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: id})
+	r.d.HandleEvent(15*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: id})
 	// It comes back to a.
-	r.d.Event(16*time.Second, a, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: model.Machine{ID: id}}})
-	r.d.Event(16*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: id})
-	r.d.Orders()
+	r.d.HandleEvent(16*time.Second, a, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: model.Machine{ID: id}}})
+	r.d.HandleEvent(16*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: id})
+	r.d.TakeOrders()
 	r.d.Tick(30 * time.Second)
 	if o := r.orders(model.ReleaseMachine); len(o) != 0 {
 		t.Fatalf("%v sent to a controller that its zone can't reach", o)
@@ -440,7 +440,7 @@
 	for id := range model.MachineID(6) {
 		r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: id, Addr: "x"}})
 	}
-	r.d.Event(0, a, model.Event{Kind: model.MachineRemembered, Machine: 0})
+	r.d.HandleEvent(0, a, model.Event{Kind: model.MachineRemembered, Machine: 0})
 	if o := r.orders(model.OwnMachine); len(o) != 1 || o[0].To != a {
 		t.Fatalf("orders %v, want the machine with the shard that remembers it", o)
 	}
@@ -469,15 +469,15 @@
 	r.status(0, a, 1, 2)
 	r.job(1, 8, false)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	r.d.MachineGone(1)
 	r.d.ShardLost(a, 2*time.Second)
 	for _, w := range r.d.Writes(2*time.Second, 10) {
 		r.d.WriteDone(2*time.Second, w, 60, true, false)
 	}
-	r.d.Event(3*time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 2, Report: &model.Report{Machine: model.Machine{ID: 2}}})
-	r.d.Event(4*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 2})
-	r.d.Orders()
+	r.d.HandleEvent(3*time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 2, Report: &model.Report{Machine: model.Machine{ID: 2}}})
+	r.d.HandleEvent(4*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 2})
+	r.d.TakeOrders()
 	r.status(5*time.Second, b, 2)
 	r.d.Dispatch(5 * time.Second)
 	if n := len(r.orders(model.AssignTask)); n < 4 {
@@ -496,13 +496,13 @@
 	r.status(0, a, 1)
 	r.job(1, 1, false)
 	r.d.Dispatch(time.Second)
-	r.d.Event(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: &model.Report{Machine: model.Machine{ID: 1}}})
+	r.d.HandleEvent(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: &model.Report{Machine: model.Machine{ID: 1}}})
 	r.d.MachineGone(1)
 	for _, w := range r.d.Writes(time.Second, 10) {
 		r.d.WriteDone(time.Second, w, 60, true, false)
 	}
-	r.d.Event(2*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{{Job: 1}}})
-	r.d.Orders()
+	r.d.HandleEvent(2*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{{Job: 1}}})
+	r.d.TakeOrders()
 	r.status(3*time.Second, b, 2)
 	r.d.Dispatch(3 * time.Second)
 	if g := r.orders(model.AssignTask); len(g) != 1 || g[0].To != b {
--- a/internal/core/dispatcher/job_holds.go
+++ b/internal/core/dispatcher/job_holds.go
@@ -19,8 +19,8 @@
 	return j != nil && j.waits
 }
 
-// Version is that of an open job's record, 0 if there is none.
-func (d *Dispatcher) Version(id model.JobID) uint64 {
+// JobVersion is that of an open job's record, 0 if there is none.
+func (d *Dispatcher) JobVersion(id model.JobID) uint64 {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		return j.version
 	}
--- a/internal/core/dispatcher/job_holds_test.go
+++ b/internal/core/dispatcher/job_holds_test.go
@@ -54,7 +54,7 @@
 	sp.BestEffort = true
 	r.status(time.Second, s, 1)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	for i, c := range []struct {
 		rank  model.Rank
 		aimed bool
--- a/internal/core/dispatcher/machines.go
+++ b/internal/core/dispatcher/machines.go
@@ -184,9 +184,9 @@
 	return out
 }
 
-// UnaccountedUnresponsive tells whether each machine of earlier terms that is not accounted
+// AllUnaccountedUnresponsive tells whether each machine of earlier terms that is not accounted
 // for has left a command unanswered.
-func (d *Dispatcher) UnaccountedUnresponsive() bool {
+func (d *Dispatcher) AllUnaccountedUnresponsive() bool {
 	for id := range d.suspects {
 		if !d.machines[id].unanswered {
 			return false
@@ -206,8 +206,8 @@
 	return out
 }
 
-// Owners are the owners of all machines that have one.
-func (d *Dispatcher) Owners() (out []model.ShardID) {
+// MachineOwners are the owners of all machines that have one.
+func (d *Dispatcher) MachineOwners() (out []model.ShardID) {
 	for _, m := range d.byID {
 		if m.owner != 0 && !m.gone {
 			out = append(out, m.owner)
--- a/internal/core/dispatcher/overloaded.go
+++ b/internal/core/dispatcher/overloaded.go
@@ -41,7 +41,7 @@
 	}
 	loads := d.loads(now)
 	part := float64(len(d.byID)) / float64(len(d.members))
-	if float64(loads[from]) < max(part*crowdedTimes, float64(d.p.MinOverload)) {
+	if float64(loads[from]) < max(part*crowdedTimes, float64(d.p.MinOverloadMachines)) {
 		return false
 	}
 	to := d.members[m.owner]
--- a/internal/core/dispatcher/overloaded_test.go
+++ b/internal/core/dispatcher/overloaded_test.go
@@ -11,8 +11,8 @@
 // told to go, "" if nowhere.
 func (r *rig) arrive(now time.Duration, id model.MachineID, at model.ShardID) (keeper string) {
 	m := model.Machine{ID: id, Addr: "x"}
-	r.d.Event(now, at, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
-	for _, o := range r.d.Orders() {
+	r.d.HandleEvent(now, at, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
+	for _, o := range r.d.TakeOrders() {
 		if o.Kind == model.RedirectWorker && o.To == at && o.ID == id {
 			keeper = o.RedirectTo
 		}
@@ -53,7 +53,7 @@
 		t.Fatalf("nobody was sent to the empty shard")
 	}
 	r.arrive(6*time.Second, sent, a)
-	r.d.Event(6*time.Second, b, model.Event{Kind: model.MachineReleased, Machine: sent})
+	r.d.HandleEvent(6*time.Second, b, model.Event{Kind: model.MachineReleased, Machine: sent})
 	if m := r.d.machines[sent]; m.owner != a {
 		t.Errorf("the worker that came back has owner %d, want %d", m.owner, a)
 	}
@@ -74,7 +74,7 @@
 			t.Fatalf("machine %d is sent to %s, which heard nobody for %v", id, k, heardLately)
 		}
 	}
-	r.d.Event(heardLately+3*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 0})
+	r.d.HandleEvent(heardLately+3*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 0})
 	if k := r.arrive(heardLately+4*time.Second, 100, a); k != "b" {
 		t.Errorf("b hears its workers again, and machine 100 is sent to %q", k)
 	}
@@ -87,12 +87,12 @@
 	a := r.d.AddShard(0, "a")
 	r.machine(0, 1, a)
 	r.machine(0, 2, a)
-	r.d.Event(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 1})
-	r.d.Event(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 2, Held: true})
+	r.d.HandleEvent(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 1})
+	r.d.HandleEvent(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 2, Held: true})
 	if got := r.d.UnreachableMachines(); len(got) != 1 || got[0] != 2 {
 		t.Errorf("deaf: %v, want machine 2", got)
 	}
-	r.d.Event(2*time.Second, a, model.Event{Kind: model.WorkerBack, Machine: 2})
+	r.d.HandleEvent(2*time.Second, a, model.Event{Kind: model.WorkerBack, Machine: 2})
 	if got := r.d.UnreachableMachines(); len(got) != 0 {
 		t.Errorf("deaf: %v after it was heard", got)
 	}
--- a/internal/core/dispatcher/reachability.go
+++ b/internal/core/dispatcher/reachability.go
@@ -56,7 +56,7 @@
 	held := d.heldBack[m.ID]
 	delete(d.heldBack, m.ID)
 	for i := range held {
-		d.Event(now, from, held[i])
+		d.HandleEvent(now, from, held[i])
 	}
 }
 
--- a/internal/core/dispatcher/reachability_test.go
+++ b/internal/core/dispatcher/reachability_test.go
@@ -11,7 +11,7 @@
 // let go of it.
 func (r *rig) comes(now time.Duration, to model.ShardID, session uint64, let model.Event) []model.Order {
 	r.t.Helper()
-	r.d.Event(now, to, model.Event{Kind: model.UnownedWorker, Machine: 1,
+	r.d.HandleEvent(now, to, model.Event{Kind: model.UnownedWorker, Machine: 1,
 		MessageID: model.MessageID{Session: session, Seq: uint64(now)},
 		Report:    &model.Report{Machine: model.Machine{ID: 1, Addr: "x"}}})
 	rel := r.orders(model.ReleaseMachine)
@@ -19,7 +19,7 @@
 		r.t.Fatalf("%+v, want it asked for under the report's numbers", rel)
 	}
 	let.Kind, let.Machine = model.MachineReleased, 1
-	r.d.Event(now, rel[0].To, let)
+	r.d.HandleEvent(now, rel[0].To, let)
 	return r.orders(model.OwnMachine)
 }
 
@@ -45,19 +45,19 @@
 		t.Fatal("it is moved on before its owner could ask")
 	}
 	r.comes(21*s, b, 4, model.Event{Held: true}) // a never answered
-	r.d.Event(22*s, b, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: r.d.machines[1].token})
+	r.d.HandleEvent(22*s, b, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: r.d.machines[1].token})
 	if o := r.orders(model.ConfirmLeaseExpiry); len(o) != 0 {
 		t.Fatal("its lease counts as over 7 s after it may have been answered")
 	}
-	r.d.Event(26*s, b, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: r.d.machines[1].token})
+	r.d.HandleEvent(26*s, b, model.Event{Kind: model.LeaseExpired, Machine: 1, Token: r.d.machines[1].token})
 	if o := r.orders(model.ConfirmLeaseExpiry); len(o) != 1 {
 		t.Fatal("its lease, from the last answer that may have arrived, is over")
 	}
-	r.d.Event(26*s, b, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: r.d.machines[1].token})
+	r.d.HandleEvent(26*s, b, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: r.d.machines[1].token})
 	if j := r.d.jobs[1]; len(j.held) != 0 {
 		t.Fatal("its task is not free")
 	}
-	r.d.Event(27*s, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
+	r.d.HandleEvent(27*s, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	if r.d.machines[1].toProve() {
 		t.Error("it has been shown to hear")
 	}
@@ -65,9 +65,9 @@
 
 // comesNot tells whether a report that comes in elsewhere moves the machine.
 func (d *Dispatcher) comesNot(now time.Duration, to model.ShardID) bool {
-	d.Event(now, to, model.Event{Kind: model.UnownedWorker, Machine: 1,
+	d.HandleEvent(now, to, model.Event{Kind: model.UnownedWorker, Machine: 1,
 		Report: &model.Report{Machine: model.Machine{ID: 1, Addr: "x"}}})
-	return len(d.Orders()) > 0
+	return len(d.TakeOrders()) > 0
 }
 
 // A copy that comes in elsewhere changes no owner.
@@ -81,11 +81,11 @@
 	// What it tells before it has decided counts if it keeps the machine: a new leader
 	// once waited for ever for a machine that had been fenced in that moment.
 	r.d.suspects[1] = true
-	r.d.Event(5*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: 1})
+	r.d.HandleEvent(5*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	if r.d.Recovered() {
 		t.Fatal("taken from a shard that is to let go")
 	}
-	r.d.Event(5*time.Second, a, model.Event{Kind: model.MachineKept, Machine: 1})
+	r.d.HandleEvent(5*time.Second, a, model.Event{Kind: model.MachineKept, Machine: 1})
 	if !r.d.Recovered() {
 		t.Fatal("waits for ever")
 	}
--- a/internal/core/dispatcher/rebalance_test.go
+++ b/internal/core/dispatcher/rebalance_test.go
@@ -22,10 +22,10 @@
 	r.status(0, a, 0)
 	r.job(1, 40, false)
 	r.d.Dispatch(time.Second)
-	r.d.Orders()
+	r.d.TakeOrders()
 	now := 3 * time.Second
 	little := model.MachineStatus{Machine: model.Machine{ID: 0}, Avail: model.Capacity(2, 0, 64), Ready: true}
-	r.d.Status(now, a, []model.MachineStatus{little},
+	r.d.UpdateStatus(now, a, []model.MachineStatus{little},
 		map[model.JobID]model.TaskCounts{1: {Waiting: 9}}, r.d.AssignmentsSent(a))
 	r.status(now, b, 1, 2, 3) // room for twelve
 	r.d.Dispatch(now)
--- a/internal/core/dispatcher/scale_test.go
+++ b/internal/core/dispatcher/scale_test.go
@@ -22,8 +22,8 @@
 			full[i] = model.MachineStatus{Machine: model.Machine{ID: model.MachineID(i)}, Ready: true}
 		}
 		full[0].Avail = model.Capacity(8, 0, 64)
-		r.d.Status(0, s, full, nil, 0)
-		r.d.Orders()
+		r.d.UpdateStatus(0, s, full, nil, 0)
+		r.d.TakeOrders()
 		now, id := time.Second, model.JobID(1)
 		return testing.AllocsPerRun(20, func() {
 			now += 2 * time.Second
@@ -54,9 +54,9 @@
 			to = b
 		}
 		r.machine(0, id, to)
-		r.d.Status(0, to, []model.MachineStatus{{Machine: model.Machine{ID: id}, Ready: true}}, nil, 0)
+		r.d.UpdateStatus(0, to, []model.MachineStatus{{Machine: model.Machine{ID: id}, Ready: true}}, nil, 0)
 	}
-	r.d.Orders()
+	r.d.TakeOrders()
 	r.job(1, 100, false)
 	r.d.Dispatch(time.Second)
 	to := map[model.ShardID]int{}
@@ -92,7 +92,7 @@
 			}
 			given[no] = true
 			done++
-			r.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: uint64(no), Held: true})
+			r.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: uint64(no), Held: true})
 		}
 		for _, w := range r.d.Writes(now, 10) {
 			if w.Kind != PutChunk {
@@ -120,7 +120,7 @@
 				t.Fatalf("task %d, stored as done, is dealt again", o.Assignment.Task.Index)
 			}
 			done++
-			next.d.Event(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1, Held: true})
+			next.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1, Held: true})
 		}
 	}
 	if done != tasks {
@@ -150,7 +150,7 @@
 		return nil
 	}
 	run := func(id model.JobID, no int32) {
-		r.d.Event(time.Minute, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: id, Index: no},
+		r.d.HandleEvent(time.Minute, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: id, Index: no},
 			Attempt: uint64(no)})
 	}
 	r.job(1, 2, false)
--- a/internal/core/dispatcher/starvation_test.go
+++ b/internal/core/dispatcher/starvation_test.go
@@ -23,7 +23,7 @@
 	r.d.AddJob(10*time.Second, urgent, 9, 0, false)
 	r.status(61*time.Second, a, 1)
 	r.d.Dispatch(61 * time.Second)
-	orders := r.d.Orders()
+	orders := r.d.TakeOrders()
 	var first model.JobID
 	told := 0
 	for _, o := range orders {
@@ -49,7 +49,7 @@
 	if n := again(72 * time.Second); n != 1 {
 		t.Errorf("told %d times more after 11 s", n)
 	}
-	r.d.Status(73*time.Second, a, nil, map[model.JobID]model.TaskCounts{1: {Running: 1}}, r.d.AssignmentsSent(a))
+	r.d.UpdateStatus(73*time.Second, a, nil, map[model.JobID]model.TaskCounts{1: {Running: 1}}, r.d.AssignmentsSent(a))
 	if n := again(90 * time.Second); n != 0 || r.d.jobs[1].late {
 		t.Error("told once more though it has begun")
 	}
@@ -62,7 +62,7 @@
 	r.d.p.StartWithin = 60 * time.Second
 	a := r.d.AddShard(0, "a")
 	r.machine(0, 1, a)
-	r.d.Status(0, a, []model.MachineStatus{{Machine: model.Machine{ID: 1}, Ready: true}}, nil, 0) // full
+	r.d.UpdateStatus(0, a, []model.MachineStatus{{Machine: model.Machine{ID: 1}, Ready: true}}, nil, 0) // full
 	r.job(1, 3, false).SameZone = true
 	r.d.Dispatch(59 * time.Second)
 	if n := len(r.orders(model.AssignTask)); n != 0 {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -108,8 +108,8 @@
 	return u
 }
 
-// Listed is an entry of the machine list.
-type Listed struct {
+// ListedMachine is an entry of the machine list.
+type ListedMachine struct {
 	ID     model.MachineID
 	Type   model.Name
 	Zone   model.Name
@@ -118,12 +118,12 @@
 	Age    time.Duration
 }
 
-// List takes the machine list that was asked for then, and returns the machines
+// UpdateListed takes the machine list that was asked for then, and returns the machines
 // that it shows to be gone. It describes a time up to twice its lag ago, so that
 // absence alone proves nothing; but a machine, once listed, stays so until it is
 // gone, and one that was listed long enough before the question was asked must
 // be there.
-func (f *Fleet) List(now, asked time.Duration, l []Listed) []model.MachineID {
+func (f *Fleet) UpdateListed(now, asked time.Duration, l []ListedMachine) []model.MachineID {
 	f.listed = true
 	for id, at := range f.gone {
 		if now-at > 3*f.p.ListLag+time.Minute {
@@ -162,8 +162,8 @@
 // listMargin is on top of twice the list's lag, for drifting clocks and slow answers.
 const listMargin = 5 * time.Second
 
-// Rented takes the outcome of a rental: the machines, or why there are none.
-func (f *Fleet) Rented(now time.Duration, a Action, got []model.MachineID, refused, doubt bool) {
+// RentDone takes the outcome of a rental: the machines, or why there are none.
+func (f *Fleet) RentDone(now time.Duration, a Action, got []model.MachineID, refused, doubt bool) {
 	delete(f.renting, a.RequestName)
 	k := kind{a.Type, a.Zone, a.Spot}
 	switch {
@@ -178,8 +178,8 @@
 	}
 }
 
-// Returned takes the outcome of a return.
-func (f *Fleet) Returned(now time.Duration, a Action, ok bool) {
+// ReturnDone takes the outcome of a return.
+func (f *Fleet) ReturnDone(now time.Duration, a Action, ok bool) {
 	f.giving = false
 	for _, id := range a.Machines {
 		if ok {
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 func newFleet() *Fleet {
 	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
-	f.List(0, 0, nil)
+	f.UpdateListed(0, 0, nil)
 	return f
 }
 
@@ -44,7 +44,7 @@
 func TestBootingMachinesCountAndNamesAreNotReused(t *testing.T) {
 	f := newFleet()
 	a := rented(f.Step(time.Second, nil, demand(4, true), noLimit))
-	f.Rented(2*time.Second, *a, []model.MachineID{1, 2}, false, false)
+	f.RentDone(2*time.Second, *a, []model.MachineID{1, 2}, false, false)
 	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b != nil {
 		t.Errorf("%+v though two machines boot", b)
 	}
@@ -57,7 +57,7 @@
 func TestRefusedKindGivesWay(t *testing.T) {
 	f := newFleet()
 	a := rented(f.Step(time.Second, nil, demand(40, true), noLimit))
-	f.Rented(time.Second, *a, nil, true, false)
+	f.RentDone(time.Second, *a, nil, true, false)
 	if b := rented(f.Step(2*time.Second, nil, demand(40, true), noLimit)); b == nil || b.Spot {
 		t.Errorf("%+v, want ordinary machines once spot ones are refused", b)
 	}
@@ -67,7 +67,7 @@
 func TestRentalInDoubtIsRepeatedUnderItsName(t *testing.T) {
 	f := newFleet()
 	a := rented(f.Step(time.Second, nil, demand(4, true), noLimit))
-	f.Rented(2*time.Second, *a, nil, false, true)
+	f.RentDone(2*time.Second, *a, nil, false, true)
 	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b == nil || b.RequestName != a.RequestName {
 		t.Errorf("%+v, want %q again", b, a.RequestName)
 	}
@@ -99,9 +99,9 @@
 	if len(as) != 1 || len(as[0].Machines) != 1 {
 		t.Fatalf("%+v, want the idle machine returned", as)
 	}
-	f.Returned(2*time.Minute, as[0], true)
+	f.ReturnDone(2*time.Minute, as[0], true)
 	// The list lags: it is not a new machine.
-	f.List(2*time.Minute+time.Second, 2*time.Minute+time.Second, []Listed{{ID: 1, Spot: true}})
+	f.UpdateListed(2*time.Minute+time.Second, 2*time.Minute+time.Second, []ListedMachine{{ID: 1, Spot: true}})
 	if len(f.units) != 0 {
 		t.Error("a returned machine is back")
 	}
@@ -113,7 +113,7 @@
 	began := time.Hour
 	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
-	f.List(began, began, []Listed{{ID: 1, Age: time.Hour}})
+	f.UpdateListed(began, began, []ListedMachine{{ID: 1, Age: time.Hour}})
 	silent := func(model.MachineID) bool { return true }
 	for _, c := range []struct {
 		after time.Duration
@@ -135,18 +135,18 @@
 // before: a machine listed only lately may be missing from it.
 func TestAMachineThatLeavesTheListIsGone(t *testing.T) {
 	f := newFleet()
-	both, one := []Listed{{ID: 1}, {ID: 2}}, []Listed{{ID: 1}}
-	f.List(5*time.Second, 5*time.Second, both)
-	if gone := f.List(29*time.Second, 29*time.Second, one); len(gone) != 0 {
+	both, one := []ListedMachine{{ID: 1}, {ID: 2}}, []ListedMachine{{ID: 1}}
+	f.UpdateListed(5*time.Second, 5*time.Second, both)
+	if gone := f.UpdateListed(29*time.Second, 29*time.Second, one); len(gone) != 0 {
 		t.Fatalf("%v gone by a list that may be older than the first", gone)
 	}
-	if gone := f.List(40*time.Second, 29*time.Second, one); len(gone) != 0 {
+	if gone := f.UpdateListed(40*time.Second, 29*time.Second, one); len(gone) != 0 {
 		t.Fatalf("%v gone by a list that was asked for too early", gone)
 	}
-	if gone := f.List(31*time.Second, 31*time.Second, one); len(gone) != 1 || gone[0] != 2 {
+	if gone := f.UpdateListed(31*time.Second, 31*time.Second, one); len(gone) != 1 || gone[0] != 2 {
 		t.Fatalf("%v gone, want the machine that is listed no more", gone)
 	}
-	if gone := f.List(35*time.Second, 35*time.Second, one); len(gone) != 0 {
+	if gone := f.UpdateListed(35*time.Second, 35*time.Second, one); len(gone) != 0 {
 		t.Fatalf("%v gone once more", gone)
 	}
 }
--- a/internal/core/fleet/unreachable_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -59,11 +59,11 @@
 		}
 		f.Observe(0, status, func(model.MachineID) bool { return false })
 		f.Observe(time.Second, status, func(id model.MachineID) bool { return int(id) < c.silent })
-		var listed []Listed
+		var listed []ListedMachine
 		for id := range model.MachineID(10) {
-			listed = append(listed, Listed{ID: id})
+			listed = append(listed, ListedMachine{ID: id})
 		}
-		f.List(time.Second+c.after, c.after, listed)
+		f.UpdateListed(time.Second+c.after, c.after, listed)
 		got := 0
 		for _, a := range f.Step(time.Second+c.after, status, demand(1, true), noLimit) {
 			if a.Kind == Return {
--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -26,8 +26,8 @@
 	seen     model.MessageID // the newest message of its worker when it was sent
 }
 
-// DirectCommands takes away the commands to send.
-func (s *Shard) DirectCommands() []DirectCommand {
+// TakeDirectCommands takes away the commands to send.
+func (s *Shard) TakeDirectCommands() []DirectCommand {
 	d := s.directs
 	s.directs = nil
 	return d
--- a/internal/core/shard/drain_test.go
+++ b/internal/core/shard/drain_test.go
@@ -22,10 +22,10 @@
 	r.now += 20 * time.Second
 	r.give(high, 0, 1000)
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0)) // the victim stops, its room is spoken for
-	r.s.Order(r.now, model.Order{Kind: model.SetUsable, ID: 1})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.SetUsable, ID: 1})
 	r.report(1, 5, cell(1, 0, 1001, model.Exited, model.CauseStopped))
 	r.report(1, 5)
-	r.s.Order(r.now, model.Order{Kind: model.InspectMachine, ID: 1, Token: 77})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.InspectMachine, ID: 1, Token: 77})
 	e := r.events(model.MachineInspected)
 	if len(e) != 1 || e[0].Token != 77 || len(e[0].Placed) != 0 || r.s.WaitingCount() != 2 {
 		t.Errorf("%+v is on a machine that gets no tasks, %d wait", e, r.s.WaitingCount())
@@ -45,16 +45,16 @@
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
 	r.now += 3 * time.Second
 	task := model.Task{Job: 1}
-	r.s.Order(r.now, model.Order{Kind: model.RecallTask, ID: 2, Task: task})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RecallTask, ID: 2, Task: task})
 	if got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0)); len(got) != 0 {
 		t.Fatalf("%+v for a recall from another machine", got)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.InspectMachine, ID: 1})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.InspectMachine, ID: 1})
 	want := []model.PlacedTask{{Task: task, Stage: model.Running, RunTime: 3 * time.Second}}
 	if e := r.events(model.MachineInspected); len(e) != 1 || cmp.Diff(want, e[0].Placed) != "" {
 		t.Errorf("%+v", e)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.RecallTask, ID: 1, Task: task})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RecallTask, ID: 1, Task: task})
 	got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
 	if len(got) != 1 || got[0].Verb != model.Kill || got[0].Grace < sp.CheckpointTime {
 		t.Errorf("%+v, want it to save and stop", got)
--- a/internal/core/shard/expedite_test.go
+++ b/internal/core/shard/expedite_test.go
@@ -24,7 +24,7 @@
 			next++
 		}
 		if press {
-			r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: job})
+			r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: job})
 		}
 		for id := range model.MachineID(machines) {
 			var cells []model.AttemptStatus
@@ -52,9 +52,9 @@
 				running[id] = append(running[id], on{model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running},
 					r.now + time.Duration(5+c.Task.Index%7)*time.Second})
 			}
-			for _, e := range r.s.Events() {
+			for _, e := range r.s.TakeEvents() {
 				if e.Kind == model.TaskFinished {
-					r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
+					r.s.HandleOrder(r.now, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 			r.own(id, 5, 8)
 			r.report(id, 5)
 		}
-		r.s.Events()
+		r.s.TakeEvents()
 		sp := r.spec(2, model.Idle, 8)
 		r.give(sp, 0, 1)
 		// The machines are full before the large one is looked at.
@@ -118,7 +118,7 @@
 		r.report(id, 5, cells[id]...)
 	}
 	r.give(r.spec(2, model.Idle, 4), 0, 1)
-	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now) // one machine is kept for it
 	free := model.MachineID(0)
@@ -150,7 +150,7 @@
 	}
 	r.report(0, 5, cells...)
 	r.give(r.spec(2, model.Idle, 8), 0, 1) // it needs the whole machine
-	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now)
 	cells[0].Stage, cells[0].Cause = model.Exited, model.CauseDone
@@ -158,7 +158,7 @@
 	if m := r.s.machines[0]; !m.kept(r.now, 1) || m.Cap.CPU-m.used.CPU < 4000 {
 		t.Fatal("half of the machine is not free and kept: the test shows nothing")
 	}
-	for _, st := range r.s.Status(r.now) {
+	for _, st := range r.s.TakeStatus(r.now) {
 		if st.Avail.CPU > 0 {
 			t.Errorf("it offers %+v", st.Avail)
 		}
@@ -180,7 +180,7 @@
 		r.report(id, 5, cells[id]...)
 	}
 	r.give(r.spec(2, model.Idle, 8), 0, 1)
-	r.s.Order(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	r.now += time.Second
 	r.s.Tick(r.now)
 	kept, other := model.MachineID(0), model.MachineID(1)
--- a/internal/core/shard/faults_test.go
+++ b/internal/core/shard/faults_test.go
@@ -56,7 +56,7 @@
 		t.Error("another job was kept away, too")
 	}
 	r.now += shunFor
-	r.s.Grant(r.now + time.Hour)
+	r.s.SetGrant(r.now + time.Hour)
 	for id := range model.MachineID(machines) {
 		r.report(id, 5, attempts[id]...)
 	}
@@ -105,7 +105,7 @@
 	began := r.now
 	for r.now-began < 90*time.Second && r.s.tasks[model.Task{Job: 1}].on() == nil {
 		r.now += time.Second
-		r.s.Grant(r.now + time.Hour)
+		r.s.SetGrant(r.now + time.Hour)
 		r.report(1, 5)
 		r.s.Tick(r.now)
 	}
--- a/internal/core/shard/lease_expiry_test.go
+++ b/internal/core/shard/lease_expiry_test.go
@@ -33,11 +33,11 @@
 	r.runsOne()
 	r.lapse(1)
 	for seq := range uint64(3) {
-		if r.s.Report(r.now, r.old(1, 1, r.seq+1+seq, 5, cell(1, 0, 1001, model.Running, 0))) {
+		if r.s.HandleReport(r.now, r.old(1, 1, r.seq+1+seq, 5, cell(1, 0, 1001, model.Running, 0))) {
 			t.Error("a report of a session whose lease is over was answered")
 		}
 	}
-	for _, e := range r.s.Events() {
+	for _, e := range r.s.TakeEvents() {
 		switch e.Kind {
 		case model.AttemptFound, model.WorkerBack, model.WorkerFenced:
 			t.Errorf("event %d came of a report of a session whose lease is over", e.Kind)
@@ -57,14 +57,14 @@
 	}
 	r.own(1, 9, 8)
 	late := r.old(1, 2, 50, 5, cell(1, 0, 77, model.Running, 0))
-	r.s.Report(r.now, late)
+	r.s.HandleReport(r.now, late)
 	r.s.Answer(r.now, late)
-	for _, e := range r.s.Events() {
+	for _, e := range r.s.TakeEvents() {
 		if e.Kind == model.AttemptFound || e.Kind == model.WorkerFenced {
 			t.Errorf("event %d came of a report under a token of before the lapse", e.Kind)
 		}
 	}
-	r.s.Report(r.now, r.old(1, 2, 51, 9))
+	r.s.HandleReport(r.now, r.old(1, 2, 51, 9))
 	if e := r.events(model.WorkerFenced); len(e) != 1 {
 		t.Error("not fenced by the token that was given since")
 	}
@@ -76,7 +76,7 @@
 	r.runsOne()
 	r.lapse(1)
 	next := r.old(1, 2, 1, 5)
-	if !r.s.Report(r.now, next) || !r.s.Answer(r.now, next).OK {
+	if !r.s.HandleReport(r.now, next) || !r.s.Answer(r.now, next).OK {
 		t.Fatal("the next session's report was refused")
 	}
 	if e := r.events(model.WorkerBack); len(e) != 1 || !r.s.machines[1].fenced {
@@ -90,7 +90,7 @@
 	r.runsOne()
 	r.s.machines[1].probe, r.s.machines[1].wake = true, true
 	r.s.Flush(r.now, 100)
-	d := r.s.DirectCommands()
+	d := r.s.TakeDirectCommands()
 	if len(d) != 1 {
 		t.Fatalf("%d questions, want one", len(d))
 	}
@@ -111,8 +111,8 @@
 	for range 3 {
 		r.now += 6 * time.Second
 		r.s.Tick(r.now)
-		r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
-		for _, e := range r.s.Events() {
+		r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+		for _, e := range r.s.TakeEvents() {
 			if e.Kind == model.TokenNeeded {
 				t.Fatal("a token was asked for again")
 			}
@@ -128,7 +128,7 @@
 	r.report(1, 5)
 	r.s.machines[1].session = 3 // it had begun its numbers long ago
 	r.lapse(1)
-	if r.s.Report(r.now, r.old(1, 1, 1, 0)) {
+	if r.s.HandleReport(r.now, r.old(1, 1, 1, 0)) {
 		t.Fatal("answered before it is known to be no copy")
 	}
 	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 2, 0), false })
@@ -137,7 +137,7 @@
 	}
 	r.own(1, 9, 8)
 	earlier := r.old(1, 3, 90, 5, cell(1, 0, 77, model.Running, 0)) // written before it began anew
-	r.s.Report(r.now, earlier)
+	r.s.HandleReport(r.now, earlier)
 	r.s.Answer(r.now, earlier)
 	if r.s.machines[1].fenced || len(r.events(model.AttemptFound)) != 0 {
 		t.Fatal("fenced by a report of its earlier life")
@@ -151,7 +151,7 @@
 			return r.old(1, 1, 3, d.Token), true
 		})
 	}
-	if !r.s.machines[1].fenced || !r.s.Report(r.now, r.old(1, 1, 4, 9)) {
+	if !r.s.machines[1].fenced || !r.s.HandleReport(r.now, r.old(1, 1, 4, 9)) {
 		t.Fatal("not taken on proof")
 	}
 }
@@ -162,7 +162,7 @@
 	for name, lose := range map[string]func(*rig){
 		"its machine begins a session": func(r *rig) {
 			r.now += lease
-			r.s.Report(r.now, r.old(1, 2, 100, 5))
+			r.s.HandleReport(r.now, r.old(1, 2, 100, 5))
 		},
 		"its machine's lease is over": func(r *rig) { r.lapseUnchecked(1) },
 		"it is evicted": func(r *rig) {
@@ -174,7 +174,7 @@
 			r := newRig(t)
 			r.findsOne()
 			r.adopt(1, 77)
-			r.s.Events()
+			r.s.TakeEvents()
 			lose(r)
 			if e := r.events(model.TaskReturned); len(e) != 1 || e[0].Task != (model.Task{Job: 1}) {
 				t.Errorf("events %+v, want it told to be gone", e)
@@ -191,9 +191,9 @@
 	r := newRig(t)
 	r.own(1, 5, 8)
 	r.report(1, 5, cell(1, 0, 77, model.Running, 0))
-	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: 1},
+	r.s.HandleOrder(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: 1},
 		Spec: r.spec(1, model.Standard, 2), Price: 10, Zone: model.None, Machine: 1, Attempt: 77, WithinLimits: true}})
-	r.s.Events()
+	r.s.TakeEvents()
 	r.lapseUnchecked(1)
 	if e := r.events(model.TaskReturned); len(e) != 0 || r.s.WaitingCount() != 1 {
 		t.Errorf("events %+v, %d tasks wait here; want it kept", e, r.s.WaitingCount())
@@ -210,7 +210,7 @@
 			r := newRig(t)
 			r.findsOne()
 			lose(r)
-			r.s.Events()
+			r.s.TakeEvents()
 			r.adopt(1, 77)
 			if e := r.events(model.TaskReturned); len(e) != 1 || r.s.WaitingCount() != 0 {
 				t.Errorf("events %+v, %d tasks wait here; want it told to be gone", e, r.s.WaitingCount())
@@ -223,7 +223,7 @@
 func (r *rig) lapseUnchecked(id model.MachineID) {
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: id})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: id})
 }
 
 // findsOne gives the shard two machines, the first of which runs attempt 77 of a task of job 1.
@@ -237,6 +237,6 @@
 
 // adopt gives the shard a task that it found on machine 1.
 func (r *rig) adopt(job model.JobID, attempt uint64) {
-	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: job},
+	r.s.HandleOrder(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: job},
 		Spec: r.spec(job, model.Standard, 2), Price: 10, Zone: model.None, Machine: 1, Attempt: attempt}})
 }
--- a/internal/core/shard/reachability_test.go
+++ b/internal/core/shard/reachability_test.go
@@ -19,7 +19,7 @@
 func (r *rig) ask(f func(d DirectCommand) (*model.Report, bool)) (n int) {
 	r.s.Tick(r.now)
 	r.s.Flush(r.now, 100)
-	for _, d := range r.s.DirectCommands() {
+	for _, d := range r.s.TakeDirectCommands() {
 		rep, executed := f(d)
 		r.s.DirectCommandDone(r.now, d, rep, executed)
 		n++
@@ -42,7 +42,7 @@
 			r.give(r.spec(1, model.Standard, 2), 0, 10)
 		}
 		for seq := range uint64(3) {
-			if r.s.Report(r.now, r.old(1, 1, seq, 5)) {
+			if r.s.HandleReport(r.now, r.old(1, 1, seq, 5)) {
 				t.Fatal("a copy was answered")
 			}
 		}
@@ -62,14 +62,14 @@
 	r.own(1, 5, 8)
 	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 7, 5), true })
 	late := r.old(1, 1, 6, 0)
-	if !r.s.Report(r.now, late) {
+	if !r.s.HandleReport(r.now, late) {
 		t.Fatal("refused, though its worker waits for the answer")
 	}
-	if r.s.Report(r.now, late) {
+	if r.s.HandleReport(r.now, late) {
 		t.Error("its copy was answered as well")
 	}
 	r.now += time.Minute
-	if r.s.Report(r.now, r.old(1, 1, 6, 0)) {
+	if r.s.HandleReport(r.now, r.old(1, 1, 6, 0)) {
 		t.Error("a copy was answered after a minute")
 	}
 }
@@ -82,7 +82,7 @@
 	r.report(1, 5)
 	r.report(1, 5)
 	release := func(seq uint64) {
-		r.s.Order(r.now, model.Order{Kind: model.ReleaseMachine, ID: 1, MessageID: model.MessageID{Session: 1, Seq: seq}})
+		r.s.HandleOrder(r.now, model.Order{Kind: model.ReleaseMachine, ID: 1, MessageID: model.MessageID{Session: 1, Seq: seq}})
 	}
 	release(2)
 	if !r.s.Owns(1) || len(r.events(model.MachineKept)) != 1 {
@@ -103,7 +103,7 @@
 	for r.now < began+time.Minute {
 		r.seq++
 		rep := r.old(1, 1+uint64((r.now-began)/lease), r.seq, 0)
-		if r.s.Report(r.now, rep) {
+		if r.s.HandleReport(r.now, rep) {
 			r.s.Answer(r.now, rep)
 			last = r.now
 		}
@@ -119,11 +119,11 @@
 	}
 	// It hears again: a question is answered, and so are its reports.
 	r.now += longestQuestionPause
-	r.s.Report(r.now, r.old(1, 7, 1000, 0))
+	r.s.HandleReport(r.now, r.old(1, 7, 1000, 0))
 	if n := r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(1, 7, 1001, d.Token), true }); n != 1 {
 		t.Fatalf("%d questions, want one", n)
 	}
-	if !r.s.Report(r.now, r.old(1, 7, 1002, 5)) || r.s.machines[1].leaseExpired {
+	if !r.s.HandleReport(r.now, r.old(1, 7, 1002, 5)) || r.s.machines[1].leaseExpired {
 		t.Fatal("not taken again on proof")
 	}
 }
@@ -143,7 +143,7 @@
 	if launches != 2 {
 		t.Fatalf("%d launches went to a worker that hears nothing", launches)
 	}
-	if b := r.s.Status(r.now); len(b) != 1 || b[0].Ready || !b[0].Draining {
+	if b := r.s.TakeStatus(r.now); len(b) != 1 || b[0].Ready || !b[0].Draining {
 		t.Fatalf("%+v, want it to count as no room", b)
 	}
 	r.now += longestQuestionPause
@@ -162,7 +162,7 @@
 	r.report(1, 5)
 	r.now += time.Second
 	r.report(1, 5)
-	if !r.s.Report(r.now+time.Second, r.old(1, 2, 1, 5)) || !r.s.machines[1].inboundLost {
+	if !r.s.HandleReport(r.now+time.Second, r.old(1, 2, 1, 5)) || !r.s.machines[1].inboundLost {
 		t.Fatal("its next session counts as if it heard")
 	}
 }
@@ -177,7 +177,7 @@
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.report(1, 5)
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
-	if r.s.Report(r.now, r.old(1, 1, 3, 0)) {
+	if r.s.HandleReport(r.now, r.old(1, 1, 3, 0)) {
 		t.Fatal("answered before it is known to be no copy")
 	}
 	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 1, 4, 0), false })
@@ -187,9 +187,9 @@
 	if len(r.s.ofJob[1]) != 1 {
 		t.Fatal("its task is free before the new token was shown")
 	}
-	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 1, Addr: "x", Cap: model.Capacity(8, 0, 64)},
+	r.s.HandleOrder(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 1, Addr: "x", Cap: model.Capacity(8, 0, 64)},
 		Token: 9, Usable: true})
-	r.s.Report(r.now, r.old(1, 1, 43, 5, cell(1, 0, 1001, model.Running, 0))) // a copy of its earlier life
+	r.s.HandleReport(r.now, r.old(1, 1, 43, 5, cell(1, 0, 1001, model.Running, 0))) // a copy of its earlier life
 	if r.s.machines[1].fenced {
 		t.Fatal("fenced by a copy")
 	}
@@ -197,7 +197,7 @@
 	if !r.s.machines[1].fenced || r.s.tasks[model.Task{Job: 1}].slot != nil && r.s.ofJob[1][0].attempt == 1001 {
 		t.Fatal("the task that is gone is not placed anew")
 	}
-	r.s.Report(r.now, r.old(1, 2, 90, 5)) // a copy once more, of a later session even
+	r.s.HandleReport(r.now, r.old(1, 2, 90, 5)) // a copy once more, of a later session even
 	if m := r.s.machines[1]; m.session != 1 {
 		t.Fatalf("session %d, from a copy", m.session)
 	}
@@ -215,19 +215,19 @@
 	r.ask(func(DirectCommand) (*model.Report, bool) { return r.old(1, 2, 50, 5), false })
 	r.now += lease / 2
 	r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(1, 2, 51, d.Token), true })
-	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 0 {
 		t.Fatal("its lease counts as over half a lease after its session began")
 	}
 	// So does that of a worker which an owner fenced without ever answering it.
-	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 2, Addr: "x"}, Token: 9, VerifyFirst: true})
-	r.s.Report(r.now, r.old(2, 3, 1, 0))
+	r.s.HandleOrder(r.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 2, Addr: "x"}, Token: 9, VerifyFirst: true})
+	r.s.HandleReport(r.now, r.old(2, 3, 1, 0))
 	r.ask(func(d DirectCommand) (*model.Report, bool) { return r.old(d.Machine, 3, 52, d.Token), true })
 	r.now += lease / 2
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 2})
-	r.s.Order(r.now, model.Order{Kind: model.ReleaseMachine, ID: 2})
-	for _, e := range r.s.Events() {
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 2})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ReleaseMachine, ID: 2})
+	for _, e := range r.s.TakeEvents() {
 		if e.Machine == 2 && (e.Kind == model.LeaseExpiryConfirmed || e.Kind == model.MachineReleased && e.Held) {
 			t.Fatalf("event %d: what was launched there may run", e.Kind)
 		}
@@ -247,7 +247,7 @@
 	})
 	done := cell(1, 0, 1001, model.Exited, model.CauseDone)
 	r.report(1, 5, done)
-	r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: done.Task, Attempt: 1001})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: done.Task, Attempt: 1001})
 	if c := r.report(1, 5, done); len(c) != 0 {
 		t.Fatalf("%v, though the launch may come once more", c)
 	}
@@ -293,12 +293,12 @@
 	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, PreemptionNotice: -1}
 	for range 2 { // the first is the first sign of life for a lease
 		rep.Seq++
-		r.s.Report(r.now, rep)
+		r.s.HandleReport(r.now, rep)
 		r.s.Answer(r.now, rep)
 		r.s.Tick(r.now)
 	}
 	rep.Seq++
-	r.s.Report(r.now, rep)
+	r.s.HandleReport(r.now, rep)
 	if diff := cmp.Diff([]model.Command{launch(1, 0, 1002)}, r.s.Answer(r.now, rep).Commands); diff != "" {
 		t.Fatalf("want it placed again as a new attempt: %s", diff)
 	}
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -17,9 +17,9 @@
 	Commands []model.Command
 }
 
-// Report takes a worker's report and tells whether this shard is entitled to
+// HandleReport takes a worker's report and tells whether this shard is entitled to
 // answer it.
-func (s *Shard) Report(now time.Duration, r *model.Report) bool {
+func (s *Shard) HandleReport(now time.Duration, r *model.Report) bool {
 	if !s.HasGrant(now) {
 		return false
 	}
--- a/internal/core/shard/scale_test.go
+++ b/internal/core/shard/scale_test.go
@@ -65,7 +65,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := newRig(t)
 		for id := range model.MachineID(30) {
-			r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: 5, Machine: model.Machine{ID: id, Addr: "x",
+			r.s.HandleOrder(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: 5, Machine: model.Machine{ID: id, Addr: "x",
 				Spot: rng.IntN(2) == 0, Cap: model.Capacity(float64(4+4*rng.IntN(3)), 0, 64)}})
 			r.report(id, 5)
 		}
@@ -128,7 +128,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r.now += time.Second
-		r.s.Grant(r.now + time.Hour)
+		r.s.SetGrant(r.now + time.Hour)
 		r.s.replan = true
 		r.s.Place(r.now)
 	}
@@ -150,14 +150,14 @@
 	}
 	low(math.Inf(1), "with nothing of its own")
 	adopted := r.spec(9, model.Idle, 2)
-	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: running.Task, Spec: adopted, Price: 7,
+	r.s.HandleOrder(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: running.Task, Spec: adopted, Price: 7,
 		Zone: model.None, Machine: 1, Attempt: 77}})
 	low(7, "with one that was adopted")
-	r.s.Order(r.now, model.Order{Kind: model.RepriceJob, Job: 9, Price: 3})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RepriceJob, Job: 9, Price: 3})
 	low(3, "at its new price")
 	r.give(r.spec(10, model.Idle, 2), 0, 1)
 	r.s.Place(r.now)
 	low(1, "with a cheaper one that is placed")
-	r.s.Order(r.now, model.Order{Kind: model.EndJob, Job: 10})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.EndJob, Job: 10})
 	low(3, "once that is taken back")
 }
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -104,8 +104,8 @@
 // ReportInterruptions has the dealer told of tasks that are out of work, and when they run again.
 func (s *Shard) ReportInterruptions(on bool) { s.tells = on }
 
-// Grant lets the shard act until the given time.
-func (s *Shard) Grant(until time.Duration) { s.until = until }
+// SetGrant lets the shard act until the given time.
+func (s *Shard) SetGrant(until time.Duration) { s.until = until }
 
 // SetOpenJobs takes the leader's picture of the open jobs.
 func (s *Shard) SetOpenJobs(jobs map[model.JobID]bool) { s.open = jobs }
@@ -113,8 +113,8 @@
 // HasGrant tells whether the shard may act.
 func (s *Shard) HasGrant(now time.Duration) bool { return now < s.until }
 
-// Events takes away what the dealer must be told.
-func (s *Shard) Events() []model.Event {
+// TakeEvents takes away what the dealer must be told.
+func (s *Shard) TakeEvents() []model.Event {
 	e := s.events
 	s.events = nil
 	return e
@@ -122,8 +122,8 @@
 
 func (s *Shard) emit(e model.Event) { s.events = append(s.events, e) }
 
-// Order takes an order of the dealer.
-func (s *Shard) Order(now time.Duration, o model.Order) {
+// HandleOrder takes an order of the dealer.
+func (s *Shard) HandleOrder(now time.Duration, o model.Order) {
 	switch o.Kind {
 	case model.OwnMachine:
 		s.own(now, o)
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -23,12 +23,12 @@
 	r := &rig{t: t, now: time.Second}
 	r.s = New(Params{MaxLease: lease, ReportInterval: time.Second, VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2,
 		DirectRetryDelay: time.Second}, 1000, rand.New(rand.NewPCG(1, 1)))
-	r.s.Grant(time.Hour)
+	r.s.SetGrant(time.Hour)
 	return r
 }
 
 func (r *rig) own(id model.MachineID, token uint64, cpus float64) {
-	r.s.Order(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: token,
+	r.s.HandleOrder(r.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: token,
 		Machine: model.Machine{ID: id, Addr: "x", Cap: model.Capacity(cpus, 0, 64)}})
 }
 
@@ -37,7 +37,7 @@
 	r.t.Helper()
 	r.seq++
 	rep := r.old(id, 1, r.seq, token, cells...)
-	if !r.s.Report(r.now, rep) {
+	if !r.s.HandleReport(r.now, rep) {
 		r.t.Fatal("report refused")
 	}
 	r.s.Place(r.now)
@@ -86,12 +86,12 @@
 }
 
 func (r *rig) give(sp *model.Spec, no int32, price float64) {
-	r.s.Order(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: sp.ID, Index: no}, Spec: sp, Price: price, Zone: model.None, WaitingSince: r.now - time.Second}})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.AssignTask, Assignment: model.Assignment{Task: model.Task{Job: sp.ID, Index: no}, Spec: sp, Price: price, Zone: model.None, WaitingSince: r.now - time.Second}})
 }
 
 func (r *rig) events(kind model.EventKind) []model.Event {
 	var out []model.Event
-	for _, e := range r.s.Events() {
+	for _, e := range r.s.TakeEvents() {
 		if e.Kind == kind {
 			out = append(out, e)
 		}
@@ -125,12 +125,12 @@
 func TestNoGrantNoAnswer(t *testing.T) {
 	r := newRig(t)
 	r.own(1, 5, 8)
-	r.s.Grant(r.now)
-	if r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}) {
+	r.s.SetGrant(r.now)
+	if r.s.HandleReport(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}) {
 		t.Fatal("answered without a grant")
 	}
 	r.s.Flush(r.now, 8)
-	if d := r.s.DirectCommands(); len(d) != 0 {
+	if d := r.s.TakeDirectCommands(); len(d) != 0 {
 		t.Fatalf("commands %v without a grant", d)
 	}
 }
@@ -161,16 +161,16 @@
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.s.Place(r.now)
 	r.s.Flush(r.now, 8)
-	d := r.s.DirectCommands()
+	d := r.s.TakeDirectCommands()
 	if len(d) != 1 || len(d[0].Commands) != 1 {
 		t.Fatalf("directs %v, want one launch", d)
 	}
 	r.s.DirectCommandDone(r.now, d[0], nil, false)
-	r.s.Events()
-	r.s.Order(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
+	r.s.TakeEvents()
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
 	r.report(1, 5)
 	r.report(1, 5)
-	evs := r.s.Events()
+	evs := r.s.TakeEvents()
 	needs := false
 	for _, e := range evs {
 		if e.Kind == model.TaskReturned {
@@ -200,9 +200,9 @@
 	r.report(1, 5)
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.report(1, 5) // carries the launch
-	r.s.Order(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
 	r.s.Flush(r.now, 8)
-	d := r.s.DirectCommands()
+	d := r.s.TakeDirectCommands()
 	if len(d) != 1 {
 		t.Fatalf("directs %v, want the kill", d)
 	}
@@ -221,7 +221,7 @@
 	r := newRig(t)
 	r.runsOne()
 	old := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}
-	r.s.Report(r.now, old)
+	r.s.HandleReport(r.now, old)
 	if got := r.report(1, 5, cell(1, 0, 1001, model.Running, 0)); len(got) != 0 {
 		t.Fatalf("a late report without the task made %v", got)
 	}
@@ -232,7 +232,7 @@
 func TestSilenceIsTheDealersToDecide(t *testing.T) {
 	r := newRig(t)
 	r.runsOne()
-	r.s.Events()
+	r.s.TakeEvents()
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
 	if n := len(r.s.TaskCounts(r.now)); n != 1 {
@@ -242,13 +242,13 @@
 		t.Fatalf("events %v, want silence told", e)
 	}
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
-	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 0 {
 		t.Fatal("the worker is back")
 	}
 	r.now += lease + time.Second
 	r.s.Tick(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := r.events(model.LeaseExpiryConfirmed); len(e) != 1 {
 		t.Fatal("the dealer's word was not taken")
 	}
@@ -264,7 +264,7 @@
 	if got := r.report(1, 5, done); len(got) != 0 {
 		t.Fatalf("commands %v before the completion is stored", got)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: model.Task{Job: 1}, Attempt: 1001})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: model.Task{Job: 1}, Attempt: 1001})
 	if got := r.report(1, 5, done); len(got) != 1 || got[0].Verb != model.Clear {
 		t.Fatalf("commands %v, want it cleared", got)
 	}
@@ -303,7 +303,7 @@
 	r.give(sp, 0, 10)
 	r.give(sp, 1, 10)
 	r.s.Place(r.now)
-	r.s.Order(r.now, model.Order{Kind: model.RepriceJob, Job: 1, Price: 300})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.RepriceJob, Job: 1, Price: 300})
 	r.s.Place(r.now)
 	if r.s.Stats.Evicted != 0 {
 		t.Fatal("a job evicted itself")
@@ -339,7 +339,7 @@
 	r.report(1, 5)
 	r.report(1, 5, cell(1, 0, 1001, model.Exited, model.CauseError), cell(2, 0, 1002, model.Exited, model.CauseError))
 	gone := r.events(model.TaskReturned)
-	if !r.s.Status(r.now)[0].Faulty || len(gone) != 2 {
+	if !r.s.TakeStatus(r.now)[0].Faulty || len(gone) != 2 {
 		t.Fatalf("gone %v: want the machine condemned and both tasks back", gone)
 	}
 }
@@ -358,11 +358,11 @@
 	r.report(1, 5, cell(1, 0, 1001, model.Running, 0))
 	cells := []model.AttemptStatus{cell(1, 0, 1001, model.Running, 0), cell(2, 0, 1002, model.Running, 0)}
 	r.seq++
-	r.s.Report(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: 8 * time.Second, Attempts: cells})
+	r.s.HandleReport(r.now, &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: 8 * time.Second, Attempts: cells})
 	r.s.Tick(r.now)
 	r.seq++
 	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: r.seq, Token: 5, PreemptionNotice: 8 * time.Second, Attempts: cells}
-	r.s.Report(r.now, rep)
+	r.s.HandleReport(r.now, rep)
 	got := r.s.Answer(r.now, rep).Commands
 	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < saver.CheckpointTime {
 		t.Fatalf("commands %v, want only the saving task stopped, with time to save", got)
@@ -406,7 +406,7 @@
 	if diff := cmp.Diff(want, r.report(1, 3, held...)); diff != "" {
 		t.Fatal(diff)
 	}
-	r.s.Order(r.now, model.Order{Kind: model.EndJob, Job: 2})
+	r.s.HandleOrder(r.now, model.Order{Kind: model.EndJob, Job: 2})
 	if got := r.report(1, 3, held...); len(got) != 2 {
 		t.Fatalf("commands %v, want the other ended too once its job is over", got)
 	}
@@ -467,11 +467,11 @@
 	r := newRig(t)
 	r.own(1, 5, 8)
 	r.report(1, 5)
-	r.s.Grant(r.now + 3*time.Second)
+	r.s.SetGrant(r.now + 3*time.Second)
 	r.give(r.spec(1, model.Standard, 2), 0, 10)
 	r.s.Place(r.now)
 	r.s.Flush(r.now, 8)
-	d := r.s.DirectCommands()
+	d := r.s.TakeDirectCommands()
 	if len(d) != 1 || d[0].NotAfter != r.now+3*time.Second {
 		t.Fatalf("commands %+v, want one to be sent within the grant", d)
 	}
--- a/internal/core/shard/simulation.go
+++ b/internal/core/shard/simulation.go
@@ -51,7 +51,7 @@
 
 // SetUsable lets a machine have tasks, or not.
 func (r *Simulation) SetUsable(now time.Duration, id model.MachineID, usable bool) {
-	r.s.Order(now, model.Order{Kind: model.SetUsable, ID: id, Usable: usable})
+	r.s.HandleOrder(now, model.Order{Kind: model.SetUsable, ID: id, Usable: usable})
 }
 
 // AddRunning adds a task that is on a machine.
--- a/internal/core/shard/status.go
+++ b/internal/core/shard/status.go
@@ -13,9 +13,9 @@
 	ExpiredSessionReports                           uint64 // reports refused: their session's lease is over
 }
 
-// Status summarises the machines whose summary has changed since it was last
+// TakeStatus summarises the machines whose summary has changed since it was last
 // asked for.
-func (s *Shard) Status(now time.Duration) []model.MachineStatus {
+func (s *Shard) TakeStatus(now time.Duration) []model.MachineStatus {
 	var out []model.MachineStatus
 	for _, m := range s.order {
 		if b := s.brief(now, m); m.anew || b != m.last {
@@ -89,9 +89,9 @@
 	return out
 }
 
-// SetImages takes what the controller's shard of an earlier term knew of images:
+// RestoreImages takes what the controller's shard of an earlier term knew of images:
 // a hint for placing, which the machines keep when a leader is lost.
-func (s *Shard) SetImages(images map[model.MachineID]map[model.Name]bool) { s.images = images }
+func (s *Shard) RestoreImages(images map[model.MachineID]map[model.Name]bool) { s.images = images }
 
 // Owns tells whether the machine is this shard's.
 func (s *Shard) Owns(id model.MachineID) bool { return s.machines[id] != nil }
--- a/internal/core/shard/unreachable_test.go
+++ b/internal/core/shard/unreachable_test.go
@@ -19,14 +19,14 @@
 		}
 		r.s.Tick(r.now)
 		r.s.Flush(r.now, 100)
-		for _, d := range r.s.DirectCommands() {
+		for _, d := range r.s.TakeDirectCommands() {
 			if silent(d.Machine) {
 				r.s.DirectCommandDone(r.now, d, nil, false)
 			} else {
 				r.t.Errorf("machine %d, which reports, is asked directly", d.Machine)
 			}
 		}
-		for _, e := range r.s.Events() {
+		for _, e := range r.s.TakeEvents() {
 			switch e.Kind {
 			case model.CommandUnanswered:
 				unreachable[e.Machine] = true
@@ -44,7 +44,7 @@
 		r.own(id, 5, 8)
 		r.report(id, 5)
 	}
-	r.s.Events()
+	r.s.TakeEvents()
 	return r
 }
 
--- a/internal/core/sim/chains_test.go
+++ b/internal/core/sim/chains_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, id := range p.g.Doomed(now, most) {
-		version := l.d.Version(id)
+		version := l.d.JobVersion(id)
 		c.storeTxn(func() any { return c.w.store.doom(l.guard, id, version) }, func(v any) {
 			r, _ := v.(written)
 			switch {
--- a/internal/core/sim/ctl_test.go
+++ b/internal/core/sim/ctl_test.go
@@ -289,7 +289,7 @@
 func (c *ctl) flush() {
 	st := c.seat
 	st.s.Flush(c.now(), 8)
-	for _, d := range st.s.DirectCommands() {
+	for _, d := range st.s.TakeDirectCommands() {
 		life, answered := c.life, false
 		finish := func(r *model.Report, executed bool) {
 			if answered || !c.up || c.life != life {
@@ -330,7 +330,7 @@
 
 func (c *ctl) tell() {
 	st := c.seat
-	for _, e := range st.s.Events() {
+	for _, e := range st.s.TakeEvents() {
 		if st.l != nil {
 			if c.old || st.l.c.old {
 				e.MessageID = model.MessageID{}
@@ -356,7 +356,7 @@
 		if st.l != nil && st.joined && now-st.asked > 400*time.Millisecond {
 			st.asked = now
 			echo := st.grants
-			status, counts, deals := st.s.Status(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()
+			status, counts, deals := st.s.TakeStatus(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()
 			served, known := c.stands.Served()
 			stateAge := now - served
 			toldFor, told := now-c.told.Since(), []model.JobID(nil)
@@ -392,10 +392,10 @@
 						}
 						st.grants = append(st.grants, ln)
 						st.c.el.Promise(st.c.now() + promise)
-						st.s.Grant(now + d - d/500 - 50*time.Millisecond)
+						st.s.SetGrant(now + d - d/500 - 50*time.Millisecond)
 					})
 				}
-				l.d.Status(ln, st.id, status, counts, deals)
+				l.d.UpdateStatus(ln, st.id, status, counts, deals)
 				l.deal()
 			})
 		}
@@ -418,11 +418,11 @@
 			return false
 		}
 		s := c.seat.s
-		ok := s.Report(now, r)
+		ok := s.HandleReport(now, r)
 		if c.lead != nil {
 			c.lead.deal()
 			if !ok {
-				ok = s.Report(now, r)
+				ok = s.HandleReport(now, r)
 			}
 		}
 		if !ok {
--- a/internal/core/sim/join_test.go
+++ b/internal/core/sim/join_test.go
@@ -62,7 +62,7 @@
 						c.seat = st
 						for _, mid := range c.kept {
 							st.up(func(l *lead, _ *link) {
-								l.d.Event(l.c.now(), id, model.Event{Kind: model.MachineRemembered, Machine: mid})
+								l.d.HandleEvent(l.c.now(), id, model.Event{Kind: model.MachineRemembered, Machine: mid})
 								l.exchange()
 							})
 						}
--- a/internal/core/sim/lead_test.go
+++ b/internal/core/sim/lead_test.go
@@ -130,7 +130,7 @@
 
 // cancelled takes a controller's word that it told a user of a cancellation.
 func (l *lead) cancelled(now time.Duration, id model.JobID) {
-	if l.picture.Told(now, id) && l.d.Version(id) != 0 {
+	if l.picture.Told(now, id) && l.d.JobVersion(id) != 0 {
 		l.d.JobRemoved(id)
 		l.chains.ended(id, pipeline.Cancelled)
 	}
@@ -182,7 +182,7 @@
 	} else if ask {
 		l.confirm()
 	}
-	c.seat.s.Grant(l.until())
+	c.seat.s.SetGrant(l.until())
 	if !l.asking {
 		l.load()
 	}
@@ -270,7 +270,7 @@
 	s := l.c.seat.s
 	now := l.c.now()
 	l.exchange()
-	l.d.Status(now, l.local, s.Status(now), s.TaskCounts(now), l.d.AssignmentsSent(l.local))
+	l.d.UpdateStatus(now, l.local, s.TakeStatus(now), s.TaskCounts(now), l.d.AssignmentsSent(l.local))
 	l.d.Dispatch(now)
 	l.pump()
 }
@@ -279,18 +279,18 @@
 	now := l.c.now()
 	s := l.c.seat.s
 	for {
-		orders, evs := l.d.Orders(), s.Events()
+		orders, evs := l.d.TakeOrders(), s.TakeEvents()
 		if len(orders) == 0 && len(evs) == 0 {
 			return
 		}
 		for _, o := range orders {
 			if o.To == l.local {
-				s.Order(now, o)
+				s.HandleOrder(now, o)
 			} else if k := l.links[o.To]; k != nil {
 				if l.c.old || k.peer.c.old {
 					o.VerifyFirst, o.MessageID, o.Assignment.WithinLimits = false, model.MessageID{}, false
 				}
-				l.down(k, func(st *seat) { st.s.Order(st.c.now(), shift(o, now, st.c.now())) })
+				l.down(k, func(st *seat) { st.s.HandleOrder(st.c.now(), shift(o, now, st.c.now())) })
 			}
 		}
 		for _, e := range evs {
@@ -304,7 +304,7 @@
 	if e.Kind == model.MachineInspected {
 		l.drains.e.Seen(now, e.Machine, e.Token, e.Placed, l.d.Spec)
 	}
-	l.d.Event(now, from, e)
+	l.d.HandleEvent(now, from, e)
 }
 
 // shift brings a deal's times into the receiver's clock.
--- a/internal/core/sim/yard_test.go
+++ b/internal/core/sim/yard_test.go
@@ -92,13 +92,13 @@
 	y.f = fleet.New(fleet.Params{Term: term, TermStart: y.now, ListLag: 10 * time.Second, IdleReturn: time.Hour,
 		Horizon: 90 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	y.f.SetTypes(y.load.types())
-	y.f.List(y.now, y.now, nil)
+	y.f.UpdateListed(y.now, y.now, nil)
 	y.shards = nil
 	for i := range y.load.shards {
 		id := y.d.AddShard(y.now, fmt.Sprint("c", i))
 		s := shard.New(shard.Params{MaxLease: 43 * time.Second, ReportInterval: y.load.every(), VictimSample: 3,
 			PaybackLimit: time.Minute, DemotionStep: 2, DirectRetryDelay: time.Second}, y.d.FirstAttempt(id), y.rng)
-		s.Grant(time.Hour * 24)
+		s.SetGrant(time.Hour * 24)
 		y.shards = append(y.shards, s)
 	}
 }
@@ -113,17 +113,17 @@
 func (y *yard) exchange() {
 	for again := true; again; {
 		again = false
-		for _, o := range y.d.Orders() {
+		for _, o := range y.d.TakeOrders() {
 			again = true
-			y.shards[o.To-1].Order(y.now, o)
+			y.shards[o.To-1].HandleOrder(y.now, o)
 		}
 		for i, s := range y.shards {
-			for _, e := range s.Events() {
+			for _, e := range s.TakeEvents() {
 				again = true
 				if e.Kind == model.TaskFinished {
 					y.done++
 				}
-				y.d.Event(y.now, model.ShardID(i+1), e)
+				y.d.HandleEvent(y.now, model.ShardID(i+1), e)
 			}
 		}
 	}
@@ -135,9 +135,9 @@
 	h.next = y.now + y.load.every()
 	s := y.shards[h.at]
 	r := h.account()
-	if !s.Report(y.now, r) {
+	if !s.HandleReport(y.now, r) {
 		y.exchange()
-		if !s.Report(y.now, r) {
+		if !s.HandleReport(y.now, r) {
 			return
 		}
 	}
@@ -220,7 +220,7 @@
 func (y *yard) deal() {
 	y.timed("status", func() {
 		for i, s := range y.shards {
-			y.d.Status(y.now, model.ShardID(i+1), s.Status(y.now), s.TaskCounts(y.now), s.AssignmentsReceived())
+			y.d.UpdateStatus(y.now, model.ShardID(i+1), s.TakeStatus(y.now), s.TaskCounts(y.now), s.AssignmentsReceived())
 		}
 	})
 	y.timed("deal", func() { y.d.Dispatch(y.now) })
@@ -229,7 +229,7 @@
 func (y *yard) flush() {
 	for _, s := range y.shards {
 		s.Flush(y.now, 48)
-		for _, d := range s.DirectCommands() {
+		for _, d := range s.TakeDirectCommands() {
 			h := y.hands[d.Machine]
 			y.directs++
 			y.obey(h, d.Token, d.Commands)
@@ -239,7 +239,7 @@
 }
 
 func (y *yard) fleet() {
-	status := y.d.Machines()
+	status := y.d.MachineStatuses()
 	y.f.Observe(y.now, status, y.d.LeaseExpired)
 	var demand []fleet.Demand
 	for _, need := range y.d.Demand() {
--- a/internal/node/chaining.go
+++ b/internal/node/chaining.go
@@ -129,7 +129,7 @@
 	}
 	var out []write
 	for _, id := range p.g.Doomed(now, max(1, n/4)) {
-		version := p.l.d.Version(id)
+		version := p.l.d.JobVersion(id)
 		if version == 0 {
 			p.g.Kept(now, id) // the watch has not told of its end yet
 			continue
--- a/internal/node/dealing.go
+++ b/internal/node/dealing.go
@@ -74,7 +74,7 @@
 	began := p.l.n.now()
 	p.due, p.dealt = false, now
 	s := p.l.n.seat.s
-	p.d.Status(now, p.l.local, s.Status(now), s.TaskCounts(now), p.d.AssignmentsSent(p.l.local))
+	p.d.UpdateStatus(now, p.l.local, s.TakeStatus(now), s.TaskCounts(now), p.d.AssignmentsSent(p.l.local))
 	p.d.Dispatch(now)
 	p.dealCost = p.l.n.now() - began
 }
@@ -83,14 +83,14 @@
 func (p *dealing) exchange(now time.Duration) {
 	s := p.l.n.seat.s
 	for {
-		orders, events := p.d.Orders(), s.Events()
+		orders, events := p.d.TakeOrders(), s.TakeEvents()
 		if len(orders) == 0 && len(events) == 0 {
 			return
 		}
 		for i := range orders {
 			p.l.logOrder(&orders[i])
 			if o := &orders[i]; o.To == p.l.local {
-				s.Order(now, *o)
+				s.HandleOrder(now, *o)
 				p.l.n.owned(o)
 			} else if k := p.l.links[o.To]; k != nil {
 				k.out.Send(k.codec.Order(now, o))
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -28,11 +28,11 @@
 	var status []model.MachineStatus
 	for id := range model.MachineID(1636) {
 		m := model.Machine{ID: id, Addr: "x"}
-		l.d.Event(0, shard, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
+		l.d.HandleEvent(0, shard, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
 		status = append(status, model.MachineStatus{Machine: m, Ready: true})
 		s.on[id] = make([]model.PlacedTask, 24)
 	}
-	l.d.Status(0, shard, status, nil, 0)
+	l.d.UpdateStatus(0, shard, status, nil, 0)
 	for id := range model.JobID(800) {
 		l.d.AddJob(0, &model.Spec{ID: id, Tasks: 50}, uint64(id)+1, 0, false)
 	}
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -205,7 +205,7 @@
 	}
 	r.l.deals.add(now, stored{sub, 9}, now)
 	for _, id := range []model.JobID{7, 8} {
-		if r.l.d.Version(id) != 0 {
+		if r.l.d.JobVersion(id) != 0 {
 			t.Errorf("job %d is open", id)
 		}
 	}
--- a/internal/node/lead.go
+++ b/internal/node/lead.go
@@ -96,7 +96,7 @@
 	// whole length of it from now, unless they are heard to have stopped.
 	l.d = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teams(), ChunkSize: chunkSize(c.ValueKB()),
 		BlockSize: oldBlockSize(c.State.ValueKB), ProgressInterval: 2 * time.Second,
-		DispatchAhead: n.set.DealAhead, MaxLease: c.SureLease(), MinOverload: crowd(c),
+		DispatchAhead: n.set.DealAhead, MaxLease: c.SureLease(), MinOverloadMachines: crowd(c),
 		StartWithin:         n.set.BeginWithin,
 		ReportInterruptions: len(n.set.Budgets) > 0}, now+max(n.ttl, config.Promise)+time.Second)
 	l.logCharges()
@@ -280,7 +280,7 @@
 		l.n.el.Resign(now, 4*time.Second)
 		return
 	}
-	l.n.seat.s.Grant(l.until())
+	l.n.seat.s.SetGrant(l.until())
 	l.divideRate(now)
 	if !l.loaded {
 		return
@@ -307,5 +307,5 @@
 func (l *leadership) hear(now time.Duration, from model.ShardID, e model.Event) {
 	l.logEvent(from, &e)
 	l.drains.hear(now, &e)
-	l.d.Event(now, from, e)
+	l.d.HandleEvent(now, from, e)
 }
--- a/internal/node/limiting.go
+++ b/internal/node/limiting.go
@@ -108,7 +108,7 @@
 		}
 		sum += t.Guarantee.CPU
 	}
-	for _, st := range p.l.d.Machines() {
+	for _, st := range p.l.d.MachineStatuses() {
 		have += st.Machine.Cap.CPU
 	}
 	if sum <= have {
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -214,7 +214,7 @@
 		l.n.soon()
 	case *peerpb.Up_Status:
 		ms, jobs := k.codec.FromStatus(now, msg.Status)
-		l.d.Status(now, id, ms, jobs, msg.Status.GetDeals())
+		l.d.UpdateStatus(now, id, ms, jobs, msg.Status.GetDeals())
 		l.deals.due = true
 		l.n.soon()
 	}
--- a/internal/node/loading.go
+++ b/internal/node/loading.go
@@ -100,7 +100,7 @@
 			p.l.relay(size)
 		}
 		for id := range n.kept {
-			p.d.Event(now, p.l.local, model.Event{Kind: model.MachineRemembered, Machine: id})
+			p.d.HandleEvent(now, p.l.local, model.Event{Kind: model.MachineRemembered, Machine: id})
 		}
 		told, _ := n.told.From(0) // some perhaps since that was asked
 		for _, id := range told {
@@ -287,7 +287,7 @@
 
 // cancelled takes a controller's word that it told a user of a cancellation.
 func (p *dealing) cancelled(now time.Duration, id model.JobID) {
-	if !p.picture.Told(now, id) || p.d.Version(id) == 0 {
+	if !p.picture.Told(now, id) || p.d.JobVersion(id) == 0 {
 		return
 	}
 	p.d.JobRemoved(id)
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -40,7 +40,7 @@
 	}
 	var machines, ready, spot, faulty int
 	var cpus, free int64
-	for _, st := range p.d.Machines() {
+	for _, st := range p.d.MachineStatuses() {
 		machines++
 		if st.Machine.Spot {
 			spot++
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -21,7 +21,7 @@
 // members tells how all controllers stand.
 func (l *leadership) members(now time.Duration) []MemberReply {
 	owned := map[model.ShardID]int{}
-	for _, st := range l.d.Owners() {
+	for _, st := range l.d.MachineOwners() {
 		owned[st]++
 	}
 	out := []MemberReply{{Host: l.n.cfg.HostName, Leads: true, Here: true, Release: release, Machines: owned[l.local],
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -80,7 +80,7 @@
 	}))
 	gauge("machines_faulty", "Machines held to be faulty, on the leader.", whileLeading(n, func(l *leadership) float64 {
 		faulty := 0
-		for _, st := range l.d.Machines() {
+		for _, st := range l.d.MachineStatuses() {
 			if st.Faulty {
 				faulty++
 			}
--- a/internal/node/renting.go
+++ b/internal/node/renting.go
@@ -63,7 +63,7 @@
 	switch {
 	case waited > config.Seconds(1.25*p.l.n.cfg.Cluster.Workers.ReportS)+2250*time.Millisecond:
 		share = someUnseen
-	case p.l.d.UnaccountedUnresponsive():
+	case p.l.d.AllUnaccountedUnresponsive():
 		share = fewUnseen
 	default:
 		return
@@ -80,7 +80,7 @@
 }
 
 func (p *renting) runFleet(now time.Duration) {
-	status := p.l.d.Machines()
+	status := p.l.d.MachineStatuses()
 	p.f.Observe(now, status, p.l.d.LeaseExpired)
 	if p.worthGivingUp() {
 		p.f.SetUnreachable(p.l.d.UnreachableMachines())
@@ -102,7 +102,7 @@
 			go p.giveBack(a, nil)
 		case fleet.Rent:
 			if now-p.l.deals.fresh > blind {
-				p.f.Rented(now, a, nil, true, false)
+				p.f.RentDone(now, a, nil, true, false)
 				continue
 			}
 			go p.rent(a)
@@ -134,7 +134,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	p.f.Returned(now, a, err == nil)
+	p.f.ReturnDone(now, a, err == nil)
 	for _, id := range a.Machines {
 		if err == nil {
 			p.l.d.MachineGone(id)
@@ -154,7 +154,7 @@
 	got, refused, doubt := p.ask(a.RequestName, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, a.Count)
 	p.l.n.mu.Lock()
 	defer p.l.n.mu.Unlock()
-	p.f.Rented(p.l.n.now(), a, got, refused, doubt)
+	p.f.RentDone(p.l.n.now(), a, got, refused, doubt)
 }
 
 // ask asks the cloud for machines like one, under a name that is used for nothing
@@ -185,17 +185,17 @@
 			continue
 		}
 		n.mu.Lock()
-		var out []fleet.Listed
+		var out []fleet.ListedMachine
 		for _, m := range list {
 			id, err := wire.ParseMachine(m.Name)
 			if err != nil {
 				continue
 			}
-			out = append(out, fleet.Listed{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone), Spot: m.Spot,
+			out = append(out, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone), Spot: m.Spot,
 				Failed: m.Stage == "failed", Age: config.Seconds(m.AgeS)})
 		}
-		slices.SortFunc(out, func(a, b fleet.Listed) int { return cmp.Compare(a.ID, b.ID) })
-		gone := p.f.List(n.now(), asked, out)
+		slices.SortFunc(out, func(a, b fleet.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+		gone := p.f.UpdateListed(n.now(), asked, out)
 		for _, id := range gone {
 			p.l.d.MachineGone(id)
 		}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -90,10 +90,10 @@
 	}
 	s := n.seat.s
 	refused := s.Stats.ExpiredSessionReports
-	ok := s.Report(now, r)
+	ok := s.HandleReport(now, r)
 	if !ok && n.lead != nil { // the dealer is at hand: it may be ours by now
 		n.lead.deals.exchange(now)
-		ok = s.Report(now, r)
+		ok = s.HandleReport(now, r)
 	}
 	if ok {
 		s.PlaceOn(now, r.Machine.ID)
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -45,7 +45,7 @@
 func (n *Node) newSeat(attempts uint64) *seat {
 	st := &seat{asked: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
 		s: shard.New(n.shardParams(), attempts, n.rng)}
-	st.s.SetImages(n.kept)
+	st.s.RestoreImages(n.kept)
 	return st
 }
 
@@ -107,7 +107,7 @@
 		n.lead.deals.exchange(now)
 		return
 	}
-	for _, e := range n.seat.s.Events() {
+	for _, e := range n.seat.s.TakeEvents() {
 		if n.seat.out != nil {
 			n.seat.out.Send(n.seat.codec.Event(&e))
 		}
@@ -117,7 +117,7 @@
 func (n *Node) flush(now time.Duration) {
 	st := n.seat
 	st.s.Flush(now, n.health.atOnce(now, maxDirect))
-	for _, d := range st.s.DirectCommands() {
+	for _, d := range st.s.TakeDirectCommands() {
 		n.logStarts(d.Machine, d.Token, d.Session, d.Commands, true)
 		go n.direct(st, d)
 	}
@@ -187,7 +187,7 @@
 	}
 	if st.dirty {
 		st.dirty = false
-		st.out.Send(st.codec.Status(now, st.s.Status(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()))
+		st.out.Send(st.codec.Status(now, st.s.TakeStatus(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()))
 	}
 }
 
@@ -398,7 +398,7 @@
 				n.el.Promise(now + config.Promise)
 				d := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
 				// Both clocks may drift, and timers are late.
-				st.s.Grant(at + d - d/500 - 50*time.Millisecond)
+				st.s.SetGrant(at + d - d/500 - 50*time.Millisecond)
 			}
 		case *peerpb.Down_Order:
 			if st == nil {
@@ -409,7 +409,7 @@
 				n.mu.Unlock()
 				return err
 			}
-			st.s.Order(now, o)
+			st.s.HandleOrder(now, o)
 			n.owned(&o)
 			n.soon()
 		}
