--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -119,12 +119,12 @@
 		}
 	}
 	r.l.tick(now)
-	if r.n.seat.s.Granted(now) {
+	if r.n.seat.s.HasGrant(now) {
 		t.Error("its own shard acts")
 	}
 	r.l.deals.seen(now, now-time.Second)
 	r.l.tick(now)
-	if !r.n.seat.s.Granted(now) {
+	if !r.n.seat.s.HasGrant(now) {
 		t.Error("its own shard does not act on a picture of a second ago")
 	}
 }
@@ -205,7 +205,7 @@
 	}
 	r.l.deals.add(now, stored{sub, 9}, now)
 	for _, id := range []model.JobID{7, 8} {
-		if r.l.d.Version(id) != 0 {
+		if r.l.d.JobVersion(id) != 0 {
 			t.Errorf("job %d is open", id)
 		}
 	}
--- a/internal/node/renting.go
+++ b/internal/node/renting.go
@@ -63,46 +63,46 @@
 	switch {
 	case waited > config.Seconds(1.25*p.l.n.cfg.Cluster.Workers.ReportS)+2250*time.Millisecond:
 		share = someUnseen
-	case p.l.d.Unanswering():
+	case p.l.d.AllUnaccountedUnresponsive():
 		share = fewUnseen
 	default:
 		return
 	}
-	ids := p.l.d.Unseen(share)
+	ids := p.l.d.UnaccountedMachines(share)
 	if len(ids) == 0 {
 		return
 	}
 	p.settling = true
 	p.l.n.log.Info("returning machines that can't be reached", "count", len(ids))
 	for some := range slices.Chunk(ids, fleet.MaxReturn) {
-		go p.giveBack(fleet.Action{Kind: fleet.Return, Machine: some}, nil)
+		go p.giveBack(fleet.Action{Kind: fleet.Return, Machines: some}, nil)
 	}
 }
 
 func (p *renting) runFleet(now time.Duration) {
-	status := p.l.d.Machines()
+	status := p.l.d.MachineStatuses()
 	p.f.Observe(now, status, p.l.d.LeaseExpired)
 	if p.worthGivingUp() {
-		p.f.Deaf(p.l.d.Unreachable())
+		p.f.SetUnreachable(p.l.d.UnreachableMachines())
 	}
 	var demand []fleet.Demand
-	for _, need := range p.l.d.Needs() {
-		demand = append(demand, fleet.Demand{Need: need, Placed: need.Held - int32(p.l.d.Count(need.Spec.ID).Waiting)})
+	for _, need := range p.l.d.Demand() {
+		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(p.l.d.TaskCounts(need.Spec.ID).Waiting)})
 	}
-	for _, a := range p.f.Step(now, status, demand, p.l.d.Limit) {
+	for _, a := range p.f.Step(now, status, demand, p.l.d.TeamLimit) {
 		switch a.Kind {
 		case fleet.Drain:
-			p.l.drains.e.Empty(a.Machine)
+			p.l.drains.e.Empty(a.Machines)
 		case fleet.Undrain:
-			p.l.drains.e.Keep(a.Machine)
+			p.l.drains.e.Keep(a.Machines)
 		case fleet.Return:
-			for _, id := range a.Machine {
-				p.l.d.Use(id, false)
+			for _, id := range a.Machines {
+				p.l.d.SetUsable(id, false)
 			}
 			go p.giveBack(a, nil)
 		case fleet.Rent:
 			if now-p.l.deals.fresh > blind {
-				p.f.Rented(now, a, nil, true, false)
+				p.f.RentDone(now, a, nil, true, false)
 				continue
 			}
 			go p.rent(a)
@@ -115,15 +115,15 @@
 // much longer than it takes to find that out that its work should not wait for it.
 func (p *renting) worthGivingUp() bool {
 	s := p.l.n.shardParams()
-	return s.SureLease-s.Overdue()-directTimeout > 15*time.Second
+	return s.MaxLease-s.OverdueAfter()-directTimeout > 15*time.Second
 }
 
 // giveBack returns machines to the cloud. told, if it is given, hears under the lock
 // whether it has them.
 func (p *renting) giveBack(a fleet.Action, told func(now time.Duration, ok bool)) {
 	n := p.l.n
-	names := make([]string, len(a.Machine))
-	for i, id := range a.Machine {
+	names := make([]string, len(a.Machines))
+	for i, id := range a.Machines {
 		names[i] = wire.MachineName(id)
 	}
 	err := errTermOver
@@ -134,12 +134,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	p.f.Returned(now, a, err == nil)
-	for _, id := range a.Machine {
+	p.f.ReturnDone(now, a, err == nil)
+	for _, id := range a.Machines {
 		if err == nil {
-			p.l.d.Gone(id)
+			p.l.d.MachineGone(id)
 		} else {
-			p.l.d.Use(id, true)
+			p.l.d.SetUsable(id, true)
 		}
 	}
 	if told != nil {
@@ -151,10 +151,10 @@
 }
 
 func (p *renting) rent(a fleet.Action) {
-	got, refused, doubt := p.ask(a.Rent, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, a.Count)
+	got, refused, doubt := p.ask(a.RequestName, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, a.Count)
 	p.l.n.mu.Lock()
 	defer p.l.n.mu.Unlock()
-	p.f.Rented(p.l.n.now(), a, got, refused, doubt)
+	p.f.RentDone(p.l.n.now(), a, got, refused, doubt)
 }
 
 // ask asks the cloud for machines like one, under a name that is used for nothing
@@ -185,19 +185,19 @@
 			continue
 		}
 		n.mu.Lock()
-		var out []fleet.Listed
+		var out []fleet.ListedMachine
 		for _, m := range list {
 			id, err := wire.ParseMachine(m.Name)
 			if err != nil {
 				continue
 			}
-			out = append(out, fleet.Listed{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone), Spot: m.Spot,
+			out = append(out, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone), Spot: m.Spot,
 				Failed: m.Stage == "failed", Age: config.Seconds(m.AgeS)})
 		}
-		slices.SortFunc(out, func(a, b fleet.Listed) int { return cmp.Compare(a.ID, b.ID) })
-		gone := p.f.List(n.now(), asked, out)
+		slices.SortFunc(out, func(a, b fleet.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+		gone := p.f.UpdateListed(n.now(), asked, out)
 		for _, id := range gone {
-			p.l.d.Gone(id)
+			p.l.d.MachineGone(id)
 		}
 		if n.lead == p.l && len(gone) > 0 {
 			n.log.Info("machines gone from the list", "count", len(gone))
