--- a/internal/core/audit/audit.go
+++ b/internal/core/audit/audit.go
@@ -24,8 +24,8 @@
 	stored bool
 }
 
-// Version of stored entries.
-const Version = 1
+// EntryVersion of stored entries.
+const EntryVersion = 1
 
 // Log is the state machine.
 type Log struct {
@@ -68,12 +68,12 @@
 	}
 }
 
-// Known returns the entry of a request, nil if it is not known.
-func (l *Log) Known(request string) *Entry { return l.by[request] }
+// ByRequest returns the entry of a request, nil if it is not known.
+func (l *Log) ByRequest(request string) *Entry { return l.by[request] }
 
 // Add takes a new entry, to be stored.
 func (l *Log) Add(e Entry) *Entry {
-	e.V, e.Seq, e.stored = Version, l.next, false
+	e.V, e.Seq, e.stored = EntryVersion, l.next, false
 	l.next++
 	l.entries = append(l.entries, &e)
 	l.by[e.Request] = &e
@@ -99,8 +99,8 @@
 	return out
 }
 
-// Stored tells that an entry is surely stored.
-func (l *Log) Stored(e *Entry) { e.stored = true }
+// MarkStored tells that an entry is surely stored.
+func (l *Log) MarkStored(e *Entry) { e.stored = true }
 
 // IsStored tells whether an entry is surely stored.
 func (l *Log) IsStored(e *Entry) bool { return e.stored }
--- a/internal/core/audit/audit_test.go
+++ b/internal/core/audit/audit_test.go
@@ -10,7 +10,7 @@
 		e := l.Add(Entry{Request: r, Name: "p", Outcome: "did " + r})
 		for _, u := range l.Unstored(9, func(string) bool { return true }) {
 			stored[l.Slot(u)] = *u
-			l.Stored(u)
+			l.MarkStored(u)
 		}
 		if !l.IsStored(e) {
 			t.Fatal("not stored")
@@ -20,11 +20,11 @@
 	for _, e := range stored {
 		next.Load(e)
 	}
-	if len(stored) != 4 || next.Known("a") != nil || next.Known("f") == nil || next.Known("f").Outcome != "did f" ||
-		!next.IsStored(next.Known("f")) {
+	if len(stored) != 4 || next.ByRequest("a") != nil || next.ByRequest("f") == nil || next.ByRequest("f").Outcome != "did f" ||
+		!next.IsStored(next.ByRequest("f")) {
 		t.Errorf("%v", stored)
 	}
-	if e := next.Add(Entry{Request: "g"}); e.Seq != 7 || next.Known("c") != nil || len(next.List(9)) != 4 ||
+	if e := next.Add(Entry{Request: "g"}); e.Seq != 7 || next.ByRequest("c") != nil || len(next.List(9)) != 4 ||
 		next.List(1)[0].Request != "g" {
 		t.Errorf("%+v of %+v", e, next.List(9))
 	}
--- a/internal/core/cancellog/cancellog.go
+++ b/internal/core/cancellog/cancellog.go
@@ -38,8 +38,8 @@
 // NewLog begins with the controller's life.
 func NewLog(now time.Duration) *Log { return &Log{since: now, told: map[model.JobID]bool{}} }
 
-// Told notes that a user is about to be told that a job is cancelled.
-func (l *Log) Told(now time.Duration, job model.JobID) {
+// Acknowledge notes that a user is about to be told that a job is cancelled.
+func (l *Log) Acknowledge(now time.Duration, job model.JobID) {
 	if !l.told[job] {
 		l.told[job] = true
 		l.kept = append(l.kept, acknowledged{job, now})
@@ -54,25 +54,25 @@
 	l.dropped += drop
 }
 
-// Since is the moment from which on nothing is missing.
-func (l *Log) Since() time.Duration { return l.since }
+// CompleteSince is the moment from which on nothing is missing.
+func (l *Log) CompleteSince() time.Duration { return l.since }
 
-// From returns the jobs told from the n-th entry on, and what to ask from next time.
-func (l *Log) From(n int) (jobs []model.JobID, next int) {
+// EntriesFrom returns the jobs told from the n-th entry on, and what to ask from next time.
+func (l *Log) EntriesFrom(n int) (jobs []model.JobID, next int) {
 	for _, t := range l.kept[max(0, n-l.dropped):] {
 		jobs = append(jobs, t.job)
 	}
 	return jobs, l.dropped + len(l.kept)
 }
 
-// Acknowledgement is how far one controller's acknowledgements are known: all that it told users in between.
-type Acknowledgement struct {
+// Coverage is how far one controller's acknowledgements are known: all that it told users in between.
+type Coverage struct {
 	Since, Until time.Duration
 }
 
-// Picture is a leader's of the open jobs. It knows of every cancellation that a user was told
+// OpenJobsView is a leader's of the open jobs. It knows of every cancellation that a user was told
 // of up to some moment; before the open jobs were read, of none.
-type Picture struct {
+type OpenJobsView struct {
 	read bool
 	at   time.Duration
 	// over are the cancelled jobs that a controller told of, and when the leader heard it:
@@ -80,9 +80,9 @@
 	over map[model.JobID]time.Duration
 }
 
-// Good is until when a leader may act on the picture, where it may be so old at most: never
+// ValidUntil is until when a leader may act on the picture, where it may be so old at most: never
 // (0) before the open jobs were read.
-func (p *Picture) Good(bound time.Duration) time.Duration {
+func (p *OpenJobsView) ValidUntil(bound time.Duration) time.Duration {
 	if !p.read {
 		return 0
 	}
@@ -91,14 +91,14 @@
 
 // Read takes that the open jobs were read, as of when they were asked for: nobody can have
 // been told of an end that was not stored by then.
-func (p *Picture) Read(asked time.Duration) {
+func (p *OpenJobsView) Read(asked time.Duration) {
 	p.read, p.at = true, max(p.at, asked)
 	maps.DeleteFunc(p.over, func(_ model.JobID, heard time.Duration) bool { return heard < asked })
 }
 
-// Told takes a controller's word that it told a user of a cancellation; anew is false if
+// AddCancelled takes a controller's word that it told a user of a cancellation; anew is false if
 // that was heard before.
-func (p *Picture) Told(now time.Duration, job model.JobID) (anew bool) {
+func (p *OpenJobsView) AddCancelled(now time.Duration, job model.JobID) (anew bool) {
 	if p.over == nil {
 		p.over = map[model.JobID]time.Duration{}
 	}
@@ -109,13 +109,13 @@
 	return !known
 }
 
-// Over tells whether a job that was asked for before it was heard of is cancelled.
-func (p *Picture) Over(job model.JobID) bool { _, over := p.over[job]; return over }
+// IsCancelled tells whether a job that was asked for before it was heard of is cancelled.
+func (p *OpenJobsView) IsCancelled(job model.JobID) bool { _, over := p.over[job]; return over }
 
-// Heard takes the words of all other controllers, and the leader's own, which is always of
+// ApplyCoverage takes the words of all other controllers, and the leader's own, which is always of
 // now. A word that begins later than the picture leaves a gap: its controller may have told
 // anything in an earlier life.
-func (p *Picture) Heard(now time.Duration, words []Acknowledgement) {
+func (p *OpenJobsView) ApplyCoverage(now time.Duration, words []Coverage) {
 	if !p.read {
 		return
 	}
--- a/internal/core/dispatcher/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -39,8 +39,8 @@
 		open = append(open, starvation.Job{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks,
 			Since: j.since, Begun: j.begun})
 	}
-	d.starvation.See(now, open)
-	for _, id := range d.starvation.Late() {
+	d.starvation.Update(now, open)
+	for _, id := range d.starvation.Overdue() {
 		j := d.jobs[id]
 		j.late = true
 		if j.pressed == 0 || now-j.pressed >= pressEvery {
@@ -51,11 +51,11 @@
 }
 
 // Starvation tells what part of each class, team and size has begun.
-func (d *Dispatcher) Starvation(now time.Duration) []starvation.Share {
+func (d *Dispatcher) Starvation(now time.Duration) []starvation.GroupStats {
 	if d.starvation == nil {
 		return nil
 	}
-	return d.starvation.Shares(now)
+	return d.starvation.GroupStats(now)
 }
 
 // ranked puts the jobs to deal in order: those that should have begun, by their wait,
--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -20,15 +20,15 @@
 
 // Budget of one team, or of one class of its work. A zero amount bounds nothing.
 type Budget struct {
-	Team     model.Name
-	Class    model.Name    // None: all
-	Tasks    int           // out at once
-	Share    float64       // of the running tasks, out at once: one at least
-	CPU      int64         // out at once, in thousandths
-	LostCPU  float64       // CPU seconds lost in a window
-	Window   time.Duration // of LostCPU
-	Moves    int           // of one task
-	LastPart float64       // of a task's run, in which it is not moved
+	Team         model.Name
+	Class        model.Name    // None: all
+	MaxTasks     int           // out at once
+	MaxShare     float64       // of the running tasks, out at once: one at least
+	MaxCPU       int64         // out at once, in thousandths
+	MaxLostCPU   float64       // CPU seconds lost in a window
+	Window       time.Duration // of LostCPU
+	MaxMoves     int           // of one task
+	LastFraction float64       // of a task's run, in which it is not moved
 }
 
 func (b *Budget) covers(sp *model.Spec) bool {
@@ -38,14 +38,14 @@
 // Cause of a task's being out of work.
 type Cause uint8
 
-// Causes. The first two are by our own doing and ask first.
+// NumCauses. The first two are by our own doing and ask first.
 const (
-	Plan    Cause = iota // an operators' plan moves it
-	Price                // its machine is drained for its price
-	Evicted              // for work of a higher price
-	Lost                 // its machine stopped, was taken, or can't be reached
-	Unsure               // of before this leader's term: it may be out for any reason
-	Causes
+	PlanDrain  Cause = iota // an operators' plan moves it
+	PriceDrain              // its machine is drained for its price
+	Evicted                 // for work of a higher price
+	Lost                    // its machine stopped, was taken, or can't be reached
+	Unknown                 // of before this leader's term: it may be out for any reason
+	NumCauses
 )
 
 // String is the cause's name for people.
@@ -74,42 +74,42 @@
 }
 
 // Counts of a team, by cause, for metrics.
-type Counts struct{ Drawn, Refused, Eaten [Causes]uint64 }
+type Counts struct{ Granted, Refused, Involuntary [NumCauses]uint64 }
 
-// Present is what the leader knows of a team's work beside what the book was told.
-type Present struct {
+// TeamState is what the leader knows of a team's work beside what the book was told.
+type TeamState struct {
 	Running  int   // tasks at work
 	Orphaned int   // tasks whose owner was lost, or let their machine go
-	Unsure   int   // tasks of jobs of before this term that are neither done nor known to be at work
+	Unknown  int   // tasks of jobs of before this term that are neither done nor known to be at work
 	CPU      int64 // of those orphaned and unsure, in thousandths
 }
 
-// Book is the state machine.
-type Book struct {
+// Tracker is the state machine.
+type Tracker struct {
 	budgets []Budget
 	out     map[model.Task]*out
 	moves   map[model.Task]int
 	losses  []loss // oldest first
 	Counts  map[model.Name]*Counts
-	// Settled: the machines of earlier terms are accounted for. Before, nothing is drawn.
-	Settled bool
-	// Present tells of a team's work, or of that of one of its classes.
-	Present func(team, class model.Name) Present
+	// Recovered: the machines of earlier terms are accounted for. Before, nothing is drawn.
+	Recovered bool
+	// TeamState tells of a team's work, or of that of one of its classes.
+	TeamState func(team, class model.Name) TeamState
 	// TeamName is for people.
 	TeamName func(model.Name) string
 }
 
 // New returns a book with these budgets.
-func New(budgets []Budget) *Book {
-	return &Book{budgets: budgets, out: map[model.Task]*out{}, moves: map[model.Task]int{},
+func New(budgets []Budget) *Tracker {
+	return &Tracker{budgets: budgets, out: map[model.Task]*out{}, moves: map[model.Task]int{},
 		Counts:   map[model.Name]*Counts{},
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
-// On tells whether there is any budget: without one nothing need be told here.
-func (k *Book) On() bool { return k != nil && len(k.budgets) > 0 }
+// Enabled tells whether there is any budget: without one nothing need be told here.
+func (k *Tracker) Enabled() bool { return k != nil && len(k.budgets) > 0 }
 
-func (k *Book) counts(team model.Name) *Counts {
+func (k *Tracker) counts(team model.Name) *Counts {
 	c := k.Counts[team]
 	if c == nil {
 		c = &Counts{}
@@ -118,26 +118,26 @@
 	return c
 }
 
-// Ask is a task that is to be moved.
-type Ask struct {
-	Task  model.Task
-	Spec  *model.Spec
-	Cause Cause
-	Ran   time.Duration // it has run here for so long
-	Left  time.Duration // ... and is likely to run on for
+// MoveRequest is a task that is to be moved.
+type MoveRequest struct {
+	Task      model.Task
+	Spec      *model.Spec
+	Cause     Cause
+	Ran       time.Duration // it has run here for so long
+	Remaining time.Duration // ... and is likely to run on for
 }
 
 // lost is the run time that a task loses when it is stopped: what it did not save.
-func (a *Ask) lost() time.Duration {
+func (a *MoveRequest) lost() time.Duration {
 	if a.Spec.CheckpointInterval > 0 {
 		return a.Spec.CheckpointTime
 	}
 	return a.Ran
 }
 
-// Draw asks for a task to be moved: "" if it may, and it is out from here on; else what
+// RequestMove asks for a task to be moved: "" if it may, and it is out from here on; else what
 // stands against it.
-func (k *Book) Draw(now time.Duration, a Ask) string {
+func (k *Tracker) RequestMove(now time.Duration, a MoveRequest) string {
 	k.expire(now)
 	for i := range k.budgets {
 		if b := &k.budgets[i]; b.covers(a.Spec) {
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	k.counts(a.Spec.Team).Drawn[a.Cause]++
+	k.counts(a.Spec.Team).Granted[a.Cause]++
 	k.moves[a.Task]++
 	k.out[a.Task] = &out{sp: a.Spec, cause: a.Cause, lost: a.lost()}
 	k.losses = append(k.losses, loss{now, a.Spec, a.Cause, cpuSeconds(a.Spec, a.lost())})
@@ -159,28 +159,28 @@
 }
 
 // against tells what a budget has against a move, "" if nothing.
-func (k *Book) against(now time.Duration, b *Budget, a *Ask) string {
+func (k *Tracker) against(now time.Duration, b *Budget, a *MoveRequest) string {
 	name := k.name(b)
-	if !k.Settled {
+	if !k.Recovered {
 		return name + ": not all machines of earlier terms are accounted for"
 	}
-	if b.Moves > 0 && k.moves[a.Task] >= b.Moves {
+	if b.MaxMoves > 0 && k.moves[a.Task] >= b.MaxMoves {
 		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, k.moves[a.Task])
 	}
-	if whole := a.Ran + a.Left; b.LastPart > 0 && a.Left < time.Duration(b.LastPart*float64(whole)) {
-		return fmt.Sprintf("%s: a task is in the last %.0f%% of its run", name, 100*b.LastPart)
+	if whole := a.Ran + a.Remaining; b.LastFraction > 0 && a.Remaining < time.Duration(b.LastFraction*float64(whole)) {
+		return fmt.Sprintf("%s: a task is in the last %.0f%% of its run", name, 100*b.LastFraction)
 	}
 	u := k.used(b)
 	if most, bound := b.tasks(u.running); bound && u.tasks+1 > most {
 		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%d of %d tasks are", u.tasks, most)))
 	}
-	if b.CPU > 0 && u.cpu+a.Spec.PerTask.CPU > b.CPU {
-		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%.1f of %.1f CPUs are", cpus(u.cpu), cpus(b.CPU))))
+	if b.MaxCPU > 0 && u.cpu+a.Spec.PerTask.CPU > b.MaxCPU {
+		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%.1f of %.1f CPUs are", cpus(u.cpu), cpus(b.MaxCPU))))
 	}
-	if b.LostCPU > 0 {
+	if b.MaxLostCPU > 0 {
 		lost, until := k.lostIn(now, b)
-		if lost+cpuSeconds(a.Spec, a.lost()) > b.LostCPU {
-			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost, b.LostCPU,
+		if lost+cpuSeconds(a.Spec, a.lost()) > b.MaxLostCPU {
+			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost, b.MaxLostCPU,
 				b.Window, (until - now).Round(time.Second))
 		}
 	}
@@ -191,16 +191,16 @@
 
 // tasks is how many may be out at once.
 func (b *Budget) tasks(running int) (most int, bound bool) {
-	if b.Share > 0 {
-		most, bound = max(1, int(b.Share*float64(running))), true
+	if b.MaxShare > 0 {
+		most, bound = max(1, int(b.MaxShare*float64(running))), true
 	}
-	if b.Tasks > 0 && (!bound || b.Tasks < most) {
-		most, bound = b.Tasks, true
+	if b.MaxTasks > 0 && (!bound || b.MaxTasks < most) {
+		most, bound = b.MaxTasks, true
 	}
 	return most, bound
 }
 
-func (k *Book) name(b *Budget) string {
+func (k *Tracker) name(b *Budget) string {
 	return "the budget of disruption of " + k.TeamName(b.Team)
 }
 
@@ -208,11 +208,11 @@
 type used struct {
 	tasks, running int
 	cpu            int64
-	by             [Causes]int
+	by             [NumCauses]int
 	back           time.Duration // the first that is known to be back, 0: none is
 }
 
-func (k *Book) used(b *Budget) used {
+func (k *Tracker) used(b *Budget) used {
 	var u used
 	for _, o := range k.out {
 		if b.covers(o.sp) {
@@ -224,15 +224,15 @@
 			}
 		}
 	}
-	if k.Present == nil {
+	if k.TeamState == nil {
 		return u
 	}
-	p := k.Present(b.Team, b.Class)
+	p := k.TeamState(b.Team, b.Class)
 	u.running = p.Running
-	u.tasks += p.Orphaned + p.Unsure
+	u.tasks += p.Orphaned + p.Unknown
 	u.cpu += p.CPU
 	u.by[Lost] += p.Orphaned
-	u.by[Unsure] += p.Unsure
+	u.by[Unknown] += p.Unknown
 	return u
 }
 
@@ -259,7 +259,7 @@
 
 // lostIn sums up what a budget's work lost in its window by our own doing, and when
 // the oldest of it is forgotten.
-func (k *Book) lostIn(now time.Duration, b *Budget) (cpuS float64, until time.Duration) {
+func (k *Tracker) lostIn(now time.Duration, b *Budget) (cpuS float64, until time.Duration) {
 	until = now
 	for i := len(k.losses) - 1; i >= 0; i-- {
 		if l := &k.losses[i]; now-l.at < b.Window && b.covers(l.sp) {
@@ -270,57 +270,57 @@
 	return cpuS, until
 }
 
-// Hear takes what a shard tells of a job's task that is out of work, at work again, or done.
-func (k *Book) Hear(now time.Duration, e *model.Event, sp *model.Spec) {
+// HandleEvent takes what a shard tells of a job's task that is out of work, at work again, or done.
+func (k *Tracker) HandleEvent(now time.Duration, e *model.Event, sp *model.Spec) {
 	switch e.Kind {
 	case model.TaskInterrupted:
 		cause := Evicted
 		if e.Cause == model.CauseOther {
 			cause = Lost
 		}
-		k.Stopped(e.Task, sp, cause, e.RunTime)
+		k.TaskStopped(e.Task, sp, cause, e.RunTime)
 	case model.TaskResumed:
-		k.Resumed(now, e.Task)
+		k.TaskResumed(now, e.Task)
 	case model.TaskFinished:
-		k.Ended(e.Task)
+		k.TaskDone(e.Task)
 	}
 }
 
-// Stopped takes the news that a running task is out of work. What was drawn for stays
+// TaskStopped takes the news that a running task is out of work. What was drawn for stays
 // drawn; all else eats of the budget.
-func (k *Book) Stopped(t model.Task, sp *model.Spec, c Cause, lost time.Duration) {
+func (k *Tracker) TaskStopped(t model.Task, sp *model.Spec, c Cause, lost time.Duration) {
 	if o := k.out[t]; o != nil {
 		o.back = 0
 		o.lost = max(o.lost, lost)
 		return
 	}
-	k.counts(sp.Team).Eaten[c]++
+	k.counts(sp.Team).Involuntary[c]++
 	k.out[t] = &out{sp: sp, cause: c, lost: lost}
 }
 
-// Resumed takes the news that a task is at work again: it is out until it has made up
+// TaskResumed takes the news that a task is at work again: it is out until it has made up
 // for what it lost.
-func (k *Book) Resumed(now time.Duration, t model.Task) {
+func (k *Tracker) TaskResumed(now time.Duration, t model.Task) {
 	if o := k.out[t]; o != nil && o.back == 0 {
 		o.back = now + o.lost
 	}
 }
 
-// Ended takes the news that a task is done.
-func (k *Book) Ended(t model.Task) {
+// TaskDone takes the news that a task is done.
+func (k *Tracker) TaskDone(t model.Task) {
 	delete(k.out, t)
 	delete(k.moves, t)
 }
 
-// Sweep forgets the tasks of jobs that are over.
-func (k *Book) Sweep(open func(model.JobID) bool) {
+// Prune forgets the tasks of jobs that are over.
+func (k *Tracker) Prune(open func(model.JobID) bool) {
 	over := func(t model.Task) bool { return !open(t.Job) }
 	maps.DeleteFunc(k.out, func(t model.Task, _ *out) bool { return over(t) })
 	maps.DeleteFunc(k.moves, func(t model.Task, _ int) bool { return over(t) })
 }
 
 // expire gives back what has made up for what it lost, and forgets old losses.
-func (k *Book) expire(now time.Duration) {
+func (k *Tracker) expire(now time.Duration) {
 	for t, o := range k.out {
 		if o.back > 0 && now >= o.back {
 			delete(k.out, t)
@@ -336,14 +336,14 @@
 // Status of a budget, for people.
 type Status struct {
 	Budget
-	Running, Tasks, MostTasks int // MostTasks: -1: no bound
+	Running, Tasks, TaskLimit int // MostTasks: -1: no bound
 	CPU                       int64
 	LostCPU                   float64
-	By                        [Causes]int
+	ByCause                   [NumCauses]int
 }
 
 // Status tells how all budgets stand.
-func (k *Book) Status(now time.Duration) []Status {
+func (k *Tracker) Status(now time.Duration) []Status {
 	k.expire(now)
 	out := make([]Status, 0, len(k.budgets))
 	for i := range k.budgets {
@@ -354,8 +354,8 @@
 			most = -1
 		}
 		lost, _ := k.lostIn(now, b)
-		out = append(out, Status{Budget: *b, Running: u.running, Tasks: u.tasks, MostTasks: most, CPU: u.cpu, LostCPU: lost,
-			By: u.by})
+		out = append(out, Status{Budget: *b, Running: u.running, Tasks: u.tasks, TaskLimit: most, CPU: u.cpu, LostCPU: lost,
+			ByCause: u.by})
 	}
 	slices.SortStableFunc(out, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
--- a/internal/core/drain/hold.go
+++ b/internal/core/drain/blockers.go
@@ -13,10 +13,10 @@
 
 // look asks the machine's owner now and then what runs there.
 func (e *Engine) look(now time.Duration, id model.MachineID) {
-	if a, ok := e.asked[id]; !ok || now-a.at >= 2*e.p.Report {
+	if a, ok := e.asked[id]; !ok || now-a.at >= 2*e.p.ReportInterval {
 		e.looks++
 		e.asked[id] = asked{now, e.looks}
-		e.act(Action{Kind: Look, Machine: id, Seq: e.looks})
+		e.act(Action{Kind: ListTasks, Machine: id, Seq: e.looks})
 	}
 }
 
@@ -30,7 +30,7 @@
 // has said so after it heard that the machine gets no tasks.
 func (e *Engine) empty(now time.Duration, m *Machine) bool {
 	id := m.Machine.ID
-	if !m.Told || m.Slots > 0 || !e.barred[id] {
+	if !m.Reported || m.Slots > 0 || !e.barred[id] {
 		return false
 	}
 	s, fresh := e.fresh(now, id)
@@ -42,14 +42,14 @@
 func (e *Engine) fresh(now time.Duration, id model.MachineID) (seen, bool) {
 	e.look(now, id)
 	s, ok := e.seen[id]
-	return s, ok && now-s.at <= freshReports*e.p.Report
+	return s, ok && now-s.at <= freshReports*e.p.ReportInterval
 }
 
 // hold tells why a machine can't be drained at present, "" if it can. It is asked
 // anew every time, so a reason goes away by itself.
 func (e *Engine) hold(v *View, p *Plan, id model.MachineID, r *rooms) string {
 	m := v.Machines[id]
-	if !m.Told {
+	if !m.Reported {
 		return "no controller has told how it is"
 	}
 	if why := floor(v, p, r, id); why != "" {
@@ -79,7 +79,7 @@
 // floor: what teams have left of their guarantees stays free elsewhere, as far
 // as the plan asks for.
 func floor(v *View, p *Plan, r *rooms, id model.MachineID) string {
-	need := int64(p.Floor * float64(v.Spare))
+	need := int64(p.FreeCapacityFloor * float64(v.UnusedGuaranteeCPU))
 	if free := r.without(id); free < need {
 		return fmt.Sprintf("%.1f CPUs would be free elsewhere, the floor of teams' guarantees is %.1f", cpus(free),
 			cpus(need))
@@ -94,7 +94,7 @@
 	m := v.Machines[id].Machine
 	var out []string
 	for _, j := range v.Jobs {
-		if j.Open > 0 && j.Spec.Allows(&m) && j.Spec.PerTask.Fits(m.Cap) && r.holds(j.Spec, id) == 0 {
+		if j.UnfinishedTasks > 0 && j.Spec.Allows(&m) && j.Spec.PerTask.Fits(m.Cap) && r.holds(j.Spec, id) == 0 {
 			out = append(out, v.JobName(j.Spec.ID))
 		}
 	}
@@ -133,7 +133,7 @@
 // machine's room, even had they all that is left to themselves.
 func crowded(v *View, p *Plan, r *rooms, id model.MachineID) string {
 	for _, j := range v.Jobs {
-		waiting := int64(j.Open - j.Running)
+		waiting := int64(j.UnfinishedTasks - j.RunningTasks)
 		if waiting <= 0 {
 			continue
 		}
@@ -157,7 +157,7 @@
 func (e *Engine) draining(v *View, p *Plan, i int) {
 	s, r := &p.Steps[i], &p.rt[i]
 	m := v.Machines[s.Machine]
-	if !m.Told {
+	if !m.Reported {
 		r.held = "no controller has told how it is"
 		return
 	}
@@ -169,7 +169,7 @@
 		if p.After == Patch {
 			p.set(v.Now, i, Patching)
 		} else {
-			p.set(v.Now, i, Giving)
+			p.set(v.Now, i, Returning)
 		}
 		return
 	}
@@ -232,14 +232,14 @@
 // move.
 func (e *Engine) movedLately(now time.Duration, id model.JobID) bool {
 	at, ok := e.moved[id]
-	return ok && now-at < 3*time.Second+freshReports*e.p.Report
+	return ok && now-at < 3*time.Second+freshReports*e.p.ReportInterval
 }
 
 // allRun tells whether all replicas of a service run.
 func allRun(v *View, sp *model.Spec) bool {
 	for _, j := range v.Jobs {
 		if j.Spec.ID == sp.ID {
-			return j.Running >= int(sp.Tasks)
+			return j.RunningTasks >= int(sp.Tasks)
 		}
 	}
 	return false
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -89,15 +89,15 @@
 func TestReplicasMoveOneAtATime(t *testing.T) {
 	r := three(t)
 	j := r.job(model.Spec{ID: 1, Daemon: true}, 1, 1, 2)
-	if err := r.apply(Spec{Machines: []model.MachineID{1, 2}, AtOnce: 2}); err != nil {
+	if err := r.apply(Spec{Machines: []model.MachineID{1, 2}, MaxConcurrent: 2}); err != nil {
 		t.Fatal(err)
 	}
-	j.Running = 2 // one is on its way
+	j.RunningTasks = 2 // one is on its way
 	r.ticks(20)
 	if len(r.recall) != 0 || !strings.Contains(r.held(), "one at a time") {
 		t.Fatalf("moved %v, held: %q", r.recall, r.held())
 	}
-	j.Running = 3
+	j.RunningTasks = 3
 	for last := 0; len(r.recall) < 3 && r.now < 5*time.Minute; {
 		r.tick()
 		if n := len(r.recall); n > last+1 {
@@ -134,12 +134,12 @@
 			return Spec{Default: Move, Windows: []Window{{Deadline: true, Name: "its deadline"}}}
 		}, "job-000009 would end at", func(r *rig) { r.finish(9) }},
 		"waiting tasks that need the machine's room": {func(r *rig) Spec {
-			r.job(model.Spec{ID: 9, Class: 5, Estimate: 4 * time.Minute}, 1).Open = 13
+			r.job(model.Spec{ID: 9, Class: 5, Estimate: 4 * time.Minute}, 1).UnfinishedTasks = 13
 			return Spec{Windows: []Window{noon(r, 8*time.Minute)}}
 		}, "job-000009 has 12 tasks waiting", func(r *rig) { r.finish(9) }},
 		"a floor of room": {func(r *rig) Spec {
 			r.job(model.Spec{ID: 8}, 2, 2, 2, 2, 3, 3, 3, 3)
-			return Spec{Floor: 1}
+			return Spec{FreeCapacityFloor: 1}
 		}, "the floor of teams' guarantees", func(r *rig) { r.finish(8) }},
 		"a job that no other machine could run": {func(r *rig) Spec {
 			r.ms[1].Type = 3
@@ -158,7 +158,7 @@
 			for range 12 {
 				r.now += 500 * time.Millisecond
 				v := r.view()
-				v.Spare = spare
+				v.UnusedGuaranteeCPU = spare
 				for _, a := range r.e.Tick(v) {
 					r.do(a)
 				}
@@ -185,7 +185,7 @@
 		m.Type = 3
 	}
 	r.job(model.Spec{ID: 9, Types: []model.Name{3}}, 1)
-	if err := r.apply(Spec{Machines: []model.MachineID{1, 2, 3}, AtOnce: 3, Default: Move}); err != nil {
+	if err := r.apply(Spec{Machines: []model.MachineID{1, 2, 3}, MaxConcurrent: 3, Default: Move}); err != nil {
 		t.Fatal(err)
 	}
 	r.ticks(60)
@@ -240,19 +240,19 @@
 	r.want(t, Renting)
 	replacement := r.replacement(t)
 	r.lead()
-	r.e.Empty([]model.MachineID{replacement}) // this leader has not been told whose it is
+	r.e.DrainForPrice([]model.MachineID{replacement}) // this leader has not been told whose it is
 	r.ticks(4)
 	if m := r.ms[replacement]; m == nil || m.barred {
 		t.Errorf("after a change of leader: the replacement is drained or given back: %+v", m)
 	}
 	check := func(when string) {
 		t.Helper()
-		r.e.Empty([]model.MachineID{replacement})
+		r.e.DrainForPrice([]model.MachineID{replacement})
 		r.ticks(4)
 		if m := r.ms[replacement]; m == nil || m.barred {
 			t.Errorf("%s: the replacement is drained or given back: %+v", when, m)
 		}
-		if _, wanted := r.e.Plans()(replacement); !wanted {
+		if _, wanted := r.e.MachinePlans()(replacement); !wanted {
 			t.Errorf("%s: the replacement is not wanted by its plan", when)
 		}
 	}
@@ -262,10 +262,10 @@
 	r.finish(1)
 	r.ticks(20)
 	r.want(t, Finished)
-	if _, wanted := r.e.Plans()(replacement); wanted {
+	if _, wanted := r.e.MachinePlans()(replacement); wanted {
 		t.Error("the replacement is wanted by a plan that is done")
 	}
-	r.e.Empty([]model.MachineID{replacement})
+	r.e.DrainForPrice([]model.MachineID{replacement})
 	r.ticks(10)
 	if r.given[replacement] != 1 {
 		t.Errorf("given back %v: a replacement is like any other once its plan is done", r.given)
@@ -323,7 +323,7 @@
 		}
 	}
 	r.ticks(4)
-	if r.want(t, Left, Left); r.ms[1].barred || r.e.Resume("p") == nil {
+	if r.want(t, Abandoned, Abandoned); r.ms[1].barred || r.e.Resume("p") == nil {
 		t.Error("a cancelled plan goes on")
 	}
 	// The name is free again; nothing begins after the latest end.
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	r.ticks(20)
-	if r.want(t, Patching, Left); r.e.plans["p"].Phase != Overdue {
+	if r.want(t, Patching, Abandoned); r.e.plans["p"].Phase != Overdue {
 		t.Errorf("phase %v", r.e.plans["p"].Phase)
 	}
 }
@@ -340,12 +340,12 @@
 // A machine that a new leader finds in use while it was being given back is
 // drained anew; of a plan that was cancelled meanwhile, it is let go.
 func TestGivingBackIsUndoneWhereWorkHasCome(t *testing.T) {
-	for cancelled, want := range map[bool]State{false: Draining, true: Left} {
+	for cancelled, want := range map[bool]State{false: Draining, true: Abandoned} {
 		r := three(t)
 		if err := r.apply(Spec{Machines: []model.MachineID{1}}); err != nil {
 			t.Fatal(err)
 		}
-		for r.state("p", 1) != Giving {
+		for r.state("p", 1) != Returning {
 			r.tick()
 		}
 		if cancelled {
@@ -379,13 +379,13 @@
 	if err := r.apply(Spec{Machines: []model.MachineID{1}, After: Patch}); err != nil {
 		t.Fatal(err)
 	}
-	other := Spec{Name: "q", AtOnce: 1, Machines: []model.MachineID{1, 2}}
+	other := Spec{Name: "q", MaxConcurrent: 1, Machines: []model.MachineID{1, 2}}
 	err := r.e.Check(&other, nil, func(id model.MachineID) string { return fmt.Sprintf("m-%d", id) })
 	if err == nil || !strings.Contains(err.Error(), `m-1 is wanted by plan "p" and by "q"`) {
 		t.Error(err)
 	}
 	// What a newer release wrote is left alone, and told.
-	r.e.Load(0, Stored{Name: "z", Value: []byte(`{"v":3}`), Version: 9}, nil)
+	r.e.Load(0, StoredPlan{Name: "z", Value: []byte(`{"v":3}`), Version: 9}, nil)
 	if st := r.e.Status(0, "z"); !strings.Contains(st.Note, "newer release") || r.e.Cancel(0, "z") == nil {
 		t.Errorf("%+v", st)
 	}
@@ -403,7 +403,7 @@
 	r.job(model.Spec{ID: 2, CheckpointInterval: time.Second, Estimate: 9 * time.Second}, 1)
 	r.job(model.Spec{ID: 3, Estimate: 10 * time.Minute}, 1)
 	r.job(model.Spec{ID: 4, CheckpointInterval: time.Second, Estimate: 10 * time.Minute, Rank: model.Urgent}, 1)
-	r.e.Empty([]model.MachineID{1})
+	r.e.DrainForPrice([]model.MachineID{1})
 	r.ticks(10)
 	if len(r.recall) != 1 || r.recall[0].Job != 1 {
 		t.Errorf("moved %v", r.recall)
@@ -411,7 +411,7 @@
 	full := three(t)
 	full.job(model.Spec{ID: 1, CheckpointInterval: time.Second, Estimate: 10 * time.Minute}, 1)
 	full.job(model.Spec{ID: 2}, 2, 2, 2, 2, 3, 3, 3, 3)
-	full.e.Empty([]model.MachineID{1})
+	full.e.DrainForPrice([]model.MachineID{1})
 	full.ticks(10)
 	if len(full.recall) != 0 {
 		t.Errorf("moved %v to where no room is", full.recall)
@@ -423,13 +423,13 @@
 func TestMachinesDrainedForTheirPrice(t *testing.T) {
 	r := three(t)
 	r.job(model.Spec{ID: 1}, 1)
-	r.e.Empty([]model.MachineID{1, 2, 3})
-	r.e.Keep([]model.MachineID{3})
+	r.e.DrainForPrice([]model.MachineID{1, 2, 3})
+	r.e.CancelPriceDrain([]model.MachineID{3})
 	r.ticks(10)
 	if !r.ms[1].barred || r.given[2] != 1 || r.ms[3].barred {
 		t.Errorf("given back %v", r.given)
 	}
-	r.e.Keep([]model.MachineID{1})
+	r.e.CancelPriceDrain([]model.MachineID{1})
 	r.finish(1)
 	r.ticks(10)
 	if r.ms[1] == nil || r.ms[1].barred || !r.e.Idle() {
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -14,41 +14,41 @@
 // Params of an engine.
 type Params struct {
 	Term uint64
-	// Report is how often workers report: what is told of a machine is fresh for
+	// ReportInterval is how often workers report: what is told of a machine is fresh for
 	// a few of them.
-	Report time.Duration
-	// Probe is when what the cloud refused is asked for again.
-	Probe time.Duration
-	// Most machines of a plan, so that its record fits into a value.
-	Most int
-	// Value is how many bytes a record may have from some moment on, packed; 0: as many
+	ReportInterval time.Duration
+	// RetryInterval is when what the cloud refused is asked for again.
+	RetryInterval time.Duration
+	// MaxMachines machines of a plan, so that its record fits into a value.
+	MaxMachines int
+	// MaxRecordBytes is how many bytes a record may have from some moment on, packed; 0: as many
 	// as now.
-	Value int
+	MaxRecordBytes int
 }
 
 // ActionKind tells actions apart.
 type ActionKind uint8
 
-// Actions. Rent and Give come back through Rented and Given.
+// Actions. Rent and ReturnMachine come back through Rented and Given.
 const (
-	Bar    ActionKind = iota // the machine gets no more tasks
-	Unbar                    // it is wanted again
-	Look                     // its owner is asked what runs there, and answers through Seen
-	Recall                   // the task is to leave the machine
-	Rent                     // a machine like this one, under this request's name
-	Give                     // back to the cloud
+	Cordon        ActionKind = iota // the machine gets no more tasks
+	Uncordon                        // it is wanted again
+	ListTasks                       // its owner is asked what runs there, and answers through Seen
+	Recall                          // the task is to leave the machine
+	Rent                            // a machine like this one, under this request's name
+	ReturnMachine                   // back to the cloud
 )
 
 // Action to carry out.
 type Action struct {
-	Kind    ActionKind
-	Machine model.MachineID
-	Task    model.Task
-	Plan    string        // Rent
-	Step    int           // Rent
-	Request string        // Rent
-	Like    model.Machine // Rent
-	Seq     uint64        // Look
+	Kind     ActionKind
+	Machine  model.MachineID
+	Task     model.Task
+	Plan     string        // Rent
+	Step     int           // Rent
+	Request  string        // Rent
+	Template model.Machine // Rent
+	Seq      uint64        // Look
 }
 
 // Engine is the state machine.
@@ -102,12 +102,12 @@
 	return out
 }
 
-// Refusal says why a change can't be made.
-type Refusal struct{ Why string }
+// RefusedError says why a change can't be made.
+type RefusedError struct{ Reason string }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RefusedError) Error() string { return r.Reason }
 
-func refuse(format string, args ...any) error { return &Refusal{fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Check tells whether a plan could be applied now.
 func (e *Engine) Check(s *Spec, source []byte, name func(model.MachineID) string) error {
@@ -119,13 +119,13 @@
 	if len(s.Machines) == 0 {
 		return refuse("machines: none is like that now")
 	}
-	if len(s.Machines) > e.p.Most {
-		return refuse("machines: %d, a plan holds %d at most: split it", len(s.Machines), e.p.Most)
+	if len(s.Machines) > e.p.MaxMachines {
+		return refuse("machines: %d, a plan holds %d at most: split it", len(s.Machines), e.p.MaxMachines)
 	}
-	if e.p.Value > 0 {
-		if size := worst(s, source); size > e.p.Value {
+	if e.p.MaxRecordBytes > 0 {
+		if size := worst(s, source); size > e.p.MaxRecordBytes {
 			return refuse("machines: %d, with a text of %d bytes, may take %d bytes to store, at most %d: split the plan",
-				len(s.Machines), len(source), size, e.p.Value)
+				len(s.Machines), len(source), size, e.p.MaxRecordBytes)
 		}
 	}
 	var errs []error
@@ -189,9 +189,9 @@
 	if p.Phase != from {
 		return refuse("plan %q is %s", name, p.Phase)
 	}
-	if to == Active && p.Closed != "" { // the operator's word for the gate
-		p.Closed = ""
-		p.pass(p.Passed)
+	if to == Active && p.GateClosedReason != "" { // the operator's word for the gate
+		p.GateClosedReason = ""
+		p.pass(p.PassedWaves)
 	}
 	p.Phase = to
 	p.gen++
@@ -221,10 +221,10 @@
 	p.gen++
 	for i := range p.Steps {
 		s := p.Steps[i].State
-		if s.over() || s == Giving || to == Overdue && s != Waiting && s != Renting {
+		if s.over() || s == Returning || to == Overdue && s != Waiting && s != Renting {
 			continue
 		}
-		p.set(now, i, Left)
+		p.set(now, i, Abandoned)
 	}
 }
 
@@ -251,9 +251,9 @@
 	return refuse("plan %q has no machine %s", name, machine)
 }
 
-// Empty drains machines for their price: they go once they are empty. That is
+// DrainForPrice drains machines for their price: they go once they are empty. That is
 // not stored: a new leader judges prices anew.
-func (e *Engine) Empty(ids []model.MachineID) {
+func (e *Engine) DrainForPrice(ids []model.MachineID) {
 	wanted := e.wanted()
 	for _, id := range ids {
 		if !wanted[id] {
@@ -262,8 +262,8 @@
 	}
 }
 
-// Keep wants machines again that were drained for their price.
-func (e *Engine) Keep(ids []model.MachineID) {
+// CancelPriceDrain wants machines again that were drained for their price.
+func (e *Engine) CancelPriceDrain(ids []model.MachineID) {
 	for _, id := range ids {
 		if !e.giving[id] {
 			delete(e.price, id)
@@ -289,17 +289,17 @@
 	return out
 }
 
-// Plans tells whether a plan drains a machine now, and whether one has it at all, or rented it
+// MachinePlans tells whether a plan drains a machine now, and whether one has it at all, or rented it
 // for one that it has.
-func (e *Engine) Plans() func(model.MachineID) (drains, wants bool) {
+func (e *Engine) MachinePlans() func(model.MachineID) (drains, wants bool) {
 	wanted := e.wanted()
 	return func(id model.MachineID) (bool, bool) { return e.barred[id] && wanted[id], wanted[id] }
 }
 
-// Seen takes what a machine's owner told of its tasks, in answer to the Look of
+// TasksListed takes what a machine's owner told of its tasks, in answer to the Look of
 // that number. Only the answer to the newest counts: one that was asked before
 // the machine was barred proves nothing of after.
-func (e *Engine) Seen(now time.Duration, id model.MachineID, seq uint64, on []model.PlacedTask,
+func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, on []model.PlacedTask,
 	spec func(model.JobID) *model.Spec) {
 	if a, ok := e.asked[id]; !ok || a.seq != seq {
 		return
@@ -313,8 +313,8 @@
 	e.seen[id] = s
 }
 
-// Rented takes the outcome of a rental: the machine, or why there is none.
-func (e *Engine) Rented(now time.Duration, a Action, got []model.MachineID, refused bool) {
+// MachineRented takes the outcome of a rental: the machine, or why there is none.
+func (e *Engine) MachineRented(now time.Duration, a Action, got []model.MachineID, refused bool) {
 	p := e.plans[a.Plan]
 	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.request(a.Step) {
 		return
@@ -324,7 +324,7 @@
 	switch {
 	case len(got) > 0:
 		r.renewed = got[0]
-		e.Keep(got[:1]) // it may be drained for its price by a leader that did not know whose it is
+		e.CancelPriceDrain(got[:1]) // it may be drained for its price by a leader that did not know whose it is
 	case refused:
 		r.held = "the cloud has no machine to replace it"
 	default:
@@ -332,8 +332,8 @@
 	}
 }
 
-// Given takes the outcome of a return.
-func (e *Engine) Given(now time.Duration, id model.MachineID, ok bool) {
+// MachineReturned takes the outcome of a return.
+func (e *Engine) MachineReturned(now time.Duration, id model.MachineID, ok bool) {
 	if e.price[id] {
 		delete(e.giving, id)
 		if ok {
@@ -344,7 +344,7 @@
 	}
 	for _, p := range e.sorted() {
 		for i := range p.Steps {
-			if p.Steps[i].Machine != id || p.Steps[i].State != Giving {
+			if p.Steps[i].Machine != id || p.Steps[i].State != Returning {
 				continue
 			}
 			p.rt[i].asking, p.rt[i].asked = false, now
@@ -360,7 +360,7 @@
 // request is the name under which a step's replacement is asked for: the same for
 // every leader, so that it is rented once.
 func (p *Plan) request(i int) string {
-	return fmt.Sprintf("drain-%s-%d-%d", p.UID, i, p.Steps[i].Try)
+	return fmt.Sprintf("drain-%s-%d-%d", p.UID, i, p.Steps[i].RentAttempt)
 }
 
 func (e *Engine) act(a Action) { e.out = append(e.out, a) }
--- a/internal/core/drain/rig_test.go
+++ b/internal/core/drain/harness_test.go
@@ -21,7 +21,7 @@
 	term   uint64
 	ms     map[model.MachineID]*rigMachine
 	jobs   map[model.JobID]*Job
-	stored map[string]Stored // the store
+	stored map[string]StoredPlan // the store
 	rev    uint64
 	spec   *Spec
 	loses  bool // the store's answers are lost, though it writes
@@ -49,7 +49,7 @@
 func newRig() *rig {
 	r := &rig{wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), ms: map[model.MachineID]*rigMachine{},
 		jobs:   map[model.JobID]*Job{},
-		stored: map[string]Stored{}, rented: map[string]model.MachineID{}, given: map[model.MachineID]int{}}
+		stored: map[string]StoredPlan{}, rented: map[string]model.MachineID{}, given: map[model.MachineID]int{}}
 	r.lead()
 	return r
 }
@@ -57,14 +57,14 @@
 // lead begins a term with what is stored.
 func (r *rig) lead() {
 	r.term++
-	r.e = New(Params{Term: r.term, Report: time.Second, Probe: 5 * time.Second, Most: 100})
+	r.e = New(Params{Term: r.term, ReportInterval: time.Second, RetryInterval: 5 * time.Second, MaxMachines: 100})
 	for _, m := range r.ms {
 		m.barred = false // another leader, other books
 	}
 	for _, s := range r.stored {
 		r.e.Load(r.now, s, func([]byte) (*Spec, error) { c := *r.spec; c.Machines = nil; return &c, nil })
 	}
-	for _, a := range r.e.Bars() {
+	for _, a := range r.e.Cordons() {
 		r.do(a)
 	}
 }
@@ -83,7 +83,7 @@
 	if sp.SubmittedMS == 0 {
 		sp.SubmittedMS = r.wall.UnixMilli()
 	}
-	j := &Job{Spec: &sp, Open: len(on), Running: len(on)}
+	j := &Job{Spec: &sp, UnfinishedTasks: len(on), RunningTasks: len(on)}
 	r.jobs[sp.ID] = j
 	for i, id := range on {
 		r.ms[id].tasks = append(r.ms[id].tasks, model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)},
@@ -101,14 +101,14 @@
 }
 
 func (r *rig) view() *View {
-	v := &View{Now: r.now, Wall: r.wall.Add(r.now), Machines: map[model.MachineID]Machine{}, Settled: true,
-		Learned: func(_ model.Name, part float64) float64 {
+	v := &View{Now: r.now, Wall: r.wall.Add(r.now), Machines: map[model.MachineID]Machine{}, Recovered: true,
+		RunTimeFactor: func(_ model.Name, part float64) float64 {
 			return 0.5 +
 				part
-		}, Boot: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName, Judge: r.judge}
+		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName, EvaluateGate: r.judge}
 	for id, m := range r.ms {
 		st := model.MachineStatus{Machine: m.Machine, Avail: m.free(r), Ready: !m.barred && m.boots == 0, Slots: len(m.tasks)}
-		v.Machines[id] = Machine{MachineStatus: st, Told: m.boots == 0 && !m.deaf, Since: m.since}
+		v.Machines[id] = Machine{MachineStatus: st, Reported: m.boots == 0 && !m.deaf, KnownSince: m.since}
 	}
 	for _, j := range r.jobs {
 		v.Jobs = append(v.Jobs, *j)
@@ -154,20 +154,20 @@
 
 func (r *rig) write(w Write) {
 	if s := r.stored[w.Name]; s.Version != w.Version {
-		r.e.Wrote(w, 0, false, true, s.Version)
+		r.e.WriteDone(w, 0, false, true, s.Version)
 		return
 	}
 	r.rev++
 	if w.Value == nil {
 		delete(r.stored, w.Name)
 	} else {
-		r.stored[w.Name] = Stored{w.Name, w.Value, r.rev}
+		r.stored[w.Name] = StoredPlan{w.Name, w.Value, r.rev}
 	}
 	if r.loses {
-		r.e.Wrote(w, 0, false, false, 0)
+		r.e.WriteDone(w, 0, false, false, 0)
 		return
 	}
-	r.e.Wrote(w, r.rev, true, false, 0)
+	r.e.WriteDone(w, r.rev, true, false, 0)
 }
 
 // state is what the store says of a machine's step.
@@ -195,20 +195,20 @@
 	m := r.ms[a.Machine]
 	planned := r.spec != nil && slices.Contains(r.spec.Machines, a.Machine)
 	switch a.Kind {
-	case Bar:
+	case Cordon:
 		if s := r.state("p", a.Machine); planned && !s.barred() {
 			r.breaks("machine %d is drained while it is stored as %v", a.Machine, s)
 		}
 		if m != nil {
 			m.barred = true
 		}
-	case Unbar:
+	case Uncordon:
 		if m != nil {
 			m.barred = false
 		}
-	case Look:
+	case ListTasks:
 		if m != nil && !r.mute && m.boots == 0 {
-			r.e.Seen(r.now, a.Machine, a.Seq, slices.Clone(m.tasks), func(id model.JobID) *model.Spec {
+			r.e.TasksListed(r.now, a.Machine, a.Seq, slices.Clone(m.tasks), func(id model.JobID) *model.Spec {
 				if j := r.jobs[id]; j != nil {
 					return j.Spec
 				}
@@ -228,11 +228,11 @@
 			ok = true
 		}
 		if ok {
-			r.e.Rented(r.now, a, []model.MachineID{id}, false)
+			r.e.MachineRented(r.now, a, []model.MachineID{id}, false)
 		} else {
-			r.e.Rented(r.now, a, nil, true)
+			r.e.MachineRented(r.now, a, nil, true)
 		}
-	case Give:
+	case ReturnMachine:
 		r.give(a, m, planned)
 	}
 }
@@ -241,14 +241,14 @@
 	if m != nil && (len(m.tasks) > 0 || !m.barred) {
 		r.breaks("machine %d is given back with %d tasks, barred: %v", a.Machine, len(m.tasks), m.barred)
 	}
-	if planned && r.state("p", a.Machine) != Giving {
+	if planned && r.state("p", a.Machine) != Returning {
 		r.breaks("machine %d is given back while it is stored as %v", a.Machine, r.state("p", a.Machine))
 	}
 	if !r.refuse {
 		r.given[a.Machine]++
 		delete(r.ms, a.Machine)
 	}
-	r.e.Given(r.now, a.Machine, !r.refuse)
+	r.e.MachineReturned(r.now, a.Machine, !r.refuse)
 }
 
 // move stops a task here and places it where there is room, if there is any.
@@ -266,7 +266,7 @@
 			return
 		}
 	}
-	j.Running--
+	j.RunningTasks--
 }
 
 func (r *rig) ids() []model.MachineID {
@@ -290,7 +290,7 @@
 	if m := r.ms[id]; m != nil {
 		for _, t := range m.tasks {
 			if j := r.jobs[t.Task.Job]; j != nil {
-				j.Running--
+				j.RunningTasks--
 			}
 		}
 		delete(r.ms, id)
@@ -299,8 +299,8 @@
 
 func (r *rig) apply(s Spec) error {
 	s.Name = "p"
-	if s.AtOnce == 0 {
-		s.AtOnce = 1
+	if s.MaxConcurrent == 0 {
+		s.MaxConcurrent = 1
 	}
 	r.spec = &s
 	if err := r.e.Check(&s, []byte("source"), func(id model.MachineID) string { return fmt.Sprint(id) }); err != nil {
@@ -315,8 +315,8 @@
 
 func (s *Status) brief() string {
 	for _, t := range s.Steps {
-		if t.Held != "" {
-			return t.Held
+		if t.BlockedReason != "" {
+			return t.BlockedReason
 		}
 	}
 	return ""
--- a/internal/core/drain/packed_test.go
+++ b/internal/core/drain/packed_test.go
@@ -12,7 +12,7 @@
 // A plan of 1,300 machines fits into 2 KiB in whatever states its steps are, any leader
 // reads it again, and what would not fit is refused with what it takes.
 func TestLargePlanIsPacked(t *testing.T) {
-	e := New(Params{Term: 1, Most: 9000, Value: 2048})
+	e := New(Params{Term: 1, MaxMachines: 9000, MaxRecordBytes: 2048})
 	spec := &Spec{Name: "patch"}
 	for i := range model.MachineID(1300) {
 		spec.Machines = append(spec.Machines, 5+i*2+i%3)
@@ -24,19 +24,19 @@
 	}
 	p := e.Apply(0, time.Unix(9, 0), spec, source, "ops")
 	for i := range p.Steps {
-		p.Steps[i].State = State(i * 7 % (int(Left) + 1))
+		p.Steps[i].State = State(i * 7 % (int(Abandoned) + 1))
 	}
 	if w := e.Writes(1); len(w) != 1 || len(w[0].Value) < 2048 {
 		t.Fatalf("packed before all can read it: %d bytes", len(w[0].Value))
 	}
 	p.sending = 0
-	e.Pack()
+	e.EnableCompression()
 	w := e.Writes(1)
 	if len(w) != 1 || len(w[0].Value) > 2048 {
 		t.Fatalf("%d bytes", len(w[0].Value))
 	}
-	next := New(Params{Term: 2, Most: 9000, Value: 2048})
-	next.Load(0, Stored{Name: "patch", Value: w[0].Value, Version: 7},
+	next := New(Params{Term: 2, MaxMachines: 9000, MaxRecordBytes: 2048})
+	next.Load(0, StoredPlan{Name: "patch", Value: w[0].Value, Version: 7},
 		func([]byte) (*Spec, error) { return &Spec{Name: "patch"}, nil })
 	got := next.plans["patch"]
 	if got.foreign != "" || len(got.Steps) != len(p.Steps) {
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -74,19 +74,19 @@
 
 // Spec is a plan as declared, with the machines that it was found to mean.
 type Spec struct {
-	Name      string
-	Machines  []model.MachineID // in the order in which they are drained
-	AtOnce    int
-	PerZone   int     // 0: no bound but AtOnce
-	Floor     float64 // of what teams have left of their guarantees, free elsewhere
-	Rules     []Rule  // the first that fits
-	Default   How
-	LatestEnd time.Time // zero: none; no step begins after it
-	Windows   []Window
-	RentFirst bool
-	After     After
-	Waves     []Wave
-	Gate      *rollout.Gate // between waves, nil: none
+	Name              string
+	Machines          []model.MachineID // in the order in which they are drained
+	MaxConcurrent     int
+	MaxPerZone        int     // 0: no bound but AtOnce
+	FreeCapacityFloor float64 // of what teams have left of their guarantees, free elsewhere
+	Rules             []Rule  // the first that fits
+	Default           How
+	LatestEnd         time.Time // zero: none; no step begins after it
+	Windows           []Window
+	RentFirst         bool
+	After             After
+	Waves             []Wave
+	Gate              *rollout.Gate // between waves, nil: none
 }
 
 // Wave is a part of a plan's machines, in their order; what all leave is the last.
@@ -157,14 +157,14 @@
 
 // States of a step. Their numbers are stored.
 const (
-	Waiting  State = iota
-	Renting        // its replacement has been asked for
-	Draining       // it gets no tasks; what runs there ends or moves
-	Giving         // it is empty, and is being given back
-	Patching       // it is empty, and waits to be patched
-	Finished       // given back, or patched and wanted again
-	Gone           // it stopped, was taken, or was given back by somebody else
-	Left           // the plan ended before its turn, or let it go
+	Waiting   State = iota
+	Renting         // its replacement has been asked for
+	Draining        // it gets no tasks; what runs there ends or moves
+	Returning       // it is empty, and is being given back
+	Patching        // it is empty, and waits to be patched
+	Finished        // given back, or patched and wanted again
+	Gone            // it stopped, was taken, or was given back by somebody else
+	Abandoned       // the plan ended before its turn, or let it go
 )
 
 // String is the state's name for people.
@@ -175,26 +175,26 @@
 func (s State) over() bool { return s >= Finished }
 
 // barred tells whether the machine gets no tasks in this state.
-func (s State) barred() bool { return s == Draining || s == Giving || s == Patching }
+func (s State) barred() bool { return s == Draining || s == Returning || s == Patching }
 
 // Step is one machine of a plan.
 type Step struct {
-	Machine model.MachineID
-	State   State
-	Try     int // of renting its replacement
+	Machine     model.MachineID
+	State       State
+	RentAttempt int // of renting its replacement
 }
 
 // Plan is a plan under way.
 type Plan struct {
 	Spec
-	UID    string // never used twice: what is asked of the cloud is named after it
-	Source []byte // as declared, for people and for a later leader
-	By     string
-	At     time.Time
-	Phase  Phase
-	Steps  []Step
-	Passed int    // waves after which the plan may go on
-	Closed string // why a gate has paused it
+	UID              string // never used twice: what is asked of the cloud is named after it
+	Source           []byte // as declared, for people and for a later leader
+	By               string
+	At               time.Time
+	Phase            Phase
+	Steps            []Step
+	PassedWaves      int    // waves after which the plan may go on
+	GateClosedReason string // why a gate has paused it
 
 	version uint64 // of the stored record, 0: none
 	gen     uint64 // grows with every change
--- a/internal/core/drain/property_test.go
+++ b/internal/core/drain/property_test.go
@@ -36,9 +36,9 @@
 			}
 			r.job(sp, model.MachineID(rapid.IntRange(1, n).Draw(t, "on")))
 		}
-		s := Spec{Machines: ids, AtOnce: rapid.IntRange(1, 3).Draw(t, "at once"),
-			PerZone: rapid.IntRange(0, 2).Draw(t, "per zone"),
-			Default: How(rapid.IntRange(0, 2).Draw(t, "how")), RentFirst: rapid.Bool().Draw(t, "rent first"),
+		s := Spec{Machines: ids, MaxConcurrent: rapid.IntRange(1, 3).Draw(t, "at once"),
+			MaxPerZone: rapid.IntRange(0, 2).Draw(t, "per zone"),
+			Default:    How(rapid.IntRange(0, 2).Draw(t, "how")), RentFirst: rapid.Bool().Draw(t, "rent first"),
 			After: After(rapid.IntRange(0, 1).Draw(t, "after"))}
 		if err := r.apply(s); err != nil {
 			t.Fatal(err)
@@ -101,8 +101,8 @@
 			busy++
 		}
 	}
-	if busy > s.AtOnce {
-		t.Fatalf("%d machines under way, %d may be", busy, s.AtOnce)
+	if busy > s.MaxConcurrent {
+		t.Fatalf("%d machines under way, %d may be", busy, s.MaxConcurrent)
 	}
 }
 
@@ -127,7 +127,7 @@
 			if !j.Spec.Daemon && r.now > time.Minute {
 				r.finish(id)
 			}
-			j.Running = int(j.Spec.Tasks)
+			j.RunningTasks = int(j.Spec.Tasks)
 		}
 	}
 	t.Fatal("the plan does not end: " + fmt.Sprintf("%+v", r.e.Status(r.now, "p")))
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -88,10 +88,10 @@
 // steps are in states that have nothing to do with each other.
 func worst(s *Spec, source []byte) int {
 	p := Plan{Spec: *s, UID: "18446744073709551615-1", Source: source, By: "somebody-with-a-name", At: time.Unix(1<<31, 0),
-		Closed: "tasks take 10.00 times as long on machines of its waves as elsewhere (10000 tasks)"}
+		GateClosedReason: "tasks take 10.00 times as long on machines of its waves as elsewhere (10000 tasks)"}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, id := range s.Machines {
-		p.Steps = append(p.Steps, Step{Machine: id, State: State(rng.IntN(int(Left) + 1))})
+		p.Steps = append(p.Steps, Step{Machine: id, State: State(rng.IntN(int(Abandoned) + 1))})
 	}
 	b, err := p.encode(1)
 	if err != nil {
@@ -100,30 +100,30 @@
 	return len(b)
 }
 
-// Pack has records packed from here on that would be too large for the values to come:
+// EnableCompression has records packed from here on that would be too large for the values to come:
 // every controller can read them.
-func (e *Engine) Pack() { e.packs = true }
+func (e *Engine) EnableCompression() { e.packs = true }
 
 func (e *Engine) most() int {
 	if !e.packs {
 		return 0
 	}
-	return e.p.Value
+	return e.p.MaxRecordBytes
 }
 
 func (p *Plan) plain() ([]byte, error) {
 	r := record{V: recordVersion, Name: p.Name, UID: p.UID, By: p.By, AtMS: p.At.UnixMilli(), Phase: p.Phase,
-		Source: p.Source, Passed: p.Passed, Closed: p.Closed}
+		Source: p.Source, Passed: p.PassedWaves, Closed: p.GateClosedReason}
 	last := int64(0)
 	for i, s := range p.Steps {
 		r.Machines = binary.AppendVarint(r.Machines, int64(s.Machine)-last)
 		last = int64(s.Machine)
 		r.States = append(r.States, byte(s.State))
-		if s.Try > 0 {
+		if s.RentAttempt > 0 {
 			if r.Tries == nil {
 				r.Tries = map[int]int{}
 			}
-			r.Tries[i] = s.Try
+			r.Tries[i] = s.RentAttempt
 		}
 	}
 	b, err := json.Marshal(r)
@@ -133,8 +133,8 @@
 	return b, nil
 }
 
-// Stored is a record of the state service.
-type Stored struct {
+// StoredPlan is a record of the state service.
+type StoredPlan struct {
 	Name    string
 	Value   []byte
 	Version uint64
@@ -143,7 +143,7 @@
 // Load takes a stored plan. resolve turns its source into its terms. A record
 // that can't be understood, or that a newer release wrote, is kept as it is, and
 // told.
-func (e *Engine) Load(now time.Duration, s Stored, resolve func(source []byte) (*Spec, error)) {
+func (e *Engine) Load(now time.Duration, s StoredPlan, resolve func(source []byte) (*Spec, error)) {
 	p := &Plan{Spec: Spec{Name: s.Name}, version: s.Version}
 	if err := p.decode(now, s.Value, resolve); err != nil {
 		p = &Plan{Spec: Spec{Name: s.Name}, version: s.Version, foreign: err.Error()}
@@ -170,16 +170,16 @@
 	name := p.Name
 	p.Spec = *spec
 	p.Name, p.UID, p.By, p.At, p.Phase, p.Source = name, r.UID, r.By, time.UnixMilli(r.AtMS), r.Phase, r.Source
-	p.Passed, p.Closed = r.Passed, r.Closed
+	p.PassedWaves, p.GateClosedReason = r.Passed, r.Closed
 	last, left := int64(0), r.Machines
 	for i, st := range r.States {
 		d, n := binary.Varint(left)
-		if n <= 0 || State(st) > Left {
+		if n <= 0 || State(st) > Abandoned {
 			return fmt.Errorf("its record is damaged at step %d", i)
 		}
 		left, last = left[n:], last+d
 		p.Machines = append(p.Machines, model.MachineID(last))
-		p.Steps = append(p.Steps, Step{Machine: model.MachineID(last), State: State(st), Try: r.Tries[i]})
+		p.Steps = append(p.Steps, Step{Machine: model.MachineID(last), State: State(st), RentAttempt: r.Tries[i]})
 	}
 	p.rt = make([]runtime, len(p.Steps))
 	for i := range p.rt {
@@ -188,18 +188,18 @@
 	return nil
 }
 
-// Copy is a plan under way as it would be stored now, for a forecast.
-func (e *Engine) Copy(name string) (Stored, *Spec, error) {
+// Export is a plan under way as it would be stored now, for a forecast.
+func (e *Engine) Export(name string) (StoredPlan, *Spec, error) {
 	p, err := e.plan(name)
 	if err != nil {
-		return Stored{}, nil, err
+		return StoredPlan{}, nil, err
 	}
 	if p.ended() {
-		return Stored{}, nil, refuse("plan %q is %s", name, p.Phase)
+		return StoredPlan{}, nil, refuse("plan %q is %s", name, p.Phase)
 	}
 	b, err := p.encode(0)
 	spec := p.Spec
-	return Stored{Name: name, Value: b, Version: 1}, &spec, err
+	return StoredPlan{Name: name, Value: b, Version: 1}, &spec, err
 }
 
 // Write is a change for the state service. It comes back through Wrote.
@@ -243,9 +243,9 @@
 	return out
 }
 
-// Wrote takes a write's outcome. conflict tells that the record is at version at:
+// WriteDone takes a write's outcome. conflict tells that the record is at version at:
 // a write of this leader's without an answer got through after all.
-func (e *Engine) Wrote(w Write, rev uint64, ok, conflict bool, at uint64) {
+func (e *Engine) WriteDone(w Write, rev uint64, ok, conflict bool, at uint64) {
 	p := e.plans[w.Name]
 	if p == nil || p.UID != w.uid || p.sending != w.gen {
 		return
--- a/internal/core/drain/status.go
+++ b/internal/core/drain/status.go
@@ -8,27 +8,27 @@
 
 // Status is how a plan stands, for people and scripts.
 type Status struct {
-	Name   string
-	Phase  Phase
-	By     string
-	At     time.Time
-	Note   string // why this release does not touch it, or what is not stored yet
-	Counts map[string]int
-	Held   string // what the plan waits for first
-	// Behind is the machine under way for longest, once that is for more than
+	Name          string
+	Phase         Phase
+	By            string
+	At            time.Time
+	Note          string // why this release does not touch it, or what is not stored yet
+	Counts        map[string]int
+	BlockedReason string // what the plan waits for first
+	// SlowestMachine is the machine under way for longest, once that is for more than
 	// behindAfter: it holds the plan.
-	Behind    model.MachineID
-	BehindFor time.Duration
-	Steps     []StepStatus
+	SlowestMachine model.MachineID
+	SlowestFor     time.Duration
+	Steps          []StepStatus
 }
 
 // StepStatus is how a machine of a plan stands.
 type StepStatus struct {
-	Machine     model.MachineID
-	State       string
-	Held        string
-	For         time.Duration // in this state, as far as the present leader knows
-	Replacement model.MachineID
+	Machine       model.MachineID
+	State         string
+	BlockedReason string
+	InStateFor    time.Duration // in this state, as far as the present leader knows
+	Replacement   model.MachineID
 }
 
 const behindAfter = time.Minute
@@ -42,8 +42,8 @@
 	s := p.brief(now)
 	for i := range p.Steps {
 		s.Steps = append(s.Steps, StepStatus{Machine: p.Steps[i].Machine, State: p.Steps[i].State.String(),
-			Held: p.rt[i].held,
-			For:  now - p.rt[i].since, Replacement: p.rt[i].renewed})
+			BlockedReason: p.rt[i].held,
+			InStateFor:    now - p.rt[i].since, Replacement: p.rt[i].renewed})
 	}
 	return &s
 }
@@ -62,20 +62,20 @@
 	if p.foreign != "" {
 		return s
 	}
-	s.Note = p.Closed
+	s.Note = p.GateClosedReason
 	if !p.synced() {
 		s.Note = "its newest state is being stored"
 	}
 	for i := range p.Steps {
 		s.Counts[p.Steps[i].State.String()]++
-		if s.Held == "" && !p.Steps[i].State.over() && p.rt[i].held != "" {
-			s.Held = p.rt[i].held
+		if s.BlockedReason == "" && !p.Steps[i].State.over() && p.rt[i].held != "" {
+			s.BlockedReason = p.rt[i].held
 		}
 		if st := p.Steps[i].State; st == Waiting || st.over() {
 			continue
 		}
-		if d := now - p.rt[i].since; d > max(behindAfter, s.BehindFor) {
-			s.Behind, s.BehindFor = p.Steps[i].Machine, d
+		if d := now - p.rt[i].since; d > max(behindAfter, s.SlowestFor) {
+			s.SlowestMachine, s.SlowestFor = p.Steps[i].Machine, d
 		}
 	}
 	return s
@@ -97,9 +97,9 @@
 	return true
 }
 
-// Active counts the plans that have not ended, and the machines that they keep
+// ActiveCounts counts the plans that have not ended, and the machines that they keep
 // from tasks.
-func (e *Engine) Active() (plans, machines int) {
+func (e *Engine) ActiveCounts() (plans, machines int) {
 	for _, p := range e.plans {
 		if p.foreign == "" && !p.ended() {
 			plans++
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -19,7 +19,7 @@
 			e.step(v, p)
 		}
 	}
-	if v.Draw != nil {
+	if v.RequestMove != nil {
 		e.turns++
 	}
 	e.drainPrice(v)
@@ -27,9 +27,9 @@
 	return e.out
 }
 
-// Bars tells which machines get no tasks, before the first Tick: a new leader
+// Cordons tells which machines get no tasks, before the first Tick: a new leader
 // must not place anything there meanwhile.
-func (e *Engine) Bars() []Action {
+func (e *Engine) Cordons() []Action {
 	e.out = nil
 	e.bars()
 	return e.out
@@ -41,13 +41,13 @@
 	want := e.keep(func(p *Plan, id model.MachineID) bool { return p.synced() || e.barred[id] })
 	for _, id := range sortedIDs(want) {
 		if !e.barred[id] {
-			e.act(Action{Kind: Bar, Machine: id})
+			e.act(Action{Kind: Cordon, Machine: id})
 			e.unlook(id)
 		}
 	}
 	for _, id := range sortedIDs(e.barred) {
 		if !want[id] {
-			e.act(Action{Kind: Unbar, Machine: id})
+			e.act(Action{Kind: Uncordon, Machine: id})
 			e.unlook(id)
 		}
 	}
@@ -68,13 +68,13 @@
 	for _, id := range sortedIDs(e.price) {
 		m, ok := v.Machines[id]
 		switch {
-		case !ok && v.Settled:
+		case !ok && v.Recovered:
 			delete(e.price, id)
 			delete(e.giving, id)
 		case ok && !e.giving[id] && e.empty(v.Now, &m):
 			e.giving[id] = true
-			e.act(Action{Kind: Give, Machine: id})
-		case ok && m.Told && m.Slots > 0 && e.barred[id]:
+			e.act(Action{Kind: ReturnMachine, Machine: id})
+		case ok && m.Reported && m.Slots > 0 && e.barred[id]:
 			e.consolidate(v, id)
 		}
 	}
@@ -108,7 +108,7 @@
 		e.end(v.Now, p, Overdue)
 	}
 	for i := range p.Steps {
-		if _, ok := v.Machines[p.Steps[i].Machine]; !ok && v.Settled && !p.Steps[i].State.over() {
+		if _, ok := v.Machines[p.Steps[i].Machine]; !ok && v.Recovered && !p.Steps[i].State.over() {
 			p.set(v.Now, i, Gone)
 		}
 	}
@@ -122,7 +122,7 @@
 			e.renting(v, p, i)
 		case Draining:
 			e.draining(v, p, i)
-		case Giving:
+		case Returning:
 			e.giveBack(v, p, i)
 		}
 	}
@@ -159,11 +159,11 @@
 			return
 		}
 		m := v.Machines[s.Machine]
-		if busy >= p.AtOnce {
+		if busy >= p.MaxConcurrent {
 			p.rt[i].held = ""
 			return
 		}
-		if p.PerZone > 0 && zones[m.Machine.Zone] >= p.PerZone {
+		if p.MaxPerZone > 0 && zones[m.Machine.Zone] >= p.MaxPerZone {
 			p.rt[i].held = "enough machines of its zone are being drained"
 			continue
 		}
@@ -211,15 +211,15 @@
 		n, ok := v.Machines[r.renewed]
 		switch {
 		case p.Phase != Active:
-		case ok && n.Told && n.Ready:
+		case ok && n.Reported && n.Ready:
 			if why := e.hold(v, p, s.Machine, v.rooms(e.planned())); why != "" {
 				r.held = why
 				return
 			}
 			p.set(v.Now, i, Draining)
-		case v.Now-r.asked > 4*v.Boot(m.Type)+20*time.Second:
+		case v.Now-r.asked > 4*v.BootTime(m.Type)+20*time.Second:
 			// It never came up, or is gone: another.
-			s.Try++
+			s.RentAttempt++
 			p.set(v.Now, i, Renting)
 			p.rt[i].renewed = 0
 		default:
@@ -227,9 +227,9 @@
 		}
 		return
 	}
-	if !r.asking && p.Phase == Active && (r.asked == 0 || v.Now-r.asked >= e.p.Probe) {
+	if !r.asking && p.Phase == Active && (r.asked == 0 || v.Now-r.asked >= e.p.RetryInterval) {
 		r.asking = true
-		e.act(Action{Kind: Rent, Machine: s.Machine, Like: m, Plan: p.Name, Step: i, Request: p.request(i)})
+		e.act(Action{Kind: Rent, Machine: s.Machine, Template: m, Plan: p.Name, Step: i, Request: p.request(i)})
 	}
 }
 
@@ -241,14 +241,14 @@
 	m := v.Machines[p.Steps[i].Machine]
 	switch {
 	case r.asking:
-	case m.Told && m.Slots > 0 && p.Phase == Cancelled:
-		p.set(v.Now, i, Left)
-	case m.Told && m.Slots > 0:
+	case m.Reported && m.Slots > 0 && p.Phase == Cancelled:
+		p.set(v.Now, i, Abandoned)
+	case m.Reported && m.Slots > 0:
 		p.set(v.Now, i, Draining)
 	case !e.empty(v.Now, &m):
 		r.held = "its controller has not told that it is empty"
 	case r.asked == 0 || v.Now-r.asked >= time.Second:
 		r.asking = true
-		e.act(Action{Kind: Give, Machine: p.Steps[i].Machine})
+		e.act(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
 	}
 }
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -10,24 +10,24 @@
 
 // View is the present as the leader knows it.
 type View struct {
-	Now      time.Duration // steady clock
-	Wall     time.Time     // time of day: windows and people, never a rule
-	Machines map[model.MachineID]Machine
-	Jobs     []Job
-	Spare    int64 // CPU that teams have left of their guarantees, in thousandths
-	// Settled: every machine of earlier terms is accounted for and the cloud's
+	Now                time.Duration // steady clock
+	Wall               time.Time     // time of day: windows and people, never a rule
+	Machines           map[model.MachineID]Machine
+	Jobs               []Job
+	UnusedGuaranteeCPU int64 // CPU that teams have left of their guarantees, in thousandths
+	// Recovered: every machine of earlier terms is accounted for and the cloud's
 	// list has been read, so that a machine that is not in Machines is gone.
-	Settled bool
-	// Learned is how many times its estimate a task of the class takes, at a
+	Recovered bool
+	// RunTimeFactor is how many times its estimate a task of the class takes, at a
 	// part of all (0.5: half of them take less).
-	Learned func(class model.Name, part float64) float64
-	// Boot is how long a machine of the type may take to come up.
-	Boot func(machineType model.Name) time.Duration
-	// Draw asks for a running task to be moved, for its machine's price or for a plan: ""
+	RunTimeFactor func(class model.Name, part float64) float64
+	// BootTime is how long a machine of the type may take to come up.
+	BootTime func(machineType model.Name) time.Duration
+	// RequestMove asks for a running task to be moved, for its machine's price or for a plan: ""
 	// if it may, else what stands against it. nil: nothing does.
-	Draw func(m Moving) string
-	// Judge compares machines that a plan has renewed with all others, nil: it can't be.
-	Judge func(g rollout.Gate, ids []model.MachineID) rollout.Verdict
+	RequestMove func(m MoveRequest) string
+	// EvaluateGate compares machines that a plan has renewed with all others, nil: it can't be.
+	EvaluateGate func(g rollout.Gate, ids []model.MachineID) rollout.Verdict
 	// JobName is a job's name, for people.
 	JobName func(model.JobID) string
 }
@@ -35,30 +35,30 @@
 // Machine of a view.
 type Machine struct {
 	model.MachineStatus
-	Told  bool          // its owner has told how it is; else only Machine is known
-	Since time.Duration // known since; of the steady clock, and before its beginning for old ones
+	Reported   bool          // its owner has told how it is; else only Machine is known
+	KnownSince time.Duration // known since; of the steady clock, and before its beginning for old ones
 }
 
 // Job that is open.
 type Job struct {
-	Spec          *model.Spec
-	Open, Running int // tasks not done, and tasks on machines
+	Spec                          *model.Spec
+	UnfinishedTasks, RunningTasks int // tasks not done, and tasks on machines
 }
 
-// Moving is a running task that is to be moved.
-type Moving struct {
-	Task      model.Task
-	Spec      *model.Spec
-	Price     bool          // for its machine's price, not for a plan
-	Ran, Left time.Duration // so far, and likely to come
+// MoveRequest is a running task that is to be moved.
+type MoveRequest struct {
+	Task           model.Task
+	Spec           *model.Spec
+	ForPrice       bool          // for its machine's price, not for a plan
+	Ran, Remaining time.Duration // so far, and likely to come
 }
 
 // draws asks for a task to be moved.
 func (v *View) draws(t *task, price bool) string {
-	if v.Draw == nil {
+	if v.RequestMove == nil {
 		return ""
 	}
-	return v.Draw(Moving{Task: t.Task, Spec: t.sp, Price: price, Ran: t.RunTime, Left: v.left(t, likely)})
+	return v.RequestMove(MoveRequest{Task: t.Task, Spec: t.sp, ForPrice: price, Ran: t.RunTime, Remaining: v.left(t, likely)})
 }
 
 // task is what runs on a machine, with its job.
@@ -81,7 +81,7 @@
 
 // whole is how long a task of the job takes, at a part of all.
 func (v *View) whole(sp *model.Spec, part float64) time.Duration {
-	return time.Duration(float64(sp.Estimate) * v.Learned(sp.Class, part))
+	return time.Duration(float64(sp.Estimate) * v.RunTimeFactor(sp.Class, part))
 }
 
 // anew is how long it takes elsewhere once it is there.
@@ -112,7 +112,7 @@
 func (v *View) rooms(barred map[model.MachineID]bool) *rooms {
 	r := &rooms{free: make(map[model.MachineID]model.Resources, len(v.Machines)), kinds: map[kind]int64{}, v: v}
 	for id, m := range v.Machines {
-		if m.Told && m.Ready && !m.Draining && !m.Faulty && !barred[id] {
+		if m.Reported && m.Ready && !m.Draining && !m.Faulty && !barred[id] {
 			r.free[id] = m.Avail
 			r.kinds[kindOf(&m.Machine)]++
 			r.sum += max(0, m.Avail.CPU)
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -14,7 +14,7 @@
 func (e *Engine) until(v *View, p *Plan) (limit int, why string) {
 	for w := range p.Waves {
 		limit = p.waveEnd(w, limit)
-		if w < p.Passed || limit >= len(p.Steps) {
+		if w < p.PassedWaves || limit >= len(p.Steps) {
 			continue
 		}
 		if slices.ContainsFunc(p.Steps[:limit], func(s Step) bool { return !s.State.over() }) {
@@ -38,7 +38,7 @@
 
 // pass lets a plan go on after a wave.
 func (p *Plan) pass(w int) {
-	p.Passed, p.soaking = w+1, 0
+	p.PassedWaves, p.soaking = w+1, 0
 	p.gen++
 }
 
@@ -57,30 +57,30 @@
 	if p.Gate == nil {
 		return ""
 	}
-	if v.Judge == nil || !v.Settled {
+	if v.EvaluateGate == nil || !v.Recovered {
 		return "the gate: this leader does not know all machines yet"
 	}
 	renewed := p.renewed(v)
 	if n := missing(v, renewed); n > 0 && 4*n >= len(renewed) {
 		p.close(fmt.Sprintf("%d of %d renewed machines don't report, or are held to be faulty", n, len(renewed)))
-		return p.Closed
+		return p.GateClosedReason
 	}
 	if n := p.tries(); n >= 3 && 2*n >= len(renewed) {
 		p.close(fmt.Sprintf("%d replacements never came up, %d did", n, len(renewed)))
-		return p.Closed
+		return p.GateClosedReason
 	}
-	verdict := v.Judge(*p.Gate, renewed)
+	verdict := v.EvaluateGate(*p.Gate, renewed)
 	if verdict.Closed {
-		p.close(verdict.Why)
+		p.close(verdict.Reason)
 	}
 	if verdict.Open {
 		return ""
 	}
-	return "the gate: " + verdict.Why
+	return "the gate: " + verdict.Reason
 }
 
 func (p *Plan) close(why string) {
-	p.Phase, p.Closed = Paused, "the gate closed: "+why
+	p.Phase, p.GateClosedReason = Paused, "the gate closed: "+why
 	p.gen++
 }
 
@@ -97,7 +97,7 @@
 	}
 	began := v.Now - v.Wall.Sub(p.At)
 	for _, id := range sortedIDs(v.Machines) {
-		if p.After != Patch && !old[id] && v.Machines[id].Since >= began {
+		if p.After != Patch && !old[id] && v.Machines[id].KnownSince >= began {
 			out = append(out, id)
 		}
 	}
@@ -107,7 +107,7 @@
 // missing counts the machines that nobody hears, or that are held to be faulty.
 func missing(v *View, ids []model.MachineID) (n int) {
 	for _, id := range ids {
-		if m, ok := v.Machines[id]; !ok || !m.Told || m.Faulty {
+		if m, ok := v.Machines[id]; !ok || !m.Reported || m.Faulty {
 			n++
 		}
 	}
@@ -117,13 +117,13 @@
 // tries counts the replacements that never came up.
 func (p *Plan) tries() (n int) {
 	for _, s := range p.Steps {
-		n += s.Try
+		n += s.RentAttempt
 	}
 	return n
 }
 
-// Gated tells whether a plan under way has a gate: evidence is of use.
-func (e *Engine) Gated() bool {
+// HasGate tells whether a plan under way has a gate: evidence is of use.
+func (e *Engine) HasGate() bool {
 	for _, p := range e.plans {
 		if p.foreign == "" && p.Gate != nil && !p.ended() {
 			return true
--- a/internal/core/drain/waves_test.go
+++ b/internal/core/drain/waves_test.go
@@ -21,8 +21,8 @@
 		ids = append(ids, id+1)
 	}
 	r.now += time.Minute
-	r.judge = func(rollout.Gate, []model.MachineID) rollout.Verdict { return rollout.Verdict{Why: "0 of 20 tasks"} }
-	s := Spec{Machines: ids, AtOnce: 8, RentFirst: after == Return, After: after, Gate: &rollout.Gate{Tasks: 20},
+	r.judge = func(rollout.Gate, []model.MachineID) rollout.Verdict { return rollout.Verdict{Reason: "0 of 20 tasks"} }
+	s := Spec{Machines: ids, MaxConcurrent: 8, RentFirst: after == Return, After: after, Gate: &rollout.Gate{MinTasks: 20},
 		Waves: []Wave{{Machines: 1, Soak: 5 * time.Second}, {Share: 0.5}}}
 	if err := r.apply(s); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 		if !slices.Contains(ids, 1) {
 			t.Errorf("judged are %v, not what was patched", ids)
 		}
-		return rollout.Verdict{Closed: true, Why: "half of all tasks failed"}
+		return rollout.Verdict{Closed: true, Reason: "half of all tasks failed"}
 	}
 	r.ticks(20)
 	r.lead()
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -14,7 +14,7 @@
 	Grant               // ask for a lease
 	Acquire             // one transaction: leader's key absent, term as read; put both
 	Renew               // extend the lease
-	End                 // end a lease
+	Revoke              // end a lease
 )
 
 // Op is an operation to run; its result comes back through Done.
@@ -26,8 +26,8 @@
 	SentAt      time.Duration
 }
 
-// Record is what the leader's key held when it was read.
-type Record struct {
+// LeaderRecord is what the leader's key held when it was read.
+type LeaderRecord struct {
 	Present bool
 	Host    string
 	Term    uint64
@@ -37,11 +37,11 @@
 
 // Result is an operation's outcome.
 type Result struct {
-	Op  Op
-	OK  bool
-	Not bool // surely not executed: guard failed, lease unknown
+	Op          Op
+	OK          bool
+	NotExecuted bool // surely not executed: guard failed, lease unknown
 	// Read:
-	Leader      Record
+	Leader      LeaderRecord
 	Term        uint64
 	TermVersion uint64
 	// Grant: the lease. Acquire: the leader key's version.
@@ -58,7 +58,7 @@
 
 	busy     bool
 	next     time.Duration
-	seen     Record
+	seen     LeaderRecord
 	lease    uint64
 	sentAt   time.Duration // of the lease's last successful renewal or grant
 	leading  bool
@@ -96,8 +96,8 @@
 // that it is gone, and a link that breaks has them look at once.
 func (e *Election) SetSiblings(n int) { e.idle = max(leastIdle, time.Duration(n)*leastIdle/2) }
 
-// Doubt has a follower look at the leader's key soon: its link to the leader is gone.
-func (e *Election) Doubt(now time.Duration) {
+// CheckSoon has a follower look at the leader's key soon: its link to the leader is gone.
+func (e *Election) CheckSoon(now time.Duration) {
 	if !e.leading {
 		e.next = min(e.next, now+retry)
 	}
@@ -108,20 +108,20 @@
 	e.promised, e.vowed = max(e.promised, until), true
 }
 
-// Unbound tells a controller that has just started that no sibling leads, so
+// ClearPriorPromise tells a controller that has just started that no sibling leads, so
 // that nobody can count on a promise of its last life.
-func (e *Election) Unbound(now time.Duration) {
+func (e *Election) ClearPriorPromise(now time.Duration) {
 	if !e.vowed {
 		e.promised = min(e.promised, now)
 		e.next = min(e.next, now)
 	}
 }
 
-// Back tells the leader that every sibling has promised not to take over
+// ExtendAuthority tells the leader that every sibling has promised not to take over
 // before until: its authority lasts as long, whatever the state service says.
 // While the service is out the key can't change hands; and if this controller
 // alone is refused, the key may go, but nobody takes it.
-func (e *Election) Back(until time.Duration) { e.backed = max(e.backed, until) }
+func (e *Election) ExtendAuthority(until time.Duration) { e.backed = max(e.backed, until) }
 
 // Deadline is when authority ends unless it is renewed: counted from sending
 // the last successful renewal, less the clocks' drift and late timers; or, if
@@ -148,8 +148,8 @@
 	return e.seen.Host
 }
 
-// See takes news of the leader's key from a watch.
-func (e *Election) See(now time.Duration, r Record) {
+// Observe takes news of the leader's key from a watch.
+func (e *Election) Observe(now time.Duration, r LeaderRecord) {
 	if r.Version < e.seen.Version && r.Present {
 		return
 	}
@@ -174,7 +174,7 @@
 		e.orphans = append(e.orphans, e.lease)
 	}
 	e.leading, e.lease, e.renewing, e.backed = false, 0, false, 0
-	e.seen = Record{}
+	e.seen = LeaderRecord{}
 }
 
 // Step returns the operations to run now.
@@ -195,7 +195,7 @@
 	if !e.busy && now >= e.next {
 		e.busy = true
 		if n := len(e.orphans); n > 0 {
-			ops = append(ops, Op{Verb: End, Lease: e.orphans[n-1], SentAt: now})
+			ops = append(ops, Op{Verb: Revoke, Lease: e.orphans[n-1], SentAt: now})
 		} else {
 			ops = append(ops, Op{Verb: Read, SentAt: now})
 		}
@@ -208,16 +208,16 @@
 	leastIdle = time.Second
 )
 
-// Done takes an operation's result and returns what follows at once.
-func (e *Election) Done(now time.Duration, r Result) []Op {
+// HandleResult takes an operation's result and returns what follows at once.
+func (e *Election) HandleResult(now time.Duration, r Result) []Op {
 	if r.Op.Verb == Renew {
 		return e.renewed(now, r)
 	}
 	e.busy = false
 	e.next = now + retry
 	switch r.Op.Verb {
-	case End:
-		if r.OK || r.Not {
+	case Revoke:
+		if r.OK || r.NotExecuted {
 			e.orphans = remove(e.orphans, r.Op.Lease)
 			e.next = now
 		}
@@ -276,7 +276,7 @@
 	}
 	e.renewing = false
 	switch {
-	case r.Not, now >= e.Deadline():
+	case r.NotExecuted, now >= e.Deadline():
 		// The lease has ended, or authority was over before this answer came, and
 		// whatever went with the term has been dropped. Taken up again, the term would
 		// give tokens and attempts out for a second time.
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -14,15 +14,15 @@
 	if len(ops) != 1 || ops[0].Verb != Read {
 		t.Fatalf("ops %v, want a read", ops)
 	}
-	ops = e.Done(now, Result{Op: ops[0], OK: true})
+	ops = e.HandleResult(now, Result{Op: ops[0], OK: true})
 	if len(ops) != 1 || ops[0].Verb != Grant {
 		t.Fatalf("ops %v, want a grant", ops)
 	}
-	ops = e.Done(now+time.Second, Result{Op: ops[0], OK: true, Lease: 7})
+	ops = e.HandleResult(now+time.Second, Result{Op: ops[0], OK: true, Lease: 7})
 	if len(ops) != 1 || ops[0].Verb != Acquire || ops[0].Term != 1 {
 		t.Fatalf("ops %v, want term 1 acquired", ops)
 	}
-	e.Done(now+2*time.Second, Result{Op: ops[0], OK: true, Version: 9})
+	e.HandleResult(now+2*time.Second, Result{Op: ops[0], OK: true, Version: 9})
 }
 
 func TestAuthorityCountsFromSending(t *testing.T) {
@@ -36,7 +36,7 @@
 	if len(ops) != 1 || ops[0].Verb != Renew {
 		t.Fatalf("ops %v, want a renewal", ops)
 	}
-	e.Done(3500*time.Millisecond, Result{Op: ops[0], OK: true})
+	e.HandleResult(3500*time.Millisecond, Result{Op: ops[0], OK: true})
 	if !e.Leading(6*time.Second) || e.Leading(6500*time.Millisecond) {
 		t.Fatal("a renewal counts from its sending, less drift")
 	}
@@ -45,15 +45,15 @@
 func TestAcquireInDoubtEndsItsLease(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	ops := e.Step(0)
-	ops = e.Done(0, Result{Op: ops[0], OK: true})
-	ops = e.Done(0, Result{Op: ops[0], OK: true, Lease: 7})
-	e.Done(time.Second, Result{Op: ops[0]}) // no answer
+	ops = e.HandleResult(0, Result{Op: ops[0], OK: true})
+	ops = e.HandleResult(0, Result{Op: ops[0], OK: true, Lease: 7})
+	e.HandleResult(time.Second, Result{Op: ops[0]}) // no answer
 	if e.Leading(time.Second) {
 		t.Fatal("leads on a transaction in doubt")
 	}
 	// The transaction may be applied late: ending its lease makes it fail.
 	ops = e.Step(2 * time.Second)
-	if len(ops) != 1 || ops[0].Verb != End || ops[0].Lease != 7 {
+	if len(ops) != 1 || ops[0].Verb != Revoke || ops[0].Lease != 7 {
 		t.Fatalf("ops %v, want lease 7 ended", ops)
 	}
 }
@@ -61,12 +61,12 @@
 func TestOwnEarlierLeaseIsEnded(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
 	ops := e.Step(0)
-	e.Done(0, Result{Op: ops[0], OK: true, Leader: Record{Present: true, Host: "a", Lease: 3}})
+	e.HandleResult(0, Result{Op: ops[0], OK: true, Leader: LeaderRecord{Present: true, Host: "a", Lease: 3}})
 	ops = e.Step(0)
-	if len(ops) != 1 || ops[0].Verb != End || ops[0].Lease != 3 {
+	if len(ops) != 1 || ops[0].Verb != Revoke || ops[0].Lease != 3 {
 		t.Fatalf("ops %v, want lease 3 ended", ops)
 	}
-	e.Done(0, Result{Op: ops[0], OK: true})
+	e.HandleResult(0, Result{Op: ops[0], OK: true})
 	lead(t, e, 0) // at once: whoever led needs no promise of its own
 }
 
@@ -77,7 +77,7 @@
 		if len(ops) == 0 {
 			return false
 		}
-		return len(e.Done(now, Result{Op: ops[0], OK: true})) > 0
+		return len(e.HandleResult(now, Result{Op: ops[0], OK: true})) > 0
 	}
 	if try(500 * time.Millisecond) {
 		t.Fatal("a process just started may have promised in its last life")
@@ -94,7 +94,7 @@
 func TestSiblingsPromisesOutlastAnOutage(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	lead(t, e, 0)
-	e.Back(10 * time.Second)
+	e.ExtendAuthority(10 * time.Second)
 	if !e.Leading(9 * time.Second) {
 		t.Fatal("all siblings have promised until 10 s")
 	}
@@ -103,7 +103,7 @@
 	}
 	// A key that is surely gone ends it all the same.
 	ops := e.Step(9 * time.Second)
-	e.Done(9*time.Second, Result{Op: ops[0], Not: true})
+	e.HandleResult(9*time.Second, Result{Op: ops[0], NotExecuted: true})
 	if e.Leading(9 * time.Second) {
 		t.Fatal("leads without its lease")
 	}
@@ -113,14 +113,14 @@
 // nobody, and waiting for them costs the workers' leases.
 func TestNobodyLeadsSoNobodyIsBound(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
-	e.Unbound(time.Second)
+	e.ClearPriorPromise(time.Second)
 	lead(t, e, time.Second)
 	// A promise of this life binds.
 	e = New("a", ttl, 0, time.Minute, 0)
 	e.Promise(time.Minute)
-	e.Unbound(time.Second)
+	e.ClearPriorPromise(time.Second)
 	ops := e.Step(time.Second)
-	if got := e.Done(time.Second, Result{Op: ops[0], OK: true}); len(got) > 0 {
+	if got := e.HandleResult(time.Second, Result{Op: ops[0], OK: true}); len(got) > 0 {
 		t.Fatalf("ops %v against a promise", got)
 	}
 }
@@ -135,11 +135,11 @@
 	if e.Leading(late) {
 		t.Fatal("leads beyond its deadline")
 	}
-	e.Done(late, Result{Op: ops[0], OK: true})
+	e.HandleResult(late, Result{Op: ops[0], OK: true})
 	if e.Leading(late) {
 		t.Fatal("the term is taken up again")
 	}
-	if ops = e.Step(late); len(ops) != 1 || ops[0].Verb != End || ops[0].Lease != 7 {
+	if ops = e.Step(late); len(ops) != 1 || ops[0].Verb != Revoke || ops[0].Lease != 7 {
 		t.Fatalf("ops %v, want the term's lease ended", ops)
 	}
 }
@@ -154,13 +154,13 @@
 		for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 			for _, op := range e.Step(now) {
 				reads++
-				e.Done(now, Result{Op: op, OK: true, Leader: Record{Present: true, Host: "a", Version: 5}})
+				e.HandleResult(now, Result{Op: op, OK: true, Leader: LeaderRecord{Present: true, Host: "a", Version: 5}})
 			}
 		}
 		if perSecond := float64(reads*siblings) / 60; perSecond < 1.8 || perSecond > 2.6 {
 			t.Errorf("%d followers read %.1f times a second", siblings, perSecond)
 		}
-		e.Doubt(time.Minute)
+		e.CheckSoon(time.Minute)
 		if ops := e.Step(time.Minute + 300*time.Millisecond); len(ops) != 1 || ops[0].Verb != Read {
 			t.Errorf("%d followers: %v after the link broke", siblings, ops)
 		}
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -28,41 +28,41 @@
 
 // Job of a snapshot.
 type Job struct {
-	Spec  *model.Spec
-	Left  int // tasks not done
-	Since time.Duration
+	Spec            *model.Spec
+	UnfinishedTasks int // tasks not done
+	Since           time.Duration
 }
 
 // Snapshot is the present that a forecast begins with.
 type Snapshot struct {
-	Now      time.Duration
-	Wall     time.Time
-	Machines []Machine
-	Jobs     []Job // in the order of submission
-	Teams    []dispatcher.Team
-	Learned  func(class model.Name, part float64) float64
-	Boot     func(machineType model.Name) time.Duration
-	JobName  func(model.JobID) string // for people
-	Shard    shard.Params
+	Now           time.Duration
+	Wall          time.Time
+	Machines      []Machine
+	Jobs          []Job // in the order of submission
+	Teams         []dispatcher.Team
+	RunTimeFactor func(class model.Name, part float64) float64
+	BootTime      func(machineType model.Name) time.Duration
+	JobName       func(model.JobID) string // for people
+	Shard         shard.Params
 }
 
 // Params of a forecast.
 type Params struct {
-	Plays int           // times that it is played, each with other luck
-	Step  time.Duration // decisions are made so often
-	Most  time.Duration // nothing is played on for longer
-	Patch time.Duration // a machine is patched in so long
-	Seed  uint64
+	Runs        int           // times that it is played, each with other luck
+	Step        time.Duration // decisions are made so often
+	MaxDuration time.Duration // nothing is played on for longer
+	PatchTime   time.Duration // a machine is patched in so long
+	Seed        uint64
 }
 
-// Plan begins the plan in an engine of its own.
-type Plan func(e *drain.Engine, now time.Duration, wall time.Time) error
+// StartPlan begins the plan in an engine of its own.
+type StartPlan func(e *drain.Engine, now time.Duration, wall time.Time) error
 
 // Forecast is played on bit by bit, so that it holds nothing up.
 type Forecast struct {
 	p     Params
 	s     *Snapshot
-	plan  Plan
+	plan  StartPlan
 	spec  *drain.Spec
 	play  int
 	base  *run // of the present play, nil: not begun
@@ -76,14 +76,14 @@
 }
 
 // New prepares a forecast of a plan.
-func New(p Params, s *Snapshot, spec *drain.Spec, plan Plan) *Forecast {
+func New(p Params, s *Snapshot, spec *drain.Spec, plan StartPlan) *Forecast {
 	return &Forecast{p: p, s: s, plan: plan, spec: spec}
 }
 
 // Advance plays on a little; true tells that the forecast is complete.
 func (f *Forecast) Advance() (done bool) {
 	switch {
-	case f.err != nil || f.play >= f.p.Plays:
+	case f.err != nil || f.play >= f.p.Runs:
 		return true
 	case f.base == nil:
 		f.base = newRun(f, nil)
@@ -103,11 +103,11 @@
 		f.base, f.with = nil, nil
 		f.play++
 	}
-	return f.err != nil || f.play >= f.p.Plays
+	return f.err != nil || f.play >= f.p.Runs
 }
 
-// Done is how much has been played, 0 to 1.
-func (f *Forecast) Done() float64 {
+// Progress is how much has been played, 0 to 1.
+func (f *Forecast) Progress() float64 {
 	part := 0.0
 	if f.base != nil {
 		part += 0.5 * f.base.part()
@@ -115,7 +115,7 @@
 	if f.with != nil {
 		part += 0.5 * f.with.part()
 	}
-	return min(1, (float64(f.play)+part)/float64(max(1, f.p.Plays)))
+	return min(1, (float64(f.play)+part)/float64(max(1, f.p.Runs)))
 }
 
 // Err is why the plan can't be played.
@@ -134,31 +134,31 @@
 	lost, refetch time.Duration
 }
 
-// Late is a job that the plan delays.
-type Late struct {
-	Spec   *model.Spec
-	End    [3]time.Duration // with the plan, from now: least, middle, most
-	Delay  [3]time.Duration
-	Why    string
-	Missed bool   // it would end past its deadline, and would not without the plan
-	Window string // of the plan, that it would be pushed past; "": none
-	Moved  int
+// DelayedJob is a job that the plan delays.
+type DelayedJob struct {
+	Spec           *model.Spec
+	End            [3]time.Duration // with the plan, from now: least, middle, most
+	Delay          [3]time.Duration
+	Reason         string
+	MissesDeadline bool   // it would end past its deadline, and would not without the plan
+	Window         string // of the plan, that it would be pushed past; "": none
+	MovedTasks     int
 }
 
-// Guarantee of a team that would not hold as it does.
-type Guarantee struct {
+// GuaranteeWait of a team that would not hold as it does.
+type GuaranteeWait struct {
 	Team          model.Name
 	Without, With time.Duration // the longest wait for room within it
 }
 
 // Result of a forecast.
 type Result struct {
-	Late       []Late // the longest delay first
-	Took       [3]time.Duration
+	Delayed    []DelayedJob // the longest delay first
+	Duration   [3]time.Duration
 	Unfinished string // what the plan waits for at the end, if it does not end
-	Guarantees []Guarantee
+	Guarantees []GuaranteeWait
 	Jobs       int
-	Plays      int
+	Runs       int
 }
 
 // three are the least, the middle and the most.
@@ -172,15 +172,15 @@
 
 // Result sums up what was played.
 func (f *Forecast) Result() *Result {
-	out := &Result{Plays: len(f.ends), Jobs: len(f.s.Jobs), Took: three(slices.Clone(f.took)), Unfinished: f.held}
+	out := &Result{Runs: len(f.ends), Jobs: len(f.s.Jobs), Duration: three(slices.Clone(f.took)), Unfinished: f.held}
 	for i := range f.s.Jobs {
 		if l, ok := f.late(f.s.Jobs[i].Spec); ok {
-			out.Late = append(out.Late, l)
+			out.Delayed = append(out.Delayed, l)
 		}
 	}
-	slices.SortStableFunc(out.Late, func(a, b Late) int { return cmp.Compare(b.Delay[1], a.Delay[1]) })
+	slices.SortStableFunc(out.Delayed, func(a, b DelayedJob) int { return cmp.Compare(b.Delay[1], a.Delay[1]) })
 	for t := range f.s.Teams {
-		g := Guarantee{Team: model.Name(t)}
+		g := GuaranteeWait{Team: model.Name(t)}
 		for _, w := range f.waits {
 			g.Without, g.With = max(g.Without, w[0][t]), max(g.With, w[1][t])
 		}
@@ -195,8 +195,8 @@
 const lateFrom = 2 * time.Second
 
 // late sums up one job; false tells that the plan does not delay it.
-func (f *Forecast) late(sp *model.Spec) (Late, bool) {
-	l := Late{Spec: sp}
+func (f *Forecast) late(sp *model.Spec) (DelayedJob, bool) {
+	l := DelayedJob{Spec: sp}
 	var ends, delays []time.Duration
 	var sum cost
 	missed, past := 0, 0
@@ -210,7 +210,7 @@
 			continue // nothing can be said
 		}
 		if !ok2 {
-			with = f.p.Most // it did not end while it was played
+			with = f.p.MaxDuration // it did not end while it was played
 		}
 		ends, delays = append(ends, with), append(delays, with-without)
 		c := f.costs[i][sp.ID]
@@ -229,9 +229,9 @@
 		return l, false
 	}
 	l.End, l.Delay = three(ends), three(delays)
-	l.Moved = sum.moved / len(delays)
-	l.Missed = 2*missed > len(delays)
-	l.Why = sum.why()
+	l.MovedTasks = sum.moved / len(delays)
+	l.MissesDeadline = 2*missed > len(delays)
+	l.Reason = sum.why()
 	return l, l.Delay[1] >= lateFrom
 }
 
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -13,7 +13,7 @@
 )
 
 func params() Params {
-	return Params{Plays: 1, Step: time.Second, Most: time.Hour, Patch: time.Minute, Seed: 1}
+	return Params{Runs: 1, Step: time.Second, MaxDuration: time.Hour, PatchTime: time.Minute, Seed: 1}
 }
 
 // exact is an owner whose estimates are right.
@@ -21,11 +21,11 @@
 
 // snapshot is a cluster of machines with 8 CPUs.
 func snapshot(machines int) *Snapshot {
-	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), Learned: exact,
-		Teams:   []dispatcher.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
-		JobName: wire.JobName,
-		Boot:    func(model.Name) time.Duration { return 10 * time.Second },
-		Shard:   shard.Params{VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2}}
+	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), RunTimeFactor: exact,
+		Teams:    []dispatcher.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
+		JobName:  wire.JobName,
+		BootTime: func(model.Name) time.Duration { return 10 * time.Second },
+		Shard:    shard.Params{VictimSample: 2, PaybackLimit: time.Minute, DemotionStep: 2}}
 	for id := range machines {
 		s.Machines = append(s.Machines, Machine{Machine: model.Machine{ID: model.MachineID(id + 1),
 			Cap: model.Capacity(8, 0, 32), FetchRate: 0.5},
@@ -42,15 +42,15 @@
 		s.Machines[m-1].Tasks = append(s.Machines[m-1].Tasks,
 			model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)}, Stage: model.Running, RunTime: ran})
 	}
-	s.Jobs = append(s.Jobs, Job{Spec: &sp, Left: int(sp.Tasks), Since: s.Now})
+	s.Jobs = append(s.Jobs, Job{Spec: &sp, UnfinishedTasks: int(sp.Tasks), Since: s.Now})
 	return &sp
 }
 
 func (s *Snapshot) play(t testing.TB, p Params, spec drain.Spec) *Result {
 	t.Helper()
 	spec.Name = "p"
-	if spec.AtOnce == 0 {
-		spec.AtOnce = 1
+	if spec.MaxConcurrent == 0 {
+		spec.MaxConcurrent = 1
 	}
 	f := New(p, s, &spec, func(e *drain.Engine, now time.Duration, wall time.Time) error {
 		e.Apply(now, wall, &spec, nil, "")
@@ -58,8 +58,8 @@
 	})
 	for !f.Advance() {
 	}
-	if f.Err() != nil || f.Done() != 1 {
-		t.Fatal(f.Err(), f.Done())
+	if f.Err() != nil || f.Progress() != 1 {
+		t.Fatal(f.Err(), f.Progress())
 	}
 	return f.Result()
 }
@@ -93,16 +93,16 @@
 			s.job(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.saves, ImageGB: c.image}, 0, 100*time.Second, 1)
 			r := s.play(t, params(), drain.Spec{Machines: ids, Default: c.how})
 			if c.late == 0 {
-				if len(r.Late) != 0 {
-					t.Fatalf("%+v", r.Late)
+				if len(r.Delayed) != 0 {
+					t.Fatalf("%+v", r.Delayed)
 				}
-				near(t, "the plan", r.Took[1], 100*time.Second, 6*time.Second)
+				near(t, "the plan", r.Duration[1], 100*time.Second, 6*time.Second)
 				return
 			}
-			if len(r.Late) != 1 || r.Late[0].Why != c.why {
-				t.Fatalf("%+v, want one that %s", r.Late, c.why)
+			if len(r.Delayed) != 1 || r.Delayed[0].Reason != c.why {
+				t.Fatalf("%+v, want one that %s", r.Delayed, c.why)
 			}
-			near(t, "delay", r.Late[0].Delay[1], c.late, 6*time.Second)
+			near(t, "delay", r.Delayed[0].Delay[1], c.late, 6*time.Second)
 		})
 	}
 }
@@ -113,11 +113,11 @@
 	s := snapshot(4)
 	s.job(model.Spec{ID: 5, Estimate: 60 * time.Second, Deadline: 130 * time.Second}, 32, 0)
 	s.job(model.Spec{ID: 6, Estimate: 10 * time.Second}, 0, 0, 1, 2, 3, 4)
-	r := s.play(t, params(), drain.Spec{Machines: []model.MachineID{1, 2}, AtOnce: 2})
-	if len(r.Late) != 1 || r.Late[0].Spec.ID != 5 || r.Late[0].Why != "waits for room" || !r.Late[0].Missed {
-		t.Fatalf("%+v", r.Late)
+	r := s.play(t, params(), drain.Spec{Machines: []model.MachineID{1, 2}, MaxConcurrent: 2})
+	if len(r.Delayed) != 1 || r.Delayed[0].Spec.ID != 5 || r.Delayed[0].Reason != "waits for room" || !r.Delayed[0].MissesDeadline {
+		t.Fatalf("%+v", r.Delayed)
 	}
-	near(t, "delay", r.Late[0].Delay[1], 120*time.Second, 62*time.Second)
+	near(t, "delay", r.Delayed[0].Delay[1], 120*time.Second, 62*time.Second)
 }
 
 // A batch that a plan would push past its window is named with the window.
@@ -127,13 +127,13 @@
 	w := drain.Window{Classes: []model.Name{3}, Clock: 12*time.Hour + 5*time.Minute, Location: time.UTC,
 		Name: "the window"}
 	r := s.play(t, params(), drain.Spec{Machines: []model.MachineID{1}, Windows: []drain.Window{w}, Default: drain.Move})
-	if len(r.Late) != 0 || r.Unfinished != "" {
+	if len(r.Delayed) != 0 || r.Unfinished != "" {
 		t.Errorf("%+v: the engine holds the step until the batch is done", r)
 	}
 	// Without the window's hold the same plan pushes it past.
 	r = s.play(t, params(), drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move})
-	if len(r.Late) != 1 || r.Late[0].Delay[1] < 3*time.Minute {
-		t.Errorf("%+v", r.Late)
+	if len(r.Delayed) != 1 || r.Delayed[0].Delay[1] < 3*time.Minute {
+		t.Errorf("%+v", r.Delayed)
 	}
 }
 
@@ -143,7 +143,7 @@
 	s.Machines[0].Type = 7
 	s.job(model.Spec{ID: 5, Daemon: true, Types: []model.Name{7}}, 0, 0, 1)
 	p := params()
-	p.Most = 2 * time.Minute
+	p.MaxDuration = 2 * time.Minute
 	if r := s.play(t, p, drain.Spec{Machines: []model.MachineID{1}}); r.Unfinished != "no other machine could run job-000005" {
 		t.Errorf("%+v", r)
 	}
@@ -177,8 +177,8 @@
 			s.Machines[0].Tasks[i].Adopted = adopted
 		}
 		p := params()
-		p.Plays = 9
-		return s.play(t, p, drain.Spec{Machines: []model.MachineID{1}}).Took[1]
+		p.Runs = 9
+		return s.play(t, p, drain.Spec{Machines: []model.MachineID{1}}).Duration[1]
 	}
 	near(t, "seen from the beginning", ends(false), 100*time.Second, 6*time.Second)
 	near(t, "adopted", ends(true), 75*time.Second, 22*time.Second)
@@ -203,7 +203,7 @@
 			ImageGB:            1,
 			CheckpointInterval: time.Duration(j%2) * 20 * time.Second}, 2, time.Duration(j%40)*time.Second, on[j]...)
 	}
-	s.Learned = func(_ model.Name, part float64) float64 { return 0.5 + part }
+	s.RunTimeFactor = func(_ model.Name, part float64) float64 { return 0.5 + part }
 	return s
 }
 
@@ -216,7 +216,7 @@
 		for id := range 100 {
 			ids = append(ids, model.MachineID(id*16+1))
 		}
-		spec := drain.Spec{Name: "p", Machines: ids, AtOnce: 20, Default: drain.MoveSaved}
+		spec := drain.Spec{Name: "p", Machines: ids, MaxConcurrent: 20, Default: drain.MoveSaved}
 		f := New(params(), s, &spec, func(e *drain.Engine, now time.Duration, wall time.Time) error {
 			e.Apply(now, wall, &spec, nil, "")
 			return nil
@@ -236,6 +236,6 @@
 		}
 		b.ReportMetric(float64(longest.Milliseconds()), "ms/longest")
 		b.ReportMetric(float64(most-before.HeapAlloc)/(1<<20), "MB")
-		b.ReportMetric(float64(len(f.Result().Late)), "late")
+		b.ReportMetric(float64(len(f.Result().Delayed)), "late")
 	}
 }
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -30,18 +30,18 @@
 func (x *run) view() *drain.View {
 	s := x.f.s
 	v := &drain.View{Now: x.now, Wall: s.Wall.Add(x.now - s.Now),
-		Machines: make(map[model.MachineID]drain.Machine, len(s.Machines)),
-		Settled:  true, Learned: s.Learned, Boot: s.Boot, JobName: s.JobName, Spare: dispatcher.UnusedGuarantees(s.Teams, x.usage)}
+		Machines:  make(map[model.MachineID]drain.Machine, len(s.Machines)),
+		Recovered: true, RunTimeFactor: s.RunTimeFactor, BootTime: s.BootTime, JobName: s.JobName, UnusedGuaranteeCPU: dispatcher.UnusedGuarantees(s.Teams, x.usage)}
 	x.r.ForEachMachine(x.now, func(st model.MachineStatus) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st,
-			Told: true}
+			Reported: true}
 	})
 	for _, b := range x.booting {
 		v.Machines[b.m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: b.m}}
 	}
 	for _, j := range x.jobs {
 		if j.left > 0 {
-			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, Open: j.left, Running: j.running})
+			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, UnfinishedTasks: j.left, RunningTasks: j.running})
 		}
 	}
 	return v
@@ -56,12 +56,12 @@
 		x.do(a)
 	}
 	for _, w := range x.e.Writes(64) {
-		x.e.Wrote(w, 1, true, false, 0)
+		x.e.WriteDone(w, 1, true, false, 0)
 	}
 	if st := x.e.Status(x.now, x.f.spec.Name); st != nil {
 		for _, t := range st.Steps {
 			if _, ok := x.patched[t.Machine]; !ok && t.State == drain.Patching.String() {
-				x.patched[t.Machine] = x.now + x.f.p.Patch
+				x.patched[t.Machine] = x.now + x.f.p.PatchTime
 			}
 		}
 		if st.Phase != drain.Active && st.Phase != drain.Paused && x.e.Idle() {
@@ -72,10 +72,10 @@
 
 func (x *run) do(a drain.Action) {
 	switch a.Kind {
-	case drain.Bar, drain.Unbar:
-		x.r.SetUsable(x.now, a.Machine, a.Kind == drain.Unbar)
-	case drain.Look:
-		x.e.Seen(x.now, a.Machine, a.Seq, x.r.TasksOn(x.now, a.Machine), func(id model.JobID) *model.Spec {
+	case drain.Cordon, drain.Uncordon:
+		x.r.SetUsable(x.now, a.Machine, a.Kind == drain.Uncordon)
+	case drain.ListTasks:
+		x.e.TasksListed(x.now, a.Machine, a.Seq, x.r.TasksOn(x.now, a.Machine), func(id model.JobID) *model.Spec {
 			if j := x.byID[id]; j != nil {
 				return j.Spec
 			}
@@ -85,15 +85,15 @@
 		if s, ok := x.r.Recall(x.now, a.Machine, a.Task); ok {
 			x.stopped(s, true)
 		}
-	case drain.Give:
+	case drain.ReturnMachine:
 		x.r.RemoveMachine(a.Machine)
-		x.e.Given(x.now, a.Machine, true)
+		x.e.MachineReturned(x.now, a.Machine, true)
 	case drain.Rent:
-		m := a.Like
+		m := a.Template
 		x.next++
 		m.ID = x.next
-		x.booting = append(x.booting, boot{x.now + x.f.s.Boot(m.Type), m})
-		x.e.Rented(x.now, a, []model.MachineID{m.ID}, false)
+		x.booting = append(x.booting, boot{x.now + x.f.s.BootTime(m.Type), m})
+		x.e.MachineRented(x.now, a, []model.MachineID{m.ID}, false)
 	}
 }
 
@@ -101,17 +101,17 @@
 func (x *run) waitsFor() string {
 	if st := x.e.Status(x.now, x.f.spec.Name); st != nil {
 		for _, t := range st.Steps {
-			if t.Held != "" {
-				return t.Held
+			if t.BlockedReason != "" {
+				return t.BlockedReason
 			}
 		}
 	}
 	return "it takes longer than was played"
 }
 
-// StepFor is how often decisions are made in a forecast for so many machines: as
+// StepInterval is how often decisions are made in a forecast for so many machines: as
 // often as they are made in life, or less often where that takes long.
-func StepFor(machines int) time.Duration {
+func StepInterval(machines int) time.Duration {
 	if machines <= 50 {
 		return 250 * time.Millisecond
 	}
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -80,7 +80,7 @@
 	m  model.Machine
 }
 
-func newRun(f *Forecast, plan Plan) *run {
+func newRun(f *Forecast, plan StartPlan) *run {
 	s := f.s
 	x := &run{f: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
 		usage: make([]model.Resources, len(s.Teams)), on: map[model.JobID]map[int32]bool{},
@@ -88,7 +88,7 @@
 		ends: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{}, waits: make([]time.Duration, len(s.Teams)),
 		r: shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.p.Seed, uint64(f.play))))}
 	for i := range s.Jobs {
-		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].Left, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
+		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
 		x.jobs = append(x.jobs, j)
 		x.byID[j.Spec.ID] = j
 		if !j.Spec.Daemon {
@@ -97,7 +97,7 @@
 	}
 	x.reprice()
 	if plan != nil {
-		x.e = drain.New(drain.Params{Term: 1, Report: f.p.Step, Probe: 15 * time.Second, Most: len(s.Machines) + 1})
+		x.e = drain.New(drain.Params{Term: 1, ReportInterval: f.p.Step, RetryInterval: 15 * time.Second, MaxMachines: len(s.Machines) + 1})
 		f.err = plan(x.e, x.now, s.Wall)
 		x.over = f.err != nil
 	}
@@ -173,7 +173,7 @@
 func (x *run) whole(j *job, t model.Task, ran time.Duration) time.Duration {
 	part := x.f.luck(t)
 	for range 8 {
-		d := time.Duration(float64(j.Spec.Estimate) * x.f.s.Learned(j.Spec.Class, part))
+		d := time.Duration(float64(j.Spec.Estimate) * x.f.s.RunTimeFactor(j.Spec.Class, part))
 		if d > ran {
 			return d
 		}
@@ -215,10 +215,10 @@
 	}
 	x.wait()
 	planned := x.e == nil || x.planEnd > 0
-	if x.open == 0 && planned || x.now-x.f.s.Now >= x.f.p.Most {
+	if x.open == 0 && planned || x.now-x.f.s.Now >= x.f.p.MaxDuration {
 		x.over = true
 		if x.e != nil && x.planEnd == 0 {
-			x.planEnd, x.held = x.f.p.Most, x.waitsFor()
+			x.planEnd, x.held = x.f.p.MaxDuration, x.waitsFor()
 		}
 	}
 }
--- a/internal/core/jobs/awaits.go
+++ b/internal/core/jobs/dependencies.go
@@ -14,11 +14,11 @@
 
 func (a *awaited) any() bool { return len(a.jobs) > 0 }
 
-// NewAwaiting starts a submission that awaits jobs. open are the versions of open
+// NewWithDependencies starts a submission that awaits jobs. open are the versions of open
 // records that were seen earlier: they need not be read, for the transaction tells
 // whether they still stand. At most so many of them are its guards; what ends between
 // the look and the transaction beyond that, the leader finds.
-func NewAwaiting(job model.JobID, awaits []model.JobID, open map[model.JobID]uint64, most int) (*Request, Op) {
+func NewWithDependencies(job model.JobID, awaits []model.JobID, open map[model.JobID]uint64, most int) (*Request, Op) {
 	r := &Request{kind: Submit, job: job, awaits: awaited{jobs: awaits, open: open, most: most}}
 	return r, r.awaits.next(job)
 }
--- a/internal/core/jobs/awaits_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -49,7 +49,7 @@
 
 func (s *shelf) submit(t *testing.T, seen map[model.JobID]uint64, awaits ...model.JobID) Answer {
 	t.Helper()
-	req, op := NewAwaiting(1, awaits, seen, 2)
+	req, op := NewWithDependencies(1, awaits, seen, 2)
 	for range 40 {
 		next, a := req.Next(op, s.do(op))
 		if a != nil {
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -38,11 +38,11 @@
 
 // Operations.
 const (
-	ReadOpen  OpKind = iota
-	ReadFinal        // Stage tells it
-	Create           // put open, or final if Stage is set; guards: neither exists, and Guards
-	Cancel           // drop open at Version, put final
-	StillOpen        // compare open with Version; many are compared in one call
+	ReadOpen    OpKind = iota
+	ReadFinal          // Stage tells it
+	Create             // put open, or final if Stage is set; guards: neither exists, and Guards
+	Cancel             // drop open at Version, put final
+	CompareOpen        // compare open with Version; many are compared in one call
 )
 
 // Guard is a condition: this job's open record has the version.
@@ -84,11 +84,11 @@
 	Status  int
 	Stage   Stage
 	Created bool // the job has been accepted by this request
-	// Unknown is a job that is awaited and was never accepted; it comes with a 422.
-	Unknown model.JobID
-	// OverRate: nothing is wrong but that the state service is asked for too much; it comes
+	// UnknownDependency is a job that is awaited and was never accepted; it comes with a 422.
+	UnknownDependency model.JobID
+	// RateLimited: nothing is wrong but that the state service is asked for too much; it comes
 	// with a 503.
-	OverRate bool
+	RateLimited bool
 }
 
 // Kind of request.
@@ -137,7 +137,7 @@
 		return r, Op{Kind: Create, Job: job}
 	}
 	if k == Poll && version != 0 {
-		return r, Op{Kind: StillOpen, Job: job, Version: version}
+		return r, Op{Kind: CompareOpen, Job: job, Version: version}
 	}
 	return r, Op{Kind: ReadOpen, Job: job}
 }
@@ -151,7 +151,7 @@
 
 var (
 	unavailable = &Answer{Status: http.StatusServiceUnavailable}
-	overRate    = &Answer{Status: http.StatusServiceUnavailable, OverRate: true}
+	overRate    = &Answer{Status: http.StatusServiceUnavailable, RateLimited: true}
 )
 
 // Next takes the result of an operation and returns the next one or the answer.
@@ -175,7 +175,7 @@
 			return Op{}, a
 		}
 		return Op{Kind: ReadOpen, Job: r.job}, nil
-	case StillOpen:
+	case CompareOpen:
 		if res.Outcome == OK {
 			return Op{}, &Answer{Status: http.StatusOK, Stage: Queued}
 		}
@@ -203,7 +203,7 @@
 			return Op{Kind: ReadOpen, Job: r.job}, nil
 		}
 		if r.unknown {
-			return Op{}, &Answer{Status: http.StatusUnprocessableEntity, Unknown: r.awaits.unknown}
+			return Op{}, &Answer{Status: http.StatusUnprocessableEntity, UnknownDependency: r.awaits.unknown}
 		}
 		if r.kind == Submit && r.awaits.any() && r.again() {
 			// A job that it awaits is no longer as it was seen.
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -71,7 +71,7 @@
 // share one call; once it is gone, the records tell what became of the job.
 func TestPollOfASeenJobComparesOnly(t *testing.T) {
 	req, op := New(Poll, 1, 3)
-	if op.Kind != StillOpen || op.Version != 3 {
+	if op.Kind != CompareOpen || op.Version != 3 {
 		t.Fatalf("asks %+v", op)
 	}
 	if _, a := req.Next(op, Result{}); a == nil || a.Stage != Queued {
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -40,8 +40,8 @@
 	at  time.Duration
 }
 
-// Late takes how late a timer fired, now.
-func (s *Detector) Late(now, by time.Duration) {
+// RecordDelay takes how late a timer fired, now.
+func (s *Detector) RecordDelay(now, by time.Duration) {
 	s.lag = min(mostLate, max(by, s.Lag(now)))
 	s.at = now
 }
@@ -51,18 +51,18 @@
 	return time.Duration(float64(s.lag) * math.Exp2(-float64(max(0, now-s.at))/float64(half)))
 }
 
-// Takes tells whether a request of a kind is worth starting: it would be answered
+// Admits tells whether a request of a kind is worth starting: it would be answered
 // before its asker has given up.
-func (s *Detector) Takes(now time.Duration, k Kind) bool {
+func (s *Detector) Admits(now time.Duration, k Kind) bool {
 	if k == Poll {
 		return s.Lag(now) < pollsAt
 	}
 	return s.Lag(now) < changesAt
 }
 
-// Again is after how long somebody who was turned away should ask again: the longer,
+// RetryAfter is after how long somebody who was turned away should ask again: the longer,
 // the further behind this process is. spread, from 0 to 1, sets askers apart.
-func (s *Detector) Again(now time.Duration, spread float64) time.Duration {
+func (s *Detector) RetryAfter(now time.Duration, spread float64) time.Duration {
 	lag := s.Lag(now)
 	return time.Second + time.Duration(float64(3*lag)*(0.5+spread))
 }
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -23,11 +23,11 @@
 		{time.Hour, false, false, 4, 4},
 	} {
 		var s Detector
-		s.Late(time.Second, c.lag)
-		if got := s.Takes(time.Second, Poll); got != c.polls {
+		s.RecordDelay(time.Second, c.lag)
+		if got := s.Admits(time.Second, Poll); got != c.polls {
 			t.Errorf("lag %v: polls taken: %v", c.lag, got)
 		}
-		if got := s.Takes(time.Second, Change); got != c.change {
+		if got := s.Admits(time.Second, Change); got != c.change {
 			t.Errorf("lag %v: changes taken: %v", c.lag, got)
 		}
 		if got := s.Scale(time.Second, 48); got < c.least || got > c.most {
@@ -40,11 +40,11 @@
 // few seconds, however long the process stood still.
 func TestItRecovers(t *testing.T) {
 	var s Detector
-	s.Late(time.Second, time.Minute)
+	s.RecordDelay(time.Second, time.Minute)
 	for now := time.Second; now < 4*time.Second; now += 50 * ms {
-		s.Late(now, 2*ms)
+		s.RecordDelay(now, 2*ms)
 	}
-	if now := 4 * time.Second; !s.Takes(now, Poll) || s.Scale(now, 48) != 48 {
+	if now := 4 * time.Second; !s.Admits(now, Poll) || s.Scale(now, 48) != 48 {
 		t.Errorf("3 s later the lag is still %v", s.Lag(now))
 	}
 }
@@ -52,8 +52,8 @@
 // TestAskersAreSpread: they would all come back at the same moment.
 func TestAskersAreSpread(t *testing.T) {
 	var s Detector
-	s.Late(0, time.Second)
-	if lo, hi := s.Again(0, 0), s.Again(0, 1); lo < time.Second || hi-lo < 2*time.Second {
+	s.RecordDelay(0, time.Second)
+	if lo, hi := s.RetryAfter(0, 0), s.RetryAfter(0, 1); lo < time.Second || hi-lo < 2*time.Second {
 		t.Errorf("back after %v to %v", lo, hi)
 	}
 }
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -18,15 +18,15 @@
 	"honeylock/internal/core/model"
 )
 
-// End is what became of a job that is no longer open.
-type End uint8
+// FinalState is what became of a job that is no longer open.
+type FinalState uint8
 
 // Ends.
 const (
-	Unknown   End = iota // its final record is to be read
-	Done                 // by its final record
-	Cancelled            // by its final record
-	Absent               // it has neither record: it is not open yet, as far as is known
+	Unknown   FinalState = iota // its final record is to be read
+	Done                        // by its final record
+	Cancelled                   // by its final record
+	Absent                      // it has neither record: it is not open yet, as far as is known
 )
 
 // retry is when what could not be told is asked again.
@@ -34,27 +34,27 @@
 
 // Job is an open job as the graph takes it.
 type Job struct {
-	ID     model.JobID
-	Rank   model.Rank
-	Aimed  bool // its users state an aim for its class, or its team has a guarantee
-	Awaits []model.JobID
+	ID           model.JobID
+	Rank         model.Rank
+	HasObjective bool // its users state an aim for its class, or its team has a guarantee
+	DependsOn    []model.JobID
 }
 
 // Release tells that the last job that a job needs is done.
 type Release struct {
 	ID model.JobID
-	// AtMS is the time of day of the latest end that the records tell; 0: none does.
-	AtMS int64
-	// Now: one of the jobs that it needs was seen open by this graph, so that no
+	// LastEndMS is the time of day of the latest end that the records tell; 0: none does.
+	LastEndMS int64
+	// NeverStarted: one of the jobs that it needs was seen open by this graph, so that no
 	// earlier leader can have begun it.
-	Now bool
+	NeverStarted bool
 }
 
-// Inherit is what a job has from those that need it: the highest rank, and an aim.
-type Inherit struct {
-	ID    model.JobID
-	Rank  model.Rank
-	Aimed bool
+// Inherited is what a job has from those that need it: the highest rank, and an aim.
+type Inherited struct {
+	ID           model.JobID
+	Rank         model.Rank
+	HasObjective bool
 }
 
 type node struct {
@@ -109,9 +109,9 @@
 	}
 	n.Job, n.open, n.seen = j, true, true
 	delete(g.unknown, j.ID)
-	n.rank, n.aimed = j.Rank, j.Aimed
+	n.rank, n.aimed = j.Rank, j.HasObjective
 	g.inherit(n)
-	for _, id := range j.Awaits {
+	for _, id := range j.DependsOn {
 		p := g.node(id)
 		if n.needs == nil {
 			n.needs = map[model.JobID]*node{}
@@ -130,8 +130,8 @@
 	return len(n.needs) > 0
 }
 
-// Ended takes the news that a job is no longer open.
-func (g *Graph) Ended(id model.JobID, e End, since time.Duration) {
+// JobEnded takes the news that a job is no longer open.
+func (g *Graph) JobEnded(id model.JobID, e FinalState, since time.Duration) {
 	n := g.nodes[id]
 	if n == nil {
 		return
@@ -172,7 +172,7 @@
 }
 
 // tell settles how a job ended with all that await it.
-func (g *Graph) tell(n *node, e End, atMS int64, since time.Duration) {
+func (g *Graph) tell(n *node, e FinalState, atMS int64, since time.Duration) {
 	delete(g.unknown, n.ID)
 	// A cancelled one stays for as long as somebody awaits it: who comes later and
 	// names it is doomed too.
@@ -186,7 +186,7 @@
 		delete(b.needs, n.ID)
 		b.atMS, b.fresh = max(b.atMS, atMS), b.fresh || n.seen
 		if len(b.needs) == 0 && !b.doomed {
-			g.released = append(g.released, Release{ID: b.ID, AtMS: b.atMS, Now: b.fresh})
+			g.released = append(g.released, Release{ID: b.ID, LastEndMS: b.atMS, NeverStarted: b.fresh})
 		}
 	}
 	if e == Done {
@@ -211,13 +211,13 @@
 	}
 }
 
-// Ask returns at most n ended jobs whose final record is to be read. Each comes back
+// NextLookups returns at most n ended jobs whose final record is to be read. Each comes back
 // through Told.
-func (g *Graph) Ask(now time.Duration, n int) []model.JobID { return take(g.unknown, now, n) }
+func (g *Graph) NextLookups(now time.Duration, n int) []model.JobID { return take(g.unknown, now, n) }
 
-// Told takes what a final record tells, with the time of day of the end (0: it does
+// LookupDone takes what a final record tells, with the time of day of the end (0: it does
 // not tell). Unknown: the question failed.
-func (g *Graph) Told(now time.Duration, id model.JobID, e End, atMS int64) {
+func (g *Graph) LookupDone(now time.Duration, id model.JobID, e FinalState, atMS int64) {
 	n := g.unknown[id]
 	if n == nil {
 		return
@@ -230,12 +230,14 @@
 	g.tell(n, e, atMS, n.since)
 }
 
-// Doomed returns at most n jobs to be cancelled now. Each comes back through Ended,
+// NextCancellations returns at most n jobs to be cancelled now. Each comes back through Ended,
 // or through Kept if it could not be.
-func (g *Graph) Doomed(now time.Duration, n int) []model.JobID { return take(g.doomed, now, n) }
+func (g *Graph) NextCancellations(now time.Duration, n int) []model.JobID {
+	return take(g.doomed, now, n)
+}
 
-// Kept takes the news that a job could not be cancelled yet.
-func (g *Graph) Kept(now time.Duration, id model.JobID) {
+// CancellationFailed takes the news that a job could not be cancelled yet.
+func (g *Graph) CancellationFailed(now time.Duration, id model.JobID) {
 	if n := g.doomed[id]; n != nil {
 		n.sending, n.due = false, now+retry/4
 	}
@@ -256,8 +258,8 @@
 	return out
 }
 
-// Released takes away the jobs that may begin.
-func (g *Graph) Released() []Release {
+// TakeReleased takes away the jobs that may begin.
+func (g *Graph) TakeReleased() []Release {
 	out := g.released
 	g.released = nil
 	return slices.DeleteFunc(out, func(r Release) bool {
@@ -266,9 +268,9 @@
 	})
 }
 
-// Behind is the earliest moment at which an end may have been told that has not gone
+// PropagatedUntil is the earliest moment at which an end may have been told that has not gone
 // through to all that need the job; now if there is none.
-func (g *Graph) Behind(now time.Duration) time.Duration {
+func (g *Graph) PropagatedUntil(now time.Duration) time.Duration {
 	at := now
 	for _, set := range []map[model.JobID]*node{g.unknown, g.doomed} {
 		for _, n := range set {
@@ -289,15 +291,15 @@
 	return awaiting, len(g.unknown), len(g.doomed)
 }
 
-// Changed takes away what jobs inherit now, where that is something else than before.
-func (g *Graph) Changed() []Inherit {
+// TakeInherited takes away what jobs inherit now, where that is something else than before.
+func (g *Graph) TakeInherited() []Inherited {
 	if len(g.changed) == 0 {
 		return nil
 	}
-	out := make([]Inherit, 0, len(g.changed))
+	out := make([]Inherited, 0, len(g.changed))
 	for _, id := range slices.Sorted(maps.Keys(g.changed)) {
 		n := g.changed[id]
-		out = append(out, Inherit{ID: id, Rank: n.rank, Aimed: n.aimed})
+		out = append(out, Inherited{ID: id, Rank: n.rank, HasObjective: n.aimed})
 	}
 	clear(g.changed)
 	return out
@@ -318,7 +320,7 @@
 	if !n.open {
 		return
 	}
-	rank, aimed := n.Rank, n.Aimed || n.aims > 0
+	rank, aimed := n.Rank, n.HasObjective || n.aims > 0
 	for r := model.Prod; r > rank; r-- {
 		if n.ranks[r] > 0 {
 			rank = r
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -21,39 +21,39 @@
 func TestDiamondBeginsWhenBothSidesAreDone(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
-	for _, j := range []Job{{ID: 2, Awaits: []model.JobID{1}}, {ID: 3, Awaits: []model.JobID{1}},
-		{ID: 4, Rank: model.Urgent, Awaits: []model.JobID{2, 3}}} {
+	for _, j := range []Job{{ID: 2, DependsOn: []model.JobID{1}}, {ID: 3, DependsOn: []model.JobID{1}},
+		{ID: 4, Rank: model.Urgent, DependsOn: []model.JobID{2, 3}}} {
 		if !g.Add(j, 0) {
 			t.Fatalf("job %d may begin at once", j.ID)
 		}
 	}
-	for _, in := range g.Changed() {
+	for _, in := range g.TakeInherited() {
 		if in.Rank != model.Urgent {
 			t.Errorf("%+v, want the rank of the last", in)
 		}
 	}
-	g.Ended(1, Done, 0)
-	if got := ids(g.Released()); !slices.Equal(got, []model.JobID{2, 3}) {
+	g.JobEnded(1, Done, 0)
+	if got := ids(g.TakeReleased()); !slices.Equal(got, []model.JobID{2, 3}) {
 		t.Fatalf("released %v", got)
 	}
-	g.Ended(2, Done, 0)
-	if got := g.Released(); len(got) > 0 {
+	g.JobEnded(2, Done, 0)
+	if got := g.TakeReleased(); len(got) > 0 {
 		t.Fatalf("%v before its other side is done", got)
 	}
-	g.Ended(3, Unknown, 7)
-	if got := g.Behind(9); got != 7 {
+	g.JobEnded(3, Unknown, 7)
+	if got := g.PropagatedUntil(9); got != 7 {
 		t.Errorf("behind since %v while an end is unknown", got)
 	}
-	if ask := g.Ask(0, 9); !slices.Equal(ask, []model.JobID{3}) {
+	if ask := g.NextLookups(0, 9); !slices.Equal(ask, []model.JobID{3}) {
 		t.Fatalf("asks about %v", ask)
 	}
-	g.Told(0, 3, Unknown, 0)
-	if again := g.Ask(retry-1, 9); len(again) > 0 {
+	g.LookupDone(0, 3, Unknown, 0)
+	if again := g.NextLookups(retry-1, 9); len(again) > 0 {
 		t.Fatalf("asks again at once")
 	}
-	g.Ask(retry, 9)
-	g.Told(retry, 3, Done, 5000)
-	if got := g.Released(); len(got) != 1 || got[0] != (Release{ID: 4, AtMS: 5000, Now: true}) {
+	g.NextLookups(retry, 9)
+	g.LookupDone(retry, 3, Done, 5000)
+	if got := g.TakeReleased(); len(got) != 1 || got[0] != (Release{ID: 4, LastEndMS: 5000, NeverStarted: true}) {
 		t.Fatalf("released %+v", got)
 	}
 }
@@ -65,36 +65,36 @@
 	g.Add(Job{ID: 1}, 0)
 	g.Add(Job{ID: 900}, 0)
 	for id := model.JobID(2); id <= 50; id++ {
-		g.Add(Job{ID: id, Rank: model.Standard, Awaits: []model.JobID{id - 1, 900}}, 0)
+		g.Add(Job{ID: id, Rank: model.Standard, DependsOn: []model.JobID{id - 1, 900}}, 0)
 	}
-	g.Add(Job{ID: 60, Rank: model.Urgent, Awaits: []model.JobID{900}}, 0)
-	g.Changed()
-	g.Ended(1, Cancelled, 3)
-	if late := g.Add(Job{ID: 51, Awaits: []model.JobID{25}}, 0); !late {
+	g.Add(Job{ID: 60, Rank: model.Urgent, DependsOn: []model.JobID{900}}, 0)
+	g.TakeInherited()
+	g.JobEnded(1, Cancelled, 3)
+	if late := g.Add(Job{ID: 51, DependsOn: []model.JobID{25}}, 0); !late {
 		t.Fatal("a job that names a doomed one may begin")
 	}
-	doomed := g.Doomed(0, 100)
+	doomed := g.NextCancellations(0, 100)
 	if len(doomed) != 50 || doomed[0] != 2 || doomed[49] != 51 {
 		t.Fatalf("%d to be cancelled: %v", len(doomed), doomed)
 	}
-	if len(g.Doomed(0, 100)) > 0 {
+	if len(g.NextCancellations(0, 100)) > 0 {
 		t.Error("cancels twice at once")
 	}
-	g.Kept(0, 2)
-	if again := g.Doomed(retry, 100); !slices.Equal(again, []model.JobID{2}) {
+	g.CancellationFailed(0, 2)
+	if again := g.NextCancellations(retry, 100); !slices.Equal(again, []model.JobID{2}) {
 		t.Errorf("tries %v again", again)
 	}
-	g.Ended(900, Done, 0)
-	if got := ids(g.Released()); !slices.Equal(got, []model.JobID{60}) {
+	g.JobEnded(900, Done, 0)
+	if got := ids(g.TakeReleased()); !slices.Equal(got, []model.JobID{60}) {
 		t.Errorf("released %v beside a tree that is cancelled", got)
 	}
 	for _, id := range doomed {
-		if b := g.Behind(9); b != 3 && b != 0 {
+		if b := g.PropagatedUntil(9); b != 3 && b != 0 {
 			t.Fatalf("behind since %v with %d to go", b, id)
 		}
-		g.Ended(id, Cancelled, 4)
+		g.JobEnded(id, Cancelled, 4)
 	}
-	if b := g.Behind(9); b != 9 || len(g.nodes) != 1 {
+	if b := g.PropagatedUntil(9); b != 9 || len(g.nodes) != 1 {
 		t.Errorf("behind since %v, %d nodes are left", b, len(g.nodes))
 	}
 }
@@ -102,16 +102,16 @@
 func TestInheritedRankIsTakenBack(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1, Rank: model.Idle}, 0)
-	g.Add(Job{ID: 2, Rank: model.Idle, Awaits: []model.JobID{1}}, 0)
-	g.Changed()
-	g.Add(Job{ID: 3, Rank: model.Urgent, Aimed: true, Awaits: []model.JobID{2}}, 0)
-	want := []Inherit{{1, model.Urgent, true}, {2, model.Urgent, true}}
-	if got := g.Changed(); !slices.Equal(got, want) {
+	g.Add(Job{ID: 2, Rank: model.Idle, DependsOn: []model.JobID{1}}, 0)
+	g.TakeInherited()
+	g.Add(Job{ID: 3, Rank: model.Urgent, HasObjective: true, DependsOn: []model.JobID{2}}, 0)
+	want := []Inherited{{1, model.Urgent, true}, {2, model.Urgent, true}}
+	if got := g.TakeInherited(); !slices.Equal(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	g.Ended(3, Cancelled, 0)
-	want = []Inherit{{1, model.Idle, false}, {2, model.Idle, false}}
-	if got := g.Changed(); !slices.Equal(got, want) {
+	g.JobEnded(3, Cancelled, 0)
+	want = []Inherited{{1, model.Idle, false}, {2, model.Idle, false}}
+	if got := g.TakeInherited(); !slices.Equal(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
@@ -131,19 +131,19 @@
 				}
 			}
 		}
-		end, begun, added := map[model.JobID]End{}, map[model.JobID]bool{}, map[model.JobID]bool{}
-		finish := func(id model.JobID, e End) {
+		end, begun, added := map[model.JobID]FinalState{}, map[model.JobID]bool{}, map[model.JobID]bool{}
+		finish := func(id model.JobID, e FinalState) {
 			end[id] = e
 			if added[id] {
 				how := e
 				if rapid.Bool().Draw(t, "unknown") {
 					how = Unknown
 				}
-				g.Ended(id, how, 0)
+				g.JobEnded(id, how, 0)
 			}
 		}
 		check := func() {
-			for _, r := range g.Released() {
+			for _, r := range g.TakeReleased() {
 				begun[r.ID] = true
 				for _, p := range awaits[r.ID] {
 					if end[p] != Done {
@@ -151,14 +151,14 @@
 					}
 				}
 			}
-			g.Changed()
+			g.TakeInherited()
 		}
 		for step := range 400 {
 			id := model.JobID(rapid.IntRange(0, int(n)-1).Draw(t, "job"))
 			switch {
 			case !added[id] && end[id] == Unknown:
 				added[id] = true
-				if !g.Add(Job{ID: id, Rank: model.Rank(id % 4), Awaits: awaits[id]}, 0) {
+				if !g.Add(Job{ID: id, Rank: model.Rank(id % 4), DependsOn: awaits[id]}, 0) {
 					begun[id] = true
 				}
 			case end[id] == Unknown && rapid.IntRange(0, 5).Draw(t, "cancel") == 0:
@@ -166,21 +166,21 @@
 			case end[id] == Unknown && begun[id]:
 				finish(id, Done)
 			}
-			for _, id := range g.Ask(retry*4000*1000, 3) {
+			for _, id := range g.NextLookups(retry*4000*1000, 3) {
 				if e := end[id]; e == Unknown {
-					g.Told(0, id, Absent, 0)
+					g.LookupDone(0, id, Absent, 0)
 				} else {
-					g.Told(0, id, e, 0)
+					g.LookupDone(0, id, e, 0)
 				}
 			}
-			for _, id := range g.Doomed(retry*4000*1000, 2) {
+			for _, id := range g.NextCancellations(retry*4000*1000, 2) {
 				if begun[id] {
 					t.Fatalf("step %d: %d is to be cancelled and has begun", step, id)
 				}
 				if end[id] == Unknown {
 					end[id] = Cancelled
 				}
-				g.Ended(id, Cancelled, 0)
+				g.JobEnded(id, Cancelled, 0)
 			}
 			check()
 		}
@@ -198,7 +198,7 @@
 // What an end costs follows its successors, not the open jobs.
 func BenchmarkEnd(b *testing.B) {
 	for _, open := range []int{100, 10_000} {
-		for name, end := range map[string]End{"release": Done, "cancel": Cancelled} {
+		for name, end := range map[string]FinalState{"release": Done, "cancel": Cancelled} {
 			b.Run(fmt.Sprintf("%s/%d open", name, open), func(b *testing.B) {
 				g := New()
 				for id := range open {
@@ -209,20 +209,20 @@
 					for i := range model.JobID(5) {
 						j := Job{ID: next + i, Rank: model.Rank(i % 4)}
 						if i > 0 {
-							j.Awaits = []model.JobID{next + i - 1}
+							j.DependsOn = []model.JobID{next + i - 1}
 						}
 						g.Add(j, 0)
 					}
-					g.Ended(next, end, 0)
-					g.Released()
-					for _, id := range g.Doomed(0, 9) {
-						g.Ended(id, Cancelled, 0)
+					g.JobEnded(next, end, 0)
+					g.TakeReleased()
+					for _, id := range g.NextCancellations(0, 9) {
+						g.JobEnded(id, Cancelled, 0)
 					}
 					for i := range model.JobID(5) {
-						g.Ended(next+i, Done, 0)
+						g.JobEnded(next+i, Done, 0)
 					}
-					g.Released()
-					g.Changed()
+					g.TakeReleased()
+					g.TakeInherited()
 					next += 5
 				}
 			})
@@ -233,7 +233,7 @@
 // store is what leaders share: open records with what they await, and final ones.
 type store struct {
 	open  map[model.JobID][]model.JobID
-	final map[model.JobID]End
+	final map[model.JobID]FinalState
 }
 
 // lead makes a leader's graph from the store, and has it cancel at most so many jobs;
@@ -242,26 +242,26 @@
 	t.Helper()
 	g := New()
 	for id, awaits := range s.open { // in any order, as records are listed
-		g.Add(Job{ID: id, Awaits: awaits}, 0)
+		g.Add(Job{ID: id, DependsOn: awaits}, 0)
 	}
 	for cancelled < most {
-		for _, id := range g.Ask(0, 50) {
+		for _, id := range g.NextLookups(0, 50) {
 			e := s.final[id]
 			if e == Unknown {
 				e = Absent
 			}
-			g.Told(0, id, e, 0)
+			g.LookupDone(0, id, e, 0)
 		}
-		ids := g.Doomed(0, 1)
+		ids := g.NextCancellations(0, 1)
 		if len(ids) == 0 {
 			break
 		}
 		delete(s.open, ids[0])
 		s.final[ids[0]] = Cancelled
-		g.Ended(ids[0], Cancelled, 0)
+		g.JobEnded(ids[0], Cancelled, 0)
 		cancelled++
 	}
-	for _, r := range g.Released() {
+	for _, r := range g.TakeReleased() {
 		if slices.ContainsFunc(s.open[r.ID], func(id model.JobID) bool { return s.final[id] != Done }) {
 			t.Fatalf("job %d is let begin", r.ID)
 		}
@@ -273,7 +273,7 @@
 // write than the one before. Any next one goes on, none repeats a write, and all are
 // cancelled in the end.
 func TestAnyLeaderGoesOnWithACancellation(t *testing.T) {
-	s := &store{open: map[model.JobID][]model.JobID{}, final: map[model.JobID]End{1: Cancelled, 2: Done}}
+	s := &store{open: map[model.JobID][]model.JobID{}, final: map[model.JobID]FinalState{1: Cancelled, 2: Done}}
 	for id := model.JobID(10); id < 310; id++ {
 		s.open[id] = []model.JobID{1, 2}
 		s.open[id+1000] = []model.JobID{id, 2}
@@ -296,13 +296,13 @@
 	g := New()
 	g.Add(Job{ID: 1}, 0)
 	for id := model.JobID(10); id < 310; id++ {
-		g.Add(Job{ID: id, Awaits: []model.JobID{1}}, 0)
+		g.Add(Job{ID: id, DependsOn: []model.JobID{1}}, 0)
 	}
-	g.Ended(1, Done, 0)
-	if got := ids(g.Released()); len(got) != 300 || slices.Compact(got)[299] != 309 {
+	g.JobEnded(1, Done, 0)
+	if got := ids(g.TakeReleased()); len(got) != 300 || slices.Compact(got)[299] != 309 {
 		t.Errorf("%d let begin", len(got))
 	}
-	if len(g.Released()) > 0 || len(g.nodes) != 300 {
+	if len(g.TakeReleased()) > 0 || len(g.nodes) != 300 {
 		t.Error("the graph keeps more than the open jobs")
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -68,16 +68,18 @@
 	foreign    string // why this release does not touch the record
 }
 
-// Book is the state machine.
-type Book struct {
+// Overrides is the state machine.
+type Overrides struct {
 	base []dispatcher.Team
 	of   map[model.Name]*entry
 }
 
 // New returns a book without changes to the platform's teams.
-func New(base []dispatcher.Team) *Book { return &Book{base: base, of: map[model.Name]*entry{}} }
+func New(base []dispatcher.Team) *Overrides {
+	return &Overrides{base: base, of: map[model.Name]*entry{}}
+}
 
-func (b *Book) entry(team model.Name) *entry {
+func (b *Overrides) entry(team model.Name) *entry {
 	e := b.of[team]
 	if e == nil {
 		e = &entry{}
@@ -87,7 +89,7 @@
 }
 
 // Load takes a stored change.
-func (b *Book) Load(team model.Name, value []byte, version uint64) {
+func (b *Overrides) Load(team model.Name, value []byte, version uint64) {
 	e := b.entry(team)
 	e.version = version
 	var r record
@@ -101,15 +103,15 @@
 	}
 }
 
-// Refusal says why a change can't be made.
-type Refusal struct{ Why string }
+// RefusedError says why a change can't be made.
+type RefusedError struct{ Reason string }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RefusedError) Error() string { return r.Reason }
 
-func refuse(format string, args ...any) error { return &Refusal{fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Set changes a team; what c leaves out stays as it was changed before.
-func (b *Book) Set(wall time.Time, team model.Name, c Change) error {
+func (b *Overrides) Set(wall time.Time, team model.Name, c Change) error {
 	e := b.entry(team)
 	if e.foreign != "" {
 		return refuse("the team can't be changed here: %s", e.foreign)
@@ -145,7 +147,7 @@
 func amount(n int64) float64 { return float64(n) / 1000 }
 
 // Unset takes a team's changes back.
-func (b *Book) Unset(team model.Name) error {
+func (b *Overrides) Unset(team model.Name) error {
 	e := b.of[team]
 	if e != nil && e.foreign != "" {
 		return refuse("the team can't be changed here: %s", e.foreign)
@@ -158,8 +160,8 @@
 	return nil
 }
 
-// Tick takes changes back whose time is over.
-func (b *Book) Tick(wall time.Time) {
+// Expire takes changes back whose time is over.
+func (b *Overrides) Expire(wall time.Time) {
 	for _, e := range b.of {
 		if e.foreign == "" && !e.want.empty() && e.want.over(wall) {
 			e.want = Change{}
@@ -169,15 +171,15 @@
 }
 
 // Team is a team's limit and guarantee now.
-func (b *Book) Team(team model.Name, wall time.Time) dispatcher.Team {
+func (b *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
 	if e := b.of[team]; e != nil && !e.acts.over(wall) {
 		return e.acts.on(b.base[team])
 	}
 	return b.base[team]
 }
 
-// Changed is the change that acts on a team, and whether there is one.
-func (b *Book) Changed(team model.Name, wall time.Time) (Change, bool) {
+// Active is the change that acts on a team, and whether there is one.
+func (b *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
 	e := b.of[team]
 	if e == nil || e.acts.empty() || e.acts.over(wall) {
 		return Change{}, false
@@ -186,13 +188,13 @@
 }
 
 // Synced tells whether all that was changed about a team is surely stored.
-func (b *Book) Synced(team model.Name) bool {
+func (b *Overrides) Synced(team model.Name) bool {
 	e := b.of[team]
 	return e == nil || e.stored == e.gen
 }
 
-// Unsynced tells whether anything is to be stored.
-func (b *Book) Unsynced() bool {
+// HasPendingWrites tells whether anything is to be stored.
+func (b *Overrides) HasPendingWrites() bool {
 	for _, e := range b.of {
 		if e.foreign == "" && e.stored != e.gen {
 			return true
@@ -211,7 +213,7 @@
 }
 
 // Writes returns at most n records to be stored.
-func (b *Book) Writes(n int) []Write {
+func (b *Overrides) Writes(n int) []Write {
 	var out []Write
 	for team, e := range b.of {
 		if e.foreign != "" || e.sending != 0 || e.stored == e.gen {
@@ -235,9 +237,9 @@
 	return out
 }
 
-// Wrote takes a write's outcome. conflict tells that the record is at version at: a write
+// WriteDone takes a write's outcome. conflict tells that the record is at version at: a write
 // of this leader's without an answer got through after all.
-func (b *Book) Wrote(w Write, rev uint64, ok, conflict bool, at uint64) {
+func (b *Overrides) WriteDone(w Write, rev uint64, ok, conflict bool, at uint64) {
 	e := b.of[w.Team]
 	if e.sending != w.gen {
 		return
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -28,14 +28,14 @@
 	if len(w) != 1 || b.Synced(0) || b.Team(0, wall).Limit.CPU != 100_000 {
 		t.Fatalf("%+v: it acts before it is stored", w)
 	}
-	b.Wrote(w[0], 0, false, false, 0) // no answer, though it is stored, at 7
+	b.WriteDone(w[0], 0, false, false, 0) // no answer, though it is stored, at 7
 	w = b.Writes(9)
-	b.Wrote(w[0], 0, false, true, 7)
+	b.WriteDone(w[0], 0, false, true, 7)
 	w = b.Writes(9)
 	if w[0].Version != 7 {
 		t.Fatalf("%+v", w)
 	}
-	b.Wrote(w[0], 8, true, false, 0)
+	b.WriteDone(w[0], 8, true, false, 0)
 	if !b.Synced(0) || b.Team(0, wall).Limit.CPU != 50_000 || len(b.Writes(9)) > 0 {
 		t.Fatalf("%+v", b.Team(0, wall))
 	}
@@ -48,7 +48,7 @@
 	if got := next.Team(0, later); got.Limit.CPU != 100_000 {
 		t.Errorf("%+v when its time is over", got)
 	}
-	next.Tick(later)
+	next.Expire(later)
 	if w := next.Writes(9); len(w) != 1 || w[0].Value != nil || w[0].Version != 8 {
 		t.Errorf("%+v, want the record to go", w)
 	}
@@ -56,7 +56,7 @@
 		t.Errorf("%v, %+v before it is stored", err, b.Team(0, wall))
 	}
 	w = b.Writes(9)
-	b.Wrote(w[0], 9, true, false, 0)
+	b.WriteDone(w[0], 9, true, false, 0)
 	if got := b.Team(0, wall); got.Limit.CPU != 100_000 || b.Unset(0) != nil || len(b.Writes(9)) > 0 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -21,12 +21,12 @@
 
 // Classes.
 const (
-	Authority Class = iota // leases, the leader's key, watches: never wait
-	Leader                 // what a leader reads, ends of jobs, and records that placing waits for
-	Changes                // submissions, cancellations and operators' changes
-	Answers                // comparisons, each of which answers many users' questions
-	Upkeep                 // a leader's progress: nobody is told of it
-	Reads                  // polls, and whatever else nobody is held up by
+	Authority   Class = iota // leases, the leader's key, watches: never wait
+	Leader                   // what a leader reads, ends of jobs, and records that placing waits for
+	Changes                  // submissions, cancellations and operators' changes
+	Comparisons              // comparisons, each of which answers many users' questions
+	Background               // a leader's progress: nobody is told of it
+	Reads                    // polls, and whatever else nobody is held up by
 	classes
 )
 
@@ -35,10 +35,10 @@
 
 // Params of a limiter.
 type Params struct {
-	Requests, Writes float64 // a second that the service allows to all
-	// NextWrites is what it will allow from some moment on, without notice; 0: as now.
-	NextWrites  float64
-	Controllers int
+	RequestRate, WriteRate float64 // a second that the service allows to all
+	// NextWriteRate is what it will allow from some moment on, without notice; 0: as now.
+	NextWriteRate float64
+	Controllers   int
 }
 
 const (
@@ -56,13 +56,13 @@
 	class  Class
 	writes float64
 	until  time.Duration
-	// Go is closed once the request may go, or must not: Refused tells.
-	Go      chan struct{}
+	// Decided is closed once the request may go, or must not: Refused tells.
+	Decided chan struct{}
 	Refused bool
 }
 
-// Part of the service's rate, as a share of it.
-type Part struct{ Requests, Writes float64 }
+// Allocation of the service's rate, as a share of it.
+type Allocation struct{ Requests, Writes float64 }
 
 const (
 	// recovery is how much of its part, a second, a controller takes up again after a refusal.
@@ -152,7 +152,7 @@
 type Limiter struct {
 	p        Params
 	share    float64 // of the service's rate, where nobody tells a part
-	part     Part
+	part     Allocation
 	told     time.Duration // the part is good until then
 	health   float64       // of the part: below 1 after refusals
 	spare    float64       // of the rate of changes: what may be used while nobody is refused
@@ -163,8 +163,8 @@
 	writes   bucket
 	queue    [classes][]*Ticket
 	// Stats count what was refused here, by class, and by the service.
-	Shed [classes]uint64
-	Busy uint64
+	Shed            [classes]uint64
+	ServiceRefusals uint64
 }
 
 // New returns a limiter with an equal share.
@@ -172,24 +172,24 @@
 	p.Controllers = max(1, p.Controllers)
 	share := equal / float64(p.Controllers)
 	q := &Limiter{p: p, share: share, health: 1,
-		requests: bucket{rate: p.Requests, share: share}, writes: bucket{rate: p.Writes, share: share}}
+		requests: bucket{rate: p.RequestRate, share: share}, writes: bucket{rate: p.WriteRate, share: share}}
 	q.requests.tokens, q.writes.tokens = q.requests.burst(), q.writes.burst()
 	return q
 }
 
-// SetPart takes the part that the leader has given to this controller, good until then.
-func (q *Limiter) SetPart(now time.Duration, p Part, until time.Duration) {
+// SetAllocation takes the part that the leader has given to this controller, good until then.
+func (q *Limiter) SetAllocation(now time.Duration, p Allocation, until time.Duration) {
 	q.fill(now)
 	q.part, q.told = p, until
 	q.setShares(now)
 }
 
-// Needs are what was asked for lately and what waits, but for upkeep, as parts of the
+// Demand are what was asked for lately and what waits, but for upkeep, as parts of the
 // service's rate.
-func (q *Limiter) Needs(now time.Duration) Part {
+func (q *Limiter) Demand(now time.Duration) Allocation {
 	requests, writes := q.requests.need.perSecond(now), q.writes.need.perSecond(now)
 	for c := range classes {
-		if c == Upkeep {
+		if c == Background {
 			continue
 		}
 		for _, t := range q.queue[c] {
@@ -197,7 +197,7 @@
 			writes += t.writes
 		}
 	}
-	return Part{Requests: requests / q.requests.rate, Writes: writes / q.writes.rate}
+	return Allocation{Requests: requests / q.requests.rate, Writes: writes / q.writes.rate}
 }
 
 // hasPart tells whether a leader has told this controller its part lately.
@@ -216,9 +216,9 @@
 // Share is the part of the service's rate that this controller uses at most.
 func (q *Limiter) Share() float64 { return q.requests.share }
 
-// Writes is the service's rate of changes as far as is known, and whether that is the
+// WriteRate is the service's rate of changes as far as is known, and whether that is the
 // one that was announced.
-func (q *Limiter) Writes() (perSecond float64, lowered bool) { return q.writes.rate, q.lowered }
+func (q *Limiter) WriteRate() (perSecond float64, lowered bool) { return q.writes.rate, q.lowered }
 
 func (q *Limiter) fill(now time.Duration) {
 	s := (now - q.at).Seconds()
@@ -238,17 +238,17 @@
 	q.writes.fill(s)
 }
 
-// Refused takes the news that the service refused a request for its rate.
-func (q *Limiter) Refused(now time.Duration) {
+// HandleRefusal takes the news that the service refused a request for its rate.
+func (q *Limiter) HandleRefusal(now time.Duration) {
 	q.fill(now)
-	q.Busy++
+	q.ServiceRefusals++
 	if q.shrunk != 0 && now-q.shrunk < pause {
 		return
 	}
 	// Nobody says when an announced limit begins to hold. Taken for refusals of the old
 	// rate, every leader's share would grow into them again and again.
-	if q.p.NextWrites > 0 && q.p.NextWrites < q.writes.rate && q.shrunk != 0 && now-q.shrunk < sure {
-		q.lowered, q.writes.rate = true, q.p.NextWrites
+	if q.p.NextWriteRate > 0 && q.p.NextWriteRate < q.writes.rate && q.shrunk != 0 && now-q.shrunk < sure {
+		q.lowered, q.writes.rate = true, q.p.NextWriteRate
 	}
 	q.shrunk = now
 	if q.hasPart(now) {
@@ -262,18 +262,18 @@
 	q.writes.tokens = min(q.writes.tokens, 0)
 }
 
-// Ask asks for one request with so many changes to go, by until at the latest. The
+// Request asks for one request with so many changes to go, by until at the latest. The
 // ticket's channel is closed at once where it may go now, or could not in time.
-func (q *Limiter) Ask(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
+func (q *Limiter) Request(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
 	q.fill(now)
-	if c != Upkeep { // that takes what is left
+	if c != Background { // that takes what is left
 		q.requests.need.add(now, 1)
 		q.writes.need.add(now, float64(writes))
 	}
-	t := &Ticket{class: c, writes: float64(writes), until: until, Go: make(chan struct{})}
+	t := &Ticket{class: c, writes: float64(writes), until: until, Decided: make(chan struct{})}
 	if len(q.queue[c]) == 0 && q.passes(t) {
 		q.spend(t)
-		close(t.Go)
+		close(t.Decided)
 		return t
 	}
 	if now+q.estimate(t) > until {
@@ -305,7 +305,7 @@
 func (q *Limiter) refuse(t *Ticket) {
 	t.Refused = true
 	q.Shed[t.class]++
-	close(t.Go)
+	close(t.Decided)
 }
 
 // estimate is how long a ticket would wait behind those of its class and of more
@@ -346,7 +346,7 @@
 			t := q.queue[c][0]
 			q.queue[c] = q.queue[c][1:]
 			q.spend(t)
-			close(t.Go)
+			close(t.Decided)
 		}
 		if len(q.queue[c]) > 0 {
 			next = q.wake(now, next, c)
@@ -368,7 +368,7 @@
 	return at
 }
 
-// Drop gives a ticket up that nobody waits for any more.
-func (q *Limiter) Drop(t *Ticket) {
+// Cancel gives a ticket up that nobody waits for any more.
+func (q *Limiter) Cancel(t *Ticket) {
 	q.queue[t.class] = slices.DeleteFunc(q.queue[t.class], func(o *Ticket) bool { return o == t })
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -12,7 +12,7 @@
 
 func went(t *Ticket) bool {
 	select {
-	case <-t.Go:
+	case <-t.Decided:
 		return !t.Refused
 	default:
 		return false
@@ -46,7 +46,7 @@
 		for i, q := range qs {
 			q.Step(now)
 			if rng.Float64() < want[i]*0.005 {
-				waiting[i] = append(waiting[i], q.Ask(now, Reads, 0, now+time.Second))
+				waiting[i] = append(waiting[i], q.Request(now, Reads, 0, now+time.Second))
 			}
 			keep := waiting[i][:0]
 			for _, t := range waiting[i] {
@@ -57,7 +57,7 @@
 				case s.ask(now):
 					got[i]++
 				default:
-					q.Refused(now)
+					q.HandleRefusal(now)
 				}
 			}
 			waiting[i] = keep
@@ -72,7 +72,7 @@
 	s := &service{rate: 70, tokens: 70}
 	var qs []*Limiter
 	for range 3 {
-		qs = append(qs, New(Params{Requests: 70, Writes: 25, Controllers: 3}))
+		qs = append(qs, New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3}))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	got := storm(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
@@ -88,7 +88,7 @@
 		}
 	}
 	lone := &service{rate: 70, tokens: 70, at: time.Second}
-	one := New(Params{Requests: 70, Writes: 25, Controllers: 3})
+	one := New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3})
 	if n := storm(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
 		t.Errorf("alone it got %d of %d", n, 70*60)
 	}
@@ -97,16 +97,16 @@
 // TestUrgentGoesFirst: behind a queue of reads, authority goes at once, a leader's
 // reads and finals overdraw, and changes go before reads that came earlier.
 func TestUrgentGoesFirst(t *testing.T) {
-	q := New(Params{Requests: 60, Writes: 30, Controllers: 3})
+	q := New(Params{RequestRate: 60, WriteRate: 30, Controllers: 3})
 	for range 40 {
-		q.Ask(0, Reads, 0, time.Second)
+		q.Request(0, Reads, 0, time.Second)
 	}
 	for _, a := range []struct {
 		c Class
 		n int
 	}{{Changes, 3}, {Leader, 8}, {Authority, 20}} {
 		for i := range a.n {
-			if !went(q.Ask(0, a.c, 0, time.Second)) {
+			if !went(q.Request(0, a.c, 0, time.Second)) {
 				t.Errorf("class %d: request %d waits behind reads", a.c, i)
 			}
 		}
@@ -115,10 +115,10 @@
 
 // TestWhatCannotGoInTimeIsRefusedAtOnce: its asker would have given up by then.
 func TestWhatCannotGoInTimeIsRefusedAtOnce(t *testing.T) {
-	q := New(Params{Requests: 30, Writes: 30, Controllers: 3})
+	q := New(Params{RequestRate: 30, WriteRate: 30, Controllers: 3})
 	var last *Ticket
 	for range 200 {
-		last = q.Ask(0, Reads, 0, time.Second)
+		last = q.Request(0, Reads, 0, time.Second)
 	}
 	if !last.Refused {
 		t.Error("the 200th of 9 a second waits, though it may wait for a second only")
@@ -132,17 +132,17 @@
 // refused by its time, and Step names a time at which something happens.
 func TestNothingIsForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := New(Params{Requests: 20, Writes: 8, Controllers: rapid.IntRange(1, 7).Draw(t, "controllers")})
+		q := New(Params{RequestRate: 20, WriteRate: 8, Controllers: rapid.IntRange(1, 7).Draw(t, "controllers")})
 		var open []*Ticket
 		now := ms
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				q.Refused(now)
+				q.HandleRefusal(now)
 			default:
 				c := Class(rapid.IntRange(0, int(classes)-1).Draw(t, "class"))
-				open = append(open, q.Ask(now, c, rapid.IntRange(0, 12).Draw(t, "writes"), now+1500*ms))
+				open = append(open, q.Request(now, c, rapid.IntRange(0, 12).Draw(t, "writes"), now+1500*ms))
 			}
 			q.Step(now)
 		}
@@ -154,7 +154,7 @@
 		}
 		for i, o := range open {
 			select {
-			case <-o.Go:
+			case <-o.Decided:
 			default:
 				t.Fatalf("ticket %d of class %d is forgotten", i, o.class)
 			}
@@ -166,19 +166,19 @@
 // they once shared a class, and 170 jobs that had ended waited to be told of.
 func TestEndsOfJobsGoBeforeProgress(t *testing.T) {
 	const rate = 10
-	q := New(Params{Requests: 1000, Writes: rate, Controllers: 1})
+	q := New(Params{RequestRate: 1000, WriteRate: rate, Controllers: 1})
 	var ends []*Ticket
 	var progress int
 	now := time.Duration(0)
 	for i := range 200 { // 20 s with three times the changes that the service takes
 		now += 100 * time.Millisecond
 		for range 2 {
-			if k := q.Ask(now, Upkeep, 1, now+1500*time.Millisecond); went(k) {
+			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); went(k) {
 				progress++
 			}
 		}
 		if i%3 == 0 {
-			ends = append(ends, q.Ask(now, Leader, 2, now+1500*time.Millisecond))
+			ends = append(ends, q.Request(now, Leader, 2, now+1500*time.Millisecond))
 		}
 		q.Step(now)
 	}
@@ -199,14 +199,14 @@
 // A rate that was announced holds from some moment on, which only refusals tell: one may
 // have any reason, two soon after each other are taken for it.
 func TestAnnouncedRateIsFollowed(t *testing.T) {
-	q := New(Params{Requests: 100, Writes: 60, NextWrites: 42, Controllers: 3})
-	q.Refused(time.Second)
-	q.Refused(time.Minute)
-	if rate, lowered := q.Writes(); lowered || rate != 60 {
+	q := New(Params{RequestRate: 100, WriteRate: 60, NextWriteRate: 42, Controllers: 3})
+	q.HandleRefusal(time.Second)
+	q.HandleRefusal(time.Minute)
+	if rate, lowered := q.WriteRate(); lowered || rate != 60 {
 		t.Fatalf("%v after refusals far apart", rate)
 	}
-	q.Refused(time.Minute + time.Second)
-	if rate, lowered := q.Writes(); !lowered || rate != 42 {
+	q.HandleRefusal(time.Minute + time.Second)
+	if rate, lowered := q.WriteRate(); !lowered || rate != 42 {
 		t.Fatalf("%v after two in succession", rate)
 	}
 }
@@ -214,16 +214,16 @@
 // A part that a leader has told is kept to at once, shrinks for a while after a refusal, and
 // when nobody tells one any more an equal part is where the controller begins again.
 func TestPartIsKeptTo(t *testing.T) {
-	q := New(Params{Requests: 100, Writes: 50, Controllers: 20})
-	q.SetPart(0, Part{Requests: 0.4, Writes: 0.2}, 2*time.Second)
+	q := New(Params{RequestRate: 100, WriteRate: 50, Controllers: 20})
+	q.SetAllocation(0, Allocation{Requests: 0.4, Writes: 0.2}, 2*time.Second)
 	if q.Share() != 0.4 {
 		t.Errorf("share %v", q.Share())
 	}
 	s := &service{rate: 100, tokens: 100}
 	got := 0
 	for now := 5 * ms; now < 20*time.Second; now += 5 * ms {
-		q.SetPart(now, Part{Requests: 0.4, Writes: 0.2}, now+2*time.Second)
-		if k := q.Ask(now, Reads, 0, now); went(k) && s.ask(now) {
+		q.SetAllocation(now, Allocation{Requests: 0.4, Writes: 0.2}, now+2*time.Second)
+		if k := q.Request(now, Reads, 0, now); went(k) && s.ask(now) {
 			got++
 		}
 		q.Step(now)
@@ -231,7 +231,7 @@
 	if got < 20*40*9/10 || got > 20*40*11/10 {
 		t.Errorf("%d of 800 went in 20 s", got)
 	}
-	q.Refused(20 * time.Second)
+	q.HandleRefusal(20 * time.Second)
 	if q.Share() >= 0.4 {
 		t.Errorf("share %v after a refusal", q.Share())
 	}
@@ -243,14 +243,14 @@
 
 // Needs count what was asked for, whether or not it went.
 func TestNeedsAreWhatWasAskedFor(t *testing.T) {
-	q := New(Params{Requests: 100, Writes: 10, Controllers: 20})
+	q := New(Params{RequestRate: 100, WriteRate: 10, Controllers: 20})
 	for i := range 30 {
-		q.Ask(time.Second+time.Duration(i)*ms, Reads, 1, 0)
+		q.Request(time.Second+time.Duration(i)*ms, Reads, 1, 0)
 	}
-	if got := q.Needs(1900 * ms); got.Requests != 0.3 || got.Writes != 3 {
+	if got := q.Demand(1900 * ms); got.Requests != 0.3 || got.Writes != 3 {
 		t.Errorf("%+v", got)
 	}
-	if got := q.Needs(4 * time.Second); got != (Part{}) {
+	if got := q.Demand(4 * time.Second); got != (Allocation{}) {
 		t.Errorf("%+v after a quiet second", got)
 	}
 }
@@ -258,13 +258,13 @@
 // What only reads waits for nobody's changes: behind a leader's queue of progress that found
 // no rate of changes, questions were once refused for as long as that lasted.
 func TestReadsDoNotWaitForChanges(t *testing.T) {
-	q := New(Params{Requests: 100, Writes: 5, Controllers: 1})
+	q := New(Params{RequestRate: 100, WriteRate: 5, Controllers: 1})
 	for range 400 {
-		q.Ask(0, Upkeep, 2, time.Hour)
+		q.Request(0, Background, 2, time.Hour)
 	}
 	late := 0
 	for now := 10 * ms; now < 5*time.Second; now += 100 * ms {
-		k := q.Ask(now, Reads, 0, now+time.Second)
+		k := q.Request(now, Reads, 0, now+time.Second)
 		q.Step(now)
 		if !went(k) {
 			late++
@@ -275,9 +275,9 @@
 	}
 	// Nor are they refused at once for it where a moment's wait is enough.
 	for range 60 {
-		q.Ask(5*time.Second, Leader, 0, 6*time.Second)
+		q.Request(5*time.Second, Leader, 0, 6*time.Second)
 	}
-	k := q.Ask(5*time.Second, Reads, 0, 6500*ms)
+	k := q.Request(5*time.Second, Reads, 0, 6500*ms)
 	for now := 5 * time.Second; now < 6500*ms; now += 10 * ms {
 		q.Step(now)
 	}
--- a/internal/core/rateshare/rateshare.go
+++ b/internal/core/rateshare/rateshare.go
@@ -14,9 +14,9 @@
 
 // Parts of the service's rate.
 const (
-	// All is what all controllers together use at most. The rest is for those that know no
+	// TotalShare is what all controllers together use at most. The rest is for those that know no
 	// parts, and for bursts.
-	All = 0.9
+	TotalShare = 0.9
 	// leaderLeast is what the leader keeps at least, needed or not: a change of leader, or
 	// many jobs that end at once, must find it free.
 	leaderLeast = 0.3
@@ -38,17 +38,17 @@
 // changes each submission is one, and an end three.
 var membersLeast = [...]float64{Requests: 0.25, Changes: 0.4}
 
-// ToldFor is how long a part is good for that a member was told. A leader tells it with each
+// AllocationTTL is how long a part is good for that a member was told. A leader tells it with each
 // grant; who hears of no leader any more goes by what the service refuses.
-const ToldFor = 2 * time.Second
+const AllocationTTL = 2 * time.Second
 
 // Divide divides the rate, of which the leader and the members asked for the given parts
 // lately. The parts add up to All.
 func Divide(r Rate, leader float64, members []float64) (leaderPart float64, parts []float64) {
 	if len(members) == 0 {
-		return All, nil
+		return TotalShare, nil
 	}
-	leaderMost := All - membersLeast[r]
+	leaderMost := TotalShare - membersLeast[r]
 	leaderPart = max(leaderLeast, min(leader, leaderMost))
 	wanted := 0.0
 	for _, need := range members {
@@ -56,9 +56,9 @@
 	}
 	// The leader's slack is half of what nobody asked for: users of the leader submit jobs too,
 	// behind its own writes. What members ask for goes before it.
-	spare := max(0, All-leaderPart-wanted) / 2
+	spare := max(0, TotalShare-leaderPart-wanted) / 2
 	leaderPart = min(leaderPart+spare, max(leaderPart, leaderMost))
-	return leaderPart, fair(All-leaderPart, members)
+	return leaderPart, fair(TotalShare-leaderPart, members)
 }
 
 // fair divides a total by need: those that need less than an equal part get that and a
--- a/internal/core/rateshare/rateshare_test.go
+++ b/internal/core/rateshare/rateshare_test.go
@@ -20,13 +20,13 @@
 		for _, p := range parts {
 			sum += p
 		}
-		if math.Abs(sum-All) > 1e-9 {
+		if math.Abs(sum-TotalShare) > 1e-9 {
 			t.Fatalf("the parts add up to %v", sum)
 		}
 		if part < leaderLeast {
 			t.Fatalf("the leader has %v", part)
 		}
-		rest := All - part
+		rest := TotalShare - part
 		if len(members) > 0 && rest < membersLeast[rate]-1e-9 {
 			t.Fatalf("%v is left to the members", rest)
 		}
@@ -54,7 +54,7 @@
 	if part < leader {
 		t.Errorf("the leader needs %v and has %v", leader, part)
 	}
-	if wanted := All - leader; math.Abs(parts[0]-wanted) > 1e-9 {
+	if wanted := TotalShare - leader; math.Abs(parts[0]-wanted) > 1e-9 {
 		t.Errorf("the busy member has %v of the %v that the leader leaves", parts[0], wanted)
 	}
 }
--- a/internal/core/readbatch/cluster_test.go
+++ b/internal/core/readbatch/cluster_test.go
@@ -73,8 +73,8 @@
 	c.longest, c.about = map[model.JobID]time.Duration{}, map[model.JobID]bool{}
 	for range c.n {
 		c.members = append(c.members, &member{
-			limiter: ratelimit.New(ratelimit.Params{Requests: c.rate, Writes: c.writes, Controllers: c.n}),
-			batcher: readbatch.New(readbatch.Params{Interval: 100 * time.Millisecond, Size: 80}),
+			limiter: ratelimit.New(ratelimit.Params{RequestRate: c.rate, WriteRate: c.writes, Controllers: c.n}),
+			batcher: readbatch.New(readbatch.Params{Interval: 100 * time.Millisecond, MaxBatch: 80}),
 		})
 	}
 }
@@ -91,7 +91,7 @@
 func (c *cluster) any() *member { return c.members[c.rng.IntN(c.n)] }
 
 func (c *cluster) ask(m *member, class ratelimit.Class, writes int) *request {
-	r := &request{class: class, writes: writes, began: c.now, ticket: m.limiter.Ask(c.now, class, writes, c.now+patience)}
+	r := &request{class: class, writes: writes, began: c.now, ticket: m.limiter.Request(c.now, class, writes, c.now+patience)}
 	m.waits = append(m.waits, r)
 	return r
 }
@@ -100,7 +100,7 @@
 func (c *cluster) serve(m *member, r *request) bool {
 	if c.tokens[0] < 1 || r.writes > 0 && c.tokens[1] < float64(r.writes) {
 		c.refused++
-		m.limiter.Refused(c.now)
+		m.limiter.HandleRefusal(c.now)
 		return false
 	}
 	c.tokens[0]--
@@ -184,21 +184,21 @@
 		if m == leader {
 			continue
 		}
-		need := ratelimit.Part{Requests: rateshare.All / float64(c.n), Writes: rateshare.All / float64(c.n)}
+		need := ratelimit.Allocation{Requests: rateshare.TotalShare / float64(c.n), Writes: rateshare.TotalShare / float64(c.n)}
 		if i < c.n-c.old {
-			need = m.limiter.Needs(c.now)
+			need = m.limiter.Demand(c.now)
 		}
 		others = append(others, m)
 		requests, writes = append(requests, need.Requests), append(writes, need.Writes)
 	}
-	own := leader.limiter.Needs(c.now)
+	own := leader.limiter.Demand(c.now)
 	r, rs := rateshare.Divide(rateshare.Requests, own.Requests, requests)
 	w, ws := rateshare.Divide(rateshare.Changes, own.Writes, writes)
-	until := c.now + rateshare.ToldFor
-	leader.limiter.SetPart(c.now, ratelimit.Part{Requests: r, Writes: w}, until)
+	until := c.now + rateshare.AllocationTTL
+	leader.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: r, Writes: w}, until)
 	for i, m := range others {
 		if leads := slices.Index(c.members, m) < c.leaders; !leads && slices.Index(c.members, m) < c.n-c.old {
-			m.limiter.SetPart(c.now, ratelimit.Part{Requests: rs[i], Writes: ws[i]}, until)
+			m.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: rs[i], Writes: ws[i]}, until)
 		}
 	}
 }
@@ -208,13 +208,13 @@
 	batches, over, _ := m.batcher.Step(c.now)
 	c.unanswered += len(over)
 	for _, b := range batches {
-		r := c.ask(m, ratelimit.Answers, 0)
+		r := c.ask(m, ratelimit.Comparisons, 0)
 		r.batch = b
 	}
 	kept := m.waits[:0]
 	for _, r := range m.waits {
 		select {
-		case <-r.ticket.Go:
+		case <-r.ticket.Decided:
 			c.done(m, r, !r.ticket.Refused && c.serve(m, r))
 		default:
 			kept = append(kept, r)
@@ -231,7 +231,7 @@
 		if served {
 			out = jobs.OK
 		}
-		for _, a := range m.batcher.Done(c.now, r.batch, func(jobs.Guard) jobs.Outcome { return out }) {
+		for _, a := range m.batcher.HandleOutcome(c.now, r.batch, func(jobs.Guard) jobs.Outcome { return out }) {
 			c.answered++
 			if since, ok := c.longest[a.Guard.Job]; ok {
 				c.worst = max(c.worst, c.now-since)
@@ -246,7 +246,7 @@
 		}
 	case r.class == ratelimit.Leader: // until it is stored
 		began := r.began
-		m.limiter.Drop(r.ticket)
+		m.limiter.Cancel(r.ticket)
 		again := c.ask(m, ratelimit.Leader, 2)
 		again.began = began
 	}
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -24,7 +24,7 @@
 // Params of a batcher.
 type Params struct {
 	Interval time.Duration // questions are gathered for so long
-	Size     int           // of a comparison, in questions
+	MaxBatch int           // of a comparison, in questions
 }
 
 // underWay is how many comparisons may be under way at once: a slow answer does not hold up
@@ -55,8 +55,8 @@
 
 // Answer to a waiter.
 type Answer struct {
-	To    Waiter
-	Guard jobs.Guard
+	Waiter Waiter
+	Guard  jobs.Guard
 	jobs.Result
 }
 
@@ -71,8 +71,8 @@
 	silent  map[model.JobID]unanswered
 	tidied  time.Duration
 	held    time.Duration // no comparison before then: the last found no rate
-	// Asked and Compared count questions and comparisons.
-	Asked, Compared uint64
+	// Questions and Comparisons count questions and comparisons.
+	Questions, Comparisons uint64
 }
 
 // New returns a batcher with nothing to ask.
@@ -87,7 +87,7 @@
 // Ask takes a question; an answer is of use until then.
 func (b *Batcher) Ask(now time.Duration, g jobs.Guard, until time.Duration) Waiter {
 	b.last++
-	b.Asked++
+	b.Questions++
 	if b.pending[g] == nil {
 		b.pending[g] = waiting{}
 	}
@@ -127,7 +127,7 @@
 
 // due is when the next comparison is to be made, if anybody waits.
 func (b *Batcher) due() time.Duration {
-	if len(b.pending) >= b.p.Size {
+	if len(b.pending) >= b.p.MaxBatch {
 		return b.held
 	}
 	return max(b.held, b.oldest().at+b.p.Interval)
@@ -154,7 +154,7 @@
 		if now < q.until {
 			break
 		}
-		over = append(over, Answer{To: q.from, Guard: q.guard, Result: jobs.Result{Outcome: jobs.Busy}})
+		over = append(over, Answer{Waiter: q.from, Guard: q.guard, Result: jobs.Result{Outcome: jobs.Busy}})
 		b.drop(q.guard, q.from)
 	}
 	return over
@@ -190,9 +190,9 @@
 		return cmp.Or(cmp.Compare(b.silent[x.Job].since, b.silent[y.Job].since), cmp.Compare(x.Job, y.Job),
 			cmp.Compare(x.Version, y.Version))
 	})
-	guards = guards[:min(len(guards), b.p.Size)]
+	guards = guards[:min(len(guards), b.p.MaxBatch)]
 	b.batches++
-	b.Compared++
+	b.Comparisons++
 	out := map[jobs.Guard]waiting{}
 	for _, g := range guards {
 		out[g] = b.pending[g]
@@ -202,9 +202,9 @@
 	return Batch{b.batches, guards}
 }
 
-// Done takes a comparison's outcome and returns the answers. Questions that found no rate
+// HandleOutcome takes a comparison's outcome and returns the answers. Questions that found no rate
 // wait for the next one.
-func (b *Batcher) Done(now time.Duration, batch Batch, outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
+func (b *Batcher) HandleOutcome(now time.Duration, batch Batch, outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
 	sent := b.sent[batch.id]
 	delete(b.sent, batch.id)
 	var again []question
@@ -219,7 +219,7 @@
 			delete(b.silent, g.Job)
 		}
 		for id := range sent[g] {
-			answers = append(answers, Answer{To: id, Guard: g, Result: jobs.Result{Outcome: o, Version: g.Version}})
+			answers = append(answers, Answer{Waiter: id, Guard: g, Result: jobs.Result{Outcome: o, Version: g.Version}})
 		}
 	}
 	b.again(again)
@@ -241,8 +241,8 @@
 	b.queue = append(qs, b.queue...)
 }
 
-// Drop gives up a waiter that nobody waits for any more.
-func (b *Batcher) Drop(g jobs.Guard, id Waiter) {
+// Cancel gives up a waiter that nobody waits for any more.
+func (b *Batcher) Cancel(g jobs.Guard, id Waiter) {
 	b.drop(g, id)
 	for _, sent := range b.sent {
 		delete(sent[g], id)
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -19,18 +19,18 @@
 // A question that comes while a comparison is under way waits for the next one: its answer
 // may not be older than itself.
 func TestAQuestionWaitsForAComparisonOfItsOwn(t *testing.T) {
-	b := New(Params{Interval: 100 * ms, Size: 10})
+	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	first := b.Ask(0, guard(1), time.Second)
 	if batches, _, next := b.Step(50 * ms); len(batches) != 0 || next != 100*ms {
 		t.Fatalf("%v, next at %v", batches, next)
 	}
 	sent, _, _ := b.Step(100 * ms)
 	second := b.Ask(110*ms, guard(1), time.Second)
-	if got := b.Done(120*ms, sent[0], always(jobs.OK)); len(got) != 1 || got[0].To != first {
+	if got := b.HandleOutcome(120*ms, sent[0], always(jobs.OK)); len(got) != 1 || got[0].Waiter != first {
 		t.Fatalf("%v", got)
 	}
 	again, _, _ := b.Step(210 * ms)
-	if got := b.Done(220*ms, again[0], always(jobs.Conflict)); len(got) != 1 || got[0].To != second ||
+	if got := b.HandleOutcome(220*ms, again[0], always(jobs.Conflict)); len(got) != 1 || got[0].Waiter != second ||
 		got[0].Outcome != jobs.Conflict {
 		t.Fatalf("%v", got)
 	}
@@ -42,10 +42,10 @@
 // Over the rate, questions wait until their askers' time is over, and the job that has gone
 // unanswered for longest is the first to be compared.
 func TestTheLongestUnansweredIsFirst(t *testing.T) {
-	b := New(Params{Interval: 100 * ms, Size: 2})
+	b := New(Params{Interval: 100 * ms, MaxBatch: 2})
 	b.Ask(0, guard(9), time.Second)
 	sent, _, _ := b.Step(100 * ms)
-	if got := b.Done(110*ms, sent[0], always(jobs.Busy)); len(got) != 0 {
+	if got := b.HandleOutcome(110*ms, sent[0], always(jobs.Busy)); len(got) != 0 {
 		t.Fatalf("%v of one that can wait", got)
 	}
 	if batches, _, next := b.Step(150 * ms); len(batches) != 0 || next != 210*ms {
@@ -70,9 +70,9 @@
 
 // Whoever leaves is not answered, and holds nothing up.
 func TestDropped(t *testing.T) {
-	b := New(Params{Interval: 100 * ms, Size: 10})
+	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	w := b.Ask(0, guard(1), time.Second)
-	b.Drop(guard(1), w)
+	b.Cancel(guard(1), w)
 	if batches, over, next := b.Step(200 * ms); len(batches)+len(over) != 0 || next != 0 {
 		t.Errorf("%v %v %v", batches, over, next)
 	}
@@ -81,12 +81,12 @@
 // A leader that leaves a question unanswered is not asked for a while, and again afterwards.
 func TestRoute(t *testing.T) {
 	var r Route
-	if r.ByLeader(0) {
+	if r.UseLeader(0) {
 		t.Error("by a leader that there is not")
 	}
-	r.Follow(true)
-	r.Silent(time.Second)
-	if r.ByLeader(2*time.Second) || !r.ByLeader(time.Second+shunFor) {
+	r.SetLeaderCompares(true)
+	r.LeaderFailed(time.Second)
+	if r.UseLeader(2*time.Second) || !r.UseLeader(time.Second+shunFor) {
 		t.Error("not shunned for its time")
 	}
 }
--- a/internal/core/readbatch/route.go
+++ b/internal/core/readbatch/route.go
@@ -12,12 +12,12 @@
 	shun  time.Duration
 }
 
-// Follow tells that there is a leader that compares for others, or none any more.
-func (r *Route) Follow(yes bool) { r.leads, r.shun = yes, 0 }
+// SetLeaderCompares tells that there is a leader that compares for others, or none any more.
+func (r *Route) SetLeaderCompares(yes bool) { r.leads, r.shun = yes, 0 }
 
-// ByLeader tells whether the leader is to be asked now.
-func (r *Route) ByLeader(now time.Duration) bool { return r.leads && now >= r.shun }
+// UseLeader tells whether the leader is to be asked now.
+func (r *Route) UseLeader(now time.Duration) bool { return r.leads && now >= r.shun }
 
-// Silent tells that the leader left a question unanswered, or could not ask the state
+// LeaderFailed tells that the leader left a question unanswered, or could not ask the state
 // service: it may be cut off from it alone.
-func (r *Route) Silent(now time.Duration) { r.shun = now + shunFor }
+func (r *Route) LeaderFailed(now time.Duration) { r.shun = now + shunFor }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -14,9 +14,9 @@
 
 // Gate says what the machines of a wave must show before the next one begins.
 type Gate struct {
-	Tasks  int     // that have ended on them, at least
-	Slower float64 // times as long as elsewhere, and surely so, closes it
-	Errors float64 // so much larger a part of failures than elsewhere, and surely so, closes it
+	MinTasks         int     // that have ended on them, at least
+	MaxSlowdown      float64 // times as long as elsewhere, and surely so, closes it
+	MaxErrorIncrease float64 // so much larger a part of failures than elsewhere, and surely so, closes it
 }
 
 // sure is how many standard deviations a difference must be away from chance: one in
@@ -44,18 +44,18 @@
 	of           map[model.Name]*sums // by class
 }
 
-// Book is the state machine.
-type Book struct {
+// Evaluator is the state machine.
+type Evaluator struct {
 	machines map[model.MachineID]*record
 	all      record
 }
 
 // New returns a book without evidence.
-func New() *Book {
-	return &Book{machines: map[model.MachineID]*record{}, all: record{of: map[model.Name]*sums{}}}
+func New() *Evaluator {
+	return &Evaluator{machines: map[model.MachineID]*record{}, all: record{of: map[model.Name]*sums{}}}
 }
 
-func (k *Book) machine(id model.MachineID) *record {
+func (k *Evaluator) machine(id model.MachineID) *record {
 	r := k.machines[id]
 	if r == nil {
 		r = &record{of: map[model.Name]*sums{}}
@@ -64,8 +64,8 @@
 	return r
 }
 
-// Done takes a task that completed on a machine after so long.
-func (k *Book) Done(id model.MachineID, class model.Name, estimate, ran time.Duration) {
+// AddCompleted takes a task that completed on a machine after so long.
+func (k *Evaluator) AddCompleted(id model.MachineID, class model.Name, estimate, ran time.Duration) {
 	r := k.machine(id)
 	r.done++
 	k.all.done++
@@ -81,8 +81,8 @@
 	}
 }
 
-// Failed takes a task that failed on a machine.
-func (k *Book) Failed(id model.MachineID) {
+// AddFailed takes a task that failed on a machine.
+func (k *Evaluator) AddFailed(id model.MachineID) {
 	k.machine(id).failed++
 	k.all.failed++
 }
@@ -90,11 +90,11 @@
 // Verdict on a gate: open, closed with the reason, or neither, with what it waits for.
 type Verdict struct {
 	Open, Closed bool
-	Why          string
+	Reason       string
 }
 
-// Judge compares machines with all others.
-func (k *Book) Judge(g Gate, ids []model.MachineID) Verdict {
+// Evaluate compares machines with all others.
+func (k *Evaluator) Evaluate(g Gate, ids []model.MachineID) Verdict {
 	these := record{of: map[model.Name]*sums{}}
 	for _, id := range ids {
 		r := k.machines[id]
@@ -111,19 +111,19 @@
 		}
 	}
 	if why := k.failing(g, &these); why != "" {
-		return Verdict{Closed: true, Why: why}
+		return Verdict{Closed: true, Reason: why}
 	}
-	if n := int(these.done + these.failed); n < g.Tasks {
-		return Verdict{Why: fmt.Sprintf("%d of %d tasks have ended on machines of its waves", n, g.Tasks)}
+	if n := int(these.done + these.failed); n < g.MinTasks {
+		return Verdict{Reason: fmt.Sprintf("%d of %d tasks have ended on machines of its waves", n, g.MinTasks)}
 	}
 	if why := k.slow(g, &these); why != "" {
-		return Verdict{Closed: true, Why: why}
+		return Verdict{Closed: true, Reason: why}
 	}
 	return Verdict{Open: true}
 }
 
 // failing compares the parts of tasks that failed.
-func (k *Book) failing(g Gate, these *record) string {
+func (k *Evaluator) failing(g Gate, these *record) string {
 	n, others := these.done+these.failed, k.all.done+k.all.failed-these.done-these.failed
 	if these.failed < 3 {
 		return "" // a few say nothing
@@ -135,7 +135,7 @@
 	// As if one more had failed elsewhere: none at all would be sure of anything.
 	p := (k.all.failed + 1) / (n + others + 1)
 	z := (here - there) / math.Sqrt(p*(1-p)*(1/n+1/max(1, others)))
-	if here-there <= g.Errors || z < sure {
+	if here-there <= g.MaxErrorIncrease || z < sure {
 		return ""
 	}
 	return fmt.Sprintf("%.0f of %.0f tasks failed on machines of its waves (%.1f%%), %.1f%% elsewhere", these.failed, n,
@@ -143,7 +143,7 @@
 }
 
 // slow compares run times, class by class, weighted by the tasks on these machines.
-func (k *Book) slow(g Gate, these *record) string {
+func (k *Evaluator) slow(g Gate, these *record) string {
 	var n, diff, variance float64
 	for c, s := range these.of {
 		o := k.all.of[c].less(*s)
@@ -159,7 +159,7 @@
 		return ""
 	}
 	times := math.Exp(diff / n)
-	if z := diff / math.Sqrt(variance); times <= g.Slower || z < sure {
+	if z := diff / math.Sqrt(variance); times <= g.MaxSlowdown || z < sure {
 		return ""
 	}
 	return fmt.Sprintf("tasks take %.2f times as long on machines of its waves as elsewhere (%.0f tasks)", times, n)
--- a/internal/core/runtimes/runtimes.go
+++ b/internal/core/runtimes/runtimes.go
@@ -24,16 +24,16 @@
 	priorHigh = 1.6
 )
 
-// Book is the state machine.
-type Book struct {
+// Estimator is the state machine.
+type Estimator struct {
 	of map[model.Name]*hdrhistogram.Histogram
 }
 
 // New returns a book that has learnt nothing.
-func New() *Book { return &Book{of: map[model.Name]*hdrhistogram.Histogram{}} }
+func New() *Estimator { return &Estimator{of: map[model.Name]*hdrhistogram.Histogram{}} }
 
 // Add takes a task that has completed.
-func (b *Book) Add(class model.Name, estimate, ran time.Duration) {
+func (b *Estimator) Add(class model.Name, estimate, ran time.Duration) {
 	if estimate <= 0 || ran <= 0 {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // Factor is how many times its estimate a task of the class takes, at a part of
 // all: at 0.5 half of them take no longer.
-func (b *Book) Factor(class model.Name, part float64) float64 {
+func (b *Estimator) Factor(class model.Name, part float64) float64 {
 	h := b.of[class]
 	if h == nil || h.TotalCount() < enough {
 		// A straight line through the prior's two points.
@@ -60,8 +60,8 @@
 	return float64(h.ValueAtQuantile(100*part)) / scale
 }
 
-// Known counts the tasks of a class that were learnt from.
-func (b *Book) Known(class model.Name) int64 {
+// SampleCount counts the tasks of a class that were learnt from.
+func (b *Estimator) SampleCount(class model.Name) int64 {
 	if h := b.of[class]; h != nil {
 		return h.TotalCount()
 	}
@@ -69,7 +69,7 @@
 }
 
 // Copy is what is known now, for somebody who looks at it later.
-func (b *Book) Copy() *Book {
+func (b *Estimator) Copy() *Estimator {
 	out := New()
 	for c, h := range b.of {
 		out.of[c] = hdrhistogram.Import(h.Export())
--- a/internal/core/runtimes/runtimes_test.go
+++ b/internal/core/runtimes/runtimes_test.go
@@ -22,8 +22,8 @@
 	}
 	near("half", b.Factor(1, 0.5), 2.4)
 	near("most", b.Copy().Factor(1, 0.95), 2.9)
-	if b.Known(2) != 0 || b.Known(1) != 100 {
-		t.Errorf("%d, %d known", b.Known(1), b.Known(2))
+	if b.SampleCount(2) != 0 || b.SampleCount(1) != 100 {
+		t.Errorf("%d, %d known", b.SampleCount(1), b.SampleCount(2))
 	}
 	near("another class", b.Factor(3, 0.5), 1)
 }
--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -11,48 +11,48 @@
 	"honeylock/internal/core/model"
 )
 
-func (l *lead) newBook() *disruption.Book {
+func (l *lead) newBook() *disruption.Tracker {
 	n := l.c.w.p.budget
 	if n == 0 {
 		return nil
 	}
-	return disruption.New([]disruption.Budget{{Team: 0, Class: model.None, Tasks: n},
-		{Team: 1, Class: model.None, Tasks: n}})
+	return disruption.New([]disruption.Budget{{Team: 0, Class: model.None, MaxTasks: n},
+		{Team: 1, Class: model.None, MaxTasks: n}})
 }
 
 // disrupt and hear wire the book as the node does.
-func (x *drains) disrupt(now time.Duration) func(drain.Moving) string {
-	if !x.book.On() {
+func (x *drains) disrupt(now time.Duration) func(drain.MoveRequest) string {
+	if !x.book.Enabled() {
 		return nil
 	}
 	l := x.l
 	for _, t := range l.d.TakeFreedTasks() {
 		if sp := l.d.Spec(t.Job); sp != nil {
-			x.book.Stopped(t, sp, disruption.Lost, sp.Estimate/2)
+			x.book.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
 	}
-	x.book.Sweep(func(id model.JobID) bool { return l.d.Spec(id) != nil })
-	x.book.Settled = l.d.Recovered() || l.c.w.p.forgetDraws
-	x.book.Present = func(team, class model.Name) (p disruption.Present) {
-		p.Running, p.Orphaned, p.Unsure, p.CPU = l.d.WorkCounts(team, class)
+	x.book.Prune(func(id model.JobID) bool { return l.d.Spec(id) != nil })
+	x.book.Recovered = l.d.Recovered() || l.c.w.p.forgetDraws
+	x.book.TeamState = func(team, class model.Name) (p disruption.TeamState) {
+		p.Running, p.Orphaned, p.Unknown, p.CPU = l.d.WorkCounts(team, class)
 		if l.c.w.p.forgetDraws {
-			p.Unsure, p.Orphaned, p.CPU = 0, 0, 0
+			p.Unknown, p.Orphaned, p.CPU = 0, 0, 0
 		}
 		return p
 	}
-	return func(m drain.Moving) string {
-		return x.book.Draw(now, disruption.Ask{Task: m.Task, Spec: m.Spec, Ran: m.Ran, Left: m.Left})
+	return func(m drain.MoveRequest) string {
+		return x.book.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran, Remaining: m.Remaining})
 	}
 }
 
 func (x *drains) hear(now time.Duration, e *model.Event) {
 	sp := x.l.d.Spec(e.Task.Job)
-	if !x.book.On() || sp == nil {
+	if !x.book.Enabled() || sp == nil {
 		return
 	}
-	x.book.Hear(now, e, sp)
+	x.book.HandleEvent(now, e, sp)
 	if e.Kind == model.TaskInterrupted && x.l.c.w.p.unpaid {
-		x.book.Ended(e.Task)
+		x.book.TaskDone(e.Task)
 	}
 }
 
--- a/internal/core/sim/chains_test.go
+++ b/internal/core/sim/chains_test.go
@@ -19,7 +19,7 @@
 type chains struct {
 	l      *lead
 	g      *pipeline.Graph
-	doubts pipeline.Doubts
+	doubts pipeline.InDoubtJobs
 	doomed time.Duration // the last cancellation was written
 }
 
@@ -28,42 +28,44 @@
 	if p.l.loaded {
 		since = p.l.fresh
 	}
-	if p.g.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, Aimed: !o.spec.BestEffort, Awaits: o.awaits}, since) {
+	if p.g.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, HasObjective: !o.spec.BestEffort, DependsOn: o.awaits}, since) {
 		p.l.d.HoldJob(o.spec.ID)
 	}
 }
 
-func (p *chains) ended(id model.JobID, e pipeline.End) {
+func (p *chains) ended(id model.JobID, e pipeline.FinalState) {
 	if e == pipeline.Unknown && p.l.c.w.p.goOnUnasked {
 		e = pipeline.Done
 	}
-	p.g.Ended(id, e, p.l.fresh)
+	p.g.JobEnded(id, e, p.l.fresh)
 	p.settle()
 }
 
 func (p *chains) settle() {
-	for _, r := range p.g.Released() {
-		p.l.d.ReleaseJob(r.ID, p.l.c.now(), r.Now)
+	for _, r := range p.g.TakeReleased() {
+		p.l.d.ReleaseJob(r.ID, p.l.c.now(), r.NeverStarted)
 	}
-	for _, c := range p.g.Changed() {
-		p.l.d.InheritRank(c.ID, c.Rank, c.Aimed)
+	for _, c := range p.g.TakeInherited() {
+		p.l.d.InheritRank(c.ID, c.Rank, c.HasObjective)
 	}
 }
 
-func (p *chains) settled(now time.Duration) time.Duration { return min(p.l.fresh, p.g.Behind(now)) }
+func (p *chains) settled(now time.Duration) time.Duration {
+	return min(p.l.fresh, p.g.PropagatedUntil(now))
+}
 
 func (p *chains) tick(now time.Duration) {
 	l, c := p.l, p.l.c
 	if c.w.p.resize > 0 && c.w.now > c.w.p.resize && l.d.Layout() == 0 {
 		l.d.SetLayout(smallBlock)
 	}
-	for _, id := range p.g.Ask(now, 4) {
+	for _, id := range p.g.NextLookups(now, 4) {
 		c.storeCall(func() any { c.w.store.expire(); return c.w.store.ending(id) }, func(v any) {
-			if end, ok := v.(pipeline.End); ok && c.lead == l {
-				p.g.Told(c.now(), id, end, 0)
+			if end, ok := v.(pipeline.FinalState); ok && c.lead == l {
+				p.g.LookupDone(c.now(), id, end, 0)
 				p.settle()
 			} else {
-				p.g.Told(c.now(), id, pipeline.Unknown, 0)
+				p.g.LookupDone(c.now(), id, pipeline.Unknown, 0)
 			}
 		})
 	}
@@ -73,7 +75,7 @@
 			most, p.doomed = 1, now
 		}
 	}
-	for _, id := range p.g.Doomed(now, most) {
+	for _, id := range p.g.NextCancellations(now, most) {
 		version := l.d.JobVersion(id)
 		c.storeTxn(func() any { return c.w.store.doom(l.guard, id, version) }, func(v any) {
 			r, _ := v.(written)
@@ -85,13 +87,13 @@
 				l.d.JobRemoved(id)
 				p.ended(id, pipeline.Unknown)
 			default:
-				p.g.Kept(c.now(), id)
+				p.g.CancellationFailed(c.now(), id)
 			}
 		})
 	}
 }
 
-func (s *store) ending(id model.JobID) pipeline.End {
+func (s *store) ending(id model.JobID) pipeline.FinalState {
 	switch s.final[id] {
 	case jobs.Done:
 		return pipeline.Done
@@ -166,7 +168,7 @@
 				open[id] = v
 			}
 		}
-		return jobs.NewAwaiting(u.spec.ID, u.awaits, open, 18)
+		return jobs.NewWithDependencies(u.spec.ID, u.awaits, open, 18)
 	}
 	if k != jobs.Submit && c.now()/time.Second%4 == 0 { // rightly or wrongly
 		return jobs.NewEnded(k, u.spec.ID)
@@ -180,7 +182,7 @@
 
 // tell is, for each open job, whether it is in doubt.
 func (p *chains) tell(now time.Duration) map[model.JobID]bool {
-	doubted := p.doubts.Take(now, p.g)
+	doubted := p.doubts.Update(now, p.g)
 	out := map[model.JobID]bool{}
 	p.l.d.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) {
 		out[id] = doubted[id]
@@ -196,22 +198,22 @@
 	now, id := c.now(), u.spec.ID
 	if l := c.lead; l != nil && l.loaded && !c.old {
 		c.doubt = l.chains.tell(now)
-		c.vouch.Settled(l.chains.settled(now))
-		c.vouch.Told(l.fresh)
-		if c.w.p.hastyCancel && l.chains.g.ToCancel(id) {
+		c.vouch.SetPropagated(l.chains.settled(now))
+		c.vouch.SetInDoubtKnown(l.fresh)
+		if c.w.p.hastyCancel && l.chains.g.CancelPending(id) {
 			return &jobs.Answer{Status: http.StatusOK, Stage: jobs.Cancelled}
 		}
 	}
 	if l := c.lead; l != nil && l.loaded && c.old {
-		c.vouch.Settled(l.chains.settled(now))
+		c.vouch.SetPropagated(l.chains.settled(now))
 	}
 	doubt, told := c.doubt[id]
-	if c.vouch.Queued(now, told && (!doubt || c.w.p.vouchInDoubt) && !c.w.p.oneForAll) {
+	if c.vouch.MayReportQueued(now, told && (!doubt || c.w.p.vouchInDoubt) && !c.w.p.oneForAll) {
 		return a
 	}
 	for _, o := range c.w.ctls { // passed on, as the node does
 		if l := o.lead; l != nil && o.up && l.loaded && !o.old && (o == c || doubt) && !o.halted() && !c.w.p.oneForAll &&
-			l.chains.doubts.Certain(o.now(), c.vouch.Within, l.chains.g, id) {
+			l.chains.doubts.CertainlyCancelled(o.now(), c.vouch.MaxAge, l.chains.g, id) {
 			return &jobs.Answer{Status: http.StatusOK, Stage: jobs.Cancelled}
 		}
 	}
--- a/internal/core/sim/ctl_test.go
+++ b/internal/core/sim/ctl_test.go
@@ -30,7 +30,7 @@
 	kept   []model.MachineID // of the seat before
 	halt   halt
 	old    bool // says and hears only what release 0.5 does
-	vouch  *pipeline.Voucher
+	vouch  *pipeline.StatusFreshness
 	doubt  map[model.JobID]bool // told by the leader: waiting jobs, and whether they are in doubt
 	stands storehealth.Health   // with the state service
 	told   *cancellog.Log
@@ -95,7 +95,7 @@
 	until   time.Duration
 	heard   time.Duration
 	stateAt time.Duration // the state service last served the member
-	word    cancellog.Acknowledgement
+	word    cancellog.Coverage
 	tells   bool
 	dead    bool
 }
@@ -133,7 +133,7 @@
 	c.el = election.New(c.host, c.w.p.ttl, c.w.between(0, 300*time.Millisecond), promise, 0)
 	c.lead, c.seat, c.stands, c.told = nil, nil, storehealth.Health{}, cancellog.NewLog(0)
 	c.old = c.w.p.mixed && c.w.rng.IntN(2) == 0
-	c.vouch, c.doubt = pipeline.NewVoucher(c.w.p.vouched()), nil
+	c.vouch, c.doubt = pipeline.NewStatusFreshness(c.w.p.vouched()), nil
 	c.tick(c.life)
 }
 
@@ -161,7 +161,7 @@
 	finish := func(v any, o storehealth.Outcome) {
 		if !answered && c.up && c.life == life {
 			answered = true
-			c.stands.Note(sent, o)
+			c.stands.RecordOutcome(sent, o)
 			done(v)
 		}
 	}
@@ -186,7 +186,7 @@
 			c.w.send("store", c.host, false, func() { finish(v, o) })
 		}
 	})
-	c.timer(1500*time.Millisecond, func() { finish(nil, storehealth.Silent) })
+	c.timer(1500*time.Millisecond, func() { finish(nil, storehealth.NoAnswer) })
 }
 
 func (c *ctl) runElection(ops []election.Op) {
@@ -200,7 +200,7 @@
 			if !ok {
 				res = election.Result{Op: op}
 			}
-			c.runElection(c.el.Done(c.now(), res))
+			c.runElection(c.el.HandleResult(c.now(), res))
 			c.follow()
 		})
 	}
@@ -357,10 +357,10 @@
 			st.asked = now
 			echo := st.grants
 			status, counts, deals := st.s.TakeStatus(now), st.s.TaskCounts(now), st.s.AssignmentsReceived()
-			served, known := c.stands.Served()
+			served, known := c.stands.LastServed()
 			stateAge := now - served
-			toldFor, told := now-c.told.Since(), []model.JobID(nil)
-			told, st.toldTo = c.told.From(st.toldTo)
+			toldFor, told := now-c.told.CompleteSince(), []model.JobID(nil)
+			told, st.toldTo = c.told.EntriesFrom(st.toldTo)
 			st.up(func(l *lead, k *link) {
 				ln := l.c.now()
 				if l.c.el.Leading(ln) {
@@ -385,9 +385,9 @@
 					d := l.until() - ln
 					age, told, doubt := ln-l.chains.settled(ln), ln-l.fresh, l.chains.tell(ln)
 					l.down(k, func(st *seat) {
-						st.c.vouch.Settled(now - age)
+						st.c.vouch.SetPropagated(now - age)
 						if !st.c.old && !l.c.old {
-							st.c.vouch.Told(now - told)
+							st.c.vouch.SetInDoubtKnown(now - told)
 							st.c.doubt = doubt
 						}
 						st.grants = append(st.grants, ln)
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -18,18 +18,18 @@
 type drains struct {
 	l    *lead
 	e    *drain.Engine
-	book *disruption.Book
+	book *disruption.Tracker
 }
 
 // plans are the specs of a day's plans by name: what a plan's source would say.
 type plans map[string]*drain.Spec
 
 func (l *lead) newDrains() *drains {
-	return &drains{l, drain.New(drain.Params{Term: l.term, Report: l.c.w.p.report, Probe: time.Second, Most: 200}),
+	return &drains{l, drain.New(drain.Params{Term: l.term, ReportInterval: l.c.w.p.report, RetryInterval: time.Second, MaxMachines: 200}),
 		l.newBook()}
 }
 
-func (x *drains) load(now time.Duration, stored map[string]drain.Stored) {
+func (x *drains) load(now time.Duration, stored map[string]drain.StoredPlan) {
 	for _, s := range stored {
 		x.e.Load(now, s, func([]byte) (*drain.Spec, error) {
 			c := *x.l.c.w.plans[s.Name]
@@ -37,7 +37,7 @@
 			return &c, nil
 		})
 	}
-	for _, a := range x.e.Bars() {
+	for _, a := range x.e.Cordons() {
 		x.do(a)
 	}
 }
@@ -49,21 +49,21 @@
 	}
 	w := x.l.c.w
 	v := &drain.View{Now: now, Wall: time.Unix(0, 0).Add(w.now), Machines: map[model.MachineID]drain.Machine{},
-		Settled: x.l.d.Recovered(), Draw: draw,
-		Learned: func(_ model.Name, p float64) float64 {
+		Recovered: x.l.d.Recovered(), RequestMove: draw,
+		RunTimeFactor: func(_ model.Name, p float64) float64 {
 			return 0.5 +
 				p
-		}, Boot: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName}
+		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName}
 	for _, m := range w.workers {
 		if !m.dead {
 			v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m.Machine}}
 		}
 	}
 	x.l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
-		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Told: told}
+		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Reported: told}
 	})
 	for _, n := range x.l.d.Demand() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, Open: int(n.Unfinished), Running: x.l.d.TaskCounts(n.Spec.ID).Running})
+		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, UnfinishedTasks: int(n.Unfinished), RunningTasks: x.l.d.TaskCounts(n.Spec.ID).Running})
 	}
 	for _, a := range x.e.Tick(v) {
 		x.do(a)
@@ -71,7 +71,7 @@
 	for _, wr := range x.e.Writes(4) {
 		x.l.c.storeTxn(func() any { return w.store.writePlan(x.l.guard, wr) }, func(r any) {
 			o, answered := r.(written)
-			x.e.Wrote(wr, o.rev, o.ok, answered && o.lost, o.rev)
+			x.e.WriteDone(wr, o.rev, o.ok, answered && o.lost, o.rev)
 		})
 	}
 }
@@ -87,7 +87,7 @@
 		return written{rev: v, lost: true}
 	}
 	s.rev++
-	s.plans[w.Name] = drain.Stored{Name: w.Name, Value: w.Value, Version: s.rev}
+	s.plans[w.Name] = drain.StoredPlan{Name: w.Name, Value: w.Value, Version: s.rev}
 	return written{rev: s.rev, ok: true}
 }
 
@@ -95,23 +95,23 @@
 	l := x.l
 	w := l.c.w
 	switch a.Kind {
-	case drain.Bar, drain.Unbar:
-		l.d.SetCordoned(a.Machine, a.Kind == drain.Bar)
-	case drain.Look:
+	case drain.Cordon, drain.Uncordon:
+		l.d.SetCordoned(a.Machine, a.Kind == drain.Cordon)
+	case drain.ListTasks:
 		l.d.InspectMachine(a.Machine, a.Seq)
 	case drain.Recall:
 		w.recalled++
 		w.observe(a)
 		l.d.RecallFrom(a.Machine, a.Task)
 	case drain.Rent: // nothing to be had: plans of these days rent nothing
-		x.e.Rented(l.c.now(), a, nil, true)
-	case drain.Give:
+		x.e.MachineRented(l.c.now(), a, nil, true)
+	case drain.ReturnMachine:
 		l.c.storeCall(func() any { w.giveBack(a.Machine); return true }, func(r any) {
 			ok, _ := r.(bool)
 			if l.c.lead == l && ok {
 				l.d.MachineGone(a.Machine)
 			}
-			x.e.Given(l.c.now(), a.Machine, ok)
+			x.e.MachineReturned(l.c.now(), a.Machine, ok)
 		})
 	}
 }
@@ -171,7 +171,7 @@
 		}
 		return
 	}
-	s := &drain.Spec{Name: fmt.Sprintf("p%d", n), AtOnce: 1 + w.rng.IntN(3), Default: drain.How(w.rng.IntN(3)),
+	s := &drain.Spec{Name: fmt.Sprintf("p%d", n), MaxConcurrent: 1 + w.rng.IntN(3), Default: drain.How(w.rng.IntN(3)),
 		After: drain.Patch}
 	for _, m := range w.workers {
 		if !m.dead && w.rng.IntN(3) == 0 {
@@ -185,7 +185,7 @@
 	if e.Check(s, nil, func(id model.MachineID) string { return fmt.Sprint(id) }) == nil {
 		w.plans[s.Name] = s
 		e.Apply(now, time.Unix(0, 0).Add(w.now), s, nil, "op")
-		w.note("plan %s: machines %v, %d at once, how %d, after %d", s.Name, s.Machines, s.AtOnce, s.Default, s.After)
+		w.note("plan %s: machines %v, %d at once, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
 	}
 }
 
--- a/internal/core/sim/lead_test.go
+++ b/internal/core/sim/lead_test.go
@@ -25,7 +25,7 @@
 	loaded  bool
 	fresh   time.Duration
 	began   time.Duration
-	picture cancellog.Picture
+	picture cancellog.OpenJobsView
 	asking  bool
 	drains  *drains
 	chains  *chains
@@ -35,7 +35,7 @@
 	open    map[model.JobID]openJob
 	done    map[model.JobID]map[int32]chunk
 	records map[dispatcher.BlockID]record
-	plans   map[string]drain.Stored
+	plans   map[string]drain.StoredPlan
 	rev     uint64
 }
 
@@ -76,15 +76,15 @@
 		if !l.loaded && !c.w.p.forgetRecords {
 			l.loadRecords(snap.records)
 		}
-		if told, _ := c.told.From(0); !l.loaded {
+		if told, _ := c.told.EntriesFrom(0); !l.loaded {
 			for _, id := range told {
-				l.picture.Told(now, id)
+				l.picture.AddCancelled(now, id)
 			}
 		}
 		known := map[model.JobID]bool{}
 		for id := range c.w.p.jobs {
 			if o, ok := snap.open[model.JobID(id)]; ok {
-				if l.picture.Over(o.spec.ID) {
+				if l.picture.IsCancelled(o.spec.ID) {
 					continue
 				}
 				known[o.spec.ID] = true
@@ -125,12 +125,12 @@
 }
 
 func (l *lead) until() time.Duration {
-	return min(l.c.el.Deadline(), l.picture.Good(l.c.w.p.staleness))
+	return min(l.c.el.Deadline(), l.picture.ValidUntil(l.c.w.p.staleness))
 }
 
 // cancelled takes a controller's word that it told a user of a cancellation.
 func (l *lead) cancelled(now time.Duration, id model.JobID) {
-	if l.picture.Told(now, id) && l.d.JobVersion(id) != 0 {
+	if l.picture.AddCancelled(now, id) && l.d.JobVersion(id) != 0 {
 		l.d.JobRemoved(id)
 		l.chains.ended(id, pipeline.Cancelled)
 	}
@@ -138,7 +138,7 @@
 
 // listen brings the picture up to what all controllers have told.
 func (l *lead) listen(now time.Duration) {
-	words := map[string]cancellog.Acknowledgement{}
+	words := map[string]cancellog.Coverage{}
 	for _, k := range l.links {
 		if k.tells {
 			words[k.host] = k.word
@@ -148,7 +148,7 @@
 		return
 	}
 	l.exchange()
-	l.picture.Heard(now, slices.Collect(maps.Values(words)))
+	l.picture.ApplyCoverage(now, slices.Collect(maps.Values(words)))
 }
 
 func (l *lead) back() {
@@ -162,19 +162,19 @@
 			least = min(least, end[o.host])
 		}
 	}
-	l.c.el.Back(least)
+	l.c.el.ExtendAuthority(least)
 }
 
 func (l *lead) tick() {
 	c := l.c
 	now := c.now()
 	l.listen(now)
-	if now > max(l.picture.Good(c.w.p.staleness), l.began+c.w.p.staleness) {
+	if now > max(l.picture.ValidUntil(c.w.p.staleness), l.began+c.w.p.staleness) {
 		c.el.Resign(now, time.Second)
 		c.follow()
 		return
 	}
-	if yes, ask := c.stands.GivesWay(now, l.servedSibling()); yes {
+	if yes, ask := c.stands.YieldNow(now, l.servedSibling()); yes {
 		c.w.note("%s is refused alone", c.host)
 		c.el.Resign(now, 4*time.Second)
 		c.follow()
@@ -241,7 +241,7 @@
 		m.storeCall(func() any { return true }, func(v any) {
 			l.c.w.send(m.host, l.c.host, false, func() {
 				if v != nil && l.c.lead == l && l.c.up {
-					l.c.stands.Confirmed(l.c.now())
+					l.c.stands.ConfirmServed(l.c.now())
 				}
 			})
 		})
@@ -302,7 +302,7 @@
 func (l *lead) hear(now time.Duration, from model.ShardID, e model.Event) {
 	l.drains.hear(now, &e)
 	if e.Kind == model.MachineInspected {
-		l.drains.e.Seen(now, e.Machine, e.Token, e.Placed, l.d.Spec)
+		l.drains.e.TasksListed(now, e.Machine, e.Token, e.Placed, l.d.Spec)
 	}
 	l.d.HandleEvent(now, from, e)
 }
--- a/internal/core/sim/looks_test.go
+++ b/internal/core/sim/looks_test.go
@@ -12,7 +12,7 @@
 
 // shares gives, with the guard broken, what was read shortly before a question as its answer.
 func (c *ctl) shares(op jobs.Op, out jobs.Result) jobs.Result {
-	if !c.w.p.sharedAnswers || op.Kind != jobs.StillOpen && op.Kind != jobs.ReadOpen {
+	if !c.w.p.sharedAnswers || op.Kind != jobs.CompareOpen && op.Kind != jobs.ReadOpen {
 		return out
 	}
 	if c.last == nil {
--- a/internal/core/sim/overload_test.go
+++ b/internal/core/sim/overload_test.go
@@ -56,7 +56,7 @@
 	s := &storm{naive: naive, store: w.store, tokens: stormRate}
 	for i := range 3 {
 		o := &office{host: fmt.Sprintf("c%d", i),
-			q: ratelimit.New(ratelimit.Params{Requests: stormRate, Writes: 25, Controllers: 3})}
+			q: ratelimit.New(ratelimit.Params{RequestRate: stormRate, WriteRate: 25, Controllers: 3})}
 		o.el = election.New(o.host, w.p.ttl, time.Duration(i)*150*time.Millisecond, promise, 0)
 		s.offices = append(s.offices, o)
 	}
@@ -68,7 +68,7 @@
 	if s.naive && c != ratelimit.Reads {
 		c = ratelimit.Authority
 	}
-	o.sent = append(o.sent, &sending{t: o.q.Ask(s.now, c, 0, s.now+1500*time.Millisecond), done: done})
+	o.sent = append(o.sent, &sending{t: o.q.Request(s.now, c, 0, s.now+1500*time.Millisecond), done: done})
 }
 
 // deliver lets the service answer what the limiter has let go.
@@ -79,7 +79,7 @@
 	o.sent = nil
 	for _, m := range sent {
 		select {
-		case <-m.t.Go:
+		case <-m.t.Decided:
 		default:
 			keep = append(keep, m)
 			continue
@@ -89,13 +89,13 @@
 			m.done(false)
 		case s.tokens >= 1:
 			s.tokens--
-			o.st.Note(s.now, storehealth.Served)
+			o.st.RecordOutcome(s.now, storehealth.Served)
 			m.done(true)
 		default:
 			s.busy++
-			o.st.Note(s.now, storehealth.Busy)
+			o.st.RecordOutcome(s.now, storehealth.Busy)
 			if !s.naive {
-				o.q.Refused(s.now)
+				o.q.HandleRefusal(s.now)
 			}
 			m.done(false)
 		}
@@ -114,7 +114,7 @@
 					o.renewed = op.SentAt
 				}
 			}
-			s.elect(o, o.el.Done(s.now, res))
+			s.elect(o, o.el.HandleResult(s.now, res))
 		})
 	}
 }
@@ -156,11 +156,11 @@
 // alone tells whether a leader takes itself for refused while a sibling is served.
 func (s *storm) alone(o *office) bool {
 	for _, sib := range s.offices {
-		at, _ := sib.st.Served()
+		at, _ := sib.st.LastServed()
 		if sib == o {
 			continue
 		}
-		if !s.naive && o.st.Alone(s.now, at) {
+		if !s.naive && o.st.RefusedAlone(s.now, at) {
 			return true
 		}
 		last := o.renewed
--- a/internal/core/sim/rules_test.go
+++ b/internal/core/sim/rules_test.go
@@ -114,7 +114,7 @@
 					answered = true
 					w.settles(c, u, ans)
 					if ans.Stage == jobs.Cancelled && !w.p.mum {
-						c.told.Told(c.now(), u.spec.ID)
+						c.told.Acknowledge(c.now(), u.spec.ID)
 						if c.lead != nil && c.lead.loaded {
 							c.lead.cancelled(c.now(), u.spec.ID)
 						}
--- a/internal/core/sim/store_test.go
+++ b/internal/core/sim/store_test.go
@@ -36,14 +36,14 @@
 	out     bool
 	rev     uint64
 	leases  map[uint64]time.Duration // end
-	leader  election.Record
+	leader  election.LeaderRecord
 	term    uint64
 	termRev uint64
 	open    map[model.JobID]openJob
 	done    map[model.JobID]map[int32]chunk
 	final   map[model.JobID]jobs.Stage
 	records map[dispatcher.BlockID]record
-	plans   map[string]drain.Stored
+	plans   map[string]drain.StoredPlan
 	refuses map[string]time.Duration // controllers that it alone refuses, until then
 	late    time.Duration            // until when a part of the transactions is carried out late
 	mute    time.Duration            // until when a part of them is carried out at once, and gets no answer
@@ -54,7 +54,7 @@
 func newStore(w *world) *store {
 	return &store{w: w, rev: 1, leases: map[uint64]time.Duration{}, open: map[model.JobID]openJob{},
 		done: map[model.JobID]map[int32]chunk{}, final: map[model.JobID]jobs.Stage{},
-		records: map[dispatcher.BlockID]record{}, plans: map[string]drain.Stored{}, refuses: map[string]time.Duration{},
+		records: map[dispatcher.BlockID]record{}, plans: map[string]drain.StoredPlan{}, refuses: map[string]time.Duration{},
 		unread: map[model.JobID]string{}}
 }
 
@@ -116,7 +116,7 @@
 	delete(s.leases, id)
 	if s.leader.Present && s.leader.Lease == id {
 		s.rev++
-		s.leader = election.Record{}
+		s.leader = election.LeaderRecord{}
 	}
 }
 
@@ -133,7 +133,7 @@
 	case election.Acquire:
 		if _, ok := s.leases[op.Lease]; ok && !s.leader.Present && s.termRev == op.TermVersion {
 			s.rev++
-			s.leader = election.Record{Present: true, Host: host, Term: op.Term, Lease: op.Lease, Version: s.rev}
+			s.leader = election.LeaderRecord{Present: true, Host: host, Term: op.Term, Lease: op.Lease, Version: s.rev}
 			s.term, s.termRev = op.Term, s.rev
 			res.Version, res.OK = s.rev, true
 		}
@@ -142,9 +142,9 @@
 			s.leases[op.Lease] = s.w.now + s.w.p.ttl
 			res.OK = true
 		} else {
-			res.Not = true
+			res.NotExecuted = true
 		}
-	case election.End:
+	case election.Revoke:
 		s.endLease(op.Lease)
 		res.OK = true
 	}
@@ -158,7 +158,7 @@
 	o, open := s.open[id]
 	st, final := s.final[id]
 	switch op.Kind {
-	case jobs.StillOpen:
+	case jobs.CompareOpen:
 		if !open || o.version != op.Version {
 			return jobs.Result{Outcome: jobs.Conflict}
 		}
