--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -40,47 +40,47 @@
 	Name model.Name
 }
 
-// Share tells how many jobs of a group have begun, of those that have or should have.
-type Share struct {
+// GroupStats tells how many jobs of a group have begun, of those that have or should have.
+type GroupStats struct {
 	Group
-	Begun, Late int
-	Longest     time.Duration // wait to begin, of those that wait included
+	Begun, Overdue int
+	LongestWait    time.Duration // wait to begin, of those that wait included
 }
 
-// Part is the part that has begun; 1 where nothing is due.
-func (s *Share) Part() float64 {
-	if s.Begun+s.Late == 0 {
+// BegunFraction is the part that has begun; 1 where nothing is due.
+func (s *GroupStats) BegunFraction() float64 {
+	if s.Begun+s.Overdue == 0 {
 		return 1
 	}
-	return float64(s.Begun) / float64(s.Begun+s.Late)
+	return float64(s.Begun) / float64(s.Begun+s.Overdue)
 }
 
 const (
-	// InDanger is below which part a group is reported; the rules ask for one half.
-	InDanger = 0.7
-	enough   = 4 // jobs that are due, for a part to say something
-	largest  = 90
-	mostSize = 100_000 // tasks of a job, by the protocol
+	// MinBegunFraction is below which part a group is reported; the rules ask for one half.
+	MinBegunFraction = 0.7
+	enough           = 4 // jobs that are due, for a part to say something
+	largest          = 90
+	mostSize         = 100_000 // tasks of a job, by the protocol
 )
 
 // Detector is the state machine; a leader has one.
 type Detector struct {
 	within time.Duration
 	jobs   map[model.JobID]Job
-	begun  map[Group]*Share
+	begun  map[Group]*GroupStats
 	sizes  map[model.Name]*hdrhistogram.Histogram
 	late   []model.JobID
 }
 
 // New returns a detector for jobs that should begin within so long.
 func New(within time.Duration) *Detector {
-	return &Detector{within: within, jobs: map[model.JobID]Job{}, begun: map[Group]*Share{},
+	return &Detector{within: within, jobs: map[model.JobID]Job{}, begun: map[Group]*GroupStats{},
 		sizes: map[model.Name]*hdrhistogram.Histogram{}}
 }
 
-// See takes all open jobs that may begin. What is no longer among them has ended: one
+// Update takes all open jobs that may begin. What is no longer among them has ended: one
 // that had not begun was cancelled, or done before this leader saw it run.
-func (d *Detector) See(now time.Duration, jobs []Job) {
+func (d *Detector) Update(now time.Duration, jobs []Job) {
 	seen := make(map[model.JobID]Job, len(jobs))
 	d.late = d.late[:0]
 	for _, j := range jobs {
@@ -93,7 +93,7 @@
 				s := d.share(group)
 				s.Begun++
 				if known {
-					s.Longest = max(s.Longest, now-j.Since)
+					s.LongestWait = max(s.LongestWait, now-j.Since)
 				}
 			}
 		}
@@ -109,8 +109,8 @@
 	})
 }
 
-// Late are the jobs that should have begun, the longest wait first.
-func (d *Detector) Late() []model.JobID { return d.late }
+// Overdue are the jobs that should have begun, the longest wait first.
+func (d *Detector) Overdue() []model.JobID { return d.late }
 
 func (d *Detector) size(class model.Name) *hdrhistogram.Histogram {
 	h := d.sizes[class]
@@ -121,10 +121,10 @@
 	return h
 }
 
-func (d *Detector) share(group Group) *Share {
+func (d *Detector) share(group Group) *GroupStats {
 	s := d.begun[group]
 	if s == nil {
-		s = &Share{Group: group}
+		s = &GroupStats{Group: group}
 		d.begun[group] = s
 	}
 	return s
@@ -139,9 +139,9 @@
 	return out
 }
 
-// Shares are those of all groups, with the jobs that are late now.
-func (d *Detector) Shares(now time.Duration) []Share {
-	all := make(map[Group]Share, len(d.begun))
+// GroupStats are those of all groups, with the jobs that are late now.
+func (d *Detector) GroupStats(now time.Duration) []GroupStats {
+	all := make(map[Group]GroupStats, len(d.begun))
 	for group, s := range d.begun {
 		all[group] = *s
 	}
@@ -150,26 +150,26 @@
 		for _, group := range d.groups(&j) {
 			s := all[group]
 			s.Group = group
-			s.Late++
-			s.Longest = max(s.Longest, now-j.Since)
+			s.Overdue++
+			s.LongestWait = max(s.LongestWait, now-j.Since)
 			all[group] = s
 		}
 	}
-	out := make([]Share, 0, len(all))
+	out := make([]GroupStats, 0, len(all))
 	for _, s := range all {
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(x, y Share) int {
+	slices.SortFunc(out, func(x, y GroupStats) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Name, y.Name))
 	})
 	return out
 }
 
-// Danger are the groups of which too little has begun.
-func Danger(shares []Share) []Share {
-	var out []Share
+// Starved are the groups of which too little has begun.
+func Starved(shares []GroupStats) []GroupStats {
+	var out []GroupStats
 	for _, s := range shares {
-		if s.Begun+s.Late >= enough && s.Part() < InDanger {
+		if s.Begun+s.Overdue >= enough && s.BegunFraction() < MinBegunFraction {
 			out = append(out, s)
 		}
 	}
--- a/internal/core/starvation/starvation_test.go
+++ b/internal/core/starvation/starvation_test.go
@@ -21,34 +21,34 @@
 		}
 		jobs = append(jobs, Job{ID: model.JobID(i), Class: model.Name(i % 2), Team: 7, Tasks: tasks})
 	}
-	b.See(10*s, jobs)
-	if len(b.Late()) != 0 || len(Danger(b.Shares(10*s))) != 0 {
+	b.Update(10*s, jobs)
+	if len(b.Overdue()) != 0 || len(Starved(b.GroupStats(10*s))) != 0 {
 		t.Fatal("late after 10 s")
 	}
 	for i := range jobs {
 		jobs[i].Begun = jobs[i].Class == 0 && i != 18
 	}
-	b.See(61*s, jobs)
-	late := b.Late()
+	b.Update(61*s, jobs)
+	late := b.Overdue()
 	if len(late) != 11 || late[0] != 1 {
 		t.Fatalf("late %v, want the ten of class 1 and the wide one of class 0, the oldest first", late)
 	}
-	got := map[Group]Share{}
-	for _, x := range b.Shares(61 * s) {
+	got := map[Group]GroupStats{}
+	for _, x := range b.GroupStats(61 * s) {
 		got[x.Group] = x
 	}
-	if x := got[Group{Class, 0}]; x.Begun != 9 || x.Late != 1 || x.Part() != 0.9 {
+	if x := got[Group{Class, 0}]; x.Begun != 9 || x.Overdue != 1 || x.BegunFraction() != 0.9 {
 		t.Errorf("class 0: %+v", x)
 	}
-	if x := got[Group{Largest, 0}]; x.Begun != 0 || x.Late != 1 || x.Longest != 61*s {
+	if x := got[Group{Largest, 0}]; x.Begun != 0 || x.Overdue != 1 || x.LongestWait != 61*s {
 		t.Errorf("largest of class 0: %+v", x)
 	}
-	danger := Danger(b.Shares(61 * s))
+	danger := Starved(b.GroupStats(61 * s))
 	if len(danger) != 2 || danger[0].Group != (Group{Class, 1}) || danger[1].Group != (Group{Team, 7}) {
 		t.Errorf("in danger: %+v, want class 1 and the team", danger)
 	}
-	b.See(70*s, jobs[:1]) // all but one were cancelled, or are done
-	if len(b.Late()) != 0 {
-		t.Errorf("late %v, though they are no longer open", b.Late())
+	b.Update(70*s, jobs[:1]) // all but one were cancelled, or are done
+	if len(b.Overdue()) != 0 {
+		t.Errorf("late %v, though they are no longer open", b.Overdue())
 	}
 }
--- a/internal/core/storehealth/storehealth.go
+++ b/internal/core/storehealth/storehealth.go
@@ -16,16 +16,16 @@
 
 // Outcomes.
 const (
-	Served  Outcome = iota // executed, or kept back by its own guard
-	Busy                   // not executed: above the service's rate
-	Refused                // not executed: an outage, or for this controller alone
-	Silent                 // no answer in time
+	Served   Outcome = iota // executed, or kept back by its own guard
+	Busy                    // not executed: above the service's rate
+	Refused                 // not executed: an outage, or for this controller alone
+	NoAnswer                // no answer in time
 )
 
 const (
-	// Missed is for how long no request must have got through before a controller
+	// UnreachableAfter is for how long no request must have got through before a controller
 	// no longer tries the service first.
-	Missed = 2200 * time.Millisecond
+	UnreachableAfter = 2200 * time.Millisecond
 	// aloneAfter and siblingAhead: it is refused alone once nothing has got through
 	// for so long while a sibling's request was served so much later.
 	aloneAfter   = 2500 * time.Millisecond
@@ -61,15 +61,15 @@
 	confirmed time.Duration // a sibling said so that was asked whether it is served
 }
 
-// Note takes what became of a request that was sent then.
-func (h *Health) Note(sent time.Duration, o Outcome) {
+// RecordOutcome takes what became of a request that was sent then.
+func (h *Health) RecordOutcome(sent time.Duration, o Outcome) {
 	switch o {
 	case Served:
 		h.served, h.known = max(h.served, sent), true
 		h.reach(sent)
 	case Busy:
 		h.reach(sent)
-	case Silent:
+	case NoAnswer:
 		if sent < h.excused {
 			return
 		}
@@ -88,36 +88,36 @@
 	}
 }
 
-// Late takes how late this process's timer fired: what was not answered meanwhile
+// RecordDelay takes how late this process's timer fired: what was not answered meanwhile
 // may have been answered in time.
-func (h *Health) Late(now, by time.Duration) {
+func (h *Health) RecordDelay(now, by time.Duration) {
 	if by >= lateBy {
 		h.excused, h.failed = now, 0
 	}
 }
 
-// Served is when the newest request that was served was sent; known is false if
+// LastServed is when the newest request that was served was sent; known is false if
 // there was none.
-func (h *Health) Served() (at time.Duration, known bool) { return h.served, h.known }
+func (h *Health) LastServed() (at time.Duration, known bool) { return h.served, h.known }
 
-// Missing tells that no request has got through for a while, though one was sent: users'
+// Unreachable tells that no request has got through for a while, though one was sent: users'
 // requests are better passed on to a sibling. Where many controllers share the work, one may
 // have nothing to ask for longer than that.
-func (h *Health) Missing(now time.Duration) bool {
-	return now-h.reached > Missed && (h.vain > h.reached || !h.known)
+func (h *Health) Unreachable(now time.Duration) bool {
+	return now-h.reached > UnreachableAfter && (h.vain > h.reached || !h.known)
 }
 
-// Alone tells that the service refuses this controller while it serves a sibling,
+// RefusedAlone tells that the service refuses this controller while it serves a sibling,
 // whose newest served request was sent then by this clock.
-func (h *Health) Alone(now, sibling time.Duration) bool {
+func (h *Health) RefusedAlone(now, sibling time.Duration) bool {
 	return now-h.reached >= aloneAfter && h.failed >= enough && sibling > h.reached+siblingAhead
 }
 
-// Yields tells that a leader that is refused alone should let another lead, as long as that
+// ShouldYield tells that a leader that is refused alone should let another lead, as long as that
 // one is served, and this controller was refused after it. For if the service is out for all
 // by now, nobody can lead until it is back, and all that runs would be lost with its leases;
 // and when it is back for all, a sibling may only have asked first.
-func (h *Health) Yields(now, sibling time.Duration) bool {
+func (h *Health) ShouldYield(now, sibling time.Duration) bool {
 	if h.next <= h.reached {
 		h.next = sibling
 	}
@@ -125,20 +125,20 @@
 		h.ahead, h.next = h.next, sibling
 	}
 	silent := now - h.reached
-	return h.Alone(now, sibling) && h.ahead > h.reached && now-h.ahead <= givenUp &&
+	return h.RefusedAlone(now, sibling) && h.ahead > h.reached && now-h.ahead <= givenUp &&
 		(silent >= yieldAfter && now-sibling <= justNow || silent >= 2*yieldAfter && now-sibling <= lately)
 }
 
-// GivesWay tells whether a leader that would yield lets another lead now: once a sibling that
+// YieldNow tells whether a leader that would yield lets another lead now: once a sibling that
 // asked the service on its behalf has just been served. What siblings were served earlier says
 // nothing of an outage that has begun since. ask tells that one is to be asked.
-func (h *Health) GivesWay(now, sibling time.Duration) (yes, ask bool) {
-	if !h.Yields(now, sibling) {
+func (h *Health) YieldNow(now, sibling time.Duration) (yes, ask bool) {
+	if !h.ShouldYield(now, sibling) {
 		return false, false
 	}
 	yes = h.confirmed > h.reached && now-h.confirmed <= confirmedFor
 	return yes, !yes
 }
 
-// Confirmed takes that a sibling was served that asked for this controller.
-func (h *Health) Confirmed(now time.Duration) { h.confirmed = max(h.confirmed, now) }
+// ConfirmServed takes that a sibling was served that asked for this controller.
+func (h *Health) ConfirmServed(now time.Duration) { h.confirmed = max(h.confirmed, now) }
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -10,7 +10,7 @@
 // script notes one outcome every 300 ms from one time to another.
 func script(s *Health, from, to time.Duration, o Outcome) {
 	for at := from; at < to; at += 300 * ms {
-		s.Note(at, o)
+		s.RecordOutcome(at, o)
 	}
 }
 
@@ -21,7 +21,7 @@
 		want    bool
 	}{
 		"refused while a sibling is served":       {Refused, 12 * time.Second, true},
-		"no answer while a sibling is served":     {Silent, 12 * time.Second, true},
+		"no answer while a sibling is served":     {NoAnswer, 12 * time.Second, true},
 		"refused, and no sibling served: outage":  {Refused, 10*time.Second + 500*ms, false},
 		"over the rate while a sibling is served": {Busy, 12 * time.Second, false},
 		"served while a sibling is served":        {Served, 12 * time.Second, false},
@@ -30,10 +30,10 @@
 			var s Health
 			script(&s, 0, 10*time.Second, Served)
 			script(&s, 10*time.Second, 13*time.Second, c.outcome)
-			if got := s.Alone(13*time.Second, c.sibling); got != c.want {
+			if got := s.RefusedAlone(13*time.Second, c.sibling); got != c.want {
 				t.Errorf("alone: %v, want %v", got, c.want)
 			}
-			if got, want := s.Missing(13*time.Second), c.outcome == Refused || c.outcome == Silent; got != want {
+			if got, want := s.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
 				t.Errorf("missing: %v, want %v", got, want)
 			}
 		})
@@ -70,12 +70,12 @@
 			for now := time.Duration(0); now < 2*time.Minute && first == 0; now += 100 * ms {
 				if sent := now - c.known; now%(300*ms) == 0 && sent >= 0 {
 					if sent < cut || sent >= c.back {
-						s.Note(sent, Served)
+						s.RecordOutcome(sent, Served)
 					} else {
-						s.Note(sent, Refused)
+						s.RecordOutcome(sent, Refused)
 					}
 				}
-				if s.Yields(now, c.sibling(now)) {
+				if s.ShouldYield(now, c.sibling(now)) {
 					first = now
 				}
 			}
@@ -91,13 +91,13 @@
 func TestOwnSlownessIsNoRefusal(t *testing.T) {
 	var s Health
 	script(&s, 0, 10*time.Second, Served)
-	script(&s, 10*time.Second, 13*time.Second, Silent)
-	s.Late(13*time.Second, lateBy)
-	if s.Alone(13*time.Second, 13*time.Second) {
+	script(&s, 10*time.Second, 13*time.Second, NoAnswer)
+	s.RecordDelay(13*time.Second, lateBy)
+	if s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("silence was held against the service while this process was late")
 	}
-	script(&s, 13*time.Second, 14*time.Second, Silent)
-	if !s.Alone(14*time.Second, 14*time.Second) {
+	script(&s, 13*time.Second, 14*time.Second, NoAnswer)
+	if !s.RefusedAlone(14*time.Second, 14*time.Second) {
 		t.Error("silence after the halt counts for nothing")
 	}
 }
@@ -106,17 +106,17 @@
 // nothing about now, and one failure alone proves nothing.
 func TestLateAnswersDoNotCount(t *testing.T) {
 	var s Health
-	s.Note(10*time.Second, Served)
-	s.Note(12*time.Second, Silent)
-	if s.Alone(13*time.Second, 13*time.Second) {
+	s.RecordOutcome(10*time.Second, Served)
+	s.RecordOutcome(12*time.Second, NoAnswer)
+	if s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("one unlucky request made it alone")
 	}
 	script(&s, 11*time.Second, 12*time.Second, Refused)
-	s.Note(9*time.Second, Served)
-	if !s.Alone(13*time.Second, 13*time.Second) {
+	s.RecordOutcome(9*time.Second, Served)
+	if !s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("an older answer hides the refusal")
 	}
-	if at, known := s.Served(); at != 10*time.Second || !known {
+	if at, known := s.LastServed(); at != 10*time.Second || !known {
 		t.Errorf("served %v, %v", at, known)
 	}
 }
@@ -135,16 +135,16 @@
 			gave, asked, would := false, 0, false
 			for now := cut; now < cut+30*time.Second; now += 100 * ms {
 				if now%(300*ms) == 0 {
-					s.Note(now-100*ms, Refused)
+					s.RecordOutcome(now-100*ms, Refused)
 				}
 				sibling := min(now-100*ms, c.out)
-				would = would || s.Yields(now, sibling)
-				yes, ask := s.GivesWay(now, sibling)
+				would = would || s.ShouldYield(now, sibling)
+				yes, ask := s.YieldNow(now, sibling)
 				gave = gave || yes
 				if ask && !gave {
 					asked++
 					if now < c.out {
-						s.Confirmed(now + 20*ms)
+						s.ConfirmServed(now + 20*ms)
 					}
 				}
 			}
@@ -159,19 +159,19 @@
 // sent and failed shows that.
 func TestSilenceOfItsOwnIsNotMissing(t *testing.T) {
 	var h Health
-	if !h.Missing(3 * time.Second) {
+	if !h.Unreachable(3 * time.Second) {
 		t.Error("never served, and not missing")
 	}
-	h.Note(4*time.Second, Served)
-	if h.Missing(20 * time.Second) {
+	h.RecordOutcome(4*time.Second, Served)
+	if h.Unreachable(20 * time.Second) {
 		t.Error("missing though nothing was asked")
 	}
-	h.Note(20*time.Second, Silent)
-	if !h.Missing(20 * time.Second) {
+	h.RecordOutcome(20*time.Second, NoAnswer)
+	if !h.Unreachable(20 * time.Second) {
 		t.Error("not missing after a request that was not answered")
 	}
-	h.Note(21*time.Second, Busy)
-	if h.Missing(22 * time.Second) {
+	h.RecordOutcome(21*time.Second, Busy)
+	if h.Unreachable(22 * time.Second) {
 		t.Error("missing though the service said that it is busy")
 	}
 }
--- a/internal/core/budget/budget.go
+++ b/internal/core/writequota/writequota.go
@@ -1,7 +1,7 @@
-// Package budget shares what the state service lets the leader write among its
+// Package writequota shares what the state service lets the leader write among its
 // parts: what ends jobs and guards rules first, then progress, then operators'
 // records. It is a state machine without input or output.
-package budget
+package writequota
 
 import (
 	"time"
@@ -14,9 +14,9 @@
 
 // Classes.
 const (
-	Finals   Class = iota // ends of jobs, and records that placing waits for
-	Progress              // what is done of open jobs
-	Records               // operators' plans, verdicts and audit
+	FinalRecords    Class = iota // ends of jobs, and records that placing waits for
+	Progress                     // what is done of open jobs
+	OperatorRecords              // operators' plans, verdicts and audit
 	classes
 )
 
@@ -29,20 +29,20 @@
 	recordsLeast = 4
 )
 
-// Budget is the state machine. Its times are the steady clock's.
-type Budget struct {
+// Quota is the state machine. Its times are the steady clock's.
+type Quota struct {
 	l       *rate.Limiter
 	burst   float64
 	waiting [classes]time.Duration // since when a class was refused, 0: it was not
 }
 
 // New returns a budget of so many changes a second, with a burst.
-func New(perSecond float64, burst int) *Budget {
-	return &Budget{l: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
+func New(perSecond float64, burst int) *Quota {
+	return &Quota{l: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
 }
 
 // SetRate changes the changes a second.
-func (b *Budget) SetRate(now time.Duration, perSecond float64) {
+func (b *Quota) SetRate(now time.Duration, perSecond float64) {
 	if rate.Limit(perSecond) != b.l.Limit() {
 		b.l.SetLimitAt(at(now), rate.Limit(perSecond))
 	}
@@ -50,13 +50,13 @@
 
 func at(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
 
-// Left is how many changes of a class may be made now. Records leave half of the
+// Available is how many changes of a class may be made now. Records leave half of the
 // burst to the others, until they have waited for long; then progress leaves some to them.
-func (b *Budget) Left(now time.Duration, c Class) int {
+func (b *Quota) Available(now time.Duration, c Class) int {
 	left := b.l.TokensAt(at(now))
-	overdue := b.Waiting(now, Records) >= patience
+	overdue := b.BlockedFor(now, OperatorRecords) >= patience
 	switch {
-	case c == Records && !overdue:
+	case c == OperatorRecords && !overdue:
 		left -= b.burst / 2
 	case c == Progress && overdue:
 		left -= recordsLeast
@@ -68,20 +68,20 @@
 // wait for as much longer. Counted by writes, however many changes each made, finals
 // and progress together once exceeded what the service takes, and the finals waited
 // behind progress in the client's queue.
-func (b *Budget) Spend(now time.Duration, c Class, n int) {
+func (b *Quota) Spend(now time.Duration, c Class, n int) {
 	b.waiting[c] = 0
 	b.l.ReserveN(at(now), min(n, int(b.burst)))
 }
 
-// Refused notes that a class had more to write than was left.
-func (b *Budget) Refused(now time.Duration, c Class) {
+// MarkBlocked notes that a class had more to write than was left.
+func (b *Quota) MarkBlocked(now time.Duration, c Class) {
 	if b.waiting[c] == 0 {
 		b.waiting[c] = max(1, now)
 	}
 }
 
-// Waiting is for how long a class has had something to write and could not.
-func (b *Budget) Waiting(now time.Duration, c Class) time.Duration {
+// BlockedFor is for how long a class has had something to write and could not.
+func (b *Quota) BlockedFor(now time.Duration, c Class) time.Duration {
 	if b.waiting[c] == 0 {
 		return 0
 	}
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/writequota/writequota_test.go
@@ -1,4 +1,4 @@
-package budget
+package writequota
 
 import (
 	"testing"
@@ -9,24 +9,24 @@
 // plan that is never stored is never begun.
 func TestRecordsGiveWayButNotForEver(t *testing.T) {
 	b := New(4, 8)
-	b.Spend(0, Finals, 5)
-	if f, r := b.Left(0, Finals), b.Left(0, Records); f != 3 || r != 0 {
+	b.Spend(0, FinalRecords, 5)
+	if f, r := b.Available(0, FinalRecords), b.Available(0, OperatorRecords); f != 3 || r != 0 {
 		t.Fatalf("finals %d, records %d", f, r)
 	}
-	b.Refused(0, Records)
+	b.MarkBlocked(0, OperatorRecords)
 	now := time.Duration(0)
-	for b.Left(now, Records) == 0 {
+	for b.Available(now, OperatorRecords) == 0 {
 		now += 250 * time.Millisecond
-		b.Spend(now, Finals, b.Left(now, Finals)-1) // a busy day: one is always left over
+		b.Spend(now, FinalRecords, b.Available(now, FinalRecords)-1) // a busy day: one is always left over
 		if now > time.Minute {
 			t.Fatal("records wait for ever")
 		}
 	}
-	if w := b.Waiting(now, Records); now < patience || w < patience {
+	if w := b.BlockedFor(now, OperatorRecords); now < patience || w < patience {
 		t.Errorf("taken at %v, told to have waited %v", now, w)
 	}
-	b.Spend(now, Records, 1)
-	if b.Waiting(now, Records) != 0 {
+	b.Spend(now, OperatorRecords, 1)
+	if b.BlockedFor(now, OperatorRecords) != 0 {
 		t.Error("still told to wait")
 	}
 }
@@ -35,15 +35,15 @@
 // is left until the rate has made up for it.
 func TestOverdrawnBudgetWaitsForItsRate(t *testing.T) {
 	b := New(4, 8)
-	b.Spend(0, Finals, 7)
-	b.Spend(0, Finals, 3)
-	if n := b.Left(0, Finals); n != 0 {
+	b.Spend(0, FinalRecords, 7)
+	b.Spend(0, FinalRecords, 3)
+	if n := b.Available(0, FinalRecords); n != 0 {
 		t.Fatalf("%d left of an overdrawn budget", n)
 	}
-	if n := b.Left(500*time.Millisecond, Finals); n != 0 {
+	if n := b.Available(500*time.Millisecond, FinalRecords); n != 0 {
 		t.Errorf("%d left while the overdraft is made up for", n)
 	}
-	if n := b.Left(time.Second, Finals); n != 2 {
+	if n := b.Available(time.Second, FinalRecords); n != 2 {
 		t.Errorf("%d left a second later, want 4 less the 2 overdrawn", n)
 	}
 }
@@ -54,13 +54,13 @@
 	const tick = 100 * time.Millisecond
 	b := New(12, 12)
 	for now := tick; now < patience+time.Second; now += tick {
-		if n := b.Left(now, Progress); n > 0 {
+		if n := b.Available(now, Progress); n > 0 {
 			b.Spend(now, Progress, n)
 		}
-		if b.Left(now, Records) > 0 {
+		if b.Available(now, OperatorRecords) > 0 {
 			return
 		}
-		b.Refused(now, Records)
+		b.MarkBlocked(now, OperatorRecords)
 	}
 	t.Errorf("nothing was left to records for %v", patience+time.Second)
 }
--- a/internal/node/chaining.go
+++ b/internal/node/chaining.go
@@ -7,11 +7,11 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
 	"honeylock/internal/core/ratelimit"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/state"
 	"honeylock/internal/wire"
 )
@@ -25,7 +25,7 @@
 	l      *leadership
 	g      *pipeline.Graph
 	asking int
-	doubts pipeline.Doubts
+	doubts pipeline.InDoubtJobs
 }
 
 // read has nothing to get: the open jobs' records name what they await.
@@ -37,7 +37,7 @@
 
 // add takes an open job; the end of one that it awaits may have been told since.
 func (p *chaining) add(sp *model.Spec, awaits []model.JobID, since time.Duration) {
-	if p.g.Add(pipeline.Job{ID: sp.ID, Rank: sp.Rank, Aimed: !sp.BestEffort, Awaits: awaits}, since) {
+	if p.g.Add(pipeline.Job{ID: sp.ID, Rank: sp.Rank, HasObjective: !sp.BestEffort, DependsOn: awaits}, since) {
 		p.l.d.HoldJob(sp.ID)
 	}
 	for _, id := range awaits {
@@ -49,23 +49,23 @@
 }
 
 // ended takes the news that a job is no longer open.
-func (p *chaining) ended(now time.Duration, id model.JobID, e pipeline.End) {
-	p.g.Ended(id, e, p.l.deals.fresh)
+func (p *chaining) ended(now time.Duration, id model.JobID, e pipeline.FinalState) {
+	p.g.JobEnded(id, e, p.l.deals.fresh)
 	p.settle(now)
 }
 
 // settle passes on what the graph has decided.
 func (p *chaining) settle(now time.Duration) {
-	released := p.g.Released()
+	released := p.g.TakeReleased()
 	for _, r := range released {
 		since := now
-		if r.AtMS > 0 && !r.Now {
-			since -= min(max(0, time.Since(time.UnixMilli(r.AtMS))), time.Hour)
+		if r.LastEndMS > 0 && !r.NeverStarted {
+			since -= min(max(0, time.Since(time.UnixMilli(r.LastEndMS))), time.Hour)
 		}
-		p.l.d.ReleaseJob(r.ID, since, r.Now)
+		p.l.d.ReleaseJob(r.ID, since, r.NeverStarted)
 	}
-	for _, c := range p.g.Changed() {
-		p.l.d.InheritRank(c.ID, c.Rank, c.Aimed)
+	for _, c := range p.g.TakeInherited() {
+		p.l.d.InheritRank(c.ID, c.Rank, c.HasObjective)
 	}
 	if len(released) > 0 {
 		p.l.deals.due = true
@@ -75,7 +75,7 @@
 
 // tick asks how jobs have ended that others await.
 func (p *chaining) tick(now time.Duration) {
-	ids := p.g.Ask(now, maxLookups-p.asking)
+	ids := p.g.NextLookups(now, maxLookups-p.asking)
 	p.asking += len(ids)
 	for _, id := range ids {
 		go p.lookUp(id)
@@ -92,12 +92,12 @@
 	}
 	p.asking--
 	now := n.now()
-	p.g.Told(now, id, end, atMS)
+	p.g.LookupDone(now, id, end, atMS)
 	p.settle(now)
 }
 
 // readEnd reads how a job has ended, and when by the time of day.
-func (p *chaining) readEnd(id model.JobID) (pipeline.End, int64) {
+func (p *chaining) readEnd(id model.JobID) (pipeline.FinalState, int64) {
 	it, err := p.l.n.state.Get(state.As(p.l.ctx, ratelimit.Leader), finalKeys+wire.JobName(id))
 	if errors.Is(err, state.ErrNotFound) {
 		p.l.n.log.Debug("a job that is awaited has not ended and is not known to be open", "job", wire.JobName(id))
@@ -123,15 +123,15 @@
 
 // writes are the cancellations of jobs that need a cancelled one. They take a
 // quarter of what may be written at a time, and leave the rest to the ends of jobs.
-func (p *chaining) writes(now time.Duration, c budget.Class, n int) []write {
-	if c != budget.Finals {
+func (p *chaining) writes(now time.Duration, c writequota.Class, n int) []write {
+	if c != writequota.FinalRecords {
 		return nil
 	}
 	var out []write
-	for _, id := range p.g.Doomed(now, max(1, n/4)) {
+	for _, id := range p.g.NextCancellations(now, max(1, n/4)) {
 		version := p.l.d.JobVersion(id)
 		if version == 0 {
-			p.g.Kept(now, id) // the watch has not told of its end yet
+			p.g.CancellationFailed(now, id) // the watch has not told of its end yet
 			continue
 		}
 		p.l.n.log.Debug("cancelled with a job that it needs", "job", wire.JobName(id))
@@ -154,14 +154,14 @@
 		p.l.d.JobRemoved(id)
 		p.ended(now, id, pipeline.Unknown)
 	default:
-		p.g.Kept(now, id)
+		p.g.CancellationFailed(now, id)
 	}
 }
 
 // settled is the moment up to which every cancellation that a user was told of has
 // gone through to all that need the job.
 func (p *chaining) settled(now time.Duration) time.Duration {
-	return min(p.l.deals.fresh, p.g.Behind(now))
+	return min(p.l.deals.fresh, p.g.PropagatedUntil(now))
 }
 
 // vouches tells whether a job that waits for others may be called queued: no
@@ -169,16 +169,16 @@
 // under the lock.
 func (n *Node) vouches(now time.Duration, id model.JobID) bool {
 	if l := n.lead; l != nil && l.loaded {
-		n.vouch.Settled(l.chains.settled(now))
+		n.vouch.SetPropagated(l.chains.settled(now))
 	}
 	p, told := n.progress[id]
-	return n.vouch.Queued(now, told && !p.doubt)
+	return n.vouch.MayReportQueued(now, told && !p.doubt)
 }
 
 // certain tells whether a job that is open may be called cancelled. Called under the lock.
 func (n *Node) certain(now time.Duration, id model.JobID) bool {
 	l := n.lead
-	return l != nil && l.loaded && l.chains.doubts.Certain(now, n.vouch.Within, l.chains.g, id)
+	return l != nil && l.loaded && l.chains.doubts.CertainlyCancelled(now, n.vouch.MaxAge, l.chains.g, id)
 }
 
 // knower is the address of the leader if it may know what became of a job that can't be
--- a/internal/node/dealing.go
+++ b/internal/node/dealing.go
@@ -4,12 +4,12 @@
 	"errors"
 	"time"
 
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/cancellog"
 	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/peer/peerpb"
 	"honeylock/internal/state"
 	"honeylock/internal/wire"
@@ -24,7 +24,7 @@
 	fresh time.Duration
 	// picture is up to when every cancellation that a user was told of is known: fresh, or
 	// later by what all controllers tell. Authority goes by it.
-	picture cancellog.Picture
+	picture cancellog.OpenJobsView
 	// blindSince: since then the state service has answered all but questions about the open
 	// jobs; 0: it has not.
 	blindSince time.Duration
@@ -133,8 +133,8 @@
 	open := map[model.JobID]bool{}
 	m := &peerpb.Progress{StateAgeUs: p.l.n.health.servedAgo(p.l.n.now()).Microseconds()}
 	p.told = p.fresh
-	p.l.n.vouch.Told(p.told)
-	doubted := p.l.chains.doubts.Take(p.l.n.now(), p.l.chains.g)
+	p.l.n.vouch.SetInDoubtKnown(p.told)
+	doubted := p.l.chains.doubts.Update(p.l.n.now(), p.l.chains.g)
 	p.d.ForEachOpenJob(func(id model.JobID, version uint64, done, running int) {
 		waits := p.d.OnHold(id)
 		p.l.n.progress[id] = progress{done, running, version, waits, doubted[id]}
@@ -147,14 +147,14 @@
 }
 
 // writes are the ends of jobs and the machines' records, then progress.
-func (p *dealing) writes(now time.Duration, c budget.Class, n int) []write {
+func (p *dealing) writes(now time.Duration, c writequota.Class, n int) []write {
 	var out []write
 	switch c {
-	case budget.Finals:
+	case writequota.FinalRecords:
 		for _, w := range p.d.UrgentWrites(n) {
 			out = append(out, p.encode(w))
 		}
-	case budget.Progress:
+	case writequota.Progress:
 		for _, w := range p.d.ProgressWrites(now, n) {
 			out = append(out, p.encode(w))
 		}
--- a/internal/node/disrupting.go
+++ b/internal/node/disrupting.go
@@ -11,7 +11,7 @@
 )
 
 // newBook makes the book of the settings' budgets; nil where there are none.
-func (n *Node) newBook() *disruption.Book {
+func (n *Node) newBook() *disruption.Tracker {
 	if len(n.set.Budgets) == 0 {
 		return nil
 	}
@@ -21,8 +21,8 @@
 		if !ok {
 			continue // the command has refused it
 		}
-		x := disruption.Budget{Team: team, Class: model.None, Tasks: b.Tasks, Share: b.Share,
-			CPU: model.Capacity(b.CPUs, 0, 0).CPU, LostCPU: b.LostCPUS, Window: b.Window, Moves: b.Moves, LastPart: b.LastPart}
+		x := disruption.Budget{Team: team, Class: model.None, MaxTasks: b.Tasks, MaxShare: b.Share,
+			MaxCPU: model.Capacity(b.CPUs, 0, 0).CPU, MaxLostCPU: b.LostCPUS, Window: b.Window, MaxMoves: b.Moves, LastFraction: b.LastPart}
 		if b.Class != "" {
 			x.Class = n.names.Classes.ID(b.Class)
 		}
@@ -38,34 +38,34 @@
 
 // disrupt brings the book up to date for a turn of the drains, and returns how they draw
 // from it; nil where there are no budgets.
-func (p *draining) disrupt(now time.Duration) func(drain.Moving) string {
-	if !p.book.On() {
+func (p *draining) disrupt(now time.Duration) func(drain.MoveRequest) string {
+	if !p.book.Enabled() {
 		return nil
 	}
 	l := p.l
 	for _, t := range l.d.TakeFreedTasks() {
 		if sp := l.d.Spec(t.Job); sp != nil { // nobody saw how long it had run
-			p.book.Stopped(t, sp, disruption.Lost, sp.Estimate/2)
+			p.book.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
 	}
-	p.book.Sweep(func(id model.JobID) bool { return l.d.Spec(id) != nil })
-	p.book.Settled = l.d.Recovered()
-	told := map[work]disruption.Present{}
-	p.book.Present = func(team, class model.Name) disruption.Present {
+	p.book.Prune(func(id model.JobID) bool { return l.d.Spec(id) != nil })
+	p.book.Recovered = l.d.Recovered()
+	told := map[work]disruption.TeamState{}
+	p.book.TeamState = func(team, class model.Name) disruption.TeamState {
 		w := work{team, class}
 		x, ok := told[w]
 		if !ok {
-			x.Running, x.Orphaned, x.Unsure, x.CPU = l.d.WorkCounts(team, class)
+			x.Running, x.Orphaned, x.Unknown, x.CPU = l.d.WorkCounts(team, class)
 			told[w] = x
 		}
 		return x
 	}
-	return func(m drain.Moving) string {
-		cause := disruption.Plan
-		if m.Price {
-			cause = disruption.Price
+	return func(m drain.MoveRequest) string {
+		cause := disruption.PlanDrain
+		if m.ForPrice {
+			cause = disruption.PriceDrain
 		}
-		return p.book.Draw(now, disruption.Ask{Task: m.Task, Spec: m.Spec, Cause: cause, Ran: m.Ran, Left: m.Left})
+		return p.book.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Cause: cause, Ran: m.Ran, Remaining: m.Remaining})
 	}
 }
 
@@ -89,13 +89,13 @@
 		return out
 	}
 	for _, s := range p.book.Status(now) {
-		b := BudgetStatus{Team: p.l.n.names.Teams.Name(s.Team), Running: s.Running, Out: s.Tasks, Most: s.MostTasks,
-			OutCPUs: float64(s.CPU) / 1000, CPUs: float64(s.Budget.CPU) / 1000, LostS: s.LostCPU, Lost: s.Budget.LostCPU,
+		b := BudgetStatus{Team: p.l.n.names.Teams.Name(s.Team), Running: s.Running, Out: s.Tasks, Most: s.TaskLimit,
+			OutCPUs: float64(s.CPU) / 1000, CPUs: float64(s.Budget.MaxCPU) / 1000, LostS: s.LostCPU, Lost: s.Budget.MaxLostCPU,
 			By: map[string]int{}}
 		if s.Class != model.None {
 			b.Class = p.l.n.names.Classes.Name(s.Class)
 		}
-		for c, n := range s.By {
+		for c, n := range s.ByCause {
 			if n > 0 {
 				b.By[disruption.Cause(c).Label()] = n
 			}
@@ -131,15 +131,15 @@
 func (m *disruptionMetrics) Collect(c chan<- prometheus.Metric) {
 	m.n.mu.Lock()
 	defer m.n.mu.Unlock()
-	if m.n.lead == nil || !m.n.lead.drains.book.On() {
+	if m.n.lead == nil || !m.n.lead.drains.book.Enabled() {
 		return
 	}
 	for team, x := range m.n.lead.drains.book.Counts {
 		name := m.n.names.Teams.Name(team)
 		for _, s := range []struct {
 			d *prometheus.Desc
-			n [disruption.Causes]uint64
-		}{{m.drawn, x.Drawn}, {m.refused, x.Refused}, {m.eaten, x.Eaten}} {
+			n [disruption.NumCauses]uint64
+		}{{m.drawn, x.Granted}, {m.refused, x.Refused}, {m.eaten, x.Involuntary}} {
 			for cause, v := range s.n {
 				if v > 0 {
 					c <- prometheus.MustNewConstMetric(s.d, prometheus.CounterValue, float64(v), name, disruption.Cause(cause).Label())
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -11,7 +11,6 @@
 
 	"honeylock/internal/config"
 	"honeylock/internal/core/audit"
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/disruption"
 	"honeylock/internal/core/drain"
 	"honeylock/internal/core/fleet"
@@ -19,6 +18,7 @@
 	"honeylock/internal/core/quota"
 	"honeylock/internal/core/rollout"
 	"honeylock/internal/core/runtimes"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/planfile"
 	"honeylock/internal/wire"
 )
@@ -42,10 +42,10 @@
 	l      *leadership
 	e      *drain.Engine
 	audit  *audit.Log
-	learnt *runtimes.Book
-	book   *disruption.Book // of budgets of disruption, nil: there are none
-	teams  *quota.Book      // what operators changed about teams
-	fares  *rollout.Book    // how tasks fare on machines, nil: no plan has a gate
+	learnt *runtimes.Estimator
+	book   *disruption.Tracker // of budgets of disruption, nil: there are none
+	teams  *quota.Overrides    // what operators changed about teams
+	fares  *rollout.Evaluator  // how tasks fare on machines, nil: no plan has a gate
 	ticked time.Duration
 	ahead  foresight
 }
@@ -60,18 +60,18 @@
 	}
 	return &draining{l: l, audit: audit.New(auditSlots), learnt: runtimes.New(), book: l.n.newBook(),
 		teams: quota.New(l.n.teams()), e: drain.New(drain.Params{
-			Term: l.term, Report: config.Seconds(c.Workers.ReportS), Probe: rentProbe, Most: max(1, most), Value: value})}
+			Term: l.term, ReportInterval: config.Seconds(c.Workers.ReportS), RetryInterval: rentProbe, MaxMachines: max(1, most), MaxRecordBytes: value})}
 }
 
 // read gets the stored plans and the audit record, where there is an operators'
 // door: without one there are none.
 func (p *draining) read(ctx context.Context) (func(time.Duration) error, error) {
-	var plans []drain.Stored
+	var plans []drain.StoredPlan
 	var entries []audit.Entry
 	var teams []storedTeam
 	if p.l.n.set.Operator != nil {
 		if _, err := p.l.n.state.List(ctx, planKeys, func(it *wire.Item) error {
-			plans = append(plans, drain.Stored{Name: strings.TrimPrefix(it.Key, planKeys), Value: it.Value, Version: it.Version})
+			plans = append(plans, drain.StoredPlan{Name: strings.TrimPrefix(it.Key, planKeys), Value: it.Value, Version: it.Version})
 			return nil
 		}); err != nil {
 			return nil, err
@@ -103,7 +103,7 @@
 			p.teams.Load(t.team, t.value, t.version)
 		}
 		p.limit()
-		for _, a := range p.e.Bars() {
+		for _, a := range p.e.Cordons() {
 			p.do(now, a)
 		}
 		return nil
@@ -135,21 +135,21 @@
 	}
 	var empty []model.MachineID
 	v := p.view(now)
-	v.Draw = draw
-	if !p.e.Gated() {
+	v.RequestMove = draw
+	if !p.e.HasGate() {
 		p.fares = nil
 	} else if p.fares == nil {
 		p.fares = rollout.New()
 	}
 	for _, a := range p.e.Tick(v) {
-		if a.Kind == drain.Give {
+		if a.Kind == drain.ReturnMachine {
 			empty = append(empty, a.Machine)
 			continue
 		}
 		p.do(now, a)
 	}
 	p.give(now, empty)
-	p.l.rents.f.SetDrainPlans(p.e.Plans()) // after: with the last plan's end nothing is held
+	p.l.rents.f.SetDrainPlans(p.e.MachinePlans()) // after: with the last plan's end nothing is held
 	p.l.n.soon()
 }
 
@@ -157,16 +157,16 @@
 func (p *draining) do(now time.Duration, a drain.Action) {
 	l := p.l
 	switch a.Kind {
-	case drain.Bar, drain.Unbar:
-		l.d.SetCordoned(a.Machine, a.Kind == drain.Bar)
+	case drain.Cordon, drain.Uncordon:
+		l.d.SetCordoned(a.Machine, a.Kind == drain.Cordon)
 		l.n.log.Info("machine drained or wanted again", "machine", wire.MachineName(a.Machine), "drained",
-			a.Kind == drain.Bar)
-	case drain.Look:
+			a.Kind == drain.Cordon)
+	case drain.ListTasks:
 		l.d.InspectMachine(a.Machine, a.Seq)
 	case drain.Recall:
 		l.d.RecallFrom(a.Machine, a.Task)
 	case drain.Rent:
-		go p.rent(a, a.Like)
+		go p.rent(a, a.Template)
 	}
 }
 
@@ -181,14 +181,14 @@
 		some = nil
 	}
 	for _, id := range ids[len(some):] {
-		p.e.Given(now, id, false)
+		p.e.MachineReturned(now, id, false)
 	}
 	if some == nil {
 		return
 	}
 	go p.l.rents.giveBack(fleet.Action{Kind: fleet.Return, Machines: some}, func(now time.Duration, ok bool) {
 		for _, id := range some {
-			p.e.Given(now, id, ok)
+			p.e.MachineReturned(now, id, ok)
 		}
 	})
 }
@@ -200,14 +200,14 @@
 	defer p.l.n.mu.Unlock()
 	now := p.l.n.now()
 	p.l.rents.f.AddRented(now, got, like)
-	p.e.Rented(now, a, got, refused)
+	p.e.MachineRented(now, a, got, refused)
 }
 
 // hear takes what shards tell.
 func (p *draining) hear(now time.Duration, e *model.Event) {
-	if p.book.On() {
+	if p.book.Enabled() {
 		if sp := p.l.d.Spec(e.Task.Job); sp != nil {
-			p.book.Hear(now, e, sp)
+			p.book.HandleEvent(now, e, sp)
 		}
 	}
 	if p.fares != nil {
@@ -218,7 +218,7 @@
 		if p.ahead.heard(e) {
 			return
 		}
-		p.e.Seen(now, e.Machine, e.Token, e.Placed, p.l.d.Spec)
+		p.e.TasksListed(now, e.Machine, e.Token, e.Placed, p.l.d.Spec)
 	case model.TaskFinished:
 		if p.l.n.set.Operator == nil {
 			return
@@ -240,37 +240,37 @@
 		if sp.Estimate < learnFrom*config.Seconds(p.l.n.cfg.Cluster.Workers.ReportS) {
 			ran = 0 // of short tasks reports tell too little
 		}
-		p.fares.Done(e.Machine, sp.Class, sp.Estimate, ran)
+		p.fares.AddCompleted(e.Machine, sp.Class, sp.Estimate, ran)
 	case e.Kind == model.TaskReturned && e.Cause == model.CauseError && !p.l.d.IsJobBroken(e.Task.Job):
-		p.fares.Failed(e.Machine)
+		p.fares.AddFailed(e.Machine)
 	}
 }
 
 // view is the present for the engine.
 func (p *draining) view(now time.Duration) *drain.View {
 	l := p.l
-	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{}, Spare: l.d.UnusedGuarantees(),
-		Learned: p.learnt.Factor, Boot: l.rents.f.BootTime, JobName: wire.JobName}
+	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{}, UnusedGuaranteeCPU: l.d.UnusedGuarantees(),
+		RunTimeFactor: p.learnt.Factor, BootTime: l.rents.f.BootTime, JobName: wire.JobName}
 	listed := l.rents.f.ForEachMachine(now, func(m model.Machine, since time.Duration) {
-		v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, Since: since}
+		v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, KnownSince: since}
 	})
 	l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
-		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Told: told, Since: v.Machines[st.Machine.ID].Since}
+		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Reported: told, KnownSince: v.Machines[st.Machine.ID].KnownSince}
 	})
 	if p.fares != nil {
-		v.Judge = p.fares.Judge
+		v.EvaluateGate = p.fares.Evaluate
 	}
-	v.Settled = listed && l.d.Recovered()
+	v.Recovered = listed && l.d.Recovered()
 	for _, need := range l.d.Demand() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, Open: int(need.Unfinished), Running: l.d.TaskCounts(need.Spec.ID).Running})
+		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished), RunningTasks: l.d.TaskCounts(need.Spec.ID).Running})
 	}
 	return v
 }
 
 // writes are the plans that have changed, each with the audit entries about it,
 // and entries that stand alone.
-func (p *draining) writes(now time.Duration, c budget.Class, n int) []write {
-	if c != budget.Records {
+func (p *draining) writes(now time.Duration, c writequota.Class, n int) []write {
+	if c != writequota.OperatorRecords {
 		return nil
 	}
 	var out []write
@@ -294,12 +294,12 @@
 
 // pending tells whether something is to be stored.
 func (p *draining) pending() bool {
-	return !p.e.AllSynced() || p.teams.Unsynced() || len(p.audit.Unstored(1, func(string) bool { return true })) > 0
+	return !p.e.AllSynced() || p.teams.HasPendingWrites() || len(p.audit.Unstored(1, func(string) bool { return true })) > 0
 }
 
 func (p *draining) planWrite(w drain.Write, about []*audit.Entry) write {
 	return p.recordWrite(planKeys+w.Name, w.Value, w.Version, about, func(o outcome) {
-		p.e.Wrote(w, o.rev, o.err == nil, o.conflict, o.at)
+		p.e.WriteDone(w, o.rev, o.err == nil, o.conflict, o.at)
 	})
 }
 
@@ -338,7 +338,7 @@
 	w := write{done: func(_ time.Duration, o outcome) {
 		if o.err == nil {
 			for _, e := range es {
-				p.audit.Stored(e)
+				p.audit.MarkStored(e)
 			}
 		}
 	}}
@@ -352,7 +352,7 @@
 
 // known is what became of a request that was made before, nil if it was not.
 func (p *draining) known(c *Call) (*audit.Entry, error) {
-	e := p.audit.Known(c.Request)
+	e := p.audit.ByRequest(c.Request)
 	if e != nil && e.Digest != c.digest() {
 		return nil, errRequest
 	}
--- a/internal/node/finals.go
+++ b/internal/node/finals.go
@@ -20,7 +20,7 @@
 	if st == jobs.Cancelled {
 		n.mu.Lock()
 		now := n.now()
-		n.told.Told(now, id)
+		n.told.Acknowledge(now, id)
 		if n.lead != nil && n.lead.loaded {
 			n.lead.deals.cancelled(now, id)
 		}
--- a/internal/node/forecastreply.go
+++ b/internal/node/forecastreply.go
@@ -53,14 +53,14 @@
 
 func (p *draining) forecastReply(x *prophecy) ForecastReply {
 	r, names := x.result, p.l.n.names
-	out := ForecastReply{Name: x.spec.Name, Done: 1, Jobs: r.Jobs, Plays: r.Plays, Untold: x.untold, TookS: span(r.Took),
+	out := ForecastReply{Name: x.spec.Name, Done: 1, Jobs: r.Jobs, Plays: r.Runs, Untold: x.untold, TookS: span(r.Duration),
 		Unfinished: r.Unfinished,
 		Late:       []LateJob{}, Guarantees: []LateGuarantee{}}
-	for i := range r.Late {
-		l := &r.Late[i]
+	for i := range r.Delayed {
+		l := &r.Delayed[i]
 		j := LateJob{Job: wire.JobName(l.Spec.ID), Class: names.Classes.Name(l.Spec.Class), DelayS: span(l.Delay),
-			EndS: span(l.End), Why: l.Why,
-			Moved: l.Moved, Past: pastOf(l)}
+			EndS: span(l.End), Why: l.Reason,
+			Moved: l.MovedTasks, Past: pastOf(l)}
 		out.Late = append(out.Late, j)
 	}
 	for _, g := range r.Guarantees {
@@ -70,11 +70,11 @@
 	return out
 }
 
-func pastOf(l *forecast.Late) string {
+func pastOf(l *forecast.DelayedJob) string {
 	switch {
 	case l.Window != "":
 		return l.Window
-	case l.Missed:
+	case l.MissesDeadline:
 		return "its deadline"
 	}
 	return ""
@@ -82,8 +82,8 @@
 
 // statusOf tells refusals from malformed requests.
 func statusOf(err error) int {
-	var r *drain.Refusal
-	var q *quota.Refusal
+	var r *drain.RefusedError
+	var q *quota.RefusedError
 	if errors.As(err, &r) || errors.As(err, &q) {
 		return http.StatusConflict
 	}
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -117,9 +117,9 @@
 }
 
 // toForecast is the plan that a call is about: one given, or one under way.
-func (p *draining) toForecast(now time.Duration, c *Call) (*drain.Spec, forecast.Plan, time.Duration, error) {
+func (p *draining) toForecast(now time.Duration, c *Call) (*drain.Spec, forecast.StartPlan, time.Duration, error) {
 	if c.Verb == DrainAgain {
-		stored, spec, err := p.e.Copy(c.Name)
+		stored, spec, err := p.e.Export(c.Name)
 		if err != nil {
 			return nil, nil, 0, err
 		}
@@ -154,7 +154,7 @@
 )
 
 // play waits for the survey, then plays.
-func (p *draining) play(x *prophecy, s *survey, plan forecast.Plan, patch time.Duration) {
+func (p *draining) play(x *prophecy, s *survey, plan forecast.StartPlan, patch time.Duration) {
 	n := p.l.n
 	for end := n.now() + surveyWait; n.now() < end && p.l.ctx.Err() == nil; sleep(p.l.ctx, 20*time.Millisecond) {
 		n.mu.Lock()
@@ -167,10 +167,10 @@
 	n.mu.Lock()
 	snap := p.snapshot(n.now(), s)
 	x.untold = len(s.left)
-	params := forecast.Params{Plays: 5, Step: forecast.StepFor(len(snap.Machines)), Most: 4 * time.Hour, Patch: patch,
+	params := forecast.Params{Runs: 5, Step: forecast.StepInterval(len(snap.Machines)), MaxDuration: 4 * time.Hour, PatchTime: patch,
 		Seed: p.ahead.n}
 	if len(snap.Machines) > 200 {
-		params.Plays = 1 // the more runs, the less luck matters
+		params.Runs = 1 // the more runs, the less luck matters
 	}
 	x.f = forecast.New(params, snap, x.spec, plan)
 	if p.ahead.survey == s {
@@ -182,7 +182,7 @@
 			done = x.f.Advance()
 		}
 		n.mu.Lock()
-		x.done = x.f.Done()
+		x.done = x.f.Progress()
 		if done {
 			if x.err = x.f.Err(); x.err == nil {
 				x.result = x.f.Result()
@@ -197,14 +197,14 @@
 // snapshot copies what a forecast needs.
 func (p *draining) snapshot(now time.Duration, s *survey) *forecast.Snapshot {
 	l := p.l
-	out := &forecast.Snapshot{Now: now, Wall: time.Now(), Learned: p.learnt.Copy().Factor, Teams: l.d.Teams(),
+	out := &forecast.Snapshot{Now: now, Wall: time.Now(), RunTimeFactor: p.learnt.Copy().Factor, Teams: l.d.Teams(),
 		JobName: wire.JobName,
 		Shard:   l.n.shardParams()}
 	boots := map[model.Name]time.Duration{}
 	for _, t := range l.n.types {
 		boots[t.Name] = t.Boot
 	}
-	out.Boot = func(t model.Name) time.Duration { return boots[t] }
+	out.BootTime = func(t model.Name) time.Duration { return boots[t] }
 	l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
 		on, ok := s.on[st.Machine.ID]
 		if told && ok {
@@ -213,7 +213,7 @@
 		}
 	})
 	for _, need := range l.d.Demand() {
-		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, Left: int(need.Unfinished), Since: need.WaitingSince})
+		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished), Since: need.WaitingSince})
 	}
 	return out
 }
@@ -274,8 +274,8 @@
 		return nil
 	}
 	var jobs []string
-	for i := range x.result.Late {
-		if l := &x.result.Late[i]; l.Window != "" {
+	for i := range x.result.Delayed {
+		if l := &x.result.Delayed[i]; l.Window != "" {
 			jobs = append(jobs, wire.JobName(l.Spec.ID)+" by "+l.Delay[1].Round(time.Second).String()+" past "+l.Window)
 		}
 	}
@@ -285,5 +285,5 @@
 	if len(jobs) > 5 {
 		jobs = append(jobs[:5], "and more")
 	}
-	return &drain.Refusal{Why: "windows: it would push " + strings.Join(jobs, ", ")}
+	return &drain.RefusedError{Reason: "windows: it would push " + strings.Join(jobs, ", ")}
 }
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -62,7 +62,7 @@
 	if r := ask(); r.Done >= 1 {
 		t.Errorf("%+v without a result", r)
 	}
-	x.result = &forecast.Result{Plays: 5}
+	x.result = &forecast.Result{Runs: 5}
 	if r := ask(); r.Done != 1 || r.Plays != 5 {
 		t.Errorf("%+v with one", r)
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -34,11 +34,11 @@
 	first = n.health.missing(now)
 	if n.lead != nil {
 		for _, k := range n.lead.links {
-			if now-k.stateAt < storehealth.Missed {
+			if now-k.stateAt < storehealth.UnreachableAfter {
 				return n.siblingAddr(k.host), first
 			}
 		}
-	} else if n.leader != "" && now-n.leaderStateAt < storehealth.Missed {
+	} else if n.leader != "" && now-n.leaderStateAt < storehealth.UnreachableAfter {
 		return n.siblingAddr(n.leader), first
 	}
 	return "", first
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -37,12 +37,12 @@
 	c.State.RPS, c.State.WriteRPS, c.State.ValueKB, c.State.TxnOps = 100, 100, 16, 16
 	n := New(cfg, config.DefaultSettings(), slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
 	n.start = n.start.Add(-time.Hour)
-	n.el.Unbound(0)
+	n.el.ClearPriorPromise(0)
 	op := n.el.Step(n.now())[0]
 	for range 3 { // read, asked for a lease, acquired
 		now := n.now()
 		op.SentAt = now
-		if ops := n.el.Done(now, election.Result{Op: op, OK: true, Lease: 5, Version: 9}); len(ops) > 0 {
+		if ops := n.el.HandleResult(now, election.Result{Op: op, OK: true, Lease: 5, Version: 9}); len(ops) > 0 {
 			op = ops[0]
 		}
 	}
@@ -86,7 +86,7 @@
 
 // asOf sets back what is known of the open jobs.
 func (r *rig) asOf(at time.Duration) {
-	r.l.deals.fresh, r.l.deals.picture = at, cancellog.Picture{}
+	r.l.deals.fresh, r.l.deals.picture = at, cancellog.OpenJobsView{}
 	r.l.deals.picture.Read(at)
 	r.sent(r.t)
 }
@@ -179,7 +179,7 @@
 	r.n.mu.Lock()
 	defer r.n.mu.Unlock()
 	now := r.n.now()
-	picture := func() time.Duration { return now - r.l.deals.picture.Good(0) }
+	picture := func() time.Duration { return now - r.l.deals.picture.ValidUntil(0) }
 	r.asOf(now - 20*time.Second)
 	r.ask(now-3*time.Second, &peerpb.Ask{}) // grant 1
 	r.ask(now-2*time.Second, &peerpb.Ask{Promised: 1})
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -23,15 +23,15 @@
 func (p *processHealth) late(now, by time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.overload.Late(now, max(0, by))
-	p.store.Late(now, by)
+	p.overload.RecordDelay(now, max(0, by))
+	p.store.RecordDelay(now, by)
 }
 
 // note takes what became of a request to the state service.
 func (p *processHealth) note(sent time.Duration, o storehealth.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.Note(sent, o)
+	p.store.RecordOutcome(sent, o)
 }
 
 // takes tells whether a user's request should be begun at all, or when its user
@@ -39,7 +39,7 @@
 func (p *processHealth) takes(now time.Duration, k overload.Kind) (ok bool, again time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.overload.Takes(now, k), p.overload.Again(now, p.spread.Float64())
+	return p.overload.Admits(now, k), p.overload.RetryAfter(now, p.spread.Float64())
 }
 
 // atOnce is how many of up to most things this process should do at a time of its
@@ -60,32 +60,32 @@
 func (p *processHealth) missing(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.store.Missing(now)
+	return p.store.Unreachable(now)
 }
 
 func (p *processHealth) alone(now, sibling time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.store.Alone(now, sibling)
+	return p.store.RefusedAlone(now, sibling)
 }
 
 func (p *processHealth) givesWay(now, sibling time.Duration) (yes, ask bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.store.GivesWay(now, sibling)
+	return p.store.YieldNow(now, sibling)
 }
 
 func (p *processHealth) confirmed(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store.Confirmed(now)
+	p.store.ConfirmServed(now)
 }
 
 // served is when the newest request was sent that the state service has served.
 func (p *processHealth) served() (at time.Duration, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.store.Served()
+	return p.store.LastServed()
 }
 
 // servedAgo is how long ago that was; long ago if there was none.
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -16,7 +16,7 @@
 // jobOp carries out an operation of a user's request.
 func (n *Node) jobOp(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
 	switch op.Kind {
-	case jobs.StillOpen:
+	case jobs.CompareOpen:
 		return n.questions.stillOpen(ctx, jobs.Guard{Job: op.Job, Version: op.Version})
 	case jobs.ReadOpen:
 		return n.readOpen(ctx, op.Job)
--- a/internal/node/lead.go
+++ b/internal/node/lead.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"honeylock/internal/config"
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/dispatcher"
 	"honeylock/internal/core/fleet"
 	"honeylock/internal/core/jobs"
 	"honeylock/internal/core/model"
 	"honeylock/internal/core/pipeline"
 	"honeylock/internal/core/ratelimit"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/peer"
 	"honeylock/internal/state"
 	"honeylock/internal/wire"
@@ -54,7 +54,7 @@
 	rents    *renting
 	drains   *draining
 	parts    []part
-	budget   *budget.Budget
+	budget   *writequota.Quota
 	stored   time.Duration
 	divided  time.Duration // the state service's rate
 	// confirming: a sibling is being asked whether the state service serves it.
@@ -90,7 +90,7 @@
 	c := &n.cfg.Cluster
 	l := &leadership{n: n, ctx: lctx, cancel: cancel, term: n.el.Term(), guard: wire.Guard{Key: keyLeader, Version: n.el.Version()},
 		ready: make(chan struct{}), began: now, links: map[model.ShardID]*link{}, hosts: map[string]uint32{},
-		budget: budget.New(c.State.WriteRPS*leadersPart, max(8, int(c.State.WriteRPS*leadersPart/2)))}
+		budget: writequota.New(c.State.WriteRPS*leadersPart, max(8, int(c.State.WriteRPS*leadersPart/2)))}
 	// Shards of the term before may act on grants that reach to the end of
 	// their leader's authority, even if its lease was ended early: up to one
 	// whole length of it from now, unless they are heard to have stopped.
@@ -256,7 +256,7 @@
 
 // until is when this leader's authority ends unless it is renewed.
 func (l *leadership) until() time.Duration {
-	return min(l.n.el.Deadline(), l.deals.picture.Good(l.n.cfg.Cluster.StalenessBound()))
+	return min(l.n.el.Deadline(), l.deals.picture.ValidUntil(l.n.cfg.Cluster.StalenessBound()))
 }
 
 // tick is called a few times a second.
@@ -265,7 +265,7 @@
 		l.deals.listen(now)
 	}
 	bound := l.n.cfg.Cluster.StalenessBound()
-	if now > max(l.deals.picture.Good(bound), l.began+bound) || l.deals.blind(now) {
+	if now > max(l.deals.picture.ValidUntil(bound), l.began+bound) || l.deals.blind(now) {
 		l.n.log.Error("no news of open jobs: giving leadership up", "term", l.term)
 		l.n.el.Resign(now, time.Second)
 		return
--- a/internal/node/limiting.go
+++ b/internal/node/limiting.go
@@ -50,7 +50,7 @@
 // limit brings the teams' limits and guarantees up to date.
 func (p *draining) limit() {
 	wall := time.Now()
-	p.teams.Tick(wall)
+	p.teams.Expire(wall)
 	for i := range p.l.n.cfg.Cluster.Teams {
 		team := model.Name(i)
 		p.l.d.SetTeam(team, p.teams.Team(team, wall))
@@ -60,7 +60,7 @@
 // teamWrite stores a change of a team with the audit entries about it.
 func (p *draining) teamWrite(w quota.Write, about []*audit.Entry) write {
 	return p.recordWrite(teamKey(p.l.n.names.Teams.Name(w.Team)), w.Value, w.Version, about, func(o outcome) {
-		p.teams.Wrote(w, o.rev, o.err == nil, o.conflict, o.at)
+		p.teams.WriteDone(w, o.rev, o.err == nil, o.conflict, o.at)
 		p.limit()
 	})
 }
@@ -69,7 +69,7 @@
 func (p *draining) changeTeam(c *Call) (string, error) {
 	team, ok := p.l.n.names.Teams.Lookup(c.Name)
 	if !ok {
-		return "", &quota.Refusal{Why: fmt.Sprintf("the platform's file has no team %q", c.Name)}
+		return "", &quota.RefusedError{Reason: fmt.Sprintf("the platform's file has no team %q", c.Name)}
 	}
 	if c.Verb == TeamUnset {
 		return "as the platform has it", p.teams.Unset(team)
@@ -140,7 +140,7 @@
 		r := TeamReply{Team: p.l.n.names.Teams.Name(model.Name(i)), Limit: cpu(t.Limit.CPU), Guarantee: cpu(t.Guarantee.CPU),
 			Used: cpu(t.Used.CPU), Borrowed: cpu(max(0, t.Used.CPU-t.Guarantee.CPU)), Unseen: cpu(t.Unaccounted.CPU),
 			Waiting: t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, Holds: holds(&t)}
-		if c, ok := p.teams.Changed(model.Name(i), wall); ok {
+		if c, ok := p.teams.Active(model.Name(i), wall); ok {
 			r.Changed = "by " + c.By
 			if c.UntilMS > 0 {
 				r.Changed += " until " + time.UnixMilli(c.UntilMS).UTC().Format(time.RFC3339)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -25,14 +25,14 @@
 	until time.Duration // of the longest grant given
 
 	number  uint64
-	sent    map[uint64]time.Duration  // grants, by number
-	promise time.Duration             // the member does not take over before
-	stateAt time.Duration             // the state service last answered it
-	tells   bool                      // the member says of which cancellations it told users
-	word    cancellog.Acknowledgement // how far that is known
-	told    time.Duration             // the picture that its last progress was of was made
-	needs   ratelimit.Part            // what it asked of the state service lately; none: not told
-	part    ratelimit.Part            // of the state service's rate, which it is told with each grant
+	sent    map[uint64]time.Duration // grants, by number
+	promise time.Duration            // the member does not take over before
+	stateAt time.Duration            // the state service last answered it
+	tells   bool                     // the member says of which cancellations it told users
+	word    cancellog.Coverage       // how far that is known
+	told    time.Duration            // the picture that its last progress was of was made
+	needs   ratelimit.Allocation     // what it asked of the state service lately; none: not told
+	part    ratelimit.Allocation     // of the state service's rate, which it is told with each grant
 }
 
 // ServePeers serves the other controllers until the context ends.
@@ -151,7 +151,7 @@
 	id := l.d.AddShard(now, host)
 	l.links[id] = k
 	k.out.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term, Attempts: l.d.FirstAttempt(id),
-		Tell: l.drains.book.On(), Compares: true}}})
+		Tell: l.drains.book.Enabled(), Compares: true}}})
 	k.out.Send(l.deals.progress())
 	k.told = l.deals.told
 	l.n.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
@@ -196,7 +196,7 @@
 				}
 			}
 		}
-		k.needs = ratelimit.Part{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
+		k.needs = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
 		l.back()
 		l.deals.listen(now)
 		k.until = max(k.until, l.until())
@@ -231,6 +231,6 @@
 		least = min(least, end[s.HostName])
 	}
 	if len(l.n.cfg.Siblings) > 0 {
-		l.n.el.Back(least)
+		l.n.el.ExtendAuthority(least)
 	}
 }
--- a/internal/node/loading.go
+++ b/internal/node/loading.go
@@ -102,9 +102,9 @@
 		for id := range n.kept {
 			p.d.HandleEvent(now, p.l.local, model.Event{Kind: model.MachineRemembered, Machine: id})
 		}
-		told, _ := n.told.From(0) // some perhaps since that was asked
+		told, _ := n.told.EntriesFrom(0) // some perhaps since that was asked
 		for _, id := range told {
-			p.picture.Told(now, id)
+			p.picture.AddCancelled(now, id)
 		}
 		for _, st := range open {
 			p.add(now, st, -time.Hour) // users may have been told long ago
@@ -209,7 +209,7 @@
 func (p *dealing) add(now time.Duration, st stored, since time.Duration) {
 	waited := time.Duration(max(0, time.Now().UnixMilli()-st.sub.SubmittedMS)) * time.Millisecond
 	sp := st.sub.Spec(p.l.n.names)
-	if p.picture.Over(sp.ID) {
+	if p.picture.IsCancelled(sp.ID) {
 		return
 	}
 	p.d.AddJob(now, sp, st.version, min(waited, time.Hour), st.version <= p.l.guard.Version)
@@ -287,7 +287,7 @@
 
 // cancelled takes a controller's word that it told a user of a cancellation.
 func (p *dealing) cancelled(now time.Duration, id model.JobID) {
-	if !p.picture.Told(now, id) || p.d.JobVersion(id) == 0 {
+	if !p.picture.AddCancelled(now, id) || p.d.JobVersion(id) == 0 {
 		return
 	}
 	p.d.JobRemoved(id)
@@ -315,7 +315,7 @@
 
 // listen brings the picture up to what all controllers have told, as this one knows it.
 func (p *dealing) listen(now time.Duration) {
-	var words []cancellog.Acknowledgement
+	var words []cancellog.Coverage
 	for _, s := range p.l.n.cfg.Siblings {
 		k := p.l.linkTo(s.HostName)
 		if k == nil || !k.tells {
@@ -324,7 +324,7 @@
 		words = append(words, k.word)
 	}
 	p.exchange(now) // as for what was seen
-	p.picture.Heard(now, words)
+	p.picture.ApplyCoverage(now, words)
 }
 
 // relist reads all open jobs, where the watch has fallen behind; over tells that
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -58,9 +58,9 @@
 	p.l.n.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", doomed,
 		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", p.d.UnverifiedCount(), "cpus", cpus/1000,
 		"free", free/1000)
-	for _, s := range starvation.Danger(p.d.Starvation(p.l.n.now())) {
-		p.l.n.log.Warn("jobs wait for too long to begin", "of", p.l.n.groupName(s.Group), "begun", s.Begun, "late", s.Late,
-			"longest", s.Longest)
+	for _, s := range starvation.Starved(p.d.Starvation(p.l.n.now())) {
+		p.l.n.log.Warn("jobs wait for too long to begin", "of", p.l.n.groupName(s.Group), "begun", s.Begun, "late", s.Overdue,
+			"longest", s.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"honeylock/internal/core/budget"
+	"honeylock/internal/core/writequota"
 )
 
 // Register adds the controller's metrics to a registry.
@@ -90,17 +90,17 @@
 	gauge("machines_unheard", "Machines that report and that nothing shows to hear, on the leader.",
 		whileLeading(n, func(l *leadership) float64 { return float64(l.d.UnverifiedCount()) }))
 	gauge("drain_plans", "Drain plans under way, on the leader.", whileLeading(n, func(l *leadership) float64 {
-		plans, _ := l.drains.e.Active()
+		plans, _ := l.drains.e.ActiveCounts()
 		return float64(plans)
 	}))
 	gauge("drain_machines", "Machines that drain plans keep tasks from, on the leader.",
 		whileLeading(n, func(l *leadership) float64 {
-			_, machines := l.drains.e.Active()
+			_, machines := l.drains.e.ActiveCounts()
 			return float64(machines)
 		}))
 	gauge("records_waiting_seconds", "How long operators' records have waited to be stored, on the leader.",
 		whileLeading(n, func(l *leadership) float64 {
-			return l.budget.Waiting(n.now(), budget.Records).Seconds()
+			return l.budget.BlockedFor(n.now(), writequota.OperatorRecords).Seconds()
 		}))
 	reg.MustRegister(newDisruptionMetrics(n))
 	reg.MustRegister(newStarvationMetrics(n))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,9 +74,9 @@
 	types         []model.MachineType
 	finals        map[model.JobID]jobs.Stage
 	versions      map[model.JobID]openSeen
-	told          *cancellog.Log    // cancellations that users were told of here
-	vouch         *pipeline.Voucher // as the leader that this controller is linked to has told
-	sibling       time.Duration     // a sibling was last heard
+	told          *cancellog.Log            // cancellations that users were told of here
+	vouch         *pipeline.StatusFreshness // as the leader that this controller is linked to has told
+	sibling       time.Duration             // a sibling was last heard
 	questions     *questions
 	order         []model.JobID // of finals, oldest first
 	stats         Stats
@@ -123,12 +123,12 @@
 		finals:   map[model.JobID]jobs.Stage{},
 		versions: map[model.JobID]openSeen{},
 		told:     cancellog.NewLog(0),
-		vouch:    pipeline.NewVoucher(cfg.Cluster.Vouched()),
+		vouch:    pipeline.NewStatusFreshness(cfg.Cluster.Vouched()),
 		sibling:  -time.Hour,
 		waits:    map[model.MachineID][]chan struct{}{},
 	}
-	n.state = state.New(cfg.Services.State, ratelimit.Params{Requests: cfg.Cluster.State.RPS,
-		Writes: cfg.Cluster.State.WriteRPS, NextWrites: cfg.Cluster.State.Next.WriteRPS,
+	n.state = state.New(cfg.Services.State, ratelimit.Params{RequestRate: cfg.Cluster.State.RPS,
+		WriteRate: cfg.Cluster.State.WriteRPS, NextWriteRate: cfg.Cluster.State.Next.WriteRPS,
 		Controllers: 1 + len(cfg.Siblings)}, 1500*time.Millisecond, n.noted)
 	n.names.Aimed, n.names.Guaranteed = map[model.Name]bool{}, map[model.Name]bool{}
 	for i, t := range cfg.Cluster.Teams {
@@ -233,7 +233,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			now := n.now()
-			n.runElection(ctx, n.el.Done(now, res))
+			n.runElection(ctx, n.el.HandleResult(now, res))
 			n.followLeadership(ctx, now)
 		}()
 	}
@@ -281,31 +281,31 @@
 		// It counts from its sending, however late its answer is read; meanwhile
 		// others are sent.
 		err := n.state.Extend(state.Patiently(ctx, n.ttl), op.Lease)
-		res.OK, res.Not = err == nil, errors.Is(err, state.ErrNotFound)
+		res.OK, res.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
 		n.complaints.note("leader's lease not renewed", err)
-	case election.End:
+	case election.Revoke:
 		res.OK = n.state.End(ctx, op.Lease) == nil
 	}
 	return res
 }
 
-func (n *Node) readLeader(ctx context.Context) (election.Record, error) {
+func (n *Node) readLeader(ctx context.Context) (election.LeaderRecord, error) {
 	it, err := n.state.Get(ctx, keyLeader)
 	if errors.Is(err, state.ErrNotFound) {
-		return election.Record{}, nil
+		return election.LeaderRecord{}, nil
 	}
 	if err != nil {
-		return election.Record{}, err
+		return election.LeaderRecord{}, err
 	}
 	return leaderRecord(it.Value, it.Version)
 }
 
-func leaderRecord(v json.RawMessage, version uint64) (election.Record, error) {
+func leaderRecord(v json.RawMessage, version uint64) (election.LeaderRecord, error) {
 	var l wire.Leader
 	if err := json.Unmarshal(v, &l); err != nil {
-		return election.Record{}, fmt.Errorf("leader's key: %w", err)
+		return election.LeaderRecord{}, fmt.Errorf("leader's key: %w", err)
 	}
-	return election.Record{Present: true, Host: l.Host, Term: l.Term, Lease: l.Lease, Version: version}, nil
+	return election.LeaderRecord{Present: true, Host: l.Host, Term: l.Term, Lease: l.Lease, Version: version}, nil
 }
 
 // How long a watch of the leader's key waits: the longer the more controllers there are, for
@@ -336,7 +336,7 @@
 		}
 		rev = ev.Revision
 		for _, e := range ev.Events {
-			rec := election.Record{Version: e.Version}
+			rec := election.LeaderRecord{Version: e.Version}
 			if e.Put == keyLeader {
 				if rec, err = leaderRecord(e.Value, e.Version); err != nil {
 					continue
@@ -345,7 +345,7 @@
 				continue
 			}
 			n.mu.Lock()
-			n.el.See(n.now(), rec)
+			n.el.Observe(n.now(), rec)
 			n.mu.Unlock()
 		}
 	}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -290,7 +290,7 @@
 	}
 	d.spec.Machines = planfile.Choose(pb, p.candidates(now), p.l.n.names)
 	if missing := unknown(pb, d.spec.Machines); missing != "" {
-		return nil, &drain.Refusal{Why: "machines.names: " + missing +
+		return nil, &drain.RefusedError{Reason: "machines.names: " + missing +
 			" is no machine of this cluster, or not one that the other fields allow"}
 	}
 	return d, nil
--- a/internal/node/part.go
+++ b/internal/node/part.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/ratelimit"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/state"
 	"honeylock/internal/wire"
 )
@@ -23,7 +23,7 @@
 	// tick is called a few times a second.
 	tick(now time.Duration)
 	// writes gives at most n changes of a class.
-	writes(now time.Duration, c budget.Class, n int) []write
+	writes(now time.Duration, c writequota.Class, n int) []write
 }
 
 // write is a transaction of the leader's. It bears the leader's guard besides
@@ -50,12 +50,12 @@
 
 // store writes what must last, the most urgent first.
 func (l *leadership) store(now time.Duration) {
-	for c := budget.Finals; c <= budget.Records; c++ {
+	for c := writequota.FinalRecords; c <= writequota.OperatorRecords; c++ {
 		for _, p := range l.parts {
-			n := min(l.budget.Left(now, c), maxWrites)
+			n := min(l.budget.Available(now, c), maxWrites)
 			if n < 1 {
-				if c == budget.Records && p == part(l.drains) && l.drains.pending() {
-					l.budget.Refused(now, c)
+				if c == writequota.OperatorRecords && p == part(l.drains) && l.drains.pending() {
+					l.budget.MarkBlocked(now, c)
 				}
 				continue
 			}
@@ -65,7 +65,7 @@
 }
 
 // send carries writes out, those that join in one transaction.
-func (l *leadership) send(now time.Duration, c budget.Class, ws []write) {
+func (l *leadership) send(now time.Duration, c writequota.Class, ws []write) {
 	var batch []write
 	flush := func() {
 		if len(batch) > 0 {
@@ -89,14 +89,14 @@
 // classOf is how urgent a write is among this controller's requests: progress once
 // went as finals do, and where changes were scarce 170 jobs that had ended waited
 // behind it. For an operator's change somebody waits, as for a user's.
-func classOf(c budget.Class) ratelimit.Class {
+func classOf(c writequota.Class) ratelimit.Class {
 	switch c {
-	case budget.Finals:
+	case writequota.FinalRecords:
 		return ratelimit.Leader
-	case budget.Records:
+	case writequota.OperatorRecords:
 		return ratelimit.Changes
 	default:
-		return ratelimit.Upkeep
+		return ratelimit.Background
 	}
 }
 
@@ -110,7 +110,7 @@
 	return true, it.Version
 }
 
-func (l *leadership) write(batch []write, c budget.Class) {
+func (l *leadership) write(batch []write, c writequota.Class) {
 	n := l.n
 	t := wire.Txn{Guards: []wire.Guard{l.guard}}
 	for _, w := range batch {
--- a/internal/node/planstatus.go
+++ b/internal/node/planstatus.go
@@ -31,16 +31,16 @@
 }
 
 func (p *draining) planStatus(s *drain.Status) PlanStatus {
-	out := PlanStatus{Name: s.Name, Phase: string(s.Phase), By: s.By, Note: s.Note, Counts: s.Counts, Held: s.Held}
+	out := PlanStatus{Name: s.Name, Phase: string(s.Phase), By: s.By, Note: s.Note, Counts: s.Counts, Held: s.BlockedReason}
 	if !s.At.IsZero() {
 		out.At = &s.At
 	}
-	if s.Behind != 0 {
-		out.Behind = wire.MachineName(s.Behind) + " for " + s.BehindFor.Round(time.Second).String()
+	if s.SlowestMachine != 0 {
+		out.Behind = wire.MachineName(s.SlowestMachine) + " for " + s.SlowestFor.Round(time.Second).String()
 	}
 	for _, t := range s.Steps {
-		step := PlanStep{Machine: wire.MachineName(t.Machine), State: t.State, Held: t.Held,
-			ForS: t.For.Round(100 * time.Millisecond).Seconds()}
+		step := PlanStep{Machine: wire.MachineName(t.Machine), State: t.State, Held: t.BlockedReason,
+			ForS: t.InStateFor.Round(100 * time.Millisecond).Seconds()}
 		if t.Replacement != 0 {
 			step.Replacement = wire.MachineName(t.Replacement)
 		}
--- a/internal/node/questions.go
+++ b/internal/node/questions.go
@@ -59,7 +59,7 @@
 	alone := min(longestGather, time.Duration(controllers)*leaderGathers)
 	return &questions{state: c, start: time.Now(), alone: alone, askers: map[readbatch.Waiter]asker{},
 		asked:   map[uint64]chan<- jobs.Result{},
-		batcher: readbatch.New(readbatch.Params{Interval: alone, Size: guardsPerOp * txnOps})}
+		batcher: readbatch.New(readbatch.Params{Interval: alone, MaxBatch: guardsPerOp * txnOps})}
 }
 
 // guardsPerOp is how many conditions a transaction may have for each of its changes, by the
@@ -74,7 +74,7 @@
 func (q *questions) stats() questionStats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return questionStats{compared: q.batcher.Asked, comparisons: q.batcher.Compared, passed: q.number}
+	return questionStats{compared: q.batcher.Questions, comparisons: q.batcher.Comparisons, passed: q.number}
 }
 
 // lead tells whether this controller leads, and so compares for all.
@@ -94,7 +94,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.leader = leader
-	q.route.Follow(leader != nil)
+	q.route.SetLeaderCompares(leader != nil)
 	for id, c := range q.asked {
 		delete(q.asked, id)
 		c <- jobs.Result{Outcome: jobs.Failed}
@@ -114,7 +114,7 @@
 func (q *questions) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
 	c := make(chan jobs.Result, 1)
 	q.mu.Lock()
-	if !q.route.ByLeader(q.now()) {
+	if !q.route.UseLeader(q.now()) {
 		q.mu.Unlock()
 		return jobs.Result{Outcome: jobs.Failed}
 	}
@@ -136,7 +136,7 @@
 	defer q.mu.Unlock()
 	if _, waits := q.asked[id]; waits {
 		delete(q.asked, id)
-		q.route.Silent(q.now())
+		q.route.LeaderFailed(q.now())
 	}
 	return jobs.Result{Outcome: jobs.Failed}
 }
@@ -153,7 +153,7 @@
 		delete(q.asked, a.GetId())
 		res := jobs.Result{Outcome: outcomes[a.GetOutcome()], Stage: jobs.Stage(a.GetStage())}
 		if res.Outcome == jobs.Failed {
-			q.route.Silent(q.now())
+			q.route.LeaderFailed(q.now())
 		}
 		c <- res
 	}
@@ -200,7 +200,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.batcher.Drop(g, w)
+	q.batcher.Cancel(g, w)
 	delete(q.askers, w)
 	return jobs.Result{Outcome: jobs.Busy}
 }
@@ -239,11 +239,11 @@
 	for _, g := range b.Guards {
 		guards = append(guards, wire.Guard{Key: openKeys + wire.JobName(g.Job), Version: g.Version})
 	}
-	failed, err := q.state.Compare(state.As(context.Background(), ratelimit.Answers), guards)
+	failed, err := q.state.Compare(state.As(context.Background(), ratelimit.Comparisons), guards)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	answers := q.batcher.Done(now, b, func(g jobs.Guard) jobs.Outcome {
+	answers := q.batcher.HandleOutcome(now, b, func(g jobs.Guard) jobs.Outcome {
 		switch {
 		case errors.Is(err, state.ErrBusy):
 			return jobs.Busy
@@ -262,11 +262,11 @@
 func (q *questions) deliver(answers []readbatch.Answer) {
 	away := map[*link][]*peerpb.Answer{}
 	for _, a := range answers {
-		to, ok := q.askers[a.To]
+		to, ok := q.askers[a.Waiter]
 		if !ok {
 			continue
 		}
-		delete(q.askers, a.To)
+		delete(q.askers, a.Waiter)
 		if to.link != nil {
 			away[to.link] = append(away[to.link], answerOf(to.id, a.Result))
 			continue
--- a/internal/node/questions_test.go
+++ b/internal/node/questions_test.go
@@ -41,12 +41,12 @@
 		return r.granted()
 	}
 	silent := parts(now, 0)
-	if equal := rateshare.All / 2; silent.GetRequestsShare() < equal-1e-9 {
+	if equal := rateshare.TotalShare / 2; silent.GetRequestsShare() < equal-1e-9 {
 		t.Errorf("%v for a member that tells no needs", silent)
 	}
 	idle, busy := parts(now, 0.01), parts(now, 0.6)
 	for _, g := range []*peerpb.Grant{idle, busy} {
-		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.n.stateShare() > rateshare.All+1e-9 {
+		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.n.stateShare() > rateshare.TotalShare+1e-9 {
 			t.Errorf("%v beside the leader's %v", g, r.n.stateShare())
 		}
 	}
@@ -112,7 +112,7 @@
 			}
 			q.mu.Lock()
 			defer q.mu.Unlock()
-			if shunned := !q.route.ByLeader(q.now()); shunned != (c.want == jobs.Failed) {
+			if shunned := !q.route.UseLeader(q.now()); shunned != (c.want == jobs.Failed) {
 				t.Errorf("shunned: %v", shunned)
 			}
 		})
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -20,7 +20,7 @@
 	l.divided = now
 	n := l.n
 	siblings := n.cfg.Siblings
-	equal := rateshare.All / float64(1+len(siblings))
+	equal := rateshare.TotalShare / float64(1+len(siblings))
 	links := make([]*link, len(siblings)) // nil: not linked
 	requests, writes := make([]float64, len(siblings)), make([]float64, len(siblings))
 	for i, s := range siblings {
@@ -31,13 +31,13 @@
 		}
 	}
 	own := n.state.Needs()
-	var part ratelimit.Part
+	var part ratelimit.Allocation
 	part.Requests, requests = rateshare.Divide(rateshare.Requests, own.Requests, requests)
 	part.Writes, writes = rateshare.Divide(rateshare.Changes, own.Writes, writes)
-	n.state.SetPart(part, rateshare.ToldFor)
+	n.state.SetPart(part, rateshare.AllocationTTL)
 	for i, k := range links {
 		if k != nil {
-			k.part = ratelimit.Part{Requests: requests[i], Writes: writes[i]}
+			k.part = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
 		}
 	}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -91,5 +91,5 @@
 // relay has everything that may be too large for the limits to come written smaller.
 func (l *leadership) relay(size uint64) {
 	l.d.SetLayout(size)
-	l.drains.e.Pack()
+	l.drains.e.EnableCompression()
 }
--- a/internal/node/renting.go
+++ b/internal/node/renting.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"honeylock/internal/config"
-	"honeylock/internal/core/budget"
 	"honeylock/internal/core/fleet"
 	"honeylock/internal/core/model"
+	"honeylock/internal/core/writequota"
 	"honeylock/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 	}
 }
 
-func (p *renting) writes(time.Duration, budget.Class, int) []write { return nil }
+func (p *renting) writes(time.Duration, writequota.Class, int) []write { return nil }
 
 const (
 	// Of all machines, a part that may be given up for the rest: the few that
@@ -92,9 +92,9 @@
 	for _, a := range p.f.Step(now, status, demand, p.l.d.TeamLimit) {
 		switch a.Kind {
 		case fleet.Drain:
-			p.l.drains.e.Empty(a.Machines)
+			p.l.drains.e.DrainForPrice(a.Machines)
 		case fleet.Undrain:
-			p.l.drains.e.Keep(a.Machines)
+			p.l.drains.e.CancelPriceDrain(a.Machines)
 		case fleet.Return:
 			for _, id := range a.Machines {
 				p.l.d.SetUsable(id, false)
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -173,12 +173,12 @@
 			Seq:            st.seq,
 			Promised:       st.number,
 			StateAgeUs:     n.health.servedAgo(now).Microseconds(),
-			ToldForUs:      max(1, (now - n.told.Since()).Microseconds()),
+			ToldForUs:      max(1, (now - n.told.CompleteSince()).Microseconds()),
 			RequestsNeeded: needs.Requests,
 			WritesNeeded:   needs.Writes,
 		}
 		var told []model.JobID
-		told, st.toldTo = n.told.From(st.toldTo)
+		told, st.toldTo = n.told.EntriesFrom(st.toldTo)
 		for _, id := range told {
 			ask.Told = append(ask.Told, uint64(id))
 		}
@@ -238,7 +238,7 @@
 		}
 		if all {
 			n.mu.Lock()
-			n.el.Unbound(n.now())
+			n.el.ClearPriorPromise(n.now())
 			n.mu.Unlock()
 			return
 		}
@@ -324,7 +324,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.questions.follow(nil)
-		n.el.Doubt(n.now())
+		n.el.CheckSoon(n.now())
 		if st != nil {
 			st.out = nil
 		}
@@ -384,16 +384,16 @@
 				break
 			}
 			if share := msg.Grant.GetRequestsShare(); share > 0 {
-				n.state.SetPart(ratelimit.Part{Requests: share, Writes: msg.Grant.GetWritesShare()}, rateshare.ToldFor)
+				n.state.SetPart(ratelimit.Allocation{Requests: share, Writes: msg.Grant.GetWritesShare()}, rateshare.AllocationTTL)
 			}
 			if at, ok := st.asked[msg.Grant.GetSeq()]; ok {
 				delete(st.asked, msg.Grant.GetSeq())
 				st.number = msg.Grant.GetNumber()
 				if age := msg.Grant.GetSettledAgeUs(); age > 0 { // as old as its asking
-					n.vouch.Settled(at - time.Duration(age)*time.Microsecond)
+					n.vouch.SetPropagated(at - time.Duration(age)*time.Microsecond)
 				}
 				if age := msg.Grant.GetToldAgeUs(); age > 0 {
-					n.vouch.Told(at - time.Duration(age)*time.Microsecond)
+					n.vouch.SetInDoubtKnown(at - time.Duration(age)*time.Microsecond)
 				}
 				n.el.Promise(now + config.Promise)
 				d := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -47,7 +47,7 @@
 	}
 	for _, s := range m.n.lead.d.Starvation(m.n.now()) {
 		of := m.n.groupName(s.Group)
-		c <- prometheus.MustNewConstMetric(m.part, prometheus.GaugeValue, s.Part(), of)
-		c <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.Longest.Seconds(), of)
+		c <- prometheus.MustNewConstMetric(m.part, prometheus.GaugeValue, s.BegunFraction(), of)
+		c <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
 	}
 }
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -167,13 +167,13 @@
 			continue
 		}
 		switch {
-		case ans.OverRate:
+		case ans.RateLimited:
 			return Reply{Status: http.StatusServiceUnavailable, OverRate: true,
 				Err: "the state service is asked for more than it serves"}
 		case ans.Status == http.StatusServiceUnavailable:
 			return unavailable("the state service does not answer")
 		case ans.Status == http.StatusUnprocessableEntity:
-			return Reply{Status: ans.Status, Err: "Awaits: " + wire.JobName(ans.Unknown) + " was never accepted"}
+			return Reply{Status: ans.Status, Err: "Awaits: " + wire.JobName(ans.UnknownDependency) + " was never accepted"}
 		case ans.Status == http.StatusNotFound:
 			return Reply{Status: ans.Status, Err: "no such job"}
 		}
@@ -205,7 +205,7 @@
 			open[need] = v
 		}
 	}
-	return jobs.NewAwaiting(id, needs, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
+	return jobs.NewWithDependencies(id, needs, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
 }
 
 // maySayQueued tells whether users may be told that an open job is queued.
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -137,15 +137,15 @@
 	if g == nil {
 		return
 	}
-	s.Gate = &rollout.Gate{Tasks: 20, Slower: 1.25, Errors: 0.05}
+	s.Gate = &rollout.Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
 	if g.Tasks != nil {
-		s.Gate.Tasks = int(g.GetTasks())
+		s.Gate.MinTasks = int(g.GetTasks())
 	}
 	if g.Slower != nil {
-		s.Gate.Slower = g.GetSlower()
+		s.Gate.MaxSlowdown = g.GetSlower()
 	}
 	if g.Errors != nil {
-		s.Gate.Errors = g.GetErrors()
+		s.Gate.MaxErrorIncrease = g.GetErrors()
 	}
 }
 
@@ -242,11 +242,11 @@
 
 // Spec is the plan in the cores' terms, without its machines.
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
-	s := &drain.Spec{Name: p.GetName(), AtOnce: 1, PerZone: int(p.GetAtOncePerZone()), Floor: p.GetFloor(),
+	s := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()), FreeCapacityFloor: p.GetFloor(),
 		RentFirst: p.GetRentFirst(),
 		Default:   drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
 	if p.AtOnce != nil {
-		s.AtOnce = int(*p.AtOnce)
+		s.MaxConcurrent = int(*p.AtOnce)
 	}
 	if t, err := time.Parse(time.RFC3339, p.GetLatestEnd()); err == nil {
 		s.LatestEnd = t
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("latest end %v", got.LatestEnd)
 	}
 	got.LatestEnd = time.Time{}
-	want := &drain.Spec{Name: "month-end", AtOnce: 3, PerZone: 2, Floor: 0.5, Default: drain.MoveSaved, RentFirst: true,
+	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5, Default: drain.MoveSaved, RentFirst: true,
 		After: drain.Patch,
 		Rules: []drain.Rule{{Class: 1, Rank: -1}, {Class: model.None, Rank: int(model.Idle), How: drain.Move}},
 		Windows: []drain.Window{{Classes: []model.Name{1}, Clock: 15 * time.Hour, Location: muscat, Name: "the window"},
@@ -177,8 +177,8 @@
 		t.Fatal(err)
 	}
 	s := Spec(p, &wire.Names{Classes: wire.NewTable()})
-	if len(s.Waves) != 2 || s.Waves[0].Soak != time.Minute || s.Waves[1].Share != 0.25 || s.Gate.Tasks != 5 ||
-		s.Gate.Slower != 1.25 {
+	if len(s.Waves) != 2 || s.Waves[0].Soak != time.Minute || s.Waves[1].Share != 0.25 || s.Gate.MinTasks != 5 ||
+		s.Gate.MaxSlowdown != 1.25 {
 		t.Errorf("%+v, %+v", s.Waves, s.Gate)
 	}
 	for in, field := range map[string]string{
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -70,7 +70,7 @@
 	for _, n := range c.limiter.Shed {
 		shed += n
 	}
-	return c.limiter.Share(), shed, c.limiter.Busy
+	return c.limiter.Share(), shed, c.limiter.ServiceRefusals
 }
 
 // Writes is the service's rate of changes as far as is known, and whether that is the
@@ -78,23 +78,23 @@
 func (c *Client) Writes() (perSecond float64, lowered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.limiter.Writes()
+	return c.limiter.WriteRate()
 }
 
 // SetPart takes this controller's part of the service's rate, good for a while.
-func (c *Client) SetPart(p ratelimit.Part, good time.Duration) {
+func (c *Client) SetPart(p ratelimit.Allocation, good time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Since(c.start)
-	c.limiter.SetPart(now, p, now+good)
+	c.limiter.SetAllocation(now, p, now+good)
 	c.step(now)
 }
 
 // Needs are what was asked for lately, as parts of the service's rate.
-func (c *Client) Needs() ratelimit.Part {
+func (c *Client) Needs() ratelimit.Allocation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.limiter.Needs(time.Since(c.start))
+	return c.limiter.Demand(time.Since(c.start))
 }
 
 // Invalid counts the requests that the service took for invalid.
@@ -134,14 +134,14 @@
 	if d, ok := ctx.Deadline(); ok {
 		until = min(until, d.Sub(c.start))
 	}
-	t := c.limiter.Ask(now, classOf(ctx), writes, until)
+	t := c.limiter.Request(now, classOf(ctx), writes, until)
 	c.step(now)
 	c.mu.Unlock()
 	select {
-	case <-t.Go:
+	case <-t.Decided:
 	case <-ctx.Done():
 		c.mu.Lock()
-		c.limiter.Drop(t)
+		c.limiter.Cancel(t)
 		c.mu.Unlock()
 		return fmt.Errorf("%w: %w", ErrBusy, ctx.Err())
 	}
@@ -195,7 +195,7 @@
 func (c *Client) note(sent time.Time, status int, err error) {
 	switch {
 	case err != nil:
-		c.noted(sent, storehealth.Silent)
+		c.noted(sent, storehealth.NoAnswer)
 	case status == http.StatusBadRequest:
 		c.mu.Lock()
 		c.invalid++
@@ -203,7 +203,7 @@
 		c.noted(sent, storehealth.Served)
 	case status == http.StatusTooManyRequests:
 		c.mu.Lock()
-		c.limiter.Refused(time.Since(c.start))
+		c.limiter.HandleRefusal(time.Since(c.start))
 		c.mu.Unlock()
 		c.noted(sent, storehealth.Busy)
 	case status >= 500:
