--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -204,7 +204,7 @@
 	if s.Behind != "" {
 		line += "; longest under way: " + s.Behind
 	}
-	for _, x := range []string{s.Held, s.Note} {
+	for _, x := range []string{s.BlockedReason, s.Note} {
 		if x != "" {
 			line += "; " + x
 		}
@@ -215,7 +215,7 @@
 func showPlans(w io.Writer, plans *[]node.PlanStatus) error {
 	var rows [][]string
 	for _, s := range *plans {
-		rows = append(rows, []string{s.Name, s.Phase, s.By, counts(s.Counts), s.Held + s.Note})
+		rows = append(rows, []string{s.Name, s.Phase, s.By, counts(s.Counts), s.BlockedReason + s.Note})
 	}
 	return table(w, []string{"PLAN", "PHASE", "BY", "MACHINES", "WAITS FOR"}, rows)
 }
@@ -229,8 +229,8 @@
 	}
 	var rows [][]string
 	for _, b := range *bs {
-		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Out), bound(float64(b.Most)),
-			fmt.Sprintf("%g", b.OutCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostS), bound(b.Lost), counts(b.By)})
+		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted), bound(float64(b.MaxTasks)),
+			fmt.Sprintf("%g", b.InterruptedCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS), bound(b.MaxLostCPUS), counts(b.By)})
 	}
 	return table(w, []string{"TEAM", "CLASS", "RUNNING", "OUT", "MOST", "OUT CPUS", "MOST", "LOST CPU S", "MOST", "WHY"},
 		rows)
@@ -243,7 +243,7 @@
 	var rows [][]string
 	for _, t := range s.Steps {
 		rows = append(rows, []string{t.Machine, t.State,
-			time.Duration(t.ForS * float64(time.Second)).Round(time.Second).String(), t.Replacement, t.Held})
+			time.Duration(t.ForS * float64(time.Second)).Round(time.Second).String(), t.Replacement, t.BlockedReason})
 	}
 	return table(w, []string{"MACHINE", "STATE", "FOR", "REPLACEMENT", "WAITS FOR"}, rows)
 }
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -57,22 +57,22 @@
 }
 
 func showForecast(w io.Writer, r *node.ForecastReply) error {
-	fmt.Fprintf(w, "%s  takes %s; %d of %d open jobs would be delayed\n", r.Name, spanOf(r.TookS), len(r.Late), r.Jobs)
+	fmt.Fprintf(w, "%s  takes %s; %d of %d open jobs would be delayed\n", r.Name, spanOf(r.TookS), len(r.Delayed), r.Jobs)
 	if r.Unfinished != "" {
 		fmt.Fprintf(w, "it does not end in the time played: %s\n", r.Unfinished)
 	}
-	if r.Untold > 0 {
-		fmt.Fprintf(w, "%d machines are left out: their controllers did not tell what runs there\n", r.Untold)
+	if r.Unreported > 0 {
+		fmt.Fprintf(w, "%d machines are left out: their controllers did not tell what runs there\n", r.Unreported)
 	}
 	for _, g := range r.Guarantees {
 		fmt.Fprintf(w, "work of %s within its guarantee would wait %.0f s in place of %.0f s\n", g.Team, g.WithS, g.WithoutS)
 	}
-	if len(r.Late) == 0 {
+	if len(r.Delayed) == 0 {
 		return nil
 	}
 	var rows [][]string
-	for _, l := range r.Late {
-		rows = append(rows, []string{l.Job, l.Class, spanOf(l.DelayS), spanOf(l.EndS), l.Why, l.Past})
+	for _, l := range r.Delayed {
+		rows = append(rows, []string{l.Job, l.Class, spanOf(l.DelayS), spanOf(l.EndS), l.Why, l.MissedLimit})
 	}
 	return table(w, []string{"JOB", "CLASS", "LATER BY", "ENDS IN", "WHY", "PUSHED PAST"}, rows)
 }
--- a/cmd/honeylock/member.go
+++ b/cmd/honeylock/member.go
@@ -22,13 +22,13 @@
 	var rows [][]string
 	for _, m := range *ms {
 		state, stands := "-", "away"
-		if m.StateS >= 0 {
-			state = fmt.Sprintf("%.1fs", m.StateS)
+		if m.StateAgeS >= 0 {
+			state = fmt.Sprintf("%.1fs", m.StateAgeS)
 		}
 		switch {
-		case m.Leads:
+		case m.Leading:
 			stands = "leads"
-		case m.Here:
+		case m.Connected:
 			stands = "here"
 		}
 		rows = append(rows, []string{m.Host, stands, fmt.Sprint(m.Release), fmt.Sprint(m.Machines), state})
--- a/cmd/honeylock/serve.go
+++ b/cmd/honeylock/serve.go
@@ -118,6 +118,6 @@
 	}
 	log.Info("starting", "host", cfg.HostName, "zone", cfg.Zone, "version", version)
 	n.Run(ctx)
-	n.Leave()
+	n.ResignLeadership()
 	return nil
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -126,10 +126,10 @@
 			apply(t, ops, twoOfFive)
 			got := ends(t, with, began, "job-000002", "job-000003")
 			wg.Wait()
-			if len(f.Late) != 1 || f.Late[0].Job != "job-000003" || f.Late[0].Why != "waits for room" {
+			if len(f.Delayed) != 1 || f.Delayed[0].Job != "job-000003" || f.Delayed[0].Why != "waits for room" {
 				t.Fatalf("%+v, want job-000003 to wait for room", f)
 			}
-			l := f.Late[0]
+			l := f.Delayed[0]
 			if d := got["job-000003"]; math.Abs(d-l.EndS[1]) > tolerance {
 				t.Errorf("it ended after %.1f s, %v were foreseen", d, l.EndS)
 			}
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -29,7 +29,7 @@
 		}
 		sum := 0
 		for _, m := range ms {
-			if !m.Here || m.Release == 0 {
+			if !m.Connected || m.Release == 0 {
 				return false
 			}
 			sum += m.Machines
@@ -80,7 +80,7 @@
 	for _, k := range c.Controllers {
 		if leads(k) {
 			k.Stop()
-			k.Node.Leave()
+			k.Node.ResignLeadership()
 			if v := c.Store.Peek("leader"); strings.Contains(string(v), k.Cfg.HostName) {
 				t.Errorf("the key is still there: %s", v)
 			}
@@ -118,7 +118,7 @@
 	known(t, ops, 8)
 	until(t, "the limit holds the team", func() bool { // tasks end at once, and others take their place
 		r := team()
-		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.Holds == "its limit"
+		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
 	})
 	kill := func() (again func() error) {
 		for _, k := range c.Controllers {
--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -15,17 +15,17 @@
 // and on which session the decision rested. What is rare on a plain day is told at info, the
 // rest at debug.
 
-// logs tells whether a level is on, so that nothing is gathered for a line that is not written.
-func (n *Node) logs(level slog.Level) bool { return n.log.Enabled(context.Background(), level) }
+// logEnabled tells whether a level is on, so that nothing is gathered for a line that is not written.
+func (n *Node) logEnabled(level slog.Level) bool { return n.log.Enabled(context.Background(), level) }
 
 // logCharges has each change of a team's charges told at debug.
 func (l *leadership) logCharges() {
-	if !l.n.logs(slog.LevelDebug) {
+	if !l.node.logEnabled(slog.LevelDebug) {
 		return
 	}
-	l.d.OnCharge(func(c dispatcher.Charge) {
-		l.n.log.Debug("charge", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
-			"zone", l.n.zoneName(c.Zone), "used_cpu", c.Used.CPU, "limit_cpu", c.Limit.CPU, "term", l.term)
+	l.dispatcher.OnCharge(func(c dispatcher.Charge) {
+		l.node.log.Debug("charge", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
+			"zone", l.node.zoneName(c.Zone), "used_cpu", c.Used.CPU, "limit_cpu", c.Limit.CPU, "term", l.term)
 	})
 }
 
@@ -40,23 +40,23 @@
 func (l *leadership) logEvent(from model.ShardID, e *model.Event) {
 	switch e.Kind {
 	case model.LeaseExpiryConfirmed:
-		if l.d.LeaseExpiryConfirmed(e.Machine) {
+		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
 			return // told again
 		}
-		l.n.log.Info("machine's lease is over: what it ran is lost", "machine", wire.MachineName(e.Machine), "shard", from,
+		l.node.log.Info("machine's lease is over: what it ran is lost", "machine", wire.MachineName(e.Machine), "shard", from,
 			"token", e.Token)
 	case model.WorkerBack, model.WorkerFenced:
-		if l.d.LeaseExpiryConfirmed(e.Machine) {
-			l.n.log.Info("machine is back after its lease was over", "machine", wire.MachineName(e.Machine), "shard", from)
+		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
+			l.node.log.Info("machine is back after its lease was over", "machine", wire.MachineName(e.Machine), "shard", from)
 		}
 	case model.AttemptFound:
-		if l.n.logs(slog.LevelDebug) {
-			l.n.log.Debug("attempt found", "task", wire.TaskName(e.Task), "attempt", e.Attempt,
+		if l.node.logEnabled(slog.LevelDebug) {
+			l.node.log.Debug("attempt found", "task", wire.TaskName(e.Task), "attempt", e.Attempt,
 				"machine", wire.MachineName(e.Machine), "shard", from)
 		}
 	case model.MachineReleased, model.MachineKept:
-		if l.n.logs(slog.LevelDebug) {
-			l.n.log.Debug("machine let go of, or kept", "machine", wire.MachineName(e.Machine), "shard", from,
+		if l.node.logEnabled(slog.LevelDebug) {
+			l.node.log.Debug("machine let go of, or kept", "machine", wire.MachineName(e.Machine), "shard", from,
 				"kept", e.Kind == model.MachineKept, "tasks", len(e.Tasks))
 		}
 	}
@@ -65,26 +65,27 @@
 // logOrder tells of an order to a shard.
 func (l *leadership) logOrder(o *model.Order) {
 	if o.Kind == model.KillAttempt {
-		l.n.log.Info("attempt found that must not be: it is stopped", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
+		l.node.log.Info("attempt found that must not be: it is stopped", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
 			"machine", wire.MachineName(o.ID), "shard", o.To)
 		return
 	}
-	if !l.n.logs(slog.LevelDebug) {
+	if !l.node.logEnabled(slog.LevelDebug) {
 		return
 	}
 	switch o.Kind {
 	case model.OwnMachine:
-		l.n.log.Debug("machine owned", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token", o.Token)
+		l.node.log.Debug("machine owned", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token", o.Token)
 	case model.AssignTask:
-		l.n.log.Debug("task given", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted", o.Assignment.Attempt)
+		l.node.log.Debug("task given", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted",
+			o.Assignment.Attempt)
 	case model.ConfirmLeaseExpiry:
-		l.n.log.Debug("lease to be confirmed as over", "machine", wire.MachineName(o.ID), "shard", o.To)
+		l.node.log.Debug("lease to be confirmed as over", "machine", wire.MachineName(o.ID), "shard", o.To)
 	}
 }
 
 // logStarts tells of the launches that a worker is sent. session is the worker's.
 func (n *Node) logStarts(machine model.MachineID, token, session uint64, commands []model.Command, direct bool) {
-	if !n.logs(slog.LevelDebug) {
+	if !n.logEnabled(slog.LevelDebug) {
 		return
 	}
 	for _, c := range commands {
@@ -102,12 +103,12 @@
 }
 
 // logGrant tells when this controller's shard may act no more, and when it may again.
-func (n *Node) logGrant(now time.Duration, st *seat) {
-	granted := st.s.HasGrant(now)
-	if granted == st.granted {
+func (n *Node) logGrant(now time.Duration, local *localShard) {
+	granted := local.shard.HasGrant(now)
+	if granted == local.granted {
 		return
 	}
-	st.granted = granted
+	local.granted = granted
 	if granted {
 		n.log.Info("grant begins: this controller's shard may act", "leader", n.leader)
 	} else {
--- /dev/null
+++ b/internal/node/disruption.go
@@ -0,0 +1,154 @@
+package node
+
+import (
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"honeylock/internal/core/disruption"
+	"honeylock/internal/core/drain"
+	"honeylock/internal/core/model"
+)
+
+// newDisruptionTracker makes the book of the settings' budgets; nil where there are none.
+func (n *Node) newDisruptionTracker() *disruption.Tracker {
+	if len(n.settings.Budgets) == 0 {
+		return nil
+	}
+	var bs []disruption.Budget
+	for _, b := range n.settings.Budgets {
+		team, ok := n.names.Teams.Lookup(b.Team)
+		if !ok {
+			continue // the command has refused it
+		}
+		x := disruption.Budget{Team: team, Class: model.None, MaxTasks: b.Tasks, MaxShare: b.Share,
+			MaxCPU: model.Capacity(b.CPUs, 0, 0).CPU, MaxLostCPU: b.LostCPUS, Window: b.Window, MaxMoves: b.Moves,
+			LastFraction: b.LastPart}
+		if b.Class != "" {
+			x.Class = n.names.Classes.ID(b.Class)
+		}
+		bs = append(bs, x)
+	}
+	k := disruption.New(bs)
+	k.TeamName = n.names.Teams.Name
+	return k
+}
+
+// teamClass is a team's, or one of its classes'.
+type teamClass struct{ team, class model.Name }
+
+// updateDisruptions brings the book up to date for a turn of the drains, and returns how they draw
+// from it; nil where there are no budgets.
+func (dm *drainManager) updateDisruptions(now time.Duration) func(drain.MoveRequest) string {
+	if !dm.disruptions.Enabled() {
+		return nil
+	}
+	l := dm.lead
+	for _, t := range l.dispatcher.TakeFreedTasks() {
+		if spec := l.dispatcher.Spec(t.Job); spec != nil { // nobody saw how long it had run
+			dm.disruptions.TaskStopped(t, spec, disruption.Lost, spec.Estimate/2)
+		}
+	}
+	dm.disruptions.Prune(func(id model.JobID) bool { return l.dispatcher.Spec(id) != nil })
+	dm.disruptions.Recovered = l.dispatcher.Recovered()
+	teamStates := map[teamClass]disruption.TeamState{}
+	dm.disruptions.TeamState = func(team, class model.Name) disruption.TeamState {
+		w := teamClass{team, class}
+		x, ok := teamStates[w]
+		if !ok {
+			x.Running, x.Orphaned, x.Unknown, x.CPU = l.dispatcher.WorkCounts(team, class)
+			teamStates[w] = x
+		}
+		return x
+	}
+	return func(m drain.MoveRequest) string {
+		cause := disruption.PlanDrain
+		if m.ForPrice {
+			cause = disruption.PriceDrain
+		}
+		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Cause: cause, Ran: m.Ran,
+			Remaining: m.Remaining})
+	}
+}
+
+// BudgetStatus is how a budget of disruption stands, as operators see it.
+type BudgetStatus struct {
+	Team            string         `json:"team"`
+	Class           string         `json:"class,omitempty"`
+	Running         int            `json:"running"`
+	Interrupted     int            `json:"out"`
+	MaxTasks        int            `json:"most"` // tasks, -1: not bounded
+	InterruptedCPUs float64        `json:"out_cpus"`
+	CPUs            float64        `json:"cpus,omitempty"` // bound, 0: none
+	LostCPUS        float64        `json:"lost_cpu_s"`
+	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"`
+	By              map[string]int `json:"by"`
+}
+
+func (dm *drainManager) budgetStatuses(now time.Duration) []BudgetStatus {
+	out := []BudgetStatus{}
+	if dm.updateDisruptions(now) == nil {
+		return out
+	}
+	for _, s := range dm.disruptions.Status(now) {
+		b := BudgetStatus{Team: dm.lead.node.names.Teams.Name(s.Team), Running: s.Running, Interrupted: s.Tasks,
+			MaxTasks:        s.TaskLimit,
+			InterruptedCPUs: float64(s.CPU) / 1000, CPUs: float64(s.Budget.MaxCPU) / 1000, LostCPUS: s.LostCPU,
+			MaxLostCPUS: s.Budget.MaxLostCPU,
+			By:          map[string]int{}}
+		if s.Class != model.None {
+			b.Class = dm.lead.node.names.Classes.Name(s.Class)
+		}
+		for c, n := range s.ByCause {
+			if n > 0 {
+				b.By[disruption.Cause(c).Label()] = n
+			}
+		}
+		out = append(out, b)
+	}
+	return out
+}
+
+// disruptionMetrics are the book's counts, on the leader.
+type disruptionMetrics struct {
+	node                          *Node
+	granted, refused, involuntary *prometheus.Desc
+}
+
+func newDisruptionMetrics(n *Node) *disruptionMetrics {
+	desc := func(name, help string) *prometheus.Desc {
+		return prometheus.NewDesc("honeylock_disruption_"+name+"_total", help+" by this leader, by team and cause.",
+			[]string{"team", "cause"}, nil)
+	}
+	return &disruptionMetrics{n, desc("drawn", "Running tasks moved"), desc("refused", "Moves of running tasks refused"),
+		desc("eaten", "Running tasks seen out of work for other reasons")}
+}
+
+// Describe implements prometheus.Collector.
+func (m *disruptionMetrics) Describe(c chan<- *prometheus.Desc) {
+	c <- m.granted
+	c <- m.refused
+	c <- m.involuntary
+}
+
+// Collect implements prometheus.Collector.
+func (m *disruptionMetrics) Collect(c chan<- prometheus.Metric) {
+	m.node.mu.Lock()
+	defer m.node.mu.Unlock()
+	if m.node.lead == nil || !m.node.lead.drains.disruptions.Enabled() {
+		return
+	}
+	for team, x := range m.node.lead.drains.disruptions.Counts {
+		name := m.node.names.Teams.Name(team)
+		for _, s := range []struct {
+			d *prometheus.Desc
+			n [disruption.NumCauses]uint64
+		}{{m.granted, x.Granted}, {m.refused, x.Refused}, {m.involuntary, x.Involuntary}} {
+			for cause, v := range s.n {
+				if v > 0 {
+					c <- prometheus.MustNewConstMetric(s.d, prometheus.CounterValue, float64(v), name, disruption.Cause(cause).Label())
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/forecast.go
@@ -0,0 +1,294 @@
+package node
+
+import (
+	"errors"
+	"net/http"
+	"strings"
+	"time"
+
+	"honeylock/internal/config"
+	"honeylock/internal/core/dispatcher"
+	"honeylock/internal/core/drain"
+	"honeylock/internal/core/forecast"
+	"honeylock/internal/core/model"
+	"honeylock/internal/core/shard"
+	"honeylock/internal/wire"
+)
+
+// forecasts is the leader's forecasts: one at a time is played, the newest are
+// kept. They are nobody's record: a new leader forecasts anew.
+type forecasts struct {
+	survey  *survey
+	recent  []*forecastRun
+	started uint64
+}
+
+const (
+	maxKeptForecasts = 8
+	maxPartialDone   = 0.99
+)
+
+// survey asks all machines' owners what runs there.
+type survey struct {
+	seq     uint64
+	pending map[model.MachineID]bool
+	tasks   map[model.MachineID][]model.PlacedTask
+}
+
+// Surveys are numbered apart from the engine's questions.
+const surveySeqBase = 1 << 40
+
+// handleAnswer takes an answer to a survey; false tells that it is to something else.
+func (f *forecasts) handleAnswer(e *model.Event) bool {
+	if e.Token < surveySeqBase {
+		return false
+	}
+	if s := f.survey; s != nil && s.seq == e.Token {
+		delete(s.pending, e.Machine)
+		s.tasks[e.Machine] = e.Placed
+	}
+	return true
+}
+
+// forecastRun is a forecast under way or complete.
+type forecastRun struct {
+	request, digest string
+	forecast        *forecast.Forecast // nil: the survey is under way
+	spec            *drain.Spec
+	result          *forecast.Result
+	unreported      int // machines whose owner did not tell what runs there
+	err             error
+	done            float64
+}
+
+func (f *forecasts) find(c *Call) *forecastRun {
+	for _, x := range f.recent {
+		if x.request == c.Request && x.digest == c.digest() {
+			return x
+		}
+	}
+	return nil
+}
+
+// running tells whether a forecast is being made.
+func (f *forecasts) running() bool {
+	for _, x := range f.recent {
+		if x.result == nil && x.err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+var errForecastRunning = errors.New("another forecast is being made: come back")
+
+// startForecast begins a forecast, or finds the one begun under the request's id.
+func (dm *drainManager) startForecast(now time.Duration, c *Call) (*forecastRun, error) {
+	if x := dm.forecasts.find(c); x != nil {
+		return x, x.err
+	}
+	spec, plan, patch, err := dm.planToForecast(now, c)
+	if err != nil {
+		return nil, err
+	}
+	if dm.forecasts.running() {
+		return nil, errForecastRunning
+	}
+	x := &forecastRun{request: c.Request, digest: c.digest(), spec: spec}
+	dm.forecasts.recent = append(dm.forecasts.recent, x)
+	if n := len(dm.forecasts.recent) - maxKeptForecasts; n > 0 {
+		dm.forecasts.recent = dm.forecasts.recent[n:]
+	}
+	dm.forecasts.started++
+	s := &survey{seq: surveySeqBase + dm.forecasts.started, pending: map[model.MachineID]bool{},
+		tasks: map[model.MachineID][]model.PlacedTask{}}
+	dm.forecasts.survey = s
+	dm.lead.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
+		if reported {
+			s.pending[status.Machine.ID] = true
+		}
+	})
+	for id := range s.pending {
+		dm.lead.dispatcher.InspectMachine(id, s.seq)
+	}
+	dm.lead.node.requestCycle()
+	go dm.runForecast(x, s, plan, patch)
+	return x, nil
+}
+
+// planToForecast is the plan that a call is about: one given, or one under way.
+func (dm *drainManager) planToForecast(now time.Duration,
+	c *Call) (*drain.Spec, forecast.StartPlan, time.Duration, error) {
+	if c.Verb == DrainForecast {
+		stored, spec, err := dm.engine.Export(c.Name)
+		if err != nil {
+			return nil, nil, 0, err
+		}
+		return spec, func(e *drain.Engine, now time.Duration, _ time.Time) error {
+			e.Load(now, stored, func([]byte) (*drain.Spec, error) { s := *spec; s.Machines = nil; return &s, nil })
+			return nil
+		}, defaultPatchTime, nil
+	}
+	d, err := dm.parsePlan(now, c.Plan)
+	if err != nil {
+		return nil, nil, 0, err
+	}
+	if err := dm.engine.Check(d.spec, d.source, wire.MachineName); err != nil {
+		return nil, nil, 0, err
+	}
+	patch := defaultPatchTime
+	if d.pb.PatchS != nil {
+		patch = config.Seconds(d.pb.GetPatchS())
+	}
+	return d.spec, func(e *drain.Engine, now time.Duration, wall time.Time) error {
+		e.Apply(now, wall, d.spec, nil, "")
+		return nil
+	}, patch, nil
+}
+
+const (
+	defaultPatchTime = 5 * time.Minute
+	surveyTimeout    = 3 * time.Second
+	// A forecast works for so long at a time and then lets others go first.
+	forecastSlice = 4 * time.Millisecond
+	forecastPause = 4 * time.Millisecond
+)
+
+// runForecast waits for the survey, then plays.
+func (dm *drainManager) runForecast(x *forecastRun, s *survey, plan forecast.StartPlan, patch time.Duration) {
+	n := dm.lead.node
+	for end := n.now() + surveyTimeout; n.now() < end && dm.lead.ctx.Err() == nil; sleep(dm.lead.ctx, 20*time.Millisecond) {
+		n.mu.Lock()
+		left := len(s.pending)
+		n.mu.Unlock()
+		if left == 0 {
+			break
+		}
+	}
+	n.mu.Lock()
+	snap := dm.forecastSnapshot(n.now(), s)
+	x.unreported = len(s.pending)
+	params := forecast.Params{Runs: 5, Step: forecast.StepInterval(len(snap.Machines)), MaxDuration: 4 * time.Hour,
+		PatchTime: patch,
+		Seed:      dm.forecasts.started}
+	if len(snap.Machines) > 200 {
+		params.Runs = 1 // the more runs, the less luck matters
+	}
+	x.forecast = forecast.New(params, snap, x.spec, plan)
+	if dm.forecasts.survey == s {
+		dm.forecasts.survey = nil
+	}
+	n.mu.Unlock()
+	for done := false; !done && dm.lead.ctx.Err() == nil; {
+		for began := n.now(); !done && n.now()-began < forecastSlice; {
+			done = x.forecast.Advance()
+		}
+		n.mu.Lock()
+		x.done = x.forecast.Progress()
+		if done {
+			if x.err = x.forecast.Err(); x.err == nil {
+				x.result = x.forecast.Result()
+			}
+			x.forecast = nil
+		}
+		n.mu.Unlock()
+		sleep(dm.lead.ctx, forecastPause)
+	}
+}
+
+// forecastSnapshot copies what a forecast needs.
+func (dm *drainManager) forecastSnapshot(now time.Duration, s *survey) *forecast.Snapshot {
+	l := dm.lead
+	out := &forecast.Snapshot{Now: now, Wall: time.Now(), RunTimeFactor: dm.runTimes.Copy().Factor,
+		Teams:   l.dispatcher.Teams(),
+		JobName: wire.JobName,
+		Shard:   l.node.shardParams()}
+	bootTimes := map[model.Name]time.Duration{}
+	for _, t := range l.node.types {
+		bootTimes[t.Name] = t.Boot
+	}
+	out.BootTime = func(t model.Name) time.Duration { return bootTimes[t] }
+	l.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
+		on, ok := s.tasks[status.Machine.ID]
+		if reported && ok {
+			out.Machines = append(out.Machines, forecast.Machine{Machine: status.Machine, Tasks: on,
+				Usable: status.Ready && !status.Draining && !status.Faulty})
+		}
+	})
+	for _, need := range l.dispatcher.Demand() {
+		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished),
+			Since: need.WaitingSince})
+	}
+	return out
+}
+
+func (n *Node) teamLimits() []dispatcher.Team {
+	out := make([]dispatcher.Team, len(n.cfg.Cluster.Teams))
+	for i, t := range n.cfg.Cluster.Teams {
+		out[i] = dispatcher.Team{Guarantee: model.Capacity(t.CPUs, t.GPUs, 0), Limit: model.Capacity(t.CPUsMax, t.GPUsMax, 0)}
+	}
+	return out
+}
+
+func (n *Node) shardParams() shard.Params {
+	c := &n.cfg.Cluster
+	return shard.Params{MaxLease: c.SureLease(), ReportInterval: config.Seconds(c.Workers.ReportS),
+		VictimSample: n.settings.SampleSize,
+		PaybackLimit: n.settings.PaybackLimit, DemotionStep: n.settings.DemotionStep,
+		DirectRetryDelay: config.Seconds(c.Workers.ReportS) + 2*time.Second}
+}
+
+// answerForecast answers with a forecast, or with how far it is.
+func (dm *drainManager) answerForecast(now time.Duration, c *Call) CallReply {
+	x, err := dm.startForecast(now, c)
+	switch {
+	case errors.Is(err, errForecastRunning):
+		return errorReply(http.StatusServiceUnavailable, err)
+	case err != nil:
+		return errorReply(errorStatus(err), err)
+	case x.result == nil:
+		// 1 says that the rest is there: all may have been played, yet not summed up.
+		return okReply(ForecastReply{Name: x.spec.Name, Done: min(x.done, maxPartialDone)})
+	}
+	return okReply(dm.forecastReply(x))
+}
+
+// forecastBeforeApply has a plan with windows forecast before it is applied; wait tells that
+// the answer is not there yet.
+func (dm *drainManager) forecastBeforeApply(now time.Duration, c *Call) (r CallReply, pending bool) {
+	if c.Verb != DrainApply || !strings.Contains(c.Plan, "windows") {
+		return r, false
+	}
+	x, err := dm.startForecast(now, c)
+	switch {
+	case errors.Is(err, errForecastRunning):
+		return errorReply(http.StatusServiceUnavailable, err), true
+	case err != nil:
+		return r, false // it is refused as it is made
+	case x.result == nil:
+		return errorReply(http.StatusServiceUnavailable,
+			errors.New("it is being forecast, for it has windows: ask again under the same request id")), true
+	}
+	return r, false
+}
+
+// checkWindows refuses a plan whose forecast pushes a job past one of its windows.
+func (dm *drainManager) checkWindows(c *Call) error {
+	x := dm.forecasts.find(c)
+	if x == nil || x.result == nil {
+		return nil
+	}
+	var jobs []string
+	for i := range x.result.Delayed {
+		if l := &x.result.Delayed[i]; l.Window != "" {
+			jobs = append(jobs, wire.JobName(l.Spec.ID)+" by "+l.Delay[1].Round(time.Second).String()+" past "+l.Window)
+		}
+	}
+	if len(jobs) == 0 {
+		return nil
+	}
+	if len(jobs) > 5 {
+		jobs = append(jobs[:5], "and more")
+	}
+	return &drain.RefusedError{Reason: "windows: it would push " + strings.Join(jobs, ", ")}
+}
--- /dev/null
+++ b/internal/node/forecast_test.go
@@ -0,0 +1,71 @@
+package node
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"honeylock/internal/config"
+	"honeylock/internal/core/dispatcher"
+	"honeylock/internal/core/drain"
+	"honeylock/internal/core/fleet"
+	"honeylock/internal/core/forecast"
+	"honeylock/internal/core/model"
+	"honeylock/internal/wire"
+)
+
+// BenchmarkLargeSnapshot is what a forecast does under the controller's lock: with
+// 1,636 machines, 39,264 tasks and 800 jobs it must not hold dealing up for 50 ms.
+func BenchmarkLargeSnapshot(b *testing.B) {
+	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
+	n.cfg.Cluster.Teams = []config.Team{{Name: "t", CPUs: 100, CPUsMax: 1e6}}
+	l := &leadership{node: n, dispatcher: dispatcher.New(dispatcher.Params{Term: 1, Teams: n.teamLimits(), ChunkSize: 64,
+		BlockSize: 64}, 0)}
+	l.rentals = &rentalManager{lead: l, fleet: fleet.New(fleet.Params{})}
+	p := l.newDrainManager()
+	l.dispatcher.SetTypes([]model.MachineType{{Cap: model.Capacity(64, 0, 256)}})
+	s := &survey{tasks: map[model.MachineID][]model.PlacedTask{}}
+	shard := l.dispatcher.AddShard(0, "a")
+	var status []model.MachineStatus
+	for id := range model.MachineID(1636) {
+		m := model.Machine{ID: id, Addr: "x"}
+		l.dispatcher.HandleEvent(0, shard, model.Event{Kind: model.UnownedWorker, Machine: id,
+			Report: &model.Report{Machine: m}})
+		status = append(status, model.MachineStatus{Machine: m, Ready: true})
+		s.tasks[id] = make([]model.PlacedTask, 24)
+	}
+	l.dispatcher.UpdateStatus(0, shard, status, nil, 0)
+	for id := range model.JobID(800) {
+		l.dispatcher.AddJob(0, &model.Spec{ID: id, Tasks: 50}, uint64(id)+1, 0, false)
+	}
+	for b.Loop() {
+		if snap := p.forecastSnapshot(time.Second, s); len(snap.Machines) != 1636 || len(snap.Jobs) != 800 {
+			b.Fatalf("%d machines, %d jobs", len(snap.Machines), len(snap.Jobs))
+		}
+	}
+}
+
+// A forecast that was played to its end, yet not summed up, was told as complete,
+// with nothing in it.
+func TestForecastDoneOnlyWithResult(t *testing.T) {
+	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
+	n.names = &wire.Names{Teams: wire.NewTable(), Classes: wire.NewTable()}
+	p := (&leadership{node: n}).newDrainManager()
+	c := &Call{Verb: DrainPlan, Request: "r"}
+	x := &forecastRun{request: "r", digest: c.digest(), spec: &drain.Spec{Name: "p"}, done: 1}
+	p.forecasts.recent = []*forecastRun{x}
+	ask := func() (r ForecastReply) {
+		t.Helper()
+		if err := json.Unmarshal(p.answerForecast(0, c).Body, &r); err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+	if r := ask(); r.Done >= 1 {
+		t.Errorf("%+v without a result", r)
+	}
+	x.result = &forecast.Result{Runs: 5}
+	if r := ask(); r.Done != 1 || r.Runs != 5 {
+		t.Errorf("%+v with one", r)
+	}
+}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -18,60 +18,61 @@
 // it answers a sibling passes users' requests on: until the load balancer has
 // noticed, and for the connections that stay, they would all fail.
 
-// forwarded is a user's request passed on to a sibling.
-type forwarded struct {
+// forwardedRequest is a user's request passed on to a sibling.
+type forwardedRequest struct {
 	Kind jobs.Kind
 	Job  model.JobID
 	Sub  *wire.Submission
 }
 
-// helper is the address of a sibling that the state service answers, "" if none
+// forwardTarget is the address of a sibling that the state service answers, "" if none
 // is known. first tells that it has not answered this controller for a while.
-func (n *Node) helper() (addr string, first bool) {
+func (n *Node) forwardTarget() (addr string, preferred bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	first = n.health.missing(now)
+	preferred = n.health.stateUnserved(now)
 	if n.lead != nil {
 		for _, k := range n.lead.links {
-			if now-k.stateAt < storehealth.UnreachableAfter {
-				return n.siblingAddr(k.host), first
+			if now-k.stateServedAt < storehealth.UnreachableAfter {
+				return n.siblingAddr(k.host), preferred
 			}
 		}
-	} else if n.leader != "" && now-n.leaderStateAt < storehealth.UnreachableAfter {
-		return n.siblingAddr(n.leader), first
+	} else if n.leader != "" && now-n.leaderStateServedAt < storehealth.UnreachableAfter {
+		return n.siblingAddr(n.leader), preferred
 	}
-	return "", first
+	return "", preferred
 }
 
-func (n *Node) forward(ctx context.Context, addr string, k jobs.Kind, id model.JobID, sub *wire.Submission) (Reply, bool) {
+func (n *Node) forward(ctx context.Context, addr string, k jobs.Kind, id model.JobID,
+	sub *wire.Submission) (Reply, bool) {
 	var r Reply
-	if err := n.dialer.Forward(ctx, addr, peer.UserPath, forwarded{Kind: k, Job: id, Sub: sub}, &r); err != nil {
+	if err := n.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: k, Job: id, Sub: sub}, &r); err != nil {
 		n.log.Debug("request not passed on", "job", wire.JobName(id), "err", err)
 		return r, false
 	}
 	if r.Status == http.StatusOK && r.State != nil && jobs.Stage(r.State.Stage).Ended() {
-		n.keepFinal(id, jobs.Stage(r.State.Stage))
+		n.addFinal(id, jobs.Stage(r.State.Stage))
 	}
-	return n.notOlder(id, r), true
+	return n.preferFinal(id, r), true
 }
 
 // serveForwarded answers what a sibling passes on; it is not passed on again.
 func (n *Node) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	var f forwarded
-	if !readPeer(w, r, &f) {
+	var f forwardedRequest
+	if !readPeerRequest(w, r, &f) {
 		return
 	}
 	if f.Kind == jobs.Submit && f.Sub == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	n.answerPeer(w, n.ask(r.Context(), f.Kind, f.Job, f.Sub))
+	n.writePeerReply(w, n.answerHere(r.Context(), f.Kind, f.Job, f.Sub))
 }
 
-// readPeer reads what a sibling passes on; false tells that it can't be read, and
+// readPeerRequest reads what a sibling passes on; false tells that it can't be read, and
 // that this was answered.
-func readPeer(w http.ResponseWriter, r *http.Request, v any) bool {
+func readPeerRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 128<<10))
 	if err == nil {
 		err = json.Unmarshal(b, v)
@@ -82,8 +83,8 @@
 	return err == nil
 }
 
-// answerPeer passes an answer back to a sibling.
-func (n *Node) answerPeer(w http.ResponseWriter, v any) {
+// writePeerReply passes an answer back to a sibling.
+func (n *Node) writePeerReply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		n.log.Debug("answer not passed back", "err", err)
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -16,81 +16,81 @@
 	mu       sync.Mutex
 	overload overload.Detector
 	store    storehealth.Health
-	spread   *rand.Rand // sets askers apart
+	jitter   *rand.Rand // sets askers apart
 }
 
-// late takes how late a tick came.
-func (p *processHealth) late(now, by time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.overload.RecordDelay(now, max(0, by))
-	p.store.RecordDelay(now, by)
+// recordDelay takes how recordDelay a tick came.
+func (h *processHealth) recordDelay(now, by time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.overload.RecordDelay(now, max(0, by))
+	h.store.RecordDelay(now, by)
 }
 
-// note takes what became of a request to the state service.
-func (p *processHealth) note(sent time.Duration, o storehealth.Outcome) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.store.RecordOutcome(sent, o)
+// recordRequest takes what became of a request to the state service.
+func (h *processHealth) recordRequest(sent time.Duration, o storehealth.Outcome) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.store.RecordOutcome(sent, o)
 }
 
-// takes tells whether a user's request should be begun at all, or when its user
+// admit tells whether a user's request should be begun at all, or when its user
 // should ask again.
-func (p *processHealth) takes(now time.Duration, k overload.Kind) (ok bool, again time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.overload.Admits(now, k), p.overload.RetryAfter(now, p.spread.Float64())
+func (h *processHealth) admit(now time.Duration, k overload.Kind) (ok bool, retryAfter time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.overload.Admits(now, k), h.overload.RetryAfter(now, h.jitter.Float64())
 }
 
-// atOnce is how many of up to most things this process should do at a time of its
+// scaleConcurrency is how many of up to most things this process should do at a time of its
 // own accord.
-func (p *processHealth) atOnce(now time.Duration, most int) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.overload.Scale(now, most)
+func (h *processHealth) scaleConcurrency(now time.Duration, limit int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.overload.Scale(now, limit)
 }
 
-func (p *processHealth) lag(now time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.overload.Lag(now)
+func (h *processHealth) lag(now time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.overload.Lag(now)
 }
 
-// missing, alone, givesWay and confirmed are the store's.
-func (p *processHealth) missing(now time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.store.Unreachable(now)
+// stateUnserved, alone, givesWay and confirmed are the store's.
+func (h *processHealth) stateUnserved(now time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.store.Unreachable(now)
 }
 
-func (p *processHealth) alone(now, sibling time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.store.RefusedAlone(now, sibling)
+func (h *processHealth) refusedAlone(now, sibling time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.store.RefusedAlone(now, sibling)
 }
 
-func (p *processHealth) givesWay(now, sibling time.Duration) (yes, ask bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.store.YieldNow(now, sibling)
+func (h *processHealth) shouldYield(now, sibling time.Duration) (yes, ask bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.store.YieldNow(now, sibling)
 }
 
-func (p *processHealth) confirmed(now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.store.ConfirmServed(now)
+func (h *processHealth) yieldConfirmed(now time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.store.ConfirmServed(now)
 }
 
-// served is when the newest request was sent that the state service has served.
-func (p *processHealth) served() (at time.Duration, known bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.store.LastServed()
+// lastServed is when the newest request was sent that the state service has lastServed.
+func (h *processHealth) lastServed() (at time.Duration, known bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.store.LastServed()
 }
 
-// servedAgo is how long ago that was; long ago if there was none.
-func (p *processHealth) servedAgo(now time.Duration) time.Duration {
-	at, known := p.served()
+// sinceServed is how long ago that was; long ago if there was none.
+func (h *processHealth) sinceServed(now time.Duration) time.Duration {
+	at, known := h.lastServed()
 	if !known {
 		return now + time.Hour
 	}
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -13,11 +13,11 @@
 	"honeylock/internal/wire"
 )
 
-// jobOp carries out an operation of a user's request.
-func (n *Node) jobOp(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
+// runJobOp carries out an operation of a user's request.
+func (n *Node) runJobOp(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
 	switch op.Kind {
 	case jobs.CompareOpen:
-		return n.questions.stillOpen(ctx, jobs.Guard{Job: op.Job, Version: op.Version})
+		return n.openChecker.stillOpen(ctx, jobs.Guard{Job: op.Job, Version: op.Version})
 	case jobs.ReadOpen:
 		return n.readOpen(ctx, op.Job)
 	case jobs.ReadFinal:
@@ -28,7 +28,7 @@
 }
 
 func (n *Node) readOpen(ctx context.Context, id model.JobID) jobs.Result {
-	it, err := n.state.Get(ctx, openKeys+wire.JobName(id))
+	it, err := n.state.Get(ctx, openPrefix+wire.JobName(id))
 	if err != nil {
 		return jobs.Result{Outcome: readOutcome(err)}
 	}
@@ -36,12 +36,12 @@
 	if json.Unmarshal(it.Value, &rec) != nil {
 		return jobs.Result{Outcome: jobs.Failed}
 	}
-	n.keepVersion(id, it.Version, len(rec.Awaits) > 0)
+	n.cacheOpenRecord(id, it.Version, len(rec.Awaits) > 0)
 	return jobs.Result{Version: it.Version}
 }
 
 func (n *Node) readFinal(ctx context.Context, id model.JobID) jobs.Result {
-	it, err := n.state.Get(ctx, finalKeys+wire.JobName(id))
+	it, err := n.state.Get(ctx, finalPrefix+wire.JobName(id))
 	if err != nil {
 		return jobs.Result{Outcome: readOutcome(err)}
 	}
@@ -67,14 +67,14 @@
 func (n *Node) changeJob(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
 	id := op.Job
 	name := wire.JobName(id)
-	openKey, finalKey := openKeys+name, finalKeys+name
+	openKey, finalKey := openPrefix+name, finalPrefix+name
 	t := wire.Txn{}
 	if op.Kind == jobs.Create {
 		t.Guards = []wire.Guard{{Key: openKey}, {Key: finalKey}}
 		for _, g := range op.Guards {
-			t.Guards = append(t.Guards, wire.Guard{Key: openKeys + wire.JobName(g.Job), Version: g.Version})
+			t.Guards = append(t.Guards, wire.Guard{Key: openPrefix + wire.JobName(g.Job), Version: g.Version})
 		}
-		t.Then = []wire.Op{{Put: openKey, Value: encode(sub)}}
+		t.Then = []wire.Op{{Put: openKey, Value: mustEncode(sub)}}
 		if op.Stage != "" {
 			t.Then = finalOps(id, op.Stage)[1:] // it never was open
 		}
@@ -86,7 +86,7 @@
 	switch {
 	case err == nil:
 		if op.Kind == jobs.Create && op.Stage == "" {
-			n.keepVersion(id, rev, len(sub.Awaits) > 0)
+			n.cacheOpenRecord(id, rev, len(sub.Awaits) > 0)
 		}
 		return jobs.Result{}
 	case errors.Is(err, state.ErrConflict):
@@ -97,45 +97,45 @@
 	return jobs.Result{Outcome: jobs.Failed}
 }
 
-// seenOpen returns the version of a job's open record, if it has been seen, else 0. ended
+// cachedOpenRecord returns the version of a job's open record, if it has been seen, else 0. ended
 // tells that the job is believed to have ended: no open record of it was seen, and a leader
 // that told of all open jobs did not tell of it. It may have been submitted since.
-func (n *Node) seenOpen(id model.JobID) (version uint64, ended bool) {
+func (n *Node) cachedOpenRecord(id model.JobID) (version uint64, ended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if v := n.versions[id]; v.version != 0 {
+	if v := n.openRecords[id]; v.version != 0 {
 		return v.version, false
 	}
 	p, open := n.progress[id]
 	return p.version, !open && len(n.progress) > 0
 }
 
-func (n *Node) keepVersion(id model.JobID, version uint64, awaits bool) {
+func (n *Node) cacheOpenRecord(id model.JobID, version uint64, awaits bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.versions) >= maxFinals {
-		clear(n.versions) // they are read again
+	if len(n.openRecords) >= maxCachedFinals {
+		clear(n.openRecords) // they are read again
 	}
-	n.versions[id] = openSeen{version, awaits}
+	n.openRecords[id] = openRecordInfo{version, awaits}
 }
 
-// keepVersions keeps those of jobs that the leader no longer tells of: their users will ask
+// cacheRemovedRecords keeps those of jobs that the leader no longer tells of: their users will ask
 // once more, and a leader that has ended one answers without asking the state service.
 // Called under the lock.
-func (n *Node) keepVersions(before map[model.JobID]progress) {
+func (n *Node) cacheRemovedRecords(before map[model.JobID]jobProgress) {
 	for id, p := range before {
 		if _, open := n.progress[id]; open || p.version == 0 {
 			continue
 		}
-		if _, ended := n.finals[id]; !ended && len(n.versions) < maxFinals {
-			n.versions[id] = openSeen{p.version, p.waits}
+		if _, ended := n.cachedFinals[id]; !ended && len(n.openRecords) < maxCachedFinals {
+			n.openRecords[id] = openRecordInfo{p.version, p.onHold}
 		}
 	}
 }
 
-// openSeen is what was seen of an open record: its version, and whether its job awaits
+// openRecordInfo is what was seen of an open record: its version, and whether its job awaits
 // others.
-type openSeen struct {
+type openRecordInfo struct {
 	version uint64
 	awaits  bool
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -19,20 +19,20 @@
 
 // link is the leader's end of a member's stream.
 type link struct {
-	host  string
-	out   *peer.Queue
-	codec *peer.Codec
-	until time.Duration // of the longest grant given
+	host     string
+	queue    *peer.Queue
+	codec    *peer.Codec
+	grantEnd time.Duration // of the longest grant given
 
-	number  uint64
-	sent    map[uint64]time.Duration // grants, by number
-	promise time.Duration            // the member does not take over before
-	stateAt time.Duration            // the state service last answered it
-	tells   bool                     // the member says of which cancellations it told users
-	word    cancellog.Coverage       // how far that is known
-	told    time.Duration            // the picture that its last progress was of was made
-	needs   ratelimit.Allocation     // what it asked of the state service lately; none: not told
-	part    ratelimit.Allocation     // of the state service's rate, which it is told with each grant
+	lastGrant            uint64
+	grantsSent           map[uint64]time.Duration // grants, by number
+	promisedUntil        time.Duration            // the member does not take over before
+	stateServedAt        time.Duration            // the state service last answered it
+	reportsCancellations bool                     // the member says of which cancellations it told users
+	coverage             cancellog.Coverage       // how far that is known
+	progressAsOf         time.Duration            // the picture that its last progress was of was made
+	demand               ratelimit.Allocation     // what it asked of the state service lately; none: not told
+	allocation           ratelimit.Allocation     // of the state service's rate, which it is told with each grant
 }
 
 // ServePeers serves the other controllers until the context ends.
@@ -44,7 +44,7 @@
 	mux.HandleFunc("GET "+peer.LeadingPath, func(w http.ResponseWriter, _ *http.Request) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if n.lead != nil || n.el.Leading(n.now()) {
+		if n.lead != nil || n.election.Leading(n.now()) {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
@@ -72,14 +72,14 @@
 	if err := rc.Flush(); err != nil {
 		return
 	}
-	k := &link{out: peer.NewQueue(), codec: peer.NewCodec(n.names), sent: map[uint64]time.Duration{}}
+	k := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSent: map[uint64]time.Duration{}}
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		cancel(k.out.Run(ctx, w, rc.Flush))
+		cancel(k.queue.Run(ctx, w, rc.Flush))
 	}()
-	alive := time.AfterFunc(linkTimeout, func() { cancel(errSilent) })
-	defer alive.Stop()
+	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
+	defer watchdog.Stop()
 	// Reading and writing end when the context does.
 	broken := make(chan struct{})
 	stopBreak := context.AfterFunc(ctx, func() {
@@ -92,44 +92,45 @@
 			<-broken
 		}
 	}()
-	id, err := n.readMember(l, k, r.Body, alive)
+	id, err := n.readMemberMessages(l, k, r.Body, watchdog)
 	if c := context.Cause(ctx); c != nil {
 		err = c
 	}
 	n.mu.Lock()
 	if id != 0 && n.lead == l {
 		now := n.now()
-		n.log.Info("member lost", "host", k.host, "shard", id, "err", err, "authority_left", k.until-now)
+		n.log.Info("member lost", "host", k.host, "shard", id, "err", err, "authority_left", k.grantEnd-now)
 		delete(l.links, id)
-		l.lost = now
-		l.d.ShardLost(id, max(now, k.until))
-		n.soon()
+		l.memberLostAt = now
+		l.dispatcher.ShardLost(id, max(now, k.grantEnd))
+		n.requestCycle()
 	}
 	n.mu.Unlock()
 	cancel(err)
 	<-written
 }
 
-// readMember takes a member's messages until the stream ends.
-func (n *Node) readMember(l *leadership, k *link, body io.Reader, alive *time.Timer) (id model.ShardID, err error) {
+// readMemberMessages takes a member's messages until the stream ends.
+func (n *Node) readMemberMessages(l *leadership, k *link, body io.Reader,
+	watchdog *time.Timer) (id model.ShardID, err error) {
 	in := peer.NewReader(body)
 	for {
 		var m peerpb.Up
 		if err := in.Next(&m); err != nil {
 			return id, err
 		}
-		alive.Reset(linkTimeout)
+		watchdog.Reset(linkTimeout)
 		n.mu.Lock()
 		if n.lead != l {
 			n.mu.Unlock()
 			return id, errors.New("leadership over")
 		}
 		now := n.now()
-		n.sibling = now
+		n.siblingSeenAt = now
 		if h := m.GetHello(); h != nil && id == 0 {
-			id = l.welcome(now, k, h)
+			id = l.acceptMember(now, k, h)
 		} else if id != 0 && l.links[id] == k {
-			l.heard(now, id, k, &m)
+			l.handleMessage(now, id, k, &m)
 		} else {
 			n.mu.Unlock()
 			return 0, errors.New("replaced")
@@ -138,99 +139,100 @@
 	}
 }
 
-func (l *leadership) welcome(now time.Duration, k *link, hello *peerpb.Hello) model.ShardID {
+func (l *leadership) acceptMember(now time.Duration, k *link, hello *peerpb.Hello) model.ShardID {
 	host := hello.GetHost()
 	k.host = host
 	for id, o := range l.links {
 		if o.host == host {
 			// Its Hello says that the shard before acts no more.
 			delete(l.links, id)
-			l.d.ShardLost(id, now)
+			l.dispatcher.ShardLost(id, now)
 		}
 	}
-	id := l.d.AddShard(now, host)
+	id := l.dispatcher.AddShard(now, host)
 	l.links[id] = k
-	k.out.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term, Attempts: l.d.FirstAttempt(id),
-		Tell: l.drains.book.Enabled(), Compares: true}}})
-	k.out.Send(l.deals.progress())
-	k.told = l.deals.told
-	l.n.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
-	l.hosts[host] = hello.GetRelease()
+	k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term,
+		Attempts: l.dispatcher.FirstAttempt(id),
+		Tell:     l.drains.disruptions.Enabled(), Compares: true}}})
+	k.queue.Send(l.dispatchLoop.collectProgress())
+	k.progressAsOf = l.dispatchLoop.progressAsOf
+	l.node.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
+	l.siblingReleases[host] = hello.GetRelease()
 	all, oldest := true, uint32(release)
-	for _, s := range l.n.cfg.Siblings {
-		r, here := l.hosts[s.HostName]
-		all, oldest = all && here, min(oldest, r)
+	for _, s := range l.node.cfg.Siblings {
+		r, joined := l.siblingReleases[s.HostName]
+		all, oldest = all && joined, min(oldest, r)
 	}
 	if all {
-		l.d.AllControllersJoined(now)
-		l.upgraded(oldest)
+		l.dispatcher.AllControllersJoined(now)
+		l.applyOldestRelease(oldest)
 	}
-	l.n.soon()
+	l.node.requestCycle()
 	return id
 }
 
-func (l *leadership) heard(now time.Duration, id model.ShardID, k *link, m *peerpb.Up) {
+func (l *leadership) handleMessage(now time.Duration, id model.ShardID, k *link, m *peerpb.Up) {
 	switch msg := m.Msg.(type) {
 	case *peerpb.Up_Ask:
-		if !l.n.el.Leading(now) {
+		if !l.node.election.Leading(now) {
 			return
 		}
 		if age := msg.Ask.GetStateAgeUs(); age >= 0 {
-			k.stateAt = now - time.Duration(age)*time.Microsecond
+			k.stateServedAt = now - time.Duration(age)*time.Microsecond
 		}
 		for _, id := range msg.Ask.GetTold() {
-			l.deals.cancelled(now, model.JobID(id))
+			l.dispatchLoop.applyCancellation(now, model.JobID(id))
 		}
 		if d := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; d > 0 {
-			k.tells, k.word.Since = true, now-(d-d/500) // its clock may be the faster one
+			k.reportsCancellations, k.coverage.Since = true, now-(d-d/500) // its clock may be the faster one
 		}
 		// The member promised when it received that grant, so after it was
 		// sent: from then on by this clock, less drift.
-		if at, ok := k.sent[msg.Ask.GetPromised()]; ok {
-			k.promise = max(k.promise, at+config.Promise-config.Promise/200-50*time.Millisecond)
+		if at, ok := k.grantsSent[msg.Ask.GetPromised()]; ok {
+			k.promisedUntil = max(k.promisedUntil, at+config.Promise-config.Promise/200-50*time.Millisecond)
 			// ... and what it told users before that came in no later than this.
-			k.word.Until = max(k.word.Until, at)
-			for no := range k.sent {
+			k.coverage.Until = max(k.coverage.Until, at)
+			for no := range k.grantsSent {
 				if no < msg.Ask.GetPromised() {
-					delete(k.sent, no)
+					delete(k.grantsSent, no)
 				}
 			}
 		}
-		k.needs = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
-		l.back()
-		l.deals.listen(now)
-		k.until = max(k.until, l.until())
-		k.number++
-		k.sent[k.number] = now
-		k.out.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
-			ForUs: max(0, l.until()-now).Microseconds(), Number: k.number,
-			SettledAgeUs:  max(1, (now - l.chains.settled(now)).Microseconds()),
-			ToldAgeUs:     max(1, (now - k.told).Microseconds()),
-			RequestsShare: k.part.Requests, WritesShare: k.part.Writes}}})
+		k.demand = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
+		l.extendAuthority()
+		l.dispatchLoop.updateOpenJobsView(now)
+		k.grantEnd = max(k.grantEnd, l.authorityEnd())
+		k.lastGrant++
+		k.grantsSent[k.lastGrant] = now
+		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
+			ForUs: max(0, l.authorityEnd()-now).Microseconds(), Number: k.lastGrant,
+			SettledAgeUs:  max(1, (now - l.dependencies.propagatedUntil(now)).Microseconds()),
+			ToldAgeUs:     max(1, (now - k.progressAsOf).Microseconds()),
+			RequestsShare: k.allocation.Requests, WritesShare: k.allocation.Writes}}})
 	case *peerpb.Up_Questions:
-		l.heardQuestions(k, msg.Questions.GetQuestions())
+		l.handleQuestions(k, msg.Questions.GetQuestions())
 	case *peerpb.Up_Event:
-		l.hear(now, id, k.codec.FromEvent(msg.Event))
-		l.n.soon()
+		l.handleEvent(now, id, k.codec.FromEvent(msg.Event))
+		l.node.requestCycle()
 	case *peerpb.Up_Status:
 		ms, jobs := k.codec.FromStatus(now, msg.Status)
-		l.d.UpdateStatus(now, id, ms, jobs, msg.Status.GetDeals())
-		l.deals.due = true
-		l.n.soon()
+		l.dispatcher.UpdateStatus(now, id, ms, jobs, msg.Status.GetDeals())
+		l.dispatchLoop.dispatchDue = true
+		l.node.requestCycle()
 	}
 }
 
-// back extends this leader's authority to where every sibling's promise lasts.
-func (l *leadership) back() {
-	end := map[string]time.Duration{}
+// extendAuthority extends this leader's authority to where every sibling's promise lasts.
+func (l *leadership) extendAuthority() {
+	promisedUntil := map[string]time.Duration{}
 	for _, k := range l.links {
-		end[k.host] = max(end[k.host], k.promise)
+		promisedUntil[k.host] = max(promisedUntil[k.host], k.promisedUntil)
 	}
-	least := time.Duration(1<<63 - 1)
-	for _, s := range l.n.cfg.Siblings {
-		least = min(least, end[s.HostName])
+	earliest := time.Duration(1<<63 - 1)
+	for _, s := range l.node.cfg.Siblings {
+		earliest = min(earliest, promisedUntil[s.HostName])
 	}
-	if len(l.n.cfg.Siblings) > 0 {
-		l.n.el.ExtendAuthority(least)
+	if len(l.node.cfg.Siblings) > 0 {
+		l.node.election.ExtendAuthority(earliest)
 	}
 }
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -10,21 +10,21 @@
 	"honeylock/internal/core/starvation"
 )
 
-// loadEvery is how often the leader's log tells what is open and what there is
+// loadLogInterval is how often the leader's log tells what is open and what there is
 // for it.
-const loadEvery = 15 * time.Second
+const loadLogInterval = 15 * time.Second
 
 // classLoad sums up the open jobs of a class.
-type classLoad struct{ jobs, ending, open, held, running int }
+type classLoad struct{ jobs, ending, unfinished, assigned, running int }
 
 // logLoad tells the load at info: without it a day can't be understood
 // afterwards.
-func (p *dealing) logLoad() {
-	if !p.l.n.log.Enabled(p.l.ctx, slog.LevelInfo) {
+func (dl *dispatchLoop) logLoad() {
+	if !dl.lead.node.log.Enabled(dl.lead.ctx, slog.LevelInfo) {
 		return
 	}
 	classes := map[model.Name]*classLoad{}
-	for _, need := range p.d.Demand() {
+	for _, need := range dl.dispatcher.Demand() {
 		c := classes[need.Spec.Class]
 		if c == nil {
 			c = &classLoad{}
@@ -34,37 +34,39 @@
 		if need.Unfinished == 0 { // its final is not stored yet
 			c.ending++
 		}
-		c.open += int(need.Unfinished)
-		c.held += int(need.Assigned)
-		c.running += p.d.TaskCounts(need.Spec.ID).Running
+		c.unfinished += int(need.Unfinished)
+		c.assigned += int(need.Assigned)
+		c.running += dl.dispatcher.TaskCounts(need.Spec.ID).Running
 	}
 	var machines, ready, spot, faulty int
 	var cpus, free int64
-	for _, st := range p.d.MachineStatuses() {
+	for _, status := range dl.dispatcher.MachineStatuses() {
 		machines++
-		if st.Machine.Spot {
+		if status.Machine.Spot {
 			spot++
 		}
-		if st.Faulty {
+		if status.Faulty {
 			faulty++
 		}
-		if st.Ready {
+		if status.Ready {
 			ready++
-			cpus += st.Machine.Cap.CPU
-			free += max(0, st.Avail.CPU)
+			cpus += status.Machine.Cap.CPU
+			free += max(0, status.Avail.CPU)
 		}
 	}
-	awaiting, unknown, doomed := p.l.chains.g.Counts()
-	p.l.n.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", doomed,
-		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", p.d.UnverifiedCount(), "cpus", cpus/1000,
+	awaiting, unknown, cancelPending := dl.lead.dependencies.graph.Counts()
+	dl.lead.node.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", cancelPending,
+		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", dl.dispatcher.UnverifiedCount(),
+		"cpus", cpus/1000,
 		"free", free/1000)
-	for _, s := range starvation.Starved(p.d.Starvation(p.l.n.now())) {
-		p.l.n.log.Warn("jobs wait for too long to begin", "of", p.l.n.groupName(s.Group), "begun", s.Begun, "late", s.Overdue,
+	for _, s := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
+		dl.lead.node.log.Warn("jobs wait for too long to begin", "of", dl.lead.node.groupName(s.Group), "begun", s.Begun,
+			"late", s.Overdue,
 			"longest", s.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
-		p.l.n.log.Info("load of a class", "class", p.l.n.names.Classes.Name(name), "jobs", c.jobs, "ending",
-			c.ending, "open", c.open, "held", c.held, "running", c.running)
+		dl.lead.node.log.Info("load of a class", "class", dl.lead.node.names.Classes.Name(name), "jobs", c.jobs, "ending",
+			c.ending, "open", c.unfinished, "held", c.assigned, "running", c.running)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -16,11 +16,12 @@
 		}))
 	}
 	counter := func(name, help string, f func() uint64) {
-		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "honeylock_" + name + "_total", Help: help}, func() float64 {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return float64(f())
-		}))
+		reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "honeylock_" + name + "_total", Help: help},
+			func() float64 {
+				n.mu.Lock()
+				defer n.mu.Unlock()
+				return float64(f())
+			}))
 	}
 	gauge("leading", "1 while this controller leads.", func() float64 {
 		if n.lead != nil {
@@ -28,14 +29,15 @@
 		}
 		return 0
 	})
-	gauge("term", "The term this controller last led.", func() float64 { return float64(n.el.Term()) })
+	gauge("term", "The term this controller last led.", func() float64 { return float64(n.election.Term()) })
 	gauge("tasks_waiting", "Dealt tasks that wait for room.", func() float64 {
-		if n.seat == nil {
+		if n.local == nil {
 			return 0
 		}
-		return float64(n.seat.s.WaitingCount())
+		return float64(n.local.shard.WaitingCount())
 	})
-	counter("halts", "Times that this controller stood still for more than a second.", func() uint64 { return n.stats.Halts })
+	counter("halts", "Times that this controller stood still for more than a second.",
+		func() uint64 { return n.stats.Stalls })
 	gauge("lag_seconds", "How far behind this process is, by its timers.", func() float64 {
 		return n.health.lag(n.now()).Seconds()
 	})
@@ -53,11 +55,12 @@
 		return busy
 	})
 	counter("questions_compared",
-		"Users' questions about open jobs that this controller compared, its siblings' included.", func() uint64 { return n.questions.stats().compared })
+		"Users' questions about open jobs that this controller compared, its siblings' included.",
+		func() uint64 { return n.openChecker.stats().compared })
 	counter("comparisons", "Comparisons with the state service that answered them.",
-		func() uint64 { return n.questions.stats().comparisons })
+		func() uint64 { return n.openChecker.stats().comparisons })
 	counter("questions_passed", "Users' questions about open jobs that this controller passed to the leader.",
-		func() uint64 { return n.questions.stats().passed })
+		func() uint64 { return n.openChecker.stats().forwarded })
 	counter("state_invalid", "Requests that the state service took for invalid, most likely for their size.",
 		func() uint64 { return n.state.Invalid() })
 	gauge("state_writes_per_second", "The state service's rate of changes as far as is known.", func() float64 {
@@ -65,7 +68,7 @@
 		return rate
 	})
 	gauge("jobs_awaiting", "Open jobs that await others, on the leader.", whileLeading(n, func(l *leadership) float64 {
-		awaiting, _, _ := l.chains.g.Counts()
+		awaiting, _, _ := l.dependencies.graph.Counts()
 		return float64(awaiting)
 	}))
 	gauge("cancellations_behind_seconds", "How long ago the oldest cancellation may have been told that has not gone "+
@@ -73,64 +76,70 @@
 		if n.lead == nil || !n.lead.loaded {
 			return 0
 		}
-		return (n.now() - n.lead.chains.settled(n.now())).Seconds()
+		return (n.now() - n.lead.dependencies.propagatedUntil(n.now())).Seconds()
 	})
 	gauge("jobs_broken", "Open jobs held to be broken, on the leader.", whileLeading(n, func(l *leadership) float64 {
-		return float64(l.d.BrokenJobCount())
+		return float64(l.dispatcher.BrokenJobCount())
 	}))
 	gauge("machines_faulty", "Machines held to be faulty, on the leader.", whileLeading(n, func(l *leadership) float64 {
 		faulty := 0
-		for _, st := range l.d.MachineStatuses() {
-			if st.Faulty {
+		for _, status := range l.dispatcher.MachineStatuses() {
+			if status.Faulty {
 				faulty++
 			}
 		}
 		return float64(faulty)
 	}))
 	gauge("machines_unheard", "Machines that report and that nothing shows to hear, on the leader.",
-		whileLeading(n, func(l *leadership) float64 { return float64(l.d.UnverifiedCount()) }))
+		whileLeading(n, func(l *leadership) float64 { return float64(l.dispatcher.UnverifiedCount()) }))
 	gauge("drain_plans", "Drain plans under way, on the leader.", whileLeading(n, func(l *leadership) float64 {
-		plans, _ := l.drains.e.ActiveCounts()
+		plans, _ := l.drains.engine.ActiveCounts()
 		return float64(plans)
 	}))
 	gauge("drain_machines", "Machines that drain plans keep tasks from, on the leader.",
 		whileLeading(n, func(l *leadership) float64 {
-			_, machines := l.drains.e.ActiveCounts()
+			_, machines := l.drains.engine.ActiveCounts()
 			return float64(machines)
 		}))
 	gauge("records_waiting_seconds", "How long operators' records have waited to be stored, on the leader.",
 		whileLeading(n, func(l *leadership) float64 {
-			return l.budget.BlockedFor(n.now(), writequota.OperatorRecords).Seconds()
+			return l.writeQuota.BlockedFor(n.now(), writequota.OperatorRecords).Seconds()
 		}))
 	reg.MustRegister(newDisruptionMetrics(n))
 	reg.MustRegister(newStarvationMetrics(n))
 	counter("reports", "Workers' reports received.", func() uint64 { return n.stats.Reports })
 	counter("reports_redirected", "Workers' reports answered with 421.", func() uint64 { return n.stats.Redirected })
 	counter("machines_lapsed", "Machines whose lease was over, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().ExpiredMachines }))
+		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().ExpiredMachines }))
 	counter("machines_returned", "Machines heard of again after their lease was over, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().ReturnedMachines }))
+		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().ReturnedMachines }))
 	counter("attempts_unexpected",
 		"Attempts found on machines that were accounted for, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().UnexpectedAttempts }))
+		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().UnexpectedAttempts }))
 	counter("dispatch_limited", "Times that a team's limit kept a job's tasks waiting, in this controller's present term.",
-		whileLeading(n, func(l *leadership) uint64 { return l.d.Stats().LimitedRounds }))
+		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().LimitedRounds }))
 	stat := func(f func() uint64) func() uint64 {
 		return func() uint64 {
-			if n.seat == nil {
+			if n.local == nil {
 				return 0
 			}
 			return f()
 		}
 	}
 	counter("reports_lapsed", "Reports refused by this controller's present shard because their session's lease is over.",
-		stat(func() uint64 { return n.seat.s.Stats.ExpiredSessionReports }))
-	counter("tasks_placed", "Tasks placed on machines by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Placed }))
-	counter("tasks_evicted", "Tasks evicted for higher-priced ones by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Evicted }))
-	counter("tasks_demoted", "Demotions by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Demoted }))
-	counter("tasks_lost", "Tasks lost with their machines by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Lost }))
-	counter("machines_looked_at", "Machines looked at for waiting tasks by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.MachinesExamined }))
-	counter("task_errors", "Tasks that ended with an error by this controller's present shard.", stat(func() uint64 { return n.seat.s.Stats.Errors }))
+		stat(func() uint64 { return n.local.shard.Stats.ExpiredSessionReports }))
+	counter("tasks_placed", "Tasks placed on machines by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.Placed }))
+	counter("tasks_evicted", "Tasks evicted for higher-priced ones by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.Evicted }))
+	counter("tasks_demoted", "Demotions by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.Demoted }))
+	counter("tasks_lost", "Tasks lost with their machines by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.Lost }))
+	counter("machines_looked_at", "Machines looked at for waiting tasks by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.MachinesExamined }))
+	counter("task_errors", "Tasks that ended with an error by this controller's present shard.",
+		stat(func() uint64 { return n.local.shard.Stats.Errors }))
 }
 
 // whileLeading is f's figure while this controller leads, else 0.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,78 +31,78 @@
 
 // Keys of the state service.
 const (
-	keyLeader  = "leader"
-	keyTerm    = "term"
-	keyCatalog = "catalog"
-	openKeys   = "open/"
-	finalKeys  = "final/"
-	doneKeys   = "done/"
-	recordKeys = "machines/"
+	keyLeader     = "leader"
+	keyTerm       = "term"
+	keyCatalog    = "catalog"
+	openPrefix    = "open/"
+	finalPrefix   = "final/"
+	donePrefix    = "done/"
+	machinePrefix = "machines/"
 )
 
 // Node is one controller.
 type Node struct {
-	cfg   *config.Platform
-	set   *config.Settings
-	log   *slog.Logger
-	rng   *rand.Rand
-	state *state.Client
-	cloud *cloud.Client
-	work  *worker.Client
+	cfg      *config.Platform
+	settings *config.Settings
+	log      *slog.Logger
+	rng      *rand.Rand
+	state    *state.Client
+	cloud    *cloud.Client
+	workers  *worker.Client
 	// dialer opens connections to siblings for users' requests.
-	dialer     *peer.Dialer
-	complaints *complaints
-	start      time.Time
-	ttl        time.Duration
+	dialer    *peer.Dialer
+	failures  *failureLog
+	startedAt time.Time
+	leaseTTL  time.Duration
 
 	health processHealth
 
-	mu            sync.Mutex
-	names         *wire.Names
-	el            *election.Election
-	lead          *leadership
-	led           uint64                   // the last term that this controller took up
-	seat          *seat                    // this controller's shard, nil while it may not act
-	seated        chan struct{}            // closed while there is one
-	unseated      time.Duration            // since when there is none
-	progress      map[model.JobID]progress // of open jobs, as last told by the leader
-	leader        string                   // the leader that this controller is linked to
-	leaderStateAt time.Duration            // the state service last served the leader
-	reported      time.Duration            // the last worker's report
-	tried         string                   // the last host whose link ended
-	waits         map[model.MachineID][]chan struct{}
-	types         []model.MachineType
-	finals        map[model.JobID]jobs.Stage
-	versions      map[model.JobID]openSeen
-	told          *cancellog.Log            // cancellations that users were told of here
-	vouch         *pipeline.StatusFreshness // as the leader that this controller is linked to has told
-	sibling       time.Duration             // a sibling was last heard
-	questions     *questions
-	order         []model.JobID // of finals, oldest first
-	stats         Stats
-	kept          map[model.MachineID]map[model.Name]bool // machines of this controller's last shard, with their images
-	turning       bool                                    // a turn is due
-	cost          time.Duration                           // of the last turn
-	ticked        time.Duration
+	mu                  sync.Mutex
+	names               *wire.Names
+	election            *election.Election
+	lead                *leadership
+	lastLedTerm         uint64                      // the last term that this controller took up
+	local               *localShard                 // this controller's shard, nil while it may not act
+	localReady          chan struct{}               // closed while there is one
+	localDroppedAt      time.Duration               // since when there is none
+	progress            map[model.JobID]jobProgress // of open jobs, as last told by the leader
+	leader              string                      // the leader that this controller is linked to
+	leaderStateServedAt time.Duration               // the state service last served the leader
+	lastReport          time.Duration               // the last worker's report
+	lastLinkHost        string                      // the last host whose link ended
+	reportWaiters       map[model.MachineID][]chan struct{}
+	types               []model.MachineType
+	cachedFinals        map[model.JobID]jobs.Stage
+	openRecords         map[model.JobID]openRecordInfo
+	cancelLog           *cancellog.Log            // cancellations that users were told of here
+	statusFreshness     *pipeline.StatusFreshness // as the leader that this controller is linked to has told
+	siblingSeenAt       time.Duration             // a sibling was last heard
+	openChecker         *openChecker
+	finalOrder          []model.JobID // of finals, oldest first
+	stats               Stats
+	previousMachines    map[model.MachineID]map[model.Name]bool // machines of this controller's last shard, with their images
+	cyclePending        bool                                    // a turn is due
+	cycleDuration       time.Duration                           // of the last turn
+	lastTick            time.Duration
 }
 
 // Stats are counts for operators.
 type Stats struct {
-	Reports, Redirected, Halts uint64
+	Reports, Redirected, Stalls uint64
 }
 
-const maxFinals = 20_000
+const maxCachedFinals = 20_000
 
 const (
-	tickEvery = 50 * time.Millisecond
-	haltedFor = time.Second // a tick so late: the process did not run, or far too slowly
+	tickInterval   = 50 * time.Millisecond
+	stallThreshold = time.Second // a tick so late: the process did not run, or far too slowly
 )
 
-// Directs is how many sockets a controller keeps for telling workers something
+// MaxDirectConns is how many sockets a controller keeps for telling workers something
 // directly, those that idle until the next time included.
-func Directs(fdLimit int) int { return maxDirect + idleDirects(fdLimit) }
+func MaxDirectConns(fdLimit int) int { return maxDirectSends + maxIdleDirectConns(fdLimit) }
 
-func idleDirects(fdLimit int) int { return fdLimit / 12 }
+func maxIdleDirectConns(fdLimit int) int { return fdLimit / 12 }
 
 // New builds a controller. The random numbers' seed is injected, so that a
 // test can repeat a run.
@@ -112,24 +112,24 @@
 		teams[i] = t.Name
 	}
 	n := &Node{
-		cfg: cfg, set: set, log: log, rng: rng, start: time.Now(), ttl: cfg.Cluster.LeaderTTL(),
-		health: processHealth{spread: rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))},
-		cloud:  cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.7, 5*time.Second),
-		work:   worker.New(directTimeout, idleDirects(cfg.Cluster.Resources.FDLimit)), dialer: peer.NewDialer(),
-		complaints: newComplaints(log),
+		cfg: cfg, settings: set, log: log, rng: rng, startedAt: time.Now(), leaseTTL: cfg.Cluster.LeaderTTL(),
+		health:  processHealth{jitter: rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))},
+		cloud:   cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.7, 5*time.Second),
+		workers: worker.New(directTimeout, maxIdleDirectConns(cfg.Cluster.Resources.FDLimit)), dialer: peer.NewDialer(),
+		failures: newFailureLog(log),
 		names: &wire.Names{Teams: wire.NewTable(teams...), Types: wire.NewTable(), Zones: wire.NewTable(cfg.Cluster.Zones...),
 			Images: wire.NewTable(), Classes: wire.NewTable()},
-		seated:   make(chan struct{}),
-		finals:   map[model.JobID]jobs.Stage{},
-		versions: map[model.JobID]openSeen{},
-		told:     cancellog.NewLog(0),
-		vouch:    pipeline.NewStatusFreshness(cfg.Cluster.Vouched()),
-		sibling:  -time.Hour,
-		waits:    map[model.MachineID][]chan struct{}{},
+		localReady:      make(chan struct{}),
+		cachedFinals:    map[model.JobID]jobs.Stage{},
+		openRecords:     map[model.JobID]openRecordInfo{},
+		cancelLog:       cancellog.NewLog(0),
+		statusFreshness: pipeline.NewStatusFreshness(cfg.Cluster.Vouched()),
+		siblingSeenAt:   -time.Hour,
+		reportWaiters:   map[model.MachineID][]chan struct{}{},
 	}
 	n.state = state.New(cfg.Services.State, ratelimit.Params{RequestRate: cfg.Cluster.State.RPS,
 		WriteRate: cfg.Cluster.State.WriteRPS, NextWriteRate: cfg.Cluster.State.Next.WriteRPS,
-		Controllers: 1 + len(cfg.Siblings)}, 1500*time.Millisecond, n.noted)
+		Controllers: 1 + len(cfg.Siblings)}, 1500*time.Millisecond, n.recordOutcome)
 	n.names.Aimed, n.names.Guaranteed = map[model.Name]bool{}, map[model.Name]bool{}
 	for i, t := range cfg.Cluster.Teams {
 		n.names.Guaranteed[model.Name(i)] = t.CPUs > 0 || t.GPUs > 0
@@ -139,30 +139,32 @@
 			n.names.Aimed[n.names.Classes.ID(o.Class)] = true
 		}
 	}
-	n.questions = newQuestions(n.state, cfg.Cluster.TxnOps(), 1+len(cfg.Siblings))
+	n.openChecker = newOpenChecker(n.state, cfg.Cluster.TxnOps(), 1+len(cfg.Siblings))
 	index := 0
 	for _, s := range cfg.Siblings {
 		if s.HostName < cfg.HostName {
 			index++
 		}
 	}
-	n.el = election.New(cfg.HostName, n.ttl, time.Duration(index)*150*time.Millisecond, config.Promise, 0)
-	n.el.SetSiblings(len(cfg.Siblings))
+	n.election = election.New(cfg.HostName, n.leaseTTL, time.Duration(index)*150*time.Millisecond, config.Promise, 0)
+	n.election.SetSiblings(len(cfg.Siblings))
 	return n
 }
 
-// noted takes what became of a request to the state service.
-func (n *Node) noted(sent time.Time, o storehealth.Outcome) { n.health.note(sent.Sub(n.start), o) }
+// recordOutcome takes what became of a request to the state service.
+func (n *Node) recordOutcome(sent time.Time, o storehealth.Outcome) {
+	n.health.recordRequest(sent.Sub(n.startedAt), o)
+}
 
-func (n *Node) now() time.Duration { return time.Since(n.start) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
 // Run works until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.fetchCatalog(ctx)
 	go n.watchLeader(ctx)
 	go n.runMember(ctx)
-	go n.askSiblings(ctx)
-	t := time.NewTicker(tickEvery)
+	go n.checkSiblings(ctx)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -174,13 +176,13 @@
 	}
 }
 
-// leaveTime is what a process that is told to stop takes to give leadership up.
-const leaveTime = time.Second
+// resignTimeout is what a process that is told to stop takes to give leadership up.
+const resignTimeout = time.Second
 
-// Leave gives leadership up once Run has ended, for a process that is told to stop: the
+// ResignLeadership gives leadership up once Run has ended, for a process that is told to stop: the
 // others need not wait until its lease is over. Whoever is killed skips it.
-func (n *Node) Leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+func (n *Node) ResignLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
 	n.mu.Lock()
 	if n.lead == nil {
@@ -188,41 +190,41 @@
 		return
 	}
 	now := n.now()
-	n.el.Resign(now, 0)
-	n.followLeadership(ctx, now)
-	ops := n.el.Step(now)
+	n.election.Resign(now, 0)
+	n.syncLeadership(ctx, now)
+	ops := n.election.Step(now)
 	n.mu.Unlock()
 	for _, op := range ops {
 		n.electionOp(state.As(ctx, ratelimit.Authority), op)
 	}
 }
 
-// Takes tells whether a user's request should be begun at all, or when its user
+// Admit tells whether a user's request should be begun at all, or when its user
 // should ask again.
-func (n *Node) Takes(k overload.Kind) (ok bool, again time.Duration) {
-	return n.health.takes(n.now(), k)
+func (n *Node) Admit(k overload.Kind) (ok bool, retryAfter time.Duration) {
+	return n.health.admit(n.now(), k)
 }
 
 func (n *Node) tick(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	if n.ticked != 0 {
-		since := now - n.ticked
-		n.health.late(now, since-tickEvery)
-		if since > haltedFor {
-			n.stats.Halts++
+	if n.lastTick != 0 {
+		since := now - n.lastTick
+		n.health.recordDelay(now, since-tickInterval)
+		if since > stallThreshold {
+			n.stats.Stalls++
 			n.log.Info("this controller stood still", "for", since, "leading", n.lead != nil)
 		}
 	}
-	n.ticked = now
+	n.lastTick = now
 	// First of all authority that ended meanwhile goes.
-	n.runElection(ctx, n.el.Step(now))
-	n.followLeadership(ctx, now)
+	n.runElection(ctx, n.election.Step(now))
+	n.syncLeadership(ctx, now)
 	if n.lead != nil {
 		n.lead.tick(now)
-	} else if n.seat != nil {
-		n.tickSeat(now)
+	} else if n.local != nil {
+		n.tickMember(now)
 	}
 }
 
@@ -233,8 +235,8 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			now := n.now()
-			n.runElection(ctx, n.el.HandleResult(now, res))
-			n.followLeadership(ctx, now)
+			n.runElection(ctx, n.election.HandleResult(now, res))
+			n.syncLeadership(ctx, now)
 		}()
 	}
 }
@@ -267,22 +269,23 @@
 		}
 		res.OK = true
 	case election.Grant:
-		id, err := n.state.Grant(ctx, n.ttl)
+		id, err := n.state.Grant(ctx, n.leaseTTL)
 		res.Lease, res.OK = id, err == nil
 	case election.Acquire:
 		rev, err := n.state.Txn(ctx, wire.Txn{
 			Guards: []wire.Guard{{Key: keyLeader}, {Key: keyTerm, Version: op.TermVersion}},
 			Then: []wire.Op{
-				{Put: keyLeader, Value: encode(wire.Leader{Host: n.cfg.HostName, Term: op.Term, Lease: op.Lease}), Lease: op.Lease},
-				{Put: keyTerm, Value: encode(wire.Term{Term: op.Term})},
+				{Put: keyLeader, Value: mustEncode(wire.Leader{Host: n.cfg.HostName, Term: op.Term, Lease: op.Lease}),
+					Lease: op.Lease},
+				{Put: keyTerm, Value: mustEncode(wire.Term{Term: op.Term})},
 			}})
 		res.Version, res.OK = rev, err == nil
 	case election.Renew:
 		// It counts from its sending, however late its answer is read; meanwhile
 		// others are sent.
-		err := n.state.Extend(state.Patiently(ctx, n.ttl), op.Lease)
+		err := n.state.Extend(state.Patiently(ctx, n.leaseTTL), op.Lease)
 		res.OK, res.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
-		n.complaints.note("leader's lease not renewed", err)
+		n.failures.record("leader's lease not renewed", err)
 	case election.Revoke:
 		res.OK = n.state.End(ctx, op.Lease) == nil
 	}
@@ -311,14 +314,14 @@
 // How long a watch of the leader's key waits: the longer the more controllers there are, for
 // each is a request.
 const (
-	leastWatch   = 10 * time.Second
-	longestWatch = time.Minute
+	minLeaderWatch = 10 * time.Second
+	maxLeaderWatch = time.Minute
 )
 
 // watchLeader learns quickly when the leader's key goes or changes.
 func (n *Node) watchLeader(ctx context.Context) {
 	var rev uint64
-	wait := min(longestWatch, max(leastWatch, time.Duration(len(n.cfg.Siblings))*leastWatch/2))
+	wait := min(maxLeaderWatch, max(minLeaderWatch, time.Duration(len(n.cfg.Siblings))*minLeaderWatch/2))
 	for ctx.Err() == nil {
 		ev, err := n.state.Watch(ctx, keyLeader, rev, wait)
 		if errors.Is(err, state.ErrCompacted) || rev == 0 && err == nil {
@@ -345,7 +348,7 @@
 				continue
 			}
 			n.mu.Lock()
-			n.el.Observe(n.now(), rec)
+			n.election.Observe(n.now(), rec)
 			n.mu.Unlock()
 		}
 	}
@@ -355,10 +358,10 @@
 // judged, and keeps the prices fresh.
 func (n *Node) fetchCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := n.catalogPause()
+		pause := n.catalogInterval()
 		cat, err := n.cloud.Catalog(ctx)
 		fresh := err == nil
-		n.complaints.note("catalog not read", err)
+		n.failures.record("catalog not read", err)
 		if err != nil {
 			pause = time.Second
 			n.mu.Lock()
@@ -376,8 +379,8 @@
 				l.setTypes(n.types)
 			}
 			n.mu.Unlock()
-			if l != nil && fresh && len(encode(cat)) <= int(n.cfg.Cluster.ValueKB()*1024) {
-				t := wire.Txn{Guards: []wire.Guard{l.guard}, Then: []wire.Op{{Put: keyCatalog, Value: encode(cat)}}}
+			if l != nil && fresh && len(mustEncode(cat)) <= int(n.cfg.Cluster.ValueKB()*1024) {
+				t := wire.Txn{Guards: []wire.Guard{l.guard}, Then: []wire.Op{{Put: keyCatalog, Value: mustEncode(cat)}}}
 				if _, err := n.state.Txn(ctx, t); err != nil {
 					n.log.Debug("catalog not stored", "err", err)
 				}
@@ -387,9 +390,9 @@
 	}
 }
 
-// catalogPause is until the machine types are read again: a leader needs the prices, the
+// catalogInterval is until the machine types are read again: a leader needs the prices, the
 // others together read no more often than two of them, and not at the same moment.
-func (n *Node) catalogPause() time.Duration {
+func (n *Node) catalogInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	pause := time.Minute
@@ -420,7 +423,7 @@
 	}
 }
 
-func encode(v any) json.RawMessage {
+func mustEncode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("encode %T: %v", v, err)) // plain structs always encode
--- a/internal/node/questions_test.go
+++ b/internal/node/openchecker_test.go
@@ -11,11 +11,11 @@
 	"honeylock/internal/peer/peerpb"
 )
 
-// granted is the last grant that the leader has sent.
-func (r *rig) granted() *peerpb.Grant {
+// lastGrant is the last grant that the leader has sent.
+func (r *leaderHarness) lastGrant() *peerpb.Grant {
 	r.t.Helper()
 	var g *peerpb.Grant
-	for _, m := range r.sent(r.t) {
+	for _, m := range r.takeSent(r.t) {
 		if m.GetGrant() != nil {
 			g = m.GetGrant()
 		}
@@ -28,17 +28,17 @@
 
 // A member is told its part of the state service's rate with each grant, by what it needs. To
 // one that says nothing of its needs, as a release before 0.9, an equal part is left.
-func TestPartsComeWithGrants(t *testing.T) {
-	r := newRig(t)
-	now := r.n.now()
-	r.asOf(now)
+func TestGrantsCarryRateShares(t *testing.T) {
+	r := newLeaderHarness(t)
+	now := r.node.now()
+	r.setOpenJobsAsOf(now)
 	parts := func(now time.Duration, need float64) *peerpb.Grant {
-		r.ask(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
-		r.l.divided = now - divideEvery
-		r.l.divideRate(now)
-		r.sent(t)
-		r.ask(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
-		return r.granted()
+		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
+		r.lead.ratesDividedAt = now - rateDivisionInterval
+		r.lead.divideRate(now)
+		r.takeSent(t)
+		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
+		return r.lastGrant()
 	}
 	silent := parts(now, 0)
 	if equal := rateshare.TotalShare / 2; silent.GetRequestsShare() < equal-1e-9 {
@@ -46,8 +46,8 @@
 	}
 	idle, busy := parts(now, 0.01), parts(now, 0.6)
 	for _, g := range []*peerpb.Grant{idle, busy} {
-		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.n.stateShare() > rateshare.TotalShare+1e-9 {
-			t.Errorf("%v beside the leader's %v", g, r.n.stateShare())
+		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.node.stateShare() > rateshare.TotalShare+1e-9 {
+			t.Errorf("%v beside the leader's %v", g, r.node.stateShare())
 		}
 	}
 }
@@ -59,13 +59,13 @@
 
 // A job that the leader knows to be done needs no comparison; of a cancellation the member has
 // to read the record, so that it notes it before it tells anybody.
-func TestLeaderAnswersOfWhatIsDone(t *testing.T) {
-	r := newRig(t)
-	r.n.cacheFinal(7, jobs.Done)
-	r.n.cacheFinal(8, jobs.Cancelled)
-	r.l.heardQuestions(r.k, []*peerpb.Question{{Id: 1, Job: 7, Version: 3}, {Id: 2, Job: 8, Version: 3}})
+func TestLeaderAnswersForDoneJobs(t *testing.T) {
+	r := newLeaderHarness(t)
+	r.node.addFinalLocked(7, jobs.Done)
+	r.node.addFinalLocked(8, jobs.Cancelled)
+	r.lead.handleQuestions(r.link, []*peerpb.Question{{Id: 1, Job: 7, Version: 3}, {Id: 2, Job: 8, Version: 3}})
 	var got []*peerpb.Answer
-	for _, m := range r.sent(t) {
+	for _, m := range r.takeSent(t) {
 		got = append(got, m.GetAnswers().GetAnswers()...)
 	}
 	if len(got) != 1 || got[0].GetId() != 1 || got[0].GetStage() != string(jobs.Done) ||
@@ -76,32 +76,32 @@
 
 // A member's questions go to the leader while it answers. One that it does not answer, or
 // that was under way when the link broke, is compared by the member itself.
-func TestQuestionsFindAWay(t *testing.T) {
+func TestOpenCheckFallsBackToOwnCompare(t *testing.T) {
 	g := jobs.Guard{Job: 7, Version: 3}
 	for _, c := range []struct {
 		name   string
-		answer func(q *questions)
+		answer func(q *openChecker)
 		want   jobs.Outcome
 	}{
-		{"open", func(q *questions) {
-			q.answered([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_OPEN}})
+		{"open", func(q *openChecker) {
+			q.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_OPEN}})
 		}, jobs.OK},
-		{"over its rate", func(q *questions) {
-			q.answered([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_BUSY}})
+		{"over its rate", func(q *openChecker) {
+			q.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_BUSY}})
 		}, jobs.Busy},
-		{"refused", func(q *questions) { q.answered([]*peerpb.Answer{{Id: 1}}) }, jobs.Failed},
-		{"the link breaks", func(q *questions) { q.follow(nil) }, jobs.Failed},
-		{"no answer", func(*questions) {}, jobs.Failed},
+		{"refused", func(q *openChecker) { q.handleAnswers([]*peerpb.Answer{{Id: 1}}) }, jobs.Failed},
+		{"the link breaks", func(q *openChecker) { q.setLeader(nil) }, jobs.Failed},
+		{"no answer", func(*openChecker) {}, jobs.Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q := newRig(t).n.questions
-			q.follow(peer.NewQueue())
+			q := newLeaderHarness(t).node.openChecker
+			q.setLeader(peer.NewQueue())
 			go func() {
 				for {
 					q.mu.Lock()
-					under := len(q.asked)
+					pending := len(q.pending)
 					q.mu.Unlock()
-					if under > 0 {
+					if pending > 0 {
 						break
 					}
 				}
@@ -112,8 +112,8 @@
 			}
 			q.mu.Lock()
 			defer q.mu.Unlock()
-			if shunned := !q.route.UseLeader(q.now()); shunned != (c.want == jobs.Failed) {
-				t.Errorf("shunned: %v", shunned)
+			if avoided := !q.route.UseLeader(q.now()); avoided != (c.want == jobs.Failed) {
+				t.Errorf("shunned: %v", avoided)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/node/openjobs.go
@@ -0,0 +1,360 @@
+package node
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"honeylock/internal/core/cancellog"
+	"honeylock/internal/core/dispatcher"
+	"honeylock/internal/core/model"
+	"honeylock/internal/core/pipeline"
+	"honeylock/internal/core/ratelimit"
+	"honeylock/internal/state"
+	"honeylock/internal/wire"
+)
+
+type storedJob struct {
+	sub     *wire.Submission
+	version uint64
+}
+
+// listOpen lists the open jobs.
+func (dl *dispatchLoop) listOpen() (map[model.JobID]storedJob, uint64, error) {
+	open := map[model.JobID]storedJob{}
+	rev, err := dl.lead.node.state.List(state.As(dl.lead.ctx, ratelimit.Leader), openPrefix, func(it *wire.Item) error {
+		id, sub, err := parseOpenRecord(it.Key, it.Value)
+		if err != nil {
+			return err
+		}
+		open[id] = storedJob{sub, it.Version}
+		return nil
+	})
+	return open, rev, err
+}
+
+func parseOpenRecord(key string, v json.RawMessage) (model.JobID, *wire.Submission, error) {
+	id, err := wire.ParseJob(strings.TrimPrefix(key, openPrefix))
+	if err != nil {
+		return 0, nil, fmt.Errorf("open record: %w", err)
+	}
+	if v == nil {
+		return id, nil, nil
+	}
+	var sub wire.Submission
+	if err := json.Unmarshal(v, &sub); err != nil {
+		return 0, nil, fmt.Errorf("open record %s: %w", key, err)
+	}
+	return id, &sub, nil
+}
+
+type storedBlock struct {
+	wire.MachineBlock
+	id      dispatcher.BlockID
+	version uint64
+}
+
+type storedChunk struct {
+	id        model.JobID
+	chunk     dispatcher.ChunkID
+	firstTask int32 // the task of its first bit
+	bits      []byte
+	// version of the record
+	version uint64
+}
+
+// read gets the machines' records, the open jobs and what is done of them.
+func (dl *dispatchLoop) read(ctx context.Context) (func(time.Duration) error, error) {
+	blocks, err := dl.readBlocks(ctx)
+	if err != nil {
+		return nil, err
+	}
+	askedAt := dl.lead.node.now()
+	open, rev, err := dl.listOpen()
+	if err != nil {
+		return nil, err
+	}
+	chunks, orphans, err := dl.readChunks(ctx, open)
+	if err != nil {
+		return nil, err
+	}
+	return func(now time.Duration) error {
+		n := dl.lead.node
+		machines := 0
+		for _, r := range blocks {
+			ms, err := r.Decode(n.names)
+			if err != nil {
+				return fmt.Errorf("machine records: %w", err)
+			}
+			machines += len(ms)
+			dl.dispatcher.AddStoredBlock(r.id, r.version, ms)
+		}
+		if size := currentLayout(blocks, dl.dispatcher.Layout()); size != 0 {
+			dl.lead.changeLayout(size)
+		}
+		for id := range n.previousMachines {
+			dl.dispatcher.HandleEvent(now, dl.lead.localID, model.Event{Kind: model.MachineRemembered, Machine: id})
+		}
+		cancelled, _ := n.cancelLog.EntriesFrom(0) // some perhaps since that was asked
+		for _, id := range cancelled {
+			dl.openJobsView.AddCancelled(now, id)
+		}
+		for _, stored := range open {
+			dl.addJob(now, stored, -time.Hour) // users may have been told long ago
+		}
+		dl.lead.dependencies.applyDecisions(now)
+		for _, c := range chunks {
+			dl.dispatcher.AddDoneChunk(c.id, c.chunk, c.version, c.firstTask, c.bits)
+		}
+		dl.openRevision, dl.orphanedKeys = rev, orphans
+		dl.markOpenJobsRead(now, askedAt)
+		n.log.Info("store read", "term", dl.lead.term, "revision", rev,
+			"asked_ago", now-askedAt, "open", len(open), "machines", machines)
+		return nil
+	}, nil
+}
+
+func (dl *dispatchLoop) readBlocks(ctx context.Context) ([]storedBlock, error) {
+	var blocks []storedBlock
+	_, err := dl.lead.node.state.List(ctx, machinePrefix, func(it *wire.Item) error {
+		r := storedBlock{version: it.Version}
+		var err error
+		if r.id, err = parseBlockKey(it.Key); err != nil {
+			return err
+		}
+		if err := json.Unmarshal(it.Value, &r.MachineBlock); err != nil {
+			return fmt.Errorf("machine records %s: %w", it.Key, err)
+		}
+		blocks = append(blocks, r)
+		return nil
+	})
+	// The newest layout first: a machine that stands in two counts as recorded there.
+	slices.SortStableFunc(blocks, func(a, b storedBlock) int { return cmp.Compare(layoutOrder(a.id), layoutOrder(b.id)) })
+	return blocks, err
+}
+
+// layoutOrder orders layouts: they have only ever become smaller.
+func layoutOrder(id dispatcher.BlockID) uint64 {
+	if id.Size == 0 {
+		return math.MaxUint64
+	}
+	return id.Size
+}
+
+// currentLayout is the layout that the records were last written in, 0: that of 0.4. One
+// record of a later layout shows that all controllers could read it.
+func currentLayout(blocks []storedBlock, planned uint64) uint64 {
+	size := planned
+	for _, r := range blocks {
+		if s := r.id.Size; s != 0 && (size == 0 || s < size) {
+			size = s
+		}
+	}
+	return size
+}
+
+// readChunks lists what is done of the open jobs, and the keys of others.
+func (dl *dispatchLoop) readChunks(ctx context.Context,
+	open map[model.JobID]storedJob) (chunks []storedChunk, orphans []string,
+	err error) {
+	_, err = dl.lead.node.state.List(ctx, donePrefix, func(it *wire.Item) error {
+		id, c, err := parseChunkKey(it.Key)
+		if err != nil {
+			return fmt.Errorf("done record %s: %w", it.Key, err)
+		}
+		if _, ok := open[id]; !ok {
+			orphans = append(orphans, it.Key)
+			return nil
+		}
+		var ch wire.Chunk
+		if err := json.Unmarshal(it.Value, &ch); err != nil {
+			return fmt.Errorf("done record %s: %w", it.Key, err)
+		}
+		if c.OldLayout {
+			chunks = append(chunks, storedChunk{id, c, c.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB), ch.Bits,
+				it.Version})
+		} else {
+			chunks = append(chunks, storedChunk{id, c, ch.From, ch.Part, it.Version})
+		}
+		return nil
+	})
+	return chunks, orphans, err
+}
+
+// run watches the open jobs.
+func (dl *dispatchLoop) run() {
+	if len(dl.orphanedKeys) > 0 {
+		go dl.deleteOrphans(dl.orphanedKeys)
+	}
+	dl.watchOpen(dl.openRevision)
+}
+
+func (dl *dispatchLoop) deleteOrphans(keys []string) {
+	for _, k := range keys {
+		if _, err := dl.lead.node.state.Txn(dl.lead.ctx, wire.Txn{Guards: []wire.Guard{dl.lead.guard},
+			Then: []wire.Op{{Delete: k}}}); err != nil {
+			dl.lead.node.log.Debug("orphan not dropped", "key", k, "err", err)
+		}
+	}
+}
+
+// addJob takes an open record. What was stored before this term's key may have
+// tasks on machines.
+// An end of a job that it awaits may have been told since.
+func (dl *dispatchLoop) addJob(now time.Duration, stored storedJob, since time.Duration) {
+	waited := time.Duration(max(0, time.Now().UnixMilli()-stored.sub.SubmittedMS)) * time.Millisecond
+	spec := stored.sub.Spec(dl.lead.node.names)
+	if dl.openJobsView.IsCancelled(spec.ID) {
+		return
+	}
+	dl.dispatcher.AddJob(now, spec, stored.version, min(waited, time.Hour), stored.version <= dl.lead.guard.Version)
+	dl.lead.dependencies.addJob(spec, stored.sub.Needs(), since)
+}
+
+// watchOpen watches the open jobs.
+func (dl *dispatchLoop) watchOpen(rev uint64) {
+	n := dl.lead.node
+	for dl.lead.ctx.Err() == nil {
+		askedAt := n.now()
+		ev, err := n.state.Watch(dl.lead.ctx, openPrefix, rev, 2*time.Second)
+		if errors.Is(err, state.ErrCompacted) {
+			r, termOver, lerr := dl.relist()
+			if termOver {
+				return
+			}
+			if lerr == nil {
+				rev = r
+				continue
+			}
+			err = lerr
+		}
+		if dl.lead.ctx.Err() == nil {
+			n.failures.record("open jobs not followed", err)
+		}
+		if err != nil {
+			sleep(dl.lead.ctx, 300*time.Millisecond)
+			continue
+		}
+		rev = ev.Revision
+		n.mu.Lock()
+		if n.lead != dl.lead {
+			// The term ended while the watch waited: there may be no shard now.
+			n.mu.Unlock()
+			return
+		}
+		dl.applyOpenEvents(n.now(), askedAt, ev.Events)
+		n.mu.Unlock()
+	}
+}
+
+// applyOpenEvents takes what has applyOpenEvents among the open jobs, as a question asked then was answered.
+func (dl *dispatchLoop) applyOpenEvents(now, askedAt time.Duration, events []wire.Event) {
+	n := dl.lead.node
+	for _, e := range events {
+		key := e.Put + e.Delete
+		id, sub, err := parseOpenRecord(key, e.Value)
+		switch {
+		case err != nil:
+			n.log.Error("open record unreadable", "key", key, "err", err)
+		case e.Put != "":
+			dl.addJob(now, storedJob{sub, e.Version}, dl.openJobsAsOf)
+		default:
+			dl.dispatcher.JobRemoved(id)
+			dl.lead.dependencies.jobEnded(now, id, pipeline.Unknown)
+		}
+	}
+	dl.lead.dependencies.applyDecisions(now)
+	dl.markOpenJobsRead(now, askedAt)
+	if len(events) > 0 {
+		dl.dispatchDue = true
+		n.requestCycle()
+	}
+}
+
+// markOpenJobsRead takes that the open jobs are known as of when it was asked. Authority lasts longer
+// from here on, so what was learned goes out first: a shard with a grant that rests on this
+// picture, and that hears nothing more, would act on without it.
+func (dl *dispatchLoop) markOpenJobsRead(now, askedAt time.Duration) {
+	dl.exchangeMessages(now)
+	dl.openJobsAsOf = askedAt
+	dl.openJobsView.Read(askedAt)
+}
+
+// applyCancellation takes a controller's word that it told a user of a cancellation.
+func (dl *dispatchLoop) applyCancellation(now time.Duration, id model.JobID) {
+	if !dl.openJobsView.AddCancelled(now, id) || dl.dispatcher.JobVersion(id) == 0 {
+		return
+	}
+	dl.dispatcher.JobRemoved(id)
+	dl.lead.dependencies.jobEnded(now, id, pipeline.Cancelled)
+	dl.dispatchDue = true
+	dl.lead.node.requestCycle()
+}
+
+// openWatchFailureLimit is how long the state service may serve a leader without news of the open jobs:
+// some questions, each of which takes seconds.
+const openWatchFailureLimit = 10 * time.Second
+
+// openWatchFailing tells that the state service answers this leader, yet not what it asks about the
+// open jobs: another one may learn of what was submitted. In an outage nobody does.
+func (dl *dispatchLoop) openWatchFailing(now time.Duration) bool {
+	if now-dl.openJobsAsOf <= dl.lead.node.cfg.Cluster.StalenessBound() || dl.lead.node.health.stateUnserved(now) {
+		dl.openWatchFailingSince = 0
+		return false
+	}
+	if dl.openWatchFailingSince == 0 {
+		dl.openWatchFailingSince = now
+	}
+	return now-dl.openWatchFailingSince > openWatchFailureLimit
+}
+
+// updateOpenJobsView brings the picture up to what all controllers have told, as this one knows it.
+func (dl *dispatchLoop) updateOpenJobsView(now time.Duration) {
+	var coverages []cancellog.Coverage
+	for _, s := range dl.lead.node.cfg.Siblings {
+		k := dl.lead.linkTo(s.HostName)
+		if k == nil || !k.reportsCancellations {
+			return
+		}
+		coverages = append(coverages, k.coverage)
+	}
+	dl.exchangeMessages(now) // as for what was seen
+	dl.openJobsView.ApplyCoverage(now, coverages)
+}
+
+// relist reads all open jobs, where the watch has fallen behind; over tells that
+// the term ended meanwhile.
+func (dl *dispatchLoop) relist() (rev uint64, termOver bool, err error) {
+	n := dl.lead.node
+	askedAt := n.now()
+	open, rev, err := dl.listOpen()
+	if err != nil {
+		return 0, false, err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.lead != dl.lead {
+		return 0, true, nil
+	}
+	now := n.now()
+	known := map[model.JobID]bool{}
+	for id, stored := range open {
+		known[id] = true
+		dl.addJob(now, stored, dl.openJobsAsOf)
+	}
+	for _, id := range dl.dispatcher.SyncOpenJobs(known, rev) {
+		dl.lead.dependencies.jobEnded(now, id, pipeline.Unknown)
+	}
+	dl.lead.dependencies.applyDecisions(now)
+	dl.markOpenJobsRead(now, askedAt)
+	dl.dispatchDue = true
+	n.requestCycle()
+	return rev, false, nil
+}
--- /dev/null
+++ b/internal/node/operatorcalls.go
@@ -0,0 +1,355 @@
+package node
+
+import (
+	"context"
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"honeylock/internal/config"
+	"honeylock/internal/core/audit"
+	"honeylock/internal/core/drain"
+	"honeylock/internal/core/model"
+	"honeylock/internal/peer"
+	"honeylock/internal/planfile"
+	"honeylock/internal/planfile/planpb"
+	"honeylock/internal/wire"
+)
+
+// Verb of an operator's call.
+type Verb string
+
+// Verbs. Those from Apply on change something.
+const (
+	AuditList    Verb = "audit list"
+	DrainList    Verb = "drain list"
+	DrainStatus  Verb = "drain status"
+	DrainBudgets Verb = "drain budgets"
+	// DrainPlan forecasts a plan, DrainAgain one that is under way: begun under a
+	// request's id, asked again under it until it is complete.
+	DrainPlan     Verb = "drain plan"
+	DrainForecast Verb = "drain forecast"
+	DrainApply    Verb = "drain apply"
+	DrainPause    Verb = "drain pause"
+	DrainResume   Verb = "drain resume"
+	DrainCancel   Verb = "drain cancel"
+	DrainPatched  Verb = "drain patched"
+	MemberList    Verb = "member list"
+	TeamList      Verb = "team list"
+	TeamShow      Verb = "team show"
+	TeamSet       Verb = "team set"
+	TeamUnset     Verb = "team unset"
+)
+
+// Changes tells whether a call changes something.
+func (v Verb) Changes() bool {
+	switch v {
+	case AuditList, DrainList, DrainStatus, DrainBudgets, DrainPlan, DrainForecast, MemberList, TeamList, TeamShow:
+		return false
+	}
+	return true
+}
+
+// Call is an operator's request, as one controller passes it to another.
+type Call struct {
+	Verb    Verb
+	Name    string // of the plan, or the team
+	Machine string // DrainDone
+	Plan    string // DrainApply, TeamSet: protobuf text
+	Who     string
+	Request string // the asker's id; a change repeated under it is not made twice
+	// Seal is made with the hash of the token that the caller showed to the
+	// controller that passes the call on: its own port is no way round the tokens.
+	Seal []byte `json:",omitempty"`
+}
+
+// digest tells changes apart.
+func (c *Call) digest() string {
+	h := sha256.New()
+	for _, s := range []string{string(c.Verb), c.Name, c.Machine, c.Plan} {
+		h.Write([]byte(s))
+		h.Write([]byte{0})
+	}
+	return hex.EncodeToString(h.Sum(nil)[:12])
+}
+
+// CallReply answers an operator.
+type CallReply struct {
+	Status int
+	Body   json.RawMessage `json:",omitempty"`
+	Err    string          `json:",omitempty"`
+}
+
+func errorReply(status int, err error) CallReply { return CallReply{Status: status, Err: err.Error()} }
+
+func okReply(v any) CallReply { return CallReply{Status: http.StatusOK, Body: mustEncode(v)} }
+
+var (
+	errNoLeader = errors.New("no leader can be reached: come back")
+	errUnstored = errors.New("it is not known yet whether this is stored: ask again under the same request id")
+)
+
+var errBadSignature = errors.New("the controllers' settings differ: the leader does not know this token")
+
+// operatorAccess is what the settings say of an operator, nil if they say nothing.
+func (n *Node) operatorAccess(who string) *config.Access {
+	if n.settings.Operator == nil {
+		return nil
+	}
+	for i := range n.settings.Operator.Access {
+		if a := &n.settings.Operator.Access[i]; a.Name == who {
+			return a
+		}
+	}
+	return nil
+}
+
+// sign is a MAC over all that a call asks for.
+func (c *Call) sign(a *config.Access) []byte {
+	h := hmac.New(sha256.New, a.Hash[:])
+	for _, s := range []string{string(c.Verb), c.Name, c.Machine, c.Plan, c.Who, c.Request} {
+		fmt.Fprintf(h, "%d:%s", len(s), s)
+	}
+	return h.Sum(nil)
+}
+
+// Operate answers an operator here, or passes the call to the leader.
+func (n *Node) Operate(ctx context.Context, c Call) CallReply {
+	n.mu.Lock()
+	l, leader := n.lead, n.leader
+	n.mu.Unlock()
+	if l != nil {
+		return l.operate(ctx, &c)
+	}
+	addr := n.siblingAddr(leader)
+	if addr == "" {
+		return errorReply(http.StatusServiceUnavailable, errNoLeader)
+	}
+	var r CallReply
+	a := n.operatorAccess(c.Who)
+	if a == nil {
+		return errorReply(http.StatusForbidden, errBadSignature)
+	}
+	c.Seal = c.sign(a)
+	if err := n.dialer.Forward(ctx, addr, peer.OpsPath, c, &r); err != nil {
+		n.log.Debug("operator's call not passed on", "verb", c.Verb, "err", err)
+		return errorReply(http.StatusServiceUnavailable, errNoLeader)
+	}
+	return r
+}
+
+// serveCall answers what a sibling passes on; it is not passed on again.
+func (n *Node) serveCall(w http.ResponseWriter, r *http.Request) {
+	var c Call
+	if !readPeerRequest(w, r, &c) {
+		return
+	}
+	n.mu.Lock()
+	l := n.lead
+	n.mu.Unlock()
+	reply := errorReply(http.StatusServiceUnavailable, errNoLeader)
+	a := n.operatorAccess(c.Who)
+	switch {
+	case a == nil || !hmac.Equal(c.Seal, c.sign(a)) || c.Verb.Changes() && !a.Operate:
+		n.log.Error("operator's call refused: it bears no seal of ours", "who", c.Who, "verb", c.Verb)
+		reply = errorReply(http.StatusForbidden, errBadSignature)
+	case l != nil:
+		reply = l.operate(r.Context(), &c)
+	}
+	n.writePeerReply(w, reply)
+}
+
+// operate answers on the leader.
+func (l *leadership) operate(ctx context.Context, c *Call) CallReply {
+	n := l.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.lead != l || !l.loaded || !n.election.Leading(n.now()) {
+		return errorReply(http.StatusServiceUnavailable, errNoLeader)
+	}
+	now := n.now()
+	if !c.Verb.Changes() {
+		return l.drains.answerQuery(now, c)
+	}
+	e, err := l.drains.knownRequest(c)
+	if err != nil {
+		return errorReply(http.StatusConflict, err)
+	}
+	if e == nil {
+		if r, wait := l.drains.forecastBeforeApply(now, c); wait {
+			return r
+		}
+		e = l.drains.recordChange(now, c)
+		n.log.Info("operator's change", "who", c.Who, "what", c.Verb, "name", c.Name, "status", e.Status, "outcome",
+			e.Outcome)
+	}
+	return l.waitStored(ctx, e)
+}
+
+// waitStored answers a change once it is surely stored: before, a new leader might
+// not know of it.
+func (l *leadership) waitStored(ctx context.Context, e *audit.Entry) CallReply {
+	for !l.drains.audit.IsStored(e) || !l.drains.isStored(e.Name) && e.Status == http.StatusOK {
+		l.node.mu.Unlock()
+		sleep(ctx, 20*time.Millisecond)
+		l.node.mu.Lock()
+		if ctx.Err() != nil || l.node.lead != l {
+			return errorReply(http.StatusServiceUnavailable, errUnstored)
+		}
+	}
+	if e.Status != http.StatusOK {
+		return CallReply{Status: e.Status, Err: e.Outcome}
+	}
+	return okReply(Outcome{Name: e.Name, Outcome: e.Outcome})
+}
+
+// Outcome of a change.
+type Outcome struct {
+	Name    string `json:"name"`
+	Outcome string `json:"outcome"`
+}
+
+// recordChange makes a recordChange, or refuses it; the entry tells.
+func (dm *drainManager) recordChange(now time.Duration, c *Call) *audit.Entry {
+	e := audit.Entry{AtMS: time.Now().UnixMilli(), Who: c.Who, Request: c.Request, Digest: c.digest(),
+		What: string(c.Verb), Name: c.Name,
+		Status: http.StatusOK}
+	outcome, err := dm.applyChange(now, c)
+	e.Name = c.Name // of a plan that is applied
+	if c.Verb == TeamSet || c.Verb == TeamUnset {
+		e.Name = teamAuditName(c.Name)
+	}
+	if err != nil {
+		e.Status, outcome = errorStatus(err), err.Error()
+	}
+	const maxOutcomeBytes = 1024 // an entry must fit into a value
+	e.Outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
+	return dm.audit.Add(e)
+}
+
+// applyChange makes a change.
+func (dm *drainManager) applyChange(now time.Duration, c *Call) (outcome string, err error) {
+	switch c.Verb {
+	case DrainApply:
+		return dm.applyPlan(now, c)
+	case TeamSet, TeamUnset:
+		return dm.changeTeam(c)
+	case DrainPause:
+		return "paused", dm.engine.Pause(c.Name)
+	case DrainResume:
+		return "resumed", dm.engine.Resume(c.Name)
+	case DrainCancel:
+		return "cancelled", dm.engine.Cancel(now, c.Name)
+	case DrainPatched:
+		id, err := wire.ParseMachine(c.Machine)
+		if err != nil {
+			return "", err
+		}
+		return c.Machine + " is patched", dm.engine.Patched(now, c.Name, id, c.Machine)
+	}
+	return "", errors.New("unknown verb " + string(c.Verb))
+}
+
+func (dm *drainManager) applyPlan(now time.Duration, c *Call) (string, error) {
+	d, err := dm.parsePlan(now, c.Plan)
+	if err != nil {
+		return "", err
+	}
+	c.Name = d.spec.Name
+	if err := dm.engine.Check(d.spec, d.source, wire.MachineName); err != nil {
+		return "", err
+	}
+	if err := dm.checkWindows(c); err != nil {
+		return "", err
+	}
+	plan := dm.engine.Apply(now, time.Now(), d.spec, d.source, c.Who)
+	return "applied to " + formatCount(len(plan.Steps), "machine"), nil
+}
+
+// declaredPlan is a plan as an operator gave it, with the machines that it means now.
+type declaredPlan struct {
+	pb     *planpb.Plan
+	spec   *drain.Spec
+	source []byte
+}
+
+func (dm *drainManager) parsePlan(now time.Duration, text string) (*declaredPlan, error) {
+	pb, err := planfile.Parse([]byte(text))
+	if err != nil {
+		return nil, err
+	}
+	d := &declaredPlan{pb: pb, spec: planfile.Spec(pb, dm.lead.node.names)}
+	if d.source, err = planfile.Encode(pb); err != nil {
+		return nil, err
+	}
+	d.spec.Machines = planfile.Choose(pb, dm.candidates(now), dm.lead.node.names)
+	if missing := firstMissing(pb, d.spec.Machines); missing != "" {
+		return nil, &drain.RefusedError{Reason: "machines.names: " + missing +
+			" is no machine of this cluster, or not one that the other fields allow"}
+	}
+	return d, nil
+}
+
+// firstMissing is the first machine that a plan names and does not get.
+func firstMissing(pb *planpb.Plan, got []model.MachineID) string {
+	have := map[string]bool{}
+	for _, id := range got {
+		have[wire.MachineName(id)] = true
+	}
+	for _, n := range pb.GetMachines().GetNames() {
+		if !have[n] {
+			return n
+		}
+	}
+	return ""
+}
+
+// candidates are the machines that a plan may mean.
+func (dm *drainManager) candidates(now time.Duration) []planfile.Candidate {
+	machineAges := map[model.MachineID]time.Duration{}
+	dm.lead.rentals.fleet.ForEachMachine(now, func(m model.Machine,
+		since time.Duration) {
+		machineAges[m.ID] = now - since
+	})
+	var out []planfile.Candidate
+	dm.lead.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
+		out = append(out, planfile.Candidate{Machine: status.Machine, Age: machineAges[status.Machine.ID],
+			Free: status.Avail.CPU})
+	})
+	return out
+}
+
+// answerQuery answers a question.
+func (dm *drainManager) answerQuery(now time.Duration, c *Call) CallReply {
+	switch c.Verb {
+	case AuditList:
+		return okReply(dm.audit.List(auditSlots))
+	case DrainList:
+		out := []PlanStatus{}
+		for _, s := range dm.engine.List(now) {
+			out = append(out, dm.planStatus(&s))
+		}
+		return okReply(out)
+	case MemberList:
+		return okReply(dm.lead.memberReplies(now))
+	case TeamList, TeamShow:
+		return dm.answerTeams(c)
+	case DrainBudgets:
+		return okReply(dm.budgetStatuses(now))
+	case DrainPlan, DrainForecast:
+		return dm.answerForecast(now, c)
+	case DrainStatus:
+		s := dm.engine.Status(now, c.Name)
+		if s == nil {
+			return errorReply(http.StatusNotFound, errors.New("no plan is named \""+c.Name+"\""))
+		}
+		return okReply(dm.planStatus(s))
+	}
+	return errorReply(http.StatusBadRequest, errors.New("unknown verb "+string(c.Verb)))
+}
--- a/internal/node/operate_test.go
+++ b/internal/node/operatorcalls_test.go
@@ -13,10 +13,10 @@
 
 // The controllers' own port takes operators' calls from a sibling only: without a
 // seal made with the token's hash it would be a way round the tokens.
-func TestCallsBetweenControllersBearASeal(t *testing.T) {
+func TestForwardedCallsNeedSignature(t *testing.T) {
 	reader := config.Access{Name: "reader", Hash: sha256.Sum256([]byte("r"))}
-	boss := config.Access{Name: "boss", Hash: sha256.Sum256([]byte("o")), Operate: true}
-	n := &Node{set: &config.Settings{Operator: &config.Operator{Access: []config.Access{reader, boss}}},
+	operator := config.Access{Name: "boss", Hash: sha256.Sum256([]byte("o")), Operate: true}
+	n := &Node{settings: &config.Settings{Operator: &config.Operator{Access: []config.Access{reader, operator}}},
 		log: slog.New(slog.DiscardHandler)}
 	ask := func(n *Node, c Call) int {
 		b, err := json.Marshal(c)
@@ -32,11 +32,11 @@
 		return r.Status
 	}
 	sealed := func(c Call, a *config.Access) Call {
-		c.Seal = c.seal(a)
+		c.Seal = c.sign(a)
 		return c
 	}
 	pause, list := Call{Verb: DrainPause, Name: "p", Who: "boss"}, Call{Verb: DrainList, Who: "reader"}
-	changed := sealed(pause, &boss)
+	changed := sealed(pause, &operator)
 	changed.Name = "q"
 	byReader := pause
 	byReader.Who = "reader"
@@ -48,15 +48,15 @@
 		"another's seal":      {sealed(pause, &reader), 403},
 		"another plan":        {changed, 403},
 		"a change by readers": {sealed(byReader, &reader), 403},
-		"a stranger":          {sealed(Call{Verb: DrainList, Who: "x"}, &boss), 403},
-		"a change":            {sealed(pause, &boss), 503}, // taken; nobody leads here
+		"a stranger":          {sealed(Call{Verb: DrainList, Who: "x"}, &operator), 403},
+		"a change":            {sealed(pause, &operator), 503}, // taken; nobody leads here
 		"a question":          {sealed(list, &reader), 503},
 	} {
 		if got := ask(n, c.call); got != c.want {
 			t.Errorf("%s: %d, want %d", what, got, c.want)
 		}
 	}
-	if got := ask(&Node{set: &config.Settings{}, log: n.log}, sealed(pause, &boss)); got != 403 {
+	if got := ask(&Node{settings: &config.Settings{}, log: n.log}, sealed(pause, &operator)); got != 403 {
 		t.Errorf("%d without a door", got)
 	}
 }
--- a/internal/node/planstatus.go
+++ b/internal/node/planstatus.go
@@ -10,28 +10,29 @@
 
 // PlanStatus is how a drain plan stands, as operators see it.
 type PlanStatus struct {
-	Name   string         `json:"name"`
-	Phase  string         `json:"phase,omitempty"`
-	By     string         `json:"by,omitempty"`
-	At     *time.Time     `json:"at,omitempty"`
-	Note   string         `json:"note,omitempty"`
-	Counts map[string]int `json:"counts"`
-	Held   string         `json:"held,omitempty"`
-	Behind string         `json:"behind,omitempty"` // the machine that holds the plan
-	Steps  []PlanStep     `json:"steps,omitempty"`
+	Name          string         `json:"name"`
+	Phase         string         `json:"phase,omitempty"`
+	By            string         `json:"by,omitempty"`
+	At            *time.Time     `json:"at,omitempty"`
+	Note          string         `json:"note,omitempty"`
+	Counts        map[string]int `json:"counts"`
+	BlockedReason string         `json:"held,omitempty"`
+	Behind        string         `json:"behind,omitempty"` // the machine that holds the plan
+	Steps         []PlanStep     `json:"steps,omitempty"`
 }
 
 // PlanStep is how a machine of a plan stands.
 type PlanStep struct {
-	Machine     string  `json:"machine"`
-	State       string  `json:"state"`
-	Held        string  `json:"held,omitempty"`
-	ForS        float64 `json:"for_s"`
-	Replacement string  `json:"replacement,omitempty"`
+	Machine       string  `json:"machine"`
+	State         string  `json:"state"`
+	BlockedReason string  `json:"held,omitempty"`
+	ForS          float64 `json:"for_s"`
+	Replacement   string  `json:"replacement,omitempty"`
 }
 
-func (p *draining) planStatus(s *drain.Status) PlanStatus {
-	out := PlanStatus{Name: s.Name, Phase: string(s.Phase), By: s.By, Note: s.Note, Counts: s.Counts, Held: s.BlockedReason}
+func (dm *drainManager) planStatus(s *drain.Status) PlanStatus {
+	out := PlanStatus{Name: s.Name, Phase: string(s.Phase), By: s.By, Note: s.Note, Counts: s.Counts,
+		BlockedReason: s.BlockedReason}
 	if !s.At.IsZero() {
 		out.At = &s.At
 	}
@@ -39,7 +40,7 @@
 		out.Behind = wire.MachineName(s.SlowestMachine) + " for " + s.SlowestFor.Round(time.Second).String()
 	}
 	for _, t := range s.Steps {
-		step := PlanStep{Machine: wire.MachineName(t.Machine), State: t.State, Held: t.BlockedReason,
+		step := PlanStep{Machine: wire.MachineName(t.Machine), State: t.State, BlockedReason: t.BlockedReason,
 			ForS: t.InStateFor.Round(100 * time.Millisecond).Seconds()}
 		if t.Replacement != 0 {
 			step.Replacement = wire.MachineName(t.Replacement)
@@ -49,8 +50,8 @@
 	return out
 }
 
-// count is a number of things, for people.
-func count(n int, what string) string {
+// formatCount is a number of things, for people.
+func formatCount(n int, what string) string {
 	if n == 1 {
 		return "1 " + what
 	}
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -7,18 +7,18 @@
 	"honeylock/internal/core/rateshare"
 )
 
-// divideEvery is how often the leader divides the state service's rate anew.
-const divideEvery = 400 * time.Millisecond
+// rateDivisionInterval is how often the leader divides the state service's rate anew.
+const rateDivisionInterval = 400 * time.Millisecond
 
 // divideRate divides the state service's rate among all controllers by what they asked for
 // lately. A sibling that says nothing of its needs (it is not linked, or of a release before
 // 0.9) uses up to an equal part by itself, which is left to it.
 func (l *leadership) divideRate(now time.Duration) {
-	if now-l.divided < divideEvery {
+	if now-l.ratesDividedAt < rateDivisionInterval {
 		return
 	}
-	l.divided = now
-	n := l.n
+	l.ratesDividedAt = now
+	n := l.node
 	siblings := n.cfg.Siblings
 	equal := rateshare.TotalShare / float64(1+len(siblings))
 	links := make([]*link, len(siblings)) // nil: not linked
@@ -26,18 +26,18 @@
 	for i, s := range siblings {
 		links[i] = l.linkTo(s.HostName)
 		requests[i], writes[i] = equal, equal
-		if k := links[i]; k != nil && k.needs.Requests > 0 {
-			requests[i], writes[i] = k.needs.Requests, k.needs.Writes
+		if k := links[i]; k != nil && k.demand.Requests > 0 {
+			requests[i], writes[i] = k.demand.Requests, k.demand.Writes
 		}
 	}
 	own := n.state.Needs()
-	var part ratelimit.Allocation
-	part.Requests, requests = rateshare.Divide(rateshare.Requests, own.Requests, requests)
-	part.Writes, writes = rateshare.Divide(rateshare.Changes, own.Writes, writes)
-	n.state.SetPart(part, rateshare.AllocationTTL)
+	var allocation ratelimit.Allocation
+	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, own.Requests, requests)
+	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, own.Writes, writes)
+	n.state.SetPart(allocation, rateshare.AllocationTTL)
 	for i, k := range links {
 		if k != nil {
-			k.part = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
+			k.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
 		}
 	}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -23,13 +23,13 @@
 
 func blockKey(id dispatcher.BlockID) string {
 	if id.Size == 0 {
-		return fmt.Sprintf("%s%08d", recordKeys, id.Index)
+		return fmt.Sprintf("%s%08d", machinePrefix, id.Index)
 	}
-	return fmt.Sprintf("%ss%d/%08d", recordKeys, id.Size, id.Index)
+	return fmt.Sprintf("%ss%d/%08d", machinePrefix, id.Size, id.Index)
 }
 
 func parseBlockKey(key string) (id dispatcher.BlockID, err error) {
-	no := strings.TrimPrefix(key, recordKeys)
+	no := strings.TrimPrefix(key, machinePrefix)
 	if size, rest, sized := strings.Cut(no, "/"); sized {
 		if id.Size, err = strconv.ParseUint(strings.TrimPrefix(size, "s"), 10, 32); err != nil || id.Size == 0 {
 			return id, fmt.Errorf("machine records %s: its layout is not known", key)
@@ -47,11 +47,11 @@
 	if !c.OldLayout {
 		sub = "0."
 	}
-	return fmt.Sprintf("%s%s/%s%d", doneKeys, wire.JobName(id), sub, c.Index)
+	return fmt.Sprintf("%s%s/%s%d", donePrefix, wire.JobName(id), sub, c.Index)
 }
 
 func parseChunkKey(key string) (id model.JobID, c dispatcher.ChunkID, err error) {
-	name, no, _ := strings.Cut(strings.TrimPrefix(key, doneKeys), "/")
+	name, no, _ := strings.Cut(strings.TrimPrefix(key, donePrefix), "/")
 	if id, err = wire.ParseJob(name); err != nil {
 		return id, c, err
 	}
@@ -60,36 +60,36 @@
 	return id, dispatcher.ChunkID{OldLayout: !later, Index: int32(n)}, err
 }
 
-// upgraded takes the oldest release among all controllers, now that all have joined
+// applyOldestRelease takes the oldest release among all controllers, now that all have joined
 // this term: once none is of 0.4, records are written that fit the limits to come.
-func (l *leadership) upgraded(oldest uint32) {
-	c := &l.n.cfg.Cluster
-	if oldest >= 1 && l.d.Layout() == 0 && c.ValueKB() < c.State.ValueKB {
+func (l *leadership) applyOldestRelease(oldest uint32) {
+	c := &l.node.cfg.Cluster
+	if oldest >= 1 && l.dispatcher.Layout() == 0 && c.ValueKB() < c.State.ValueKB {
 		size := blockSize(c.ValueKB())
-		l.n.log.Info("all controllers are of this release: machines' records get smaller", "machines", size)
-		l.relay(size)
+		l.node.log.Info("all controllers are of this release: machines' records get smaller", "machines", size)
+		l.changeLayout(size)
 	}
 }
 
-// tooLarge takes a block that the state service refused for its size: limits that were
+// shrinkBlocks takes a block that the state service refused for its size: limits that were
 // announced hold, or names are long. Written again as it is it would be refused for
 // ever, and its machines would get no task.
-func (l *leadership) tooLarge(id dispatcher.BlockID) {
-	if id.Size != l.d.Layout() || id.Size == 1 {
+func (l *leadership) shrinkBlocks(id dispatcher.BlockID) {
+	if id.Size != l.dispatcher.Layout() || id.Size == 1 {
 		return // the layout has changed since
 	}
-	c := &l.n.cfg.Cluster
+	c := &l.node.cfg.Cluster
 	size := id.Size
 	if size == 0 {
-		size = oldBlockSize(c.State.ValueKB)
+		size = legacyBlockSize(c.State.ValueKB)
 	}
 	size = min(blockSize(c.ValueKB()), max(1, size/2))
-	l.n.log.Info("a block of machines' records is too large for the state service: smaller ones", "machines", size)
-	l.relay(size)
+	l.node.log.Info("a block of machines' records is too large for the state service: smaller ones", "machines", size)
+	l.changeLayout(size)
 }
 
-// relay has everything that may be too large for the limits to come written smaller.
-func (l *leadership) relay(size uint64) {
-	l.d.SetLayout(size)
-	l.drains.e.EnableCompression()
+// changeLayout has everything that may be too large for the limits to come written smaller.
+func (l *leadership) changeLayout(size uint64) {
+	l.dispatcher.SetLayout(size)
+	l.drains.engine.EnableCompression()
 }
--- /dev/null
+++ b/internal/node/rentals.go
@@ -0,0 +1,212 @@
+package node
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"honeylock/internal/config"
+	"honeylock/internal/core/fleet"
+	"honeylock/internal/core/model"
+	"honeylock/internal/core/writequota"
+	"honeylock/internal/wire"
+)
+
+// rentalManager is the leader's part that rents machines and gives them back.
+type rentalManager struct {
+	lead          *leadership
+	fleet         *fleet.Fleet
+	lastFleetRun  time.Duration
+	fleetDuration time.Duration // of the fleet's last turn: it looks at all that is open, and at all machines
+	// returningUnaccounted: machines that can't be reached are being returned.
+	returningUnaccounted bool
+}
+
+// read has nothing to get: the cloud's list and the workers' reports tell all.
+func (rm *rentalManager) read(context.Context) (func(time.Duration) error, error) {
+	return func(time.Duration) error { return nil }, nil
+}
+
+func (rm *rentalManager) tick(now time.Duration) {
+	rm.returnUnaccounted(now)
+	if now-rm.lastFleetRun >= max(500*time.Millisecond, 8*rm.fleetDuration) {
+		rm.lastFleetRun = now
+		rm.runFleet(now)
+		rm.fleetDuration = rm.lead.node.now() - now
+	}
+}
+
+func (rm *rentalManager) writes(time.Duration, writequota.Class, int) []storeWrite { return nil }
+
+const (
+	// Of all machines, a part that may be given up for the rest: the few that
+	// answer no command; more once every worker that lives has reported, too.
+	// A zone that is cut off is more than that, and waits for its leases.
+	unaccountedShareEarly = 0.02
+	unaccountedShareLate  = 0.15
+	// A leader that has not heard of the state service for so long rents nothing: a machine
+	// gets tasks only once its record is stored.
+	rentMaxOpenJobsAge = 15 * time.Second
+)
+
+// returnUnaccounted returns the machines of earlier terms that answer neither
+// reports nor commands, if they are few. All old jobs wait for them, so they
+// are worth less than the time until their leases are over: once returned they
+// are surely gone.
+func (rm *rentalManager) returnUnaccounted(now time.Duration) {
+	if rm.lead.dispatchLoop.recovered || rm.returningUnaccounted {
+		return
+	}
+	waited := now - rm.lead.loadedAt
+	share := 0.0
+	switch {
+	case waited > config.Seconds(1.25*rm.lead.node.cfg.Cluster.Workers.ReportS)+2250*time.Millisecond:
+		share = unaccountedShareLate
+	case rm.lead.dispatcher.AllUnaccountedUnresponsive():
+		share = unaccountedShareEarly
+	default:
+		return
+	}
+	ids := rm.lead.dispatcher.UnaccountedMachines(share)
+	if len(ids) == 0 {
+		return
+	}
+	rm.returningUnaccounted = true
+	rm.lead.node.log.Info("returning machines that can't be reached", "count", len(ids))
+	for batch := range slices.Chunk(ids, fleet.MaxReturn) {
+		go rm.returnMachines(fleet.Action{Kind: fleet.Return, Machines: batch}, nil)
+	}
+}
+
+func (rm *rentalManager) runFleet(now time.Duration) {
+	status := rm.lead.dispatcher.MachineStatuses()
+	rm.fleet.Observe(now, status, rm.lead.dispatcher.LeaseExpired)
+	if rm.shouldAbandon() {
+		rm.fleet.SetUnreachable(rm.lead.dispatcher.UnreachableMachines())
+	}
+	var demand []fleet.Demand
+	for _, need := range rm.lead.dispatcher.Demand() {
+		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(rm.lead.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
+	}
+	for _, a := range rm.fleet.Step(now, status, demand, rm.lead.dispatcher.TeamLimit) {
+		switch a.Kind {
+		case fleet.Drain:
+			rm.lead.drains.engine.DrainForPrice(a.Machines)
+		case fleet.Undrain:
+			rm.lead.drains.engine.CancelPriceDrain(a.Machines)
+		case fleet.Return:
+			for _, id := range a.Machines {
+				rm.lead.dispatcher.SetUsable(id, false)
+			}
+			go rm.returnMachines(a, nil)
+		case fleet.Rent:
+			if now-rm.lead.dispatchLoop.openJobsAsOf > rentMaxOpenJobsAge {
+				rm.fleet.RentDone(now, a, nil, true, false)
+				continue
+			}
+			go rm.rent(a)
+		}
+	}
+	rm.lead.node.requestCycle()
+}
+
+// shouldAbandon tells whether the lease of a worker that does not answer lasts so
+// much longer than it takes to find that out that its work should not wait for it.
+func (rm *rentalManager) shouldAbandon() bool {
+	s := rm.lead.node.shardParams()
+	return s.MaxLease-s.OverdueAfter()-directTimeout > 15*time.Second
+}
+
+// returnMachines returns machines to the cloud. told, if it is given, hears under the lock
+// whether it has them.
+func (rm *rentalManager) returnMachines(a fleet.Action, onDone func(now time.Duration, ok bool)) {
+	n := rm.lead.node
+	names := make([]string, len(a.Machines))
+	for i, id := range a.Machines {
+		names[i] = wire.MachineName(id)
+	}
+	err := errTermOver
+	if rm.lead.stillLeading() { // it may have stood still since this was decided
+		err = n.cloud.Return(rm.lead.ctx, names)
+	}
+	n.log.Info("machines returned", "machines", names, "err", err)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.now()
+	rm.fleet.ReturnDone(now, a, err == nil)
+	for _, id := range a.Machines {
+		if err == nil {
+			rm.lead.dispatcher.MachineGone(id)
+		} else {
+			rm.lead.dispatcher.SetUsable(id, true)
+		}
+	}
+	if onDone != nil {
+		onDone(now, err == nil)
+	}
+	if n.lead == rm.lead {
+		n.requestCycle()
+	}
+}
+
+func (rm *rentalManager) rent(a fleet.Action) {
+	got, refused, uncertain := rm.rentMachines(a.RequestName, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot},
+		a.Count)
+	rm.lead.node.mu.Lock()
+	defer rm.lead.node.mu.Unlock()
+	rm.fleet.RentDone(rm.lead.node.now(), a, got, refused, uncertain)
+}
+
+// rentMachines asks the cloud for machines like one, under a name that is used for nothing
+// else. It is called without the lock.
+func (rm *rentalManager) rentMachines(name string, template model.Machine,
+	count int) (got []model.MachineID, refused, uncertain bool) {
+	n := rm.lead.node
+	n.mu.Lock()
+	r := wire.Rental{Request: name, Type: n.names.Types.Name(template.Type), Zone: n.names.Zones.Name(template.Zone),
+		Spot: template.Spot, Count: count}
+	n.mu.Unlock()
+	if !rm.lead.stillLeading() {
+		return nil, false, true
+	}
+	return n.rentFromCloud(rm.lead.ctx, r)
+}
+
+// run keeps the machine list.
+func (rm *rentalManager) run() {
+	n := rm.lead.node
+	for rm.lead.ctx.Err() == nil {
+		askedAt := n.now()
+		list, err := n.cloud.List(rm.lead.ctx)
+		if rm.lead.ctx.Err() == nil {
+			n.failures.record("machine list not read", err)
+		}
+		if err != nil {
+			sleep(rm.lead.ctx, time.Second)
+			continue
+		}
+		n.mu.Lock()
+		var out []fleet.ListedMachine
+		for _, m := range list {
+			id, err := wire.ParseMachine(m.Name)
+			if err != nil {
+				continue
+			}
+			out = append(out, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone),
+				Spot:   m.Spot,
+				Failed: m.Stage == "failed", Age: config.Seconds(m.AgeS)})
+		}
+		slices.SortFunc(out, func(a, b fleet.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+		removed := rm.fleet.UpdateListed(n.now(), askedAt, out)
+		for _, id := range removed {
+			rm.lead.dispatcher.MachineGone(id)
+		}
+		if n.lead == rm.lead && len(removed) > 0 {
+			n.log.Info("machines gone from the list", "count", len(removed))
+			n.requestCycle()
+		}
+		n.mu.Unlock()
+		sleep(rm.lead.ctx, 4*time.Second)
+	}
+}
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -20,8 +20,8 @@
 
 // starvationMetrics tell, on the leader, what part of each class, team and size has begun.
 type starvationMetrics struct {
-	n             *Node
-	part, longest *prometheus.Desc
+	node                *Node
+	begunShare, longest *prometheus.Desc
 }
 
 func newStarvationMetrics(n *Node) *starvationMetrics {
@@ -34,20 +34,20 @@
 
 // Describe implements prometheus.Collector.
 func (m *starvationMetrics) Describe(c chan<- *prometheus.Desc) {
-	c <- m.part
+	c <- m.begunShare
 	c <- m.longest
 }
 
 // Collect implements prometheus.Collector.
 func (m *starvationMetrics) Collect(c chan<- prometheus.Metric) {
-	m.n.mu.Lock()
-	defer m.n.mu.Unlock()
-	if m.n.lead == nil {
+	m.node.mu.Lock()
+	defer m.node.mu.Unlock()
+	if m.node.lead == nil {
 		return
 	}
-	for _, s := range m.n.lead.d.Starvation(m.n.now()) {
-		of := m.n.groupName(s.Group)
-		c <- prometheus.MustNewConstMetric(m.part, prometheus.GaugeValue, s.BegunFraction(), of)
+	for _, s := range m.node.lead.dispatcher.Starvation(m.node.now()) {
+		of := m.node.groupName(s.Group)
+		c <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
 		c <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
 	}
 }
--- /dev/null
+++ b/internal/node/teams.go
@@ -0,0 +1,183 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/url"
+	"strings"
+	"time"
+
+	"honeylock/internal/config"
+	"honeylock/internal/core/audit"
+	"honeylock/internal/core/dispatcher"
+	"honeylock/internal/core/model"
+	"honeylock/internal/core/quota"
+	"honeylock/internal/wire"
+)
+
+// teamPrefix are of what operators changed about teams, by the team's name (escaped, for a
+// key has no spaces).
+const teamPrefix = "ops/team/"
+
+func teamKey(name string) string { return teamPrefix + url.PathEscape(name) }
+
+// teamAuditName is a team's name in the audit record: no plan has a name like it.
+func teamAuditName(name string) string { return "team " + name }
+
+type storedTeam struct {
+	team    model.Name
+	value   []byte
+	version uint64
+}
+
+// readTeams gets the stored changes of teams. Those of teams that the platform has no
+// more are left alone.
+func (dm *drainManager) readTeams(ctx context.Context) (out []storedTeam, err error) {
+	_, err = dm.lead.node.state.List(ctx, teamPrefix, func(it *wire.Item) error {
+		name, err := url.PathUnescape(strings.TrimPrefix(it.Key, teamPrefix))
+		if err != nil {
+			return fmt.Errorf("changes of a team %s: %w", it.Key, err)
+		}
+		if team, ok := dm.lead.node.names.Teams.Lookup(name); ok {
+			out = append(out, storedTeam{team, it.Value, it.Version})
+		}
+		return nil
+	})
+	return out, err
+}
+
+// applyTeamOverrides brings the teams' limits and guarantees up to date.
+func (dm *drainManager) applyTeamOverrides() {
+	wall := time.Now()
+	dm.teamOverrides.Expire(wall)
+	for i := range dm.lead.node.cfg.Cluster.Teams {
+		team := model.Name(i)
+		dm.lead.dispatcher.SetTeam(team, dm.teamOverrides.Team(team, wall))
+	}
+}
+
+// teamWrite stores a change of a team with the audit entries about it.
+func (dm *drainManager) teamWrite(w quota.Write, about []*audit.Entry) storeWrite {
+	return dm.recordWrite(teamKey(dm.lead.node.names.Teams.Name(w.Team)), w.Value, w.Version, about, func(o writeOutcome) {
+		dm.teamOverrides.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
+		dm.applyTeamOverrides()
+	})
+}
+
+// changeTeam makes an operator's change of a team.
+func (dm *drainManager) changeTeam(c *Call) (string, error) {
+	team, ok := dm.lead.node.names.Teams.Lookup(c.Name)
+	if !ok {
+		return "", &quota.RefusedError{Reason: fmt.Sprintf("the platform's file has no team %q", c.Name)}
+	}
+	if c.Verb == TeamUnset {
+		return "as the platform has it", dm.teamOverrides.Unset(team)
+	}
+	x, err := config.ParseTeamChange([]byte(c.Plan))
+	if err != nil {
+		return "", err
+	}
+	toMilliCPU := func(v *float64) *int64 {
+		if v == nil {
+			return nil
+		}
+		n := model.Capacity(*v, 0, 0).CPU
+		return &n
+	}
+	change := quota.Change{LimitCPU: toMilliCPU(x.LimitCPUs), LimitGPU: toMilliCPU(x.LimitGPUs),
+		GuaranteeCPU: toMilliCPU(x.GuaranteeCPUs), GuaranteeGPU: toMilliCPU(x.GuaranteeGPUs), By: c.Who}
+	if !x.Until.IsZero() {
+		change.UntilMS = x.Until.UnixMilli()
+	}
+	if err := dm.teamOverrides.Set(time.Now(), team, change); err != nil {
+		return "", err
+	}
+	return "changed" + dm.guaranteeWarning(team, change), nil
+}
+
+// guaranteeWarning warns if more is guaranteed than there are machines for.
+func (dm *drainManager) guaranteeWarning(team model.Name, c quota.Change) string {
+	if c.GuaranteeCPU == nil {
+		return ""
+	}
+	var sum, have int64
+	for i, t := range dm.lead.dispatcher.Teams() {
+		if model.Name(i) == team {
+			t.Guarantee.CPU = *c.GuaranteeCPU
+		}
+		sum += t.Guarantee.CPU
+	}
+	for _, status := range dm.lead.dispatcher.MachineStatuses() {
+		have += status.Machine.Cap.CPU
+	}
+	if sum <= have {
+		return ""
+	}
+	return fmt.Sprintf("; guarantees add up to %g CPUs, the machines that are up have %g", float64(sum)/1000,
+		float64(have)/1000)
+}
+
+// TeamReply is how a team stands, as operators see it. Amounts are CPUs.
+type TeamReply struct {
+	Team        string  `json:"team"`
+	Limit       float64 `json:"limit_cpus"` // 0: none
+	Guarantee   float64 `json:"guarantee_cpus"`
+	Used        float64 `json:"used_cpus"`
+	Borrowed    float64 `json:"borrowed_cpus"` // beyond the guarantee
+	Unaccounted float64 `json:"unseen_cpus"`   // charged for machines that are not accounted for
+	Waiting     int     `json:"waiting"`       // tasks
+	Awaiting    int     `json:"awaiting"`      // jobs that wait for other jobs
+	BlockedBy   string  `json:"holds"`         // what holds the team now
+	Changed     string  `json:"changed,omitempty"`
+}
+
+func (dm *drainManager) teamReplies() []TeamReply {
+	wall := time.Now()
+	var out []TeamReply
+	for i, t := range dm.lead.dispatcher.TeamStatus() {
+		cpu := func(n int64) float64 { return float64(n) / 1000 }
+		r := TeamReply{Team: dm.lead.node.names.Teams.Name(model.Name(i)), Limit: cpu(t.Limit.CPU),
+			Guarantee: cpu(t.Guarantee.CPU),
+			Used:      cpu(t.Used.CPU), Borrowed: cpu(max(0, t.Used.CPU-t.Guarantee.CPU)), Unaccounted: cpu(t.Unaccounted.CPU),
+			Waiting: t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
+		if c, ok := dm.teamOverrides.Active(model.Name(i), wall); ok {
+			r.Changed = "by " + c.By
+			if c.UntilMS > 0 {
+				r.Changed += " until " + time.UnixMilli(c.UntilMS).UTC().Format(time.RFC3339)
+			}
+		}
+		out = append(out, r)
+	}
+	return out
+}
+
+// teamBlockedBy is what teamBlockedBy a team, in one line.
+func teamBlockedBy(t *dispatcher.TeamStatus) string {
+	switch {
+	case t.AwaitingRecovery > 0:
+		return formatCount(t.AwaitingRecovery, "task") + " of before the change of leader wait for machines that are not accounted for"
+	case t.LimitReached() && t.Unaccounted.CPU > 0:
+		return "its limit, with what is charged for machines that are not accounted for"
+	case t.LimitReached():
+		return "its limit"
+	case t.Waiting > 0:
+		return "room"
+	case t.JobsOnHold > 0:
+		return formatCount(t.JobsOnHold, "job") + " of its own wait for others"
+	}
+	return "nothing"
+}
+
+func (dm *drainManager) answerTeams(c *Call) CallReply {
+	all := dm.teamReplies()
+	if c.Verb == TeamList {
+		return okReply(all)
+	}
+	for _, r := range all {
+		if r.Team == c.Name {
+			return okReply(r)
+		}
+	}
+	return errorReply(404, errors.New("the platform's file has no team \""+c.Name+"\""))
+}
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -37,9 +37,9 @@
 	return b
 }
 
-// reads decodes a record of the release before, and writes it again: nothing it holds may
+// roundTrip decodes a record of the release before, and writes it again: nothing it holds may
 // be lost, and what is new is not there until it is used.
-func reads[T any](t *testing.T, name string) *T {
+func roundTrip[T any](t *testing.T, name string) *T {
 	t.Helper()
 	v := new(T)
 	b := golden(t, name)
@@ -56,45 +56,45 @@
 	return v
 }
 
-func TestRecordsOfTheReleaseBefore(t *testing.T) {
-	sub := reads[wire.Submission](t, "0.4/open.json")
+func TestReadRecordsOf04(t *testing.T) {
+	sub := roundTrip[wire.Submission](t, "0.4/open.json")
 	if len(sub.Needs()) != 0 || *sub.NameID != "job-000412" || sub.SubmittedMS != 1790000000123 {
 		t.Errorf("%+v", sub)
 	}
-	if f := reads[wire.Final](t, "0.4/final.json"); f.Stage != "aborted" || f.AtMS != 0 {
+	if f := roundTrip[wire.Final](t, "0.4/final.json"); f.Stage != "aborted" || f.AtMS != 0 {
 		t.Errorf("%+v", f)
 	}
-	if l := reads[wire.Leader](t, "0.4/leader.json"); l.Term != 7 || l.Lease != 99 {
+	if l := roundTrip[wire.Leader](t, "0.4/leader.json"); l.Term != 7 || l.Lease != 99 {
 		t.Errorf("%+v", l)
 	}
-	reads[wire.Term](t, "0.4/term.json")
-	if c := reads[wire.Chunk](t, "0.4/chunk.json"); !slices.Equal(c.Bits, []byte{0xff, 3}) {
+	roundTrip[wire.Term](t, "0.4/term.json")
+	if c := roundTrip[wire.Chunk](t, "0.4/chunk.json"); !slices.Equal(c.Bits, []byte{0xff, 3}) {
 		t.Errorf("%+v", c)
 	}
 	names := &wire.Names{Types: wire.NewTable(), Zones: wire.NewTable()}
-	ms, err := reads[wire.MachineBlock](t, "0.4/machines.json").Decode(names)
+	ms, err := roundTrip[wire.MachineBlock](t, "0.4/machines.json").Decode(names)
 	if err != nil || len(ms) != 2 || ms[0].ID != 64 || !ms[0].Spot || names.Types.Name(ms[0].Type) != "large" {
 		t.Errorf("%+v, %v", ms, err)
 	}
 }
 
-func TestRecordsOfTheLastRelease(t *testing.T) {
-	sub := reads[wire.Submission](t, "0.5/open.json")
+func TestReadRecordsOfLastRelease(t *testing.T) {
+	sub := roundTrip[wire.Submission](t, "0.5/open.json")
 	if !slices.Equal(sub.Needs(), []model.JobID{398, 405}) || *sub.NameID != "job-000420" {
 		t.Errorf("%+v", sub)
 	}
-	if f := reads[wire.Final](t, "0.5/final.json"); f.Stage != "done" || f.AtMS != 1790000009999 {
+	if f := roundTrip[wire.Final](t, "0.5/final.json"); f.Stage != "done" || f.AtMS != 1790000009999 {
 		t.Errorf("%+v", f)
 	}
-	if l := reads[wire.Leader](t, "0.5/leader.json"); l.Term != 9 || l.Lease != 101 {
+	if l := roundTrip[wire.Leader](t, "0.5/leader.json"); l.Term != 9 || l.Lease != 101 {
 		t.Errorf("%+v", l)
 	}
-	reads[wire.Term](t, "0.5/term.json")
-	if c := reads[wire.Chunk](t, "0.5/chunk.json"); !slices.Equal(c.Part, []byte{0xff, 3}) || c.From != 11904 {
+	roundTrip[wire.Term](t, "0.5/term.json")
+	if c := roundTrip[wire.Chunk](t, "0.5/chunk.json"); !slices.Equal(c.Part, []byte{0xff, 3}) || c.From != 11904 {
 		t.Errorf("%+v", c)
 	}
 	names := &wire.Names{Types: wire.NewTable(), Zones: wire.NewTable()}
-	ms, err := reads[wire.MachineBlock](t, "0.5/machines.json").Decode(names)
+	ms, err := roundTrip[wire.MachineBlock](t, "0.5/machines.json").Decode(names)
 	if err != nil || len(ms) != 2 || ms[0].ID != 38 || !ms[0].Spot {
 		t.Errorf("%+v, %v", ms, err)
 	}
@@ -102,11 +102,11 @@
 
 // What is new in a record is passed over by the release before, whose records these are:
 // encoding/json skips fields that it does not know, and so does what it used.
-func TestNewRecordsAtTheReleaseBefore(t *testing.T) {
+func TestOldReleaseReadsNewRecords(t *testing.T) {
 	var final struct {
 		Stage string `json:"Stage"`
 	}
-	if err := json.Unmarshal(encode(wire.Final{Stage: "done", AtMS: 5}), &final); err != nil || final.Stage != "done" {
+	if err := json.Unmarshal(mustEncode(wire.Final{Stage: "done", AtMS: 5}), &final); err != nil || final.Stage != "done" {
 		t.Errorf("%+v, %v", final, err)
 	}
 	// A chunk of a job that does not fit into one must not be taken for tasks 0 and
@@ -114,7 +114,7 @@
 	var chunk struct {
 		Bits []byte `json:"Bits"`
 	}
-	err := json.Unmarshal(encode(wire.Chunk{Part: []byte{255}, From: 9000}), &chunk)
+	err := json.Unmarshal(mustEncode(wire.Chunk{Part: []byte{255}, From: 9000}), &chunk)
 	if err != nil || len(chunk.Bits) != 0 {
 		t.Errorf("%+v, %v", chunk, err)
 	}
@@ -127,7 +127,7 @@
 )
 
 // Messages of the releases before mean the same here.
-func TestMessagesOfTheReleasesBefore(t *testing.T) {
+func TestReadMessagesOfOldReleases(t *testing.T) {
 	for _, name := range slices.Concat(upMessages, downMessages) {
 		var m proto.Message = &peerpb.Down{}
 		if slices.Contains(upMessages, name) {
@@ -174,11 +174,11 @@
 	}
 }
 
-type pairOf struct{ now, before proto.Message }
+type messagePair struct{ now, before proto.Message }
 
 // What this release sends is, but for what they don't know, the same to those before.
-func TestMessagesAtTheReleasesBefore(t *testing.T) {
-	sameAt(t, "0.5", map[string]pairOf{
+func TestOldReleasesReadNewMessages(t *testing.T) {
+	compareAtRelease(t, "0.5", map[string]messagePair{
 		"Ask": {&peerpb.Ask{Seq: 5, Promised: 4, StateAgeUs: 7, Told: []uint64{412, 9}, ToldForUs: 60},
 			&peerpb.Ask{Seq: 5, Promised: 4, StateAgeUs: 7}},
 		"Event": {&peerpb.Event{Kind: 5, Machine: 7, Session: 3, Seq: 9}, &peerpb.Event{Kind: 5, Machine: 7}},
@@ -188,7 +188,7 @@
 		"JobProgress": {&peerpb.JobProgress{Job: 4, Version: 7, Waits: true, Doubt: true},
 			&peerpb.JobProgress{Job: 4, Version: 7, Waits: true}},
 	})
-	sameAt(t, "0.4", map[string]pairOf{
+	compareAtRelease(t, "0.4", map[string]messagePair{
 		"Up": {&peerpb.Up{Msg: &peerpb.Up_Hello{Hello: &peerpb.Hello{Host: "c2", Release: release}}},
 			&peerpb.Up{Msg: &peerpb.Up_Hello{Hello: &peerpb.Hello{Host: "c2"}}}},
 		"Down": {&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: 5, ForUs: 9, Number: 6, SettledAgeUs: 70}}},
@@ -199,7 +199,7 @@
 	})
 }
 
-func sameAt(t *testing.T, release string, pairs map[string]pairOf) {
+func compareAtRelease(t *testing.T, release string, pairs map[string]messagePair) {
 	t.Helper()
 	var set descriptorpb.FileDescriptorSet
 	if err := proto.Unmarshal(golden(t, release+"/peer.desc.binpb"), &set); err != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestKeysOfBothLayouts(t *testing.T) {
+func TestRecordKeysOfBothLayouts(t *testing.T) {
 	for key, want := range map[string]dispatcher.BlockID{
 		"machines/00000003": {Index: 3}, "machines/s19/00000012": {Size: 19, Index: 12},
 	} {
@@ -254,9 +254,9 @@
 func TestRecordsFitBothLimits(t *testing.T) {
 	var c config.Cluster
 	c.State.ValueKB, c.State.Next.ValueKB, c.State.TxnOps, c.State.Next.TxnOps = 16, 2, 16, 5
-	most := int(c.ValueKB() * 1024)
-	if most != 2048 || c.TxnOps() != 5 {
-		t.Fatalf("%d bytes, %d changes", most, c.TxnOps())
+	maxBytes := int(c.ValueKB() * 1024)
+	if maxBytes != 2048 || c.TxnOps() != 5 {
+		t.Fatalf("%d bytes, %d changes", maxBytes, c.TxnOps())
 	}
 	names := &wire.Names{Types: wire.NewTable("an-ordinary-type-of-machine", "another-type-of-machines"),
 		Zones: wire.NewTable("a-zone-with-a-name", "b-zone-with-a-name", "c-zone-with-a-name", "d-zone-with-a-name")}
@@ -265,20 +265,20 @@
 		ms = append(ms, model.Machine{ID: model.MachineID(1<<30 + i), Addr: "100.100.100.100:65535", Type: model.Name(i % 2),
 			Zone: model.Name(i % 4), Spot: true})
 	}
-	if n := len(encode(wire.EncodeMachines(ms, names))); n > most {
+	if n := len(mustEncode(wire.EncodeMachines(ms, names))); n > maxBytes {
 		t.Errorf("%d machines take %d bytes", len(ms), n)
 	}
 	full := make([]byte, chunkSize(c.ValueKB())/8)
 	for i := range full {
 		full[i] = 255
 	}
-	if n := len(encode(wire.Chunk{Part: full, From: 99_999})); n > most {
+	if n := len(mustEncode(wire.Chunk{Part: full, From: 99_999})); n > maxBytes {
 		t.Errorf("a chunk takes %d bytes", n)
 	}
 	// A job's final drops what it has room for, the rest comes after it.
 	n := &Node{cfg: &config.Platform{Cluster: c}}
-	p := &dealing{l: &leadership{n: n}, d: dispatcher.New(dispatcher.Params{}, 0)}
-	w := p.encode(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
+	p := &dispatchLoop{lead: &leadership{node: n}, dispatcher: dispatcher.New(dispatcher.Params{}, 0)}
+	w := p.encodeWrite(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
 	if len(w.ops) != 5 {
 		t.Errorf("%d changes in one transaction", len(w.ops))
 	}
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -24,9 +24,9 @@
 
 func unavailable(why string) Reply { return Reply{Status: http.StatusServiceUnavailable, Err: why} }
 
-func (n *Node) stateReply(status int, id model.JobID, st jobs.Stage) Reply {
-	s := &wire.JobState{NameID: wire.JobName(id), Stage: string(st)}
-	if !st.Ended() {
+func (n *Node) stateReply(status int, id model.JobID, stage jobs.Stage) Reply {
+	s := &wire.JobState{NameID: wire.JobName(id), Stage: string(stage)}
+	if !stage.Ended() {
 		n.mu.Lock()
 		if p, ok := n.progress[id]; ok {
 			s.Done, s.Running = &p.done, &p.running
@@ -46,8 +46,8 @@
 		return Reply{Status: http.StatusBadRequest, Err: err.Error()}
 	}
 	id, _ := wire.ParseJob(*sub.NameID) // it was checked
-	if st, ok := n.final(id); ok {
-		return n.stateReply(http.StatusOK, id, st)
+	if stage, ok := n.cachedFinal(id); ok {
+		return n.stateReply(http.StatusOK, id, stage)
 	}
 	ok, why := n.feasible(sub)
 	if why != "" && !ok {
@@ -62,16 +62,16 @@
 		return unavailable("the machine types are not known yet")
 	}
 	sub.SubmittedMS = time.Now().UnixMilli()
-	if size, most := len(encode(sub)), int(n.cfg.Cluster.ValueKB()*1024); size > most {
+	if size, maxBytes := len(mustEncode(sub)), int(n.cfg.Cluster.ValueKB()*1024); size > maxBytes {
 		// As above.
 		r := n.Poll(ctx, id)
 		if r.Status == http.StatusNotFound {
 			return Reply{Status: http.StatusBadRequest, Err: fmt.Sprintf(
-				"the job takes %d bytes to store, more than %d; %d of its names are in Awaits", size, most, len(sub.Awaits))}
+				"the job takes %d bytes to store, more than %d; %d of its names are in Awaits", size, maxBytes, len(sub.Awaits))}
 		}
 		return r
 	}
-	return n.run(ctx, jobs.Submit, id, sub)
+	return n.answerRequest(ctx, jobs.Submit, id, sub)
 }
 
 // feasible tells whether a job can ever run. Without a reason it can't be told
@@ -94,15 +94,15 @@
 	if len(n.types) == 0 {
 		return false, ""
 	}
-	each := model.Request(*s.CPUs, *s.GPUs, *s.MemGB)
+	perTask := model.Request(*s.CPUs, *s.GPUs, *s.MemGB)
 	for i := range n.types {
-		mt := &n.types[i]
-		if !each.Fits(mt.Cap) {
+		machineType := &n.types[i]
+		if !perTask.Fits(machineType.Cap) {
 			continue
 		}
 		allowed := s.Types == nil
 		for _, name := range s.Types {
-			allowed = allowed || n.names.Types.Name(mt.Name) == name
+			allowed = allowed || n.names.Types.Name(machineType.Name) == name
 		}
 		if !allowed {
 			continue
@@ -110,7 +110,7 @@
 		if s.Zone == nil {
 			return true, ""
 		}
-		for _, z := range mt.Zones {
+		for _, z := range machineType.Zones {
 			if n.names.Zones.Name(z) == *s.Zone {
 				return true, ""
 			}
@@ -120,31 +120,33 @@
 }
 
 // Poll answers with a job's state.
-func (n *Node) Poll(ctx context.Context, id model.JobID) Reply { return n.run(ctx, jobs.Poll, id, nil) }
+func (n *Node) Poll(ctx context.Context, id model.JobID) Reply {
+	return n.answerRequest(ctx, jobs.Poll, id, nil)
+}
 
 // Withdraw cancels a job.
 func (n *Node) Withdraw(ctx context.Context, id model.JobID) Reply {
-	return n.run(ctx, jobs.Withdraw, id, nil)
+	return n.answerRequest(ctx, jobs.Withdraw, id, nil)
 }
 
-// run answers a request here, or by way of a sibling if the state service does
+// answerRequest answers a request here, or by way of a sibling if the state service does
 // not answer this controller.
-func (n *Node) run(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
-	helper, first := n.helper()
-	if helper != "" && first {
-		if r, ok := n.forward(ctx, helper, k, id, sub); ok {
+func (n *Node) answerRequest(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
+	sibling, preferred := n.forwardTarget()
+	if sibling != "" && preferred {
+		if r, ok := n.forward(ctx, sibling, k, id, sub); ok {
 			return r
 		}
 	}
-	r := n.ask(ctx, k, id, sub)
+	r := n.answerHere(ctx, k, id, sub)
 	if r.Status != http.StatusServiceUnavailable || k == jobs.Poll && r.OverRate {
 		return r // a question that found no rate here would find none there
 	}
-	if helper == "" || first {
-		helper = n.knower(id) // it has been asked, or there is none
+	if sibling == "" || preferred {
+		sibling = n.leaderForInDoubt(id) // it has been asked, or there is none
 	}
-	if helper != "" {
-		if f, ok := n.forward(ctx, helper, k, id, sub); ok {
+	if sibling != "" {
+		if f, ok := n.forward(ctx, sibling, k, id, sub); ok {
 			return f
 		}
 	}
@@ -152,16 +154,16 @@
 	return r
 }
 
-func (n *Node) ask(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
-	if st, ok := n.final(id); ok {
-		return n.stateReply(http.StatusOK, id, st)
+func (n *Node) answerHere(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
+	if stage, ok := n.cachedFinal(id); ok {
+		return n.stateReply(http.StatusOK, id, stage)
 	}
-	if n.cutOff() {
+	if n.isolated() {
 		return unavailable("cut off from the state service and the other controllers")
 	}
-	req, op := n.request(k, id, sub)
+	req, op := n.newRequest(k, id, sub)
 	for {
-		next, ans := req.Next(op, n.jobOp(ctx, op, sub))
+		next, ans := req.Next(op, n.runJobOp(ctx, op, sub))
 		if ans == nil {
 			op = next
 			continue
@@ -178,19 +180,19 @@
 			return Reply{Status: ans.Status, Err: "no such job"}
 		}
 		if ans.Stage.Ended() {
-			n.tellEnd(id, ans.Stage)
-		} else if !ans.Created && !n.maySayQueued(id) {
-			return n.inDoubt(id)
+			n.recordEnd(id, ans.Stage)
+		} else if !ans.Created && !n.mayReportQueued(id) {
+			return n.answerInDoubt(id)
 		}
-		return n.notOlder(id, n.stateReply(ans.Status, id, ans.Stage))
+		return n.preferFinal(id, n.stateReply(ans.Status, id, ans.Stage))
 	}
 }
 
-// request begins a request. What a submission awaits was mostly seen a moment ago.
-func (n *Node) request(k jobs.Kind, id model.JobID, sub *wire.Submission) (*jobs.Request, jobs.Op) {
+// newRequest begins a newRequest. What a submission awaits was mostly seen a moment ago.
+func (n *Node) newRequest(k jobs.Kind, id model.JobID, sub *wire.Submission) (*jobs.Request, jobs.Op) {
 	if k != jobs.Submit {
-		version, ended := n.seenOpen(id)
-		if ended {
+		version, believedEnded := n.cachedOpenRecord(id)
+		if believedEnded {
 			return jobs.NewEnded(k, id)
 		}
 		return jobs.New(k, id, version)
@@ -201,35 +203,35 @@
 	needs := sub.Needs()
 	open := make(map[model.JobID]uint64, len(needs))
 	for _, need := range needs {
-		if v, _ := n.seenOpen(need); v != 0 {
+		if v, _ := n.cachedOpenRecord(need); v != 0 {
 			open[need] = v
 		}
 	}
 	return jobs.NewWithDependencies(id, needs, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
 }
 
-// maySayQueued tells whether users may be told that an open job is queued.
-func (n *Node) maySayQueued(id model.JobID) bool {
+// mayReportQueued tells whether users may be told that an open job is queued.
+func (n *Node) mayReportQueued(id model.JobID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	waits := n.versions[id].awaits
+	onHold := n.openRecords[id].awaits
 	if p, ok := n.progress[id]; ok {
-		waits = p.waits
+		onHold = p.onHold
 	}
-	return !waits || n.vouches(n.now(), id)
+	return !onHold || n.queuedConfirmed(n.now(), id)
 }
 
-// inDoubt answers about a waiting job that nobody may call queued: as cancelled, where
+// answerInDoubt answers about a waiting job that nobody may call queued: as cancelled, where
 // that is certain.
-func (n *Node) inDoubt(id model.JobID) Reply {
+func (n *Node) answerInDoubt(id model.JobID) Reply {
 	n.mu.Lock()
-	cancelled := n.certain(n.now(), id)
+	cancelled := n.cancelledConfirmed(n.now(), id)
 	n.mu.Unlock()
 	if !cancelled {
 		// It may have been cancelled with a job that it needs, longer ago than may be.
 		return unavailable("no leader has told of cancellations for too long")
 	}
-	n.keepFinal(id, jobs.Cancelled)
+	n.addFinal(id, jobs.Cancelled)
 	return n.stateReply(http.StatusOK, id, jobs.Cancelled)
 }
 
@@ -239,30 +241,32 @@
 	defer n.mu.Unlock()
 	// Refused by the state service while it answers the leader, this node can
 	// take nothing; in an outage all are alike, and none should be shunned.
-	served, _ := n.health.served()
-	refused := n.health.alone(n.now(), n.leaderStateAt) && n.leaderStateAt > served+2500*time.Millisecond
+	served, _ := n.health.lastServed()
+	refused := n.health.refusedAlone(n.now(), n.leaderStateServedAt) &&
+		n.leaderStateServedAt > served+2500*time.Millisecond
 	// Without the machine types it still answers polls and cancellations, which
 	// is better than no node at all.
-	return (len(n.types) > 0 || n.now() > 10*time.Second) && !refused && !n.cutFrom(n.now())
+	return (len(n.types) > 0 || n.now() > 10*time.Second) && !refused && !n.isolatedLocked(n.now())
 }
 
-// cutFrom tells whether neither the state service nor any sibling has been heard for a
+// isolatedLocked tells whether neither the state service nor any sibling has been heard for a
 // while: whatever users ask here, nobody could answer, while its workers may still be
 // served under the grant. In an outage siblings are heard, and in a quarrel of
 // controllers the state service is. Called under the lock.
-func (n *Node) cutFrom(now time.Duration) bool {
-	return len(n.cfg.Siblings) > 0 && n.health.missing(now) && now-n.sibling > linkTimeout
+func (n *Node) isolatedLocked(now time.Duration) bool {
+	return len(n.cfg.Siblings) > 0 && n.health.stateUnserved(now) && now-n.siblingSeenAt > linkTimeout
 }
 
-func (n *Node) cutOff() bool {
+func (n *Node) isolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cutFrom(n.now())
+	return n.isolatedLocked(n.now())
 }
 
-func (n *Node) rent(ctx context.Context, r wire.Rental) (ids []model.MachineID, refused, doubt bool) {
+func (n *Node) rentFromCloud(ctx context.Context, r wire.Rental) (ids []model.MachineID, refused, uncertain bool) {
 	names, err := n.cloud.Rent(ctx, r)
-	n.log.Info("rental", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "got", len(names), "err", err)
+	n.log.Info("rental", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "got",
+		len(names), "err", err)
 	if errors.Is(err, cloud.ErrNoCapacity) {
 		return nil, true, false
 	}
--- a/internal/node/looks_test.go
+++ b/internal/node/users_test.go
@@ -11,21 +11,21 @@
 
 // An answer that was found before this controller told of the job's end, and leaves after it,
 // tells the end: of two connections the later one would else get the older state.
-func TestNoAnswerIsOlderThanWhatWasTold(t *testing.T) {
+func TestAnswerNotOlderThanReportedEnd(t *testing.T) {
 	const job = model.JobID(412)
 	for _, end := range []jobs.Stage{jobs.Done, jobs.Cancelled} {
 		for _, status := range []int{http.StatusOK, http.StatusCreated} {
-			r := newRig(t)
-			found := r.n.stateReply(status, job, jobs.Queued)
-			if got := r.n.notOlder(job, found); got.State.Stage != string(jobs.Queued) || got.Status != status {
+			r := newLeaderHarness(t)
+			found := r.node.stateReply(status, job, jobs.Queued)
+			if got := r.node.preferFinal(job, found); got.State.Stage != string(jobs.Queued) || got.Status != status {
 				t.Fatalf("%+v of an open job", got)
 			}
-			r.n.tellEnd(job, end)
-			if got := r.n.notOlder(job, found); got.State.Stage != string(end) || got.Status != http.StatusOK {
+			r.node.recordEnd(job, end)
+			if got := r.node.preferFinal(job, found); got.State.Stage != string(end) || got.Status != http.StatusOK {
 				t.Errorf("%d %s after %s was told", got.Status, got.State.Stage, end)
 			}
 			refused := unavailable("busy")
-			if got := r.n.notOlder(job, refused); got != refused {
+			if got := r.node.preferFinal(job, refused); got != refused {
 				t.Errorf("a refusal became %+v", got)
 			}
 		}
@@ -34,20 +34,21 @@
 
 // While the machine types are unknown nobody can tell whether a job can run: its user asks again.
 // What is no job at all is refused in any case.
-func TestNoJobIsAcceptedBeforeTheMachineTypesAreKnown(t *testing.T) {
-	r := newRig(t)
+func TestSubmitRefusedWithoutMachineTypes(t *testing.T) {
+	r := newLeaderHarness(t)
 	job := `{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch","Rank":"standard","Cells":2,"Cpus":1,
 		"Accelerators":0,"MemGb":1,"Wax":"img","ImageGb":1,"Together":false,"Spread":false,"SwarmBoxes":false,"ForageS":1,
 		"CapIntervalS":0,"CapS":0}`
-	if got := r.n.Submit(t.Context(), []byte(job)); got.Status != http.StatusServiceUnavailable {
+	if got := r.node.Submit(t.Context(), []byte(job)); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("%d %q", got.Status, got.Err)
 	}
 	none := strings.Replace(job, `"Cells":2`, `"Cells":0`, 1)
-	if got := r.n.Submit(t.Context(), []byte(none)); got.Status != http.StatusBadRequest {
+	if got := r.node.Submit(t.Context(), []byte(none)); got.Status != http.StatusBadRequest {
 		t.Errorf("%d %q of no tasks", got.Status, got.Err)
 	}
-	r.n.tellEnd(8, jobs.Done) // a known job stays known
-	if got := r.n.Submit(t.Context(), []byte(job)); got.Status != http.StatusOK || got.State.Stage != string(jobs.Done) {
+	r.node.recordEnd(8, jobs.Done) // a known job stays known
+	if got := r.node.Submit(t.Context(), []byte(job)); got.Status != http.StatusOK ||
+		got.State.Stage != string(jobs.Done) {
 		t.Errorf("%d %+v of a job that is done", got.Status, got.State)
 	}
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -72,15 +72,15 @@
 	e.GET("/ops/v1/teams/:name", s.call(node.TeamShow))
 	e.POST("/ops/v1/teams/:name", s.call(node.TeamSet))
 	e.POST("/ops/v1/teams/:name/unset", s.call(node.TeamUnset))
-	e.GET("/ops/v1/budgets", s.call(node.DrainBudget))
+	e.GET("/ops/v1/budgets", s.call(node.DrainBudgets))
 	e.GET("/ops/v1/drains/:name", s.call(node.DrainStatus))
 	e.POST("/ops/v1/forecasts", s.call(node.DrainPlan))
-	e.POST("/ops/v1/drains/:name/forecast", s.call(node.DrainAgain))
+	e.POST("/ops/v1/drains/:name/forecast", s.call(node.DrainForecast))
 	e.POST("/ops/v1/drains", s.call(node.DrainApply))
 	e.POST("/ops/v1/drains/:name/pause", s.call(node.DrainPause))
 	e.POST("/ops/v1/drains/:name/resume", s.call(node.DrainResume))
 	e.POST("/ops/v1/drains/:name/cancel", s.call(node.DrainCancel))
-	e.POST("/ops/v1/drains/:name/machines/:machine/patched", s.call(node.DrainDone))
+	e.POST("/ops/v1/drains/:name/machines/:machine/patched", s.call(node.DrainPatched))
 	s.http = &http.Server{Handler: e, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -60,8 +60,8 @@
 // New builds the door. fdLimit is what the process may open; a part of it is
 // kept for its own connections, and another for workers.
 func New(n *node.Node, fdLimit int, log *slog.Logger, reg *prometheus.Registry) *Server {
-	limit := fdLimit - own(fdLimit, node.Directs(fdLimit))
-	s := &Server{node: n, limit: limit, conns: newConns(limit), takes: n.Takes,
+	limit := fdLimit - own(fdLimit, node.MaxDirectConns(fdLimit))
+	s := &Server{node: n, limit: limit, conns: newConns(limit), takes: n.Admit,
 		polls:   gate{kind: "poll", what: overload.Poll, most: maxPolls},
 		changes: gate{kind: "change", what: overload.Change, most: maxChanges},
 		shed: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "honeylock_requests_shed_total",
