--- a/internal/core/dispatcher/blocks.go
+++ b/internal/core/dispatcher/blocks.go
@@ -21,9 +21,9 @@
 // machine that may be in use stands in a record of that layout, and then dropped: at
 // any moment the records together name every machine that a later leader must look for.
 type block struct {
-	version uint64 // of the stored record, 0: none
-	dirty   bool   // the record is to change
-	writing bool
+	version      uint64 // of the stored record, 0: none
+	dirty        bool   // the record is to change
+	writePending bool
 }
 
 // blockOf is the block that a machine is written to.
@@ -33,7 +33,7 @@
 
 func (d *Dispatcher) blockSize(layout uint64) uint64 {
 	if layout == 0 {
-		return d.p.BlockSize
+		return d.params.BlockSize
 	}
 	return layout
 }
@@ -55,21 +55,22 @@
 // SetLayout has machines written to blocks of another size from here on.
 func (d *Dispatcher) SetLayout(size uint64) {
 	d.layout = size
-	for _, m := range d.byID {
-		if !m.recorded || m.recordedIn != size {
+	for _, m := range d.machinesByID {
+		if !m.recorded || m.recordedLayout != size {
 			d.block(m.ID).dirty = true
 		}
 	}
 }
 
-// inBlock returns the machines of a block, in order.
-func (d *Dispatcher) inBlock(id BlockID) []*machine {
+// machinesInBlock returns the machines of a block, in order.
+func (d *Dispatcher) machinesInBlock(id BlockID) []*machine {
 	size := d.blockSize(id.Size)
-	at := func(id uint64) int {
-		i, _ := slices.BinarySearchFunc(d.byID, &machine{Machine: model.Machine{ID: model.MachineID(id)}}, compareMachines)
+	indexOf := func(id uint64) int {
+		i, _ := slices.BinarySearchFunc(d.machinesByID, &machine{Machine: model.Machine{ID: model.MachineID(id)}},
+			compareMachines)
 		return i
 	}
-	return slices.Clone(d.byID[at(id.Index*size):at((id.Index+1)*size)])
+	return slices.Clone(d.machinesByID[indexOf(id.Index*size):indexOf((id.Index+1)*size)])
 }
 
 // blockWrites appends the blocks to be written now, those that machines wait for
@@ -77,22 +78,25 @@
 // left out counts as not recorded from here on: the write may be applied however late,
 // until a newer one has succeeded.
 func (d *Dispatcher) blockWrites(out []Write, n int) []Write {
-	var ids, past []BlockID
-	waits := map[BlockID]int{}
+	var ids, obsolete []BlockID
+	urgency := map[BlockID]int{}
 	for id, b := range d.blocks {
 		switch {
-		case b.writing:
+		case b.writePending:
 		case id.Size != d.layout:
-			past = append(past, id)
+			obsolete = append(obsolete, id)
 		case b.dirty:
 			ids = append(ids, id)
-			if slices.ContainsFunc(d.inBlock(id), func(m *machine) bool { return !m.recorded && !m.gone && !m.lapsed }) {
-				waits[id] = -1
+			if slices.ContainsFunc(d.machinesInBlock(id), func(m *machine) bool {
+				return !m.recorded && !m.gone &&
+					!m.expiryConfirmed
+			}) {
+				urgency[id] = -1
 			}
 		}
 	}
 	slices.SortFunc(ids, func(a, b BlockID) int {
-		return cmp.Or(cmp.Compare(waits[a], waits[b]), cmp.Compare(a.Index, b.Index))
+		return cmp.Or(cmp.Compare(urgency[a], urgency[b]), cmp.Compare(a.Index, b.Index))
 	})
 	for _, id := range ids {
 		if len(out) >= n {
@@ -100,31 +104,37 @@
 		}
 		b := d.blocks[id]
 		w := Write{Kind: PutBlock, Block: id, Version: b.version}
-		for _, m := range d.inBlock(id) {
-			if m.gone || m.lapsed {
+		for _, m := range d.machinesInBlock(id) {
+			if m.gone || m.expiryConfirmed {
 				m.recorded = false
 				continue
 			}
-			m.stored = true
+			m.maybeStored = true
 			w.Machines = append(w.Machines, m.Machine)
 		}
-		b.dirty, b.writing = false, true
+		b.dirty, b.writePending = false, true
 		out = append(out, w)
 	}
-	return d.blockDrops(out, n, past)
+	return d.obsoleteBlockWrites(out, n, obsolete)
 }
 
-// blockDrops appends the blocks of other layouts that no machine's record rests on.
-func (d *Dispatcher) blockDrops(out []Write, n int, past []BlockID) []Write {
-	slices.SortFunc(past, func(a, b BlockID) int { return cmp.Or(cmp.Compare(a.Size, b.Size), cmp.Compare(a.Index, b.Index)) })
-	for _, id := range past {
+// obsoleteBlockWrites appends the blocks of other layouts that no machine's record rests on.
+func (d *Dispatcher) obsoleteBlockWrites(out []Write, n int, obsolete []BlockID) []Write {
+	slices.SortFunc(obsolete, func(a, b BlockID) int {
+		return cmp.Or(cmp.Compare(a.Size, b.Size),
+			cmp.Compare(a.Index, b.Index))
+	})
+	for _, id := range obsolete {
 		if len(out) >= n {
 			break
 		}
-		if slices.ContainsFunc(d.inBlock(id), func(m *machine) bool { return m.recorded && m.recordedIn == id.Size }) {
+		if slices.ContainsFunc(d.machinesInBlock(id), func(m *machine) bool {
+			return m.recorded &&
+				m.recordedLayout == id.Size
+		}) {
 			continue
 		}
-		d.blocks[id].writing = true
+		d.blocks[id].writePending = true
 		out = append(out, Write{Kind: DropBlock, Block: id, Version: d.blocks[id].version})
 	}
 	return out
@@ -134,7 +144,7 @@
 // without an answer is told by the next one, for it bears the same version.
 func (d *Dispatcher) blockStored(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
-	b.writing = false
+	b.writePending = false
 	if !ok {
 		b.dirty = true
 		if lost {
@@ -143,16 +153,16 @@
 		return
 	}
 	b.version = revision
-	in := map[model.MachineID]bool{}
+	written := map[model.MachineID]bool{}
 	for i := range w.Machines {
-		in[w.Machines[i].ID] = true
+		written[w.Machines[i].ID] = true
 	}
-	for _, m := range d.inBlock(w.Block) {
+	for _, m := range d.machinesInBlock(w.Block) {
 		switch {
-		case in[m.ID] && (m.gone || m.lapsed):
+		case written[m.ID] && (m.gone || m.expiryConfirmed):
 			b.dirty = true // it left while the write was under way
-		case in[m.ID]:
-			m.recordedIn = w.Block.Size
+		case written[m.ID]:
+			m.recordedLayout = w.Block.Size
 			if w.Block.Size != d.layout {
 				d.block(m.ID).dirty = true // the layout changed while the write was under way
 			}
@@ -161,11 +171,11 @@
 				d.SetUsable(m.ID, true)
 			}
 		case m.gone:
-			d.dropMachine(m)
-		case m.lapsed:
-			m.stored = false
+			d.removeMachine(m)
+		case m.expiryConfirmed:
+			m.maybeStored = false
 		default:
-			m.stored = false
+			m.maybeStored = false
 			b.dirty = true
 		}
 	}
@@ -175,7 +185,7 @@
 // it is at, 0 if it is not there.
 func (d *Dispatcher) blockDropped(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
-	b.writing = false
+	b.writePending = false
 	switch {
 	case ok || lost && revision == 0:
 		delete(d.blocks, w.Block)
--- a/internal/core/dispatcher/charges.go
+++ b/internal/core/dispatcher/charges.go
@@ -32,17 +32,17 @@
 // OnCharge has f told of each change of what teams are charged for; nil ends that.
 func (d *Dispatcher) OnCharge(f func(Charge)) { d.onCharge = f }
 
-func (d *Dispatcher) charged(j *job, no int32, h hold, why ChargeReason) {
+func (d *Dispatcher) reportCharge(j *job, index int32, a assignment, reason ChargeReason) {
 	if d.onCharge == nil {
 		return
 	}
 	d.onCharge(Charge{
-		Task:   model.Task{Job: j.spec.ID, Index: no},
-		Zone:   h.zone,
-		Shard:  h.shard,
-		Reason: why,
+		Task:   model.Task{Job: j.spec.ID, Index: index},
+		Zone:   a.zone,
+		Shard:  a.shard,
+		Reason: reason,
 		Used:   d.usage[j.spec.Team],
-		Limit:  d.p.Teams[j.spec.Team].Limit,
+		Limit:  d.params.Teams[j.spec.Team].Limit,
 	})
 }
 
@@ -60,11 +60,11 @@
 // LeaseExpiryConfirmed tells whether a machine's lease is over and nothing was heard of it since.
 func (d *Dispatcher) LeaseExpiryConfirmed(id model.MachineID) bool {
 	m := d.machines[id]
-	return m != nil && m.lapsed
+	return m != nil && m.expiryConfirmed
 }
 
-// accountedFor tells whether all that earlier owners left on a machine is known: whatever else
+// isAccounted tells whether all that earlier owners left on a machine is known: whatever else
 // is found there is not expected.
-func (d *Dispatcher) accountedFor(m *machine) bool {
-	return m.fenced && !d.suspects[m.ID] && len(m.groups) == 0
+func (d *Dispatcher) isAccounted(m *machine) bool {
+	return m.fenced && !d.unaccounted[m.ID] && len(m.orphanGroups) == 0
 }
--- a/internal/core/dispatcher/chunks_test.go
+++ b/internal/core/dispatcher/chunks_test.go
@@ -11,18 +11,19 @@
 // bears the version that its chunk was last known at, and that of the job's open record:
 // carried out late, it must neither take back what was stored since nor bring back a chunk
 // of a job that has ended.
-func TestAChunkIsWrittenUnderItsVersion(t *testing.T) {
-	r := newRig(t, 0)
-	shard := r.d.AddShard(0, "a")
-	r.machine(0, 1, shard)
-	r.job(4, 3, false)
-	finish := func(no int32) {
-		r.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 4, Index: no},
+func TestChunkWriteCarriesVersions(t *testing.T) {
+	h := newHarness(t, 0)
+	shard := h.d.AddShard(0, "a")
+	h.addMachine(0, 1, shard)
+	h.addJob(4, 3, false)
+	finish := func(index int32) {
+		h.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1,
+			Task:    model.Task{Job: 4, Index: index},
 			Attempt: 9})
 	}
 	write := func(now time.Duration, version uint64, bits byte) Write {
 		t.Helper()
-		ws := r.d.ProgressWrites(now, 9)
+		ws := h.d.ProgressWrites(now, 9)
 		if len(ws) != 1 || ws[0].Version != version || ws[0].JobVersion != 5 || ws[0].Bits[0] != bits {
 			t.Fatalf("writes %+v, want %08b under version %d", ws, bits, version)
 		}
@@ -30,21 +31,22 @@
 	}
 	finish(0)
 	lost := write(time.Minute, 0, 1)
-	r.d.WriteDone(time.Minute, lost, 0, false, false) // no answer
+	h.d.WriteDone(time.Minute, lost, 0, false, false) // no answer
 	finish(1)
 	w := write(2*time.Minute, 0, 3)
-	r.d.WriteDone(2*time.Minute, w, 60, true, false)
+	h.d.WriteDone(2*time.Minute, w, 60, true, false)
 	finish(2)
-	if ws := r.d.UrgentWrites(9); len(ws) != 1 || ws[0].Kind != FinishJob {
+	if ws := h.d.UrgentWrites(9); len(ws) != 1 || ws[0].Kind != FinishJob {
 		t.Fatalf("writes %+v, want the job's end", ws)
 	}
 
 	// Should the first have got through meanwhile, the next finds its version.
-	r.job(5, 3, false)
-	r.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5}, Attempt: 8})
-	ws := r.d.ProgressWrites(3*time.Minute, 9)
-	r.d.WriteDone(3*time.Minute, ws[0], 70, false, true)
-	if ws = r.d.ProgressWrites(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
+	h.addJob(5, 3, false)
+	h.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5},
+		Attempt: 8})
+	ws := h.d.ProgressWrites(3*time.Minute, 9)
+	h.d.WriteDone(3*time.Minute, ws[0], 70, false, true)
+	if ws = h.d.ProgressWrites(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
 		t.Fatalf("writes %+v, want one under version 70", ws)
 	}
 }
--- a/internal/core/dispatcher/dispatch.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -12,22 +12,22 @@
 // guarantee is worth thirty times as much: more than borrowed work one rank
 // up, so that guarantees get their room back, and the order of ranks within
 // the guarantee stays as it is.
-func Price(r model.Rank, within bool) float64 {
-	p := 1.0
-	for range r {
-		p *= 10
+func Price(rank model.Rank, withinGuarantee bool) float64 {
+	price := 1.0
+	for range rank {
+		price *= 10
 	}
-	if within {
-		p *= 30
+	if withinGuarantee {
+		price *= 30
 	}
-	return p
+	return price
 }
 
 // GuaranteeChecker tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs: they are asked about in the order of submission.
 type GuaranteeChecker struct {
-	teams []Team
-	sum   []model.Resources
+	teams  []Team
+	demand []model.Resources
 }
 
 // NewGuaranteeChecker begins with no job.
@@ -36,56 +36,56 @@
 }
 
 // Fits tells of the next job, which has so many tasks left.
-func (g *GuaranteeChecker) Fits(sp *model.Spec, left int64) bool {
-	sum, have := &g.sum[sp.Team], g.teams[sp.Team].Guarantee
-	*sum = sum.Add(sp.PerTask.Times(left))
-	return sum.CPU <= have.CPU && sum.GPU <= have.GPU && have.CPU > 0
+func (g *GuaranteeChecker) Fits(spec *model.Spec, unfinished int64) bool {
+	demand, guarantee := &g.demand[spec.Team], g.teams[spec.Team].Guarantee
+	*demand = demand.Add(spec.PerTask.Times(unfinished))
+	return demand.CPU <= guarantee.CPU && demand.GPU <= guarantee.GPU && guarantee.CPU > 0
 }
 
-// reprice finds out which jobs fit into their team's guarantee together with
+// updatePrices finds out which jobs fit into their team's guarantee together with
 // the team's earlier unfinished jobs.
-func (d *Dispatcher) reprice(now time.Duration, jobs []*job) {
-	if d.repriced != 0 && now-d.repriced < time.Second {
+func (d *Dispatcher) updatePrices(now time.Duration, jobs []*job) {
+	if d.pricesUpdatedAt != 0 && now-d.pricesUpdatedAt < time.Second {
 		return
 	}
-	d.repriced = now
-	g := NewGuaranteeChecker(d.p.Teams)
+	d.pricesUpdatedAt = now
+	guarantees := NewGuaranteeChecker(d.params.Teams)
 	for _, j := range jobs {
-		if j.ended || j.waits || j.trouble.broken { // its one probe takes hardly any of the guarantee
+		if j.ended || j.onHold || j.failures.broken { // its one probe takes hardly any of the guarantee
 			continue
 		}
-		j.within = g.Fits(j.spec, int64(j.spec.Tasks-j.nDone))
-		if p := Price(j.rank, j.within); p != j.price {
-			j.price = p
-			if len(j.held) > 0 {
-				d.reprices(j)
+		j.withinGuarantee = guarantees.Fits(j.spec, int64(j.spec.Tasks-j.doneCount))
+		if price := Price(j.rank, j.withinGuarantee); price != j.price {
+			j.price = price
+			if len(j.assignments) > 0 {
+				d.sendPrice(j)
 			}
 		}
 	}
 }
 
-// boundless is more than there is of anything.
-const boundless = int64(1) << 40
+// unlimited is more than there is of anything.
+const unlimited = int64(1) << 40
 
-// exposure is what may run unseen: all of every machine that an earlier leader
+// unaccountedResources is what may run unseen: all of every machine that an earlier leader
 // may have used, and of every machine with an attempt that must go.
-func (d *Dispatcher) exposure() model.Resources {
+func (d *Dispatcher) unaccountedResources() model.Resources {
 	var sum model.Resources
-	seen := map[model.MachineID]bool{}
+	counted := map[model.MachineID]bool{}
 	add := func(id model.MachineID) {
-		if m := d.machines[id]; m != nil && !seen[id] {
-			seen[id] = true
-			c := m.Cap
-			if c.CPU == 0 { // of a type that the catalog does not have (yet)
-				c = model.Resources{CPU: boundless, GPU: boundless}
+		if m := d.machines[id]; m != nil && !counted[id] {
+			counted[id] = true
+			capacity := m.Cap
+			if capacity.CPU == 0 { // of a type that the catalog does not have (yet)
+				capacity = model.Resources{CPU: unlimited, GPU: unlimited}
 			}
-			sum = sum.Add(c)
+			sum = sum.Add(capacity)
 		}
 	}
-	for id := range d.suspects {
+	for id := range d.unaccounted {
 		add(id)
 	}
-	for _, a := range d.strays {
+	for _, a := range d.rejected {
 		add(a.machine)
 	}
 	return sum
@@ -95,11 +95,11 @@
 func (t Team) Remaining(used model.Resources) model.Resources {
 	left := func(limit, used int64) int64 {
 		if limit == 0 {
-			return boundless
+			return unlimited
 		}
 		return limit - used
 	}
-	return model.Resources{CPU: left(t.Limit.CPU, used.CPU), GPU: left(t.Limit.GPU, used.GPU), Mem: boundless}
+	return model.Resources{CPU: left(t.Limit.CPU, used.CPU), GPU: left(t.Limit.GPU, used.GPU), Mem: unlimited}
 }
 
 // UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
@@ -112,35 +112,35 @@
 }
 
 // headroom is what a team may still be dealt.
-func (d *Dispatcher) headroom(team model.Name, exposure model.Resources) model.Resources {
-	return d.p.Teams[team].Remaining(d.usage[team].Add(exposure))
+func (d *Dispatcher) headroom(team model.Name, unaccounted model.Resources) model.Resources {
+	return d.params.Teams[team].Remaining(d.usage[team].Add(unaccounted))
 }
 
-// undealt counts the tasks that may be dealt now.
-func (d *Dispatcher) undealt(now time.Duration, j *job) int32 {
-	if j.ended || j.waits || now < j.blocked || j.old && !d.Recovered() {
+// undispatched counts the tasks that may be dealt now.
+func (d *Dispatcher) undispatched(now time.Duration, j *job) int32 {
+	if j.ended || j.onHold || now < j.blockedUntil || j.fromEarlierTerm && !d.Recovered() {
 		return 0
 	}
-	n := j.spec.Tasks - j.nDone - int32(len(j.held))
-	if j.trouble.broken {
-		return j.probe(now, n)
+	count := j.spec.Tasks - j.doneCount - int32(len(j.assignments))
+	if j.failures.broken {
+		return j.probeCount(now, count)
 	}
-	return n
+	return count
 }
 
-// take picks the next task to deal. again: it was dealt before.
-func (d *Dispatcher) take(j *job) (no int32, again, ok bool) {
-	for len(j.back) > 0 {
-		no := j.back[0]
-		j.back = j.back[1:]
-		if !j.isDone(no) && !d.isHeld(j, no) {
-			return no, true, true
+// nextTask picks the next task to deal. again: it was dealt before.
+func (d *Dispatcher) nextTask(j *job) (index int32, redispatched, ok bool) {
+	for len(j.requeued) > 0 {
+		index := j.requeued[0]
+		j.requeued = j.requeued[1:]
+		if !j.isDone(index) && !d.isAssigned(j, index) {
+			return index, true, true
 		}
 	}
-	for ; j.next < j.spec.Tasks; j.next++ {
-		if no := j.next; !j.isDone(no) && !d.isHeld(j, no) {
-			j.next++
-			return no, false, true
+	for ; j.nextIndex < j.spec.Tasks; j.nextIndex++ {
+		if index := j.nextIndex; !j.isDone(index) && !d.isAssigned(j, index) {
+			j.nextIndex++
+			return index, false, true
 		}
 	}
 	return 0, false, false
@@ -150,235 +150,242 @@
 // shards' machines have room, with a few more for which victims may be found.
 func (d *Dispatcher) Dispatch(now time.Duration) {
 	jobs := d.sortedJobs()
-	d.reprice(now, jobs)
-	d.watch(now, jobs)
+	d.updatePrices(now, jobs)
+	d.updateStarvation(now, jobs)
 	members := d.sortedMembers()
-	d.rebalance(now, jobs, members)
-	jobs = slices.DeleteFunc(jobs, func(j *job) bool { return d.undealt(now, j) <= 0 })
+	d.rebalanceTasks(now, jobs, members)
+	jobs = slices.DeleteFunc(jobs, func(j *job) bool { return d.undispatched(now, j) <= 0 })
 	if len(jobs) == 0 || len(members) == 0 {
 		return
 	}
-	d.open(jobs, members)
-	d.ranked(now, jobs)
-	exposure := d.exposure()
+	d.collectCandidates(jobs, members)
+	d.sortByPriority(now, jobs)
+	unaccounted := d.unaccountedResources()
 	for _, j := range jobs {
-		n := int64(d.undealt(now, j))
-		if allowed := j.spec.PerTask.Count(d.headroom(j.spec.Team, exposure)); allowed < n {
+		n := int64(d.undispatched(now, j))
+		if allowed := j.spec.PerTask.Count(d.headroom(j.spec.Team, unaccounted)); allowed < n {
 			d.stats.LimitedRounds++
 			n = allowed
 		}
 		if n <= 0 {
 			continue
 		}
-		for _, p := range plan(j, n, members) {
-			n -= d.dealPart(j, p)
+		for _, b := range planBatches(j, n, members) {
+			n -= d.dispatchBatch(j, b)
 		}
 		switch {
 		case n > 0 && !j.pinned():
-			d.dealAhead(j, n, members)
+			d.dispatchAhead(j, n, members)
 		case n > 0:
-			d.dealFirst(j, members)
+			d.dispatchExpedited(j, members)
 		}
 	}
 }
 
-func (d *Dispatcher) dealPart(j *job, p part) int64 {
-	for i := range p.n {
-		if !d.dealOne(j, p.to.id, p.zone) {
+func (d *Dispatcher) dispatchBatch(j *job, b batch) int64 {
+	for i := range b.count {
+		if !d.dispatchOne(j, b.shard.id, b.zone) {
 			return i
 		}
 	}
-	return p.n
+	return b.count
 }
 
-// part of a job's tasks that goes to one shard.
-type part struct {
-	to   *member
-	zone model.Name
-	n    int64
+// batch of a job's tasks that goes to one shard.
+type batch struct {
+	shard *member
+	zone  model.Name
+	count int64
 }
 
 func (j *job) pinned() bool { return j.spec.SameZone || j.spec.Spread }
 
-// plan takes room for up to n tasks: where there is most of it first. Tasks of a
+// planBatches takes room for up to n tasks: where there is most of it first. Tasks of a
 // job whose tasks' zones depend on each other are pinned: every task is charged
 // to a zone before a shard sees it.
-func plan(j *job, n int64, members []*member) []part {
+func planBatches(j *job, n int64, members []*member) []batch {
 	zones := []model.Name{model.None}
 	perZone := map[model.Name]int64{}
 	if j.pinned() {
 		zones = zones[:0]
 		for _, m := range members {
-			for _, r := range m.rooms {
+			for _, r := range m.candidates {
 				if !slices.Contains(zones, r.Zone) {
 					zones = append(zones, r.Zone)
 				}
 			}
 		}
-		for zone, n := range j.heldIn {
+		for zone, n := range j.assignedInZone {
 			perZone[zone] = int64(n)
 		}
 	}
 	if j.spec.SameZone && len(perZone) == 0 && len(zones) > 0 {
 		// The whole job should fit where it goes: the zone with most room.
-		zones = []model.Name{roomiest(j.spec, zones, n, members)}
+		zones = []model.Name{zoneWithMostCapacity(j.spec, zones, n, members)}
 	}
-	var out []part
+	var batches []batch
 	for n > 0 {
-		var best part
+		var best batch
 		for _, z := range zones {
-			can := n
+			limit := n
 			if j.spec.SameZone && len(perZone) > 0 && perZone[z] == 0 {
 				continue
 			}
 			if j.spec.Spread {
-				can = min(can, int64(j.mostInZone())-perZone[z])
+				limit = min(limit, int64(j.maxPerZone())-perZone[z])
 			}
 			for _, m := range members {
-				if f := m.fits(j.spec, z, can, false); f > best.n {
-					best = part{m, z, f}
+				if fitting := m.countFitting(j.spec, z, limit, false); fitting > best.count {
+					best = batch{m, z, fitting}
 				}
 			}
 		}
-		if best.n == 0 {
+		if best.count == 0 {
 			break
 		}
-		best.to.fits(j.spec, best.zone, best.n, true)
-		perZone[best.zone] += best.n
-		n -= best.n
-		out = append(out, best)
+		best.shard.countFitting(j.spec, best.zone, best.count, true)
+		perZone[best.zone] += best.count
+		n -= best.count
+		batches = append(batches, best)
 	}
-	return out
+	return batches
 }
 
-func roomiest(sp *model.Spec, zones []model.Name, n int64, members []*member) model.Name {
-	best, most := model.None, int64(-1)
+func zoneWithMostCapacity(spec *model.Spec, zones []model.Name, n int64, members []*member) model.Name {
+	best, bestFitting := model.None, int64(-1)
 	for _, z := range zones {
-		var sum int64
+		var fitting int64
 		for _, m := range members {
-			sum += m.fits(sp, z, n, false)
+			fitting += m.countFitting(spec, z, n, false)
 		}
-		if sum > most {
-			best, most = z, sum
+		if fitting > bestFitting {
+			best, bestFitting = z, fitting
 		}
 	}
 	return best
 }
 
-// dealAhead deals a few tasks without room to the shards with machines for
+// dispatchAhead deals a few tasks without room to the shards with machines for
 // them: there they may find victims, the more the more machines there are. A
 // controller that has just come back has hardly any.
-func (d *Dispatcher) dealAhead(j *job, n int64, members []*member) {
-	ahead := min(n, int64(d.p.DispatchAhead-d.TaskCounts(j.spec.ID).Waiting))
+func (d *Dispatcher) dispatchAhead(j *job, n int64, members []*member) {
+	ahead := min(n, int64(d.params.DispatchAhead-d.TaskCounts(j.spec.ID).Waiting))
 	if ahead <= 0 {
 		return
 	}
-	var able []*member
+	var eligible []*member
 	for _, m := range members {
-		if slices.ContainsFunc(m.kinds, func(k *machine) bool { return j.spec.Allows(&k.Machine) && j.spec.PerTask.Fits(k.Cap) }) {
-			able = append(able, m)
+		if slices.ContainsFunc(m.machineKinds, func(kind *machine) bool {
+			return j.spec.Allows(&kind.Machine) &&
+				j.spec.PerTask.Fits(kind.Cap)
+		}) {
+			eligible = append(eligible, m)
 		}
 	}
-	share := func(m *member) float64 { return float64(m.jobs[j.spec.ID].Waiting+1) / float64(m.ready) }
-	for i := int64(0); i < ahead && len(able) > 0; i++ {
-		m := slices.MinFunc(able, func(a, b *member) int { return cmp.Compare(share(a), share(b)) })
-		if !d.dealOne(j, m.id, model.None) {
+	share := func(m *member) float64 { return float64(m.jobs[j.spec.ID].Waiting+1) / float64(m.readyMachines) }
+	for i := int64(0); i < ahead && len(eligible) > 0; i++ {
+		m := slices.MinFunc(eligible, func(a, b *member) int { return cmp.Compare(share(a), share(b)) })
+		if !d.dispatchOne(j, m.id, model.None) {
 			return
 		}
 		// Counted at once: the shard's own count comes later.
 		if m.jobs == nil {
 			m.jobs = map[model.JobID]model.TaskCounts{}
 		}
-		c := m.jobs[j.spec.ID]
-		c.Waiting++
-		m.jobs[j.spec.ID] = c
+		counts := m.jobs[j.spec.ID]
+		counts.Waiting++
+		m.jobs[j.spec.ID] = counts
 	}
 }
 
-// rebalance takes waiting tasks back from a shard that has no room for so many of them while
+// rebalanceTasks takes waiting tasks back from a shard that has no room for so many of them while
 // another has some. What waits where nobody has room stays: it is placed as its shard's next
 // machine reports, which is sooner than the dealer could have it there.
-func (d *Dispatcher) rebalance(now time.Duration, jobs []*job, members []*member) {
-	if len(members) < 2 || now-d.balanced < time.Second {
+func (d *Dispatcher) rebalanceTasks(now time.Duration, jobs []*job, members []*member) {
+	if len(members) < 2 || now-d.tasksBalancedAt < time.Second {
 		return
 	}
-	d.balanced = now
-	d.open(jobs, members)
+	d.tasksBalancedAt = now
+	d.collectCandidates(jobs, members)
 	for _, j := range jobs {
 		for _, m := range members {
-			w := int64(m.jobs[j.spec.ID].Waiting)
-			if w > 0 {
-				w -= m.fits(j.spec, model.None, w, false)
+			excess := int64(m.jobs[j.spec.ID].Waiting)
+			if excess > 0 {
+				excess -= m.countFitting(j.spec, model.None, excess, false)
 			}
-			if w == 0 {
+			if excess == 0 {
 				continue
 			}
-			var room int64
-			for _, o := range members {
-				if o != m {
-					room += o.fits(j.spec, model.None, w, false)
+			var capacity int64
+			for _, other := range members {
+				if other != m {
+					capacity += other.countFitting(j.spec, model.None, excess, false)
 				}
 			}
-			if room > 0 {
-				d.order(m.id, model.Order{Kind: model.RecallWaitingTasks, Job: j.spec.ID, Count: int(min(room, w))})
+			if capacity > 0 {
+				d.order(m.id, model.Order{Kind: model.RecallWaitingTasks, Job: j.spec.ID, Count: int(min(capacity, excess))})
 			}
 		}
 	}
 }
 
-// open finds, for each shard, the machines with room for the smallest of the
+// collectCandidates finds, for each shard, the machines with room for the smallest of the
 // jobs' tasks, and one machine of each kind that it has.
-func (d *Dispatcher) open(jobs []*job, members []*member) {
-	least := boundless
+func (d *Dispatcher) collectCandidates(jobs []*job, members []*member) {
+	minCPU := unlimited
 	for _, j := range jobs {
-		least = min(least, j.spec.PerTask.CPU)
+		minCPU = min(minCPU, j.spec.PerTask.CPU)
 	}
-	for _, s := range members {
-		s.rooms, s.kinds, s.ready = s.rooms[:0], s.kinds[:0], 0
+	for _, shard := range members {
+		shard.candidates, shard.machineKinds, shard.readyMachines = shard.candidates[:0], shard.machineKinds[:0], 0
 	}
-	for _, m := range d.byID {
-		s := d.members[m.owner]
-		if s == nil || !m.known() || !m.status.Ready || m.status.Draining {
+	for _, m := range d.machinesByID {
+		shard := d.members[m.owner]
+		if shard == nil || !m.statusKnown() || !m.status.Ready || m.status.Draining {
 			continue
 		}
-		s.ready++
-		if !slices.ContainsFunc(s.kinds, func(k *machine) bool { return k.Type == m.Type && k.Zone == m.Zone && k.Spot == m.Spot }) {
-			s.kinds = append(s.kinds, m)
+		shard.readyMachines++
+		if !slices.ContainsFunc(shard.machineKinds, func(kind *machine) bool {
+			return kind.Type == m.Type &&
+				kind.Zone == m.Zone && kind.Spot == m.Spot
+		}) {
+			shard.machineKinds = append(shard.machineKinds, m)
 		}
-		if m.avail.CPU >= least {
-			s.rooms = append(s.rooms, m)
+		if m.avail.CPU >= minCPU {
+			shard.candidates = append(shard.candidates, m)
 		}
 	}
 }
 
-// fits tells for how many of up to n tasks there is room, and takes it.
-func (s *member) fits(sp *model.Spec, zone model.Name, n int64, take bool) int64 {
-	var got int64
-	for _, r := range s.rooms {
-		if got >= n {
+// countFitting tells for how many of up to n tasks there is room, and takes it.
+func (s *member) countFitting(spec *model.Spec, zone model.Name, n int64, reserve bool) int64 {
+	var fitting int64
+	for _, m := range s.candidates {
+		if fitting >= n {
 			break
 		}
-		if zone != model.None && r.Zone != zone || !sp.Allows(&r.Machine) {
+		if zone != model.None && m.Zone != zone || !spec.Allows(&m.Machine) {
 			continue
 		}
-		if k := min(n-got, sp.PerTask.Count(r.avail)); k > 0 {
-			if take {
-				r.avail = r.avail.Sub(sp.PerTask.Times(k))
-				s.dealtOn[r] = true
+		if count := min(n-fitting, spec.PerTask.Count(m.avail)); count > 0 {
+			if reserve {
+				m.avail = m.avail.Sub(spec.PerTask.Times(count))
+				s.assignedOn[m] = true
 			}
-			got += k
+			fitting += count
 		}
 	}
-	return got
+	return fitting
 }
 
-func (d *Dispatcher) dealOne(j *job, to model.ShardID, zone model.Name) bool {
-	no, again, ok := d.take(j)
+func (d *Dispatcher) dispatchOne(j *job, to model.ShardID, zone model.Name) bool {
+	index, redispatched, ok := d.nextTask(j)
 	if !ok {
 		return false
 	}
-	d.hold(j, no, zone, to, Dispatched)
-	d.give(to, model.Assignment{Task: model.Task{Job: j.spec.ID, Index: no}, Spec: j.spec, Price: j.price, Zone: zone,
-		WaitingSince: j.since, Redispatched: again && d.p.ReportInterruptions})
+	d.assign(j, index, zone, to, Dispatched)
+	d.sendAssignment(to, model.Assignment{Task: model.Task{Job: j.spec.ID, Index: index}, Spec: j.spec, Price: j.price,
+		Zone:         zone,
+		WaitingSince: j.waitingSince, Redispatched: redispatched && d.params.ReportInterruptions})
 	return true
 }
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -33,63 +33,65 @@
 
 // member is a shard as the dealer sees it.
 type member struct {
-	id       model.ShardID
-	host     string
-	dealtOn  map[*machine]bool // with room taken since the shard's last word on them
-	jobs     map[model.JobID]model.TaskCounts
-	rooms    []*machine // while dealing: its machines with room
-	kinds    []*machine // ... one of each kind that it has
-	ready    int        // ... and how many may get tasks
-	deals    uint64     // sent
-	statusAt time.Duration
-	joined   time.Duration
-	heard    time.Duration // the last time that it heard a worker
+	id              model.ShardID
+	host            string
+	assignedOn      map[*machine]bool // with room taken since the shard's last word on them
+	jobs            map[model.JobID]model.TaskCounts
+	candidates      []*machine // while dealing: its machines with room
+	machineKinds    []*machine // ... one of each kind that it has
+	readyMachines   int        // ... and how many may get tasks
+	assignmentsSent uint64     // sent
+	statusAt        time.Duration
+	joinedAt        time.Duration
+	lastReportAt    time.Duration // the last time that it heard a worker
 }
 
 // Dispatcher is the state machine.
 type Dispatcher struct {
-	p          Params
-	now        time.Duration // of the last input that tells it
-	owned      uint64
-	jobs       map[model.JobID]*job
-	inOrder    []*job // of jobs, as sortJobs orders them
-	machines   map[model.MachineID]*machine
-	byID       []*machine // of machines
-	blocks     map[BlockID]*block
-	layout     uint64 // size of the blocks that are written, 0: p.BlockSize
-	suspects   map[model.MachineID]bool
-	strays     map[uint64]stray
-	members    map[model.ShardID]*member
-	lastID     model.ShardID
-	oldEnd     time.Duration // no authority of an earlier term lasts beyond
-	usage      []model.Resources
-	orders     []model.Order
-	heldBack   map[model.MachineID][]model.Event // told by shards that are to let go
-	types      map[model.Name]model.MachineType
-	broken     []model.JobID // newly held to be broken
-	freedNow   []model.Task  // of lost shards, surely nowhere now
-	repriced   time.Duration
-	balanced   time.Duration
-	spreadAt   time.Duration
-	turn       int                     // whose turn it is to get a machine without an owner
-	shunned    map[reach]time.Duration // controllers that a zone's workers did not reach
-	barred     map[model.MachineID]bool
-	owns       map[model.ShardID]int // machines of each shard when they were last counted
-	countedAt  time.Duration
-	starvation *starvation.Detector
-	watched    time.Duration
-	onCharge   func(Charge)
-	stats      Stats
+	params              Params
+	now                 time.Duration // of the last input that tells it
+	tokensIssued        uint64
+	jobs                map[model.JobID]*job
+	jobsBySubmission    []*job // of jobs, as sortJobs orders them
+	machines            map[model.MachineID]*machine
+	machinesByID        []*machine // of machines
+	blocks              map[BlockID]*block
+	layout              uint64 // size of the blocks that are written, 0: p.BlockSize
+	unaccounted         map[model.MachineID]bool
+	rejected            map[uint64]rejectedAttempt
+	members             map[model.ShardID]*member
+	lastID              model.ShardID
+	earlierTermsEnd     time.Duration // no authority of an earlier term lasts beyond
+	usage               []model.Resources
+	orders              []model.Order
+	deferredEvents      map[model.MachineID][]model.Event // told by shards that are to let go
+	types               map[model.Name]model.MachineType
+	newlyBroken         []model.JobID // newly held to be broken
+	freedTasks          []model.Task  // of lost shards, surely nowhere now
+	pricesUpdatedAt     time.Duration
+	tasksBalancedAt     time.Duration
+	nextMachineBalance  time.Duration
+	roundRobin          int                        // whose turn it is to get a machine without an owner
+	avoidedUntil        map[zoneHost]time.Duration // controllers that a zone's workers did not reach
+	cordoned            map[model.MachineID]bool
+	machineCounts       map[model.ShardID]int // machines of each shard when they were last counted
+	countedAt           time.Duration
+	starvation          *starvation.Detector
+	starvationUpdatedAt time.Duration
+	onCharge            func(Charge)
+	stats               Stats
 }
 
 // New returns a dealer for a term that begins now. No shard of an earlier term
 // acts beyond oldEnd.
-func New(p Params, oldEnd time.Duration) *Dispatcher {
-	return &Dispatcher{p: p, members: map[model.ShardID]*member{}, oldEnd: oldEnd, shunned: map[reach]time.Duration{},
-		heldBack: map[model.MachineID][]model.Event{},
-		barred:   map[model.MachineID]bool{}, jobs: map[model.JobID]*job{}, machines: map[model.MachineID]*machine{},
-		blocks: map[BlockID]*block{}, suspects: map[model.MachineID]bool{},
-		strays: map[uint64]stray{}, usage: make([]model.Resources, len(p.Teams)), types: map[model.Name]model.MachineType{}}
+func New(params Params, earlierTermsEnd time.Duration) *Dispatcher {
+	return &Dispatcher{params: params, members: map[model.ShardID]*member{}, earlierTermsEnd: earlierTermsEnd,
+		avoidedUntil:   map[zoneHost]time.Duration{},
+		deferredEvents: map[model.MachineID][]model.Event{},
+		cordoned:       map[model.MachineID]bool{}, jobs: map[model.JobID]*job{}, machines: map[model.MachineID]*machine{},
+		blocks: map[BlockID]*block{}, unaccounted: map[model.MachineID]bool{},
+		rejected: map[uint64]rejectedAttempt{}, usage: make([]model.Resources, len(params.Teams)),
+		types: map[model.Name]model.MachineType{}}
 }
 
 // TakeOrders takes away what shards must be told.
@@ -107,7 +109,7 @@
 	}
 }
 
-func (d *Dispatcher) toAll(o model.Order) {
+func (d *Dispatcher) broadcast(o model.Order) {
 	for _, m := range d.sortedMembers() {
 		d.order(m.id, o)
 	}
@@ -125,24 +127,25 @@
 // AddShard takes a new shard and returns its id.
 func (d *Dispatcher) AddShard(now time.Duration, host string) model.ShardID {
 	d.lastID++
-	d.members[d.lastID] = &member{id: d.lastID, host: host, joined: now, dealtOn: map[*machine]bool{}}
+	d.members[d.lastID] = &member{id: d.lastID, host: host, joinedAt: now, assignedOn: map[*machine]bool{}}
 	return d.lastID
 }
 
 // FirstAttempt is the first of the attempt numbers that are a shard's alone.
-func (d *Dispatcher) FirstAttempt(id model.ShardID) uint64 { return d.p.Term<<36 | uint64(id)<<22 }
+func (d *Dispatcher) FirstAttempt(id model.ShardID) uint64 { return d.params.Term<<36 | uint64(id)<<22 }
 
 // AssignmentsSent counts the deals made to a shard.
 func (d *Dispatcher) AssignmentsSent(id model.ShardID) uint64 {
 	if m := d.members[id]; m != nil {
-		return m.deals
+		return m.assignmentsSent
 	}
 	return 0
 }
 
 // UpdateStatus takes a shard's summary of the machines that have changed since its
 // last one.
-func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, acked uint64) {
+func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus,
+	jobs map[model.JobID]model.TaskCounts, acked uint64) {
 	m := d.members[id]
 	if m == nil {
 		return
@@ -150,38 +153,38 @@
 	m.jobs = jobs
 	// Rooms as of before the newest deals would be dealt twice: what was dealt
 	// on stays taken until the shard has said how it is after them.
-	fresh := acked >= m.deals || now-m.statusAt >= time.Second
+	upToDate := acked >= m.assignmentsSent || now-m.statusAt >= time.Second
 	for i := range status {
-		r := d.machines[status[i].Machine.ID]
-		if r == nil || r.owner != id {
+		machine := d.machines[status[i].Machine.ID]
+		if machine == nil || machine.owner != id {
 			continue
 		}
-		r.status, r.told = status[i], id
-		r.status.Machine = r.Machine
-		if !m.dealtOn[r] {
-			r.avail = r.status.Avail
+		machine.status, machine.statusFrom = status[i], id
+		machine.status.Machine = machine.Machine
+		if !m.assignedOn[machine] {
+			machine.avail = machine.status.Avail
 		}
 	}
-	if fresh {
+	if upToDate {
 		m.statusAt = now
-		for r := range m.dealtOn {
-			r.avail = r.status.Avail
+		for machine := range m.assignedOn {
+			machine.avail = machine.status.Avail
 		}
-		clear(m.dealtOn)
+		clear(m.assignedOn)
 	}
 }
 
-// known tells whether the machine's owner has told how it is.
-func (m *machine) known() bool { return m.told == m.owner && m.owner != 0 }
+// statusKnown tells whether the machine's owner has told how it is.
+func (m *machine) statusKnown() bool { return m.statusFrom == m.owner && m.owner != 0 }
 
 // MachineStatuses is what all shards last said of their machines.
 func (d *Dispatcher) MachineStatuses() []model.MachineStatus {
-	out := make([]model.MachineStatus, 0, len(d.byID))
-	for _, m := range d.byID {
-		if m.known() {
-			st := m.status
-			st.Avail = m.avail
-			out = append(out, st)
+	out := make([]model.MachineStatus, 0, len(d.machinesByID))
+	for _, m := range d.machinesByID {
+		if m.statusKnown() {
+			status := m.status
+			status.Avail = m.avail
+			out = append(out, status)
 		}
 	}
 	return out
@@ -191,7 +194,7 @@
 func (d *Dispatcher) ForEachOpenJob(f func(id model.JobID, version uint64, done, running int)) {
 	for _, j := range d.sortedJobs() {
 		if !j.ended {
-			f(j.spec.ID, j.version, int(j.nDone), d.TaskCounts(j.spec.ID).Running)
+			f(j.spec.ID, j.version, int(j.doneCount), d.TaskCounts(j.spec.ID).Running)
 		}
 	}
 }
@@ -223,84 +226,84 @@
 
 // HandleEvent takes an event of a shard.
 func (d *Dispatcher) HandleEvent(now time.Duration, from model.ShardID, e model.Event) {
-	s := d.members[from]
-	if s == nil {
+	shard := d.members[from]
+	if shard == nil {
 		return
 	}
 	d.now = now
-	s.heardFrom(now, e.Kind)
+	shard.recordReport(now, e.Kind)
 	m := d.machines[e.Machine]
-	owner := m != nil && m.owner == from
-	if owner && m.releasing && d.meanwhile(&e) {
+	isOwner := m != nil && m.owner == from
+	if isOwner && m.releasing && d.deferEvent(&e) {
 		return
 	}
 	switch e.Kind {
 	case model.UnownedWorker:
-		d.unowned(now, from, &e)
+		d.unownedWorker(now, from, &e)
 	case model.WorkerFenced:
-		if owner {
-			d.heardAgain(m)
+		if isOwner {
+			d.reportedAgain(m)
 			m.fenced, m.unfencedOwners = true, 0
-			d.resolve(m)
+			d.markAccounted(m)
 		}
 	case model.WorkerBack:
-		if owner {
-			d.heardAgain(m)
+		if isOwner {
+			d.reportedAgain(m)
 		}
 	case model.LeaseExpired:
-		if !owner || e.Token != m.token {
+		if !isOwner || e.Token != m.token {
 			return
 		}
 		m.leaseExpired = true
 		// Nobody else may answer it, unless a lost shard still did. The shard
 		// must confirm after that: it may have answered meanwhile.
-		if now > m.authority+d.p.MaxLease {
+		if now > m.authorityEnd+d.params.MaxLease {
 			d.order(from, model.Order{Kind: model.ConfirmLeaseExpiry, ID: m.ID})
 		}
 	case model.LeaseExpiryConfirmed:
-		if owner && e.Token == m.token {
-			d.resolve(m)
-			if !m.lapsed {
+		if isOwner && e.Token == m.token {
+			d.markAccounted(m)
+			if !m.expiryConfirmed {
 				d.stats.ExpiredMachines++
 			}
-			m.lapsed = true
+			m.expiryConfirmed = true
 			d.block(m.ID).dirty = true
 			d.SetUsable(m.ID, false)
 		}
 	case model.MachineReleased:
-		d.released(now, from, m, e)
+		d.machineReleased(now, from, m, e)
 	case model.TokenNeeded, model.TokenSuperseded:
 		// A token of this term that is higher than the owner's was given by
 		// this dealer; one of a later term shows that this term is over, and
 		// then the lease says so as well.
-		if owner && !m.gone && (e.Kind == model.TokenNeeded || e.Token>>32 == d.p.Term) {
-			d.own(m, from)
+		if isOwner && !m.gone && (e.Kind == model.TokenNeeded || e.Token>>32 == d.params.Term) {
+			d.assignOwner(m, from)
 		}
 	case model.CommandUnanswered:
-		if owner {
+		if isOwner {
 			m.unanswered, m.unreachable = true, e.Held
 		}
 	case model.MachineKept:
-		if owner {
-			d.kept(now, from, m)
+		if isOwner {
+			d.machineKept(now, from, m)
 		}
 	case model.MachineRemembered:
 		// Its worker will report there again: it is fenced there, and need not
 		// change hands.
 		if m != nil && m.owner == 0 && !m.gone {
-			d.own(m, from)
+			d.assignOwner(m, from)
 		}
 	case model.AttemptFound:
-		d.found(now, from, e)
+		d.attemptFound(now, from, e)
 	case model.TaskFinished:
-		d.finished(now, from, e)
+		d.taskFinished(now, from, e)
 	case model.TaskReturned:
-		if j := d.jobs[e.Task.Job]; j != nil && d.holds(j, e.Task.Index, from) {
-			d.returned(now, j, e)
+		if j := d.jobs[e.Task.Job]; j != nil && d.isAssignedTo(j, e.Task.Index, from) {
+			d.taskReturned(now, j, e)
 		}
 	case model.RejectedAttemptGone:
-		delete(d.strays, e.Attempt)
-		d.forgetFound(e.Attempt)
+		delete(d.rejected, e.Attempt)
+		d.dropDeferredAttempt(e.Attempt)
 	}
 }
 
@@ -309,15 +312,16 @@
 func (d *Dispatcher) Demand() []JobDemand {
 	var out []JobDemand
 	for _, j := range d.sortedJobs() {
-		if j.ended || j.waits {
+		if j.ended || j.onHold {
 			continue
 		}
-		open := j.spec.Tasks - j.nDone
-		if j.trouble.broken { // no machine is rented for it
-			open = int32(len(j.held))
+		unfinished := j.spec.Tasks - j.doneCount
+		if j.failures.broken { // no machine is rented for it
+			unfinished = int32(len(j.assignments))
 		}
-		out = append(out, JobDemand{Spec: j.spec, Unfinished: open, Assigned: int32(len(j.held)), WithinGuarantee: j.within, WaitingSince: j.since,
-			Overdue: j.late})
+		out = append(out, JobDemand{Spec: j.spec, Unfinished: unfinished, Assigned: int32(len(j.assignments)),
+			WithinGuarantee: j.withinGuarantee, WaitingSince: j.waitingSince,
+			Overdue: j.overdue})
 	}
 	return out
 }
@@ -332,15 +336,15 @@
 }
 
 // SetCordoned keeps tasks from a machine, whoever owns it, or lets it have some again.
-func (d *Dispatcher) SetCordoned(id model.MachineID, on bool) {
-	if on {
-		d.barred[id] = true
+func (d *Dispatcher) SetCordoned(id model.MachineID, cordoned bool) {
+	if cordoned {
+		d.cordoned[id] = true
 	} else {
-		delete(d.barred, id)
+		delete(d.cordoned, id)
 	}
-	if m := d.machines[id]; m != nil && m.barred != on {
-		m.barred = on
-		d.SetUsable(id, !on)
+	if m := d.machines[id]; m != nil && m.cordoned != cordoned {
+		m.cordoned = cordoned
+		d.SetUsable(id, !cordoned)
 	}
 }
 
@@ -363,16 +367,16 @@
 // ForEachMachine are the machines that this leader knows, and whether their owners have
 // told how they are. Those whose lease is over are not known to be anywhere: the
 // cloud's list tells.
-func (d *Dispatcher) ForEachMachine(f func(st model.MachineStatus, told bool)) {
-	for _, m := range d.byID {
-		st := model.MachineStatus{Machine: m.Machine}
-		told := m.known() && !m.gone
-		if told {
-			st = m.status
-			st.Avail = m.avail
+func (d *Dispatcher) ForEachMachine(f func(status model.MachineStatus, reported bool)) {
+	for _, m := range d.machinesByID {
+		status := model.MachineStatus{Machine: m.Machine}
+		reported := m.statusKnown() && !m.gone
+		if reported {
+			status = m.status
+			status.Avail = m.avail
 		}
-		if !m.gone && !m.lapsed {
-			f(st, told)
+		if !m.gone && !m.expiryConfirmed {
+			f(status, reported)
 		}
 	}
 }
@@ -386,7 +390,7 @@
 }
 
 // UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
-func (d *Dispatcher) UnusedGuarantees() int64 { return UnusedGuarantees(d.p.Teams, d.usage) }
+func (d *Dispatcher) UnusedGuarantees() int64 { return UnusedGuarantees(d.params.Teams, d.usage) }
 
 // TeamLimit is a team's limit.
-func (d *Dispatcher) TeamLimit(team model.Name) model.Resources { return d.p.Teams[team].Limit }
+func (d *Dispatcher) TeamLimit(team model.Name) model.Resources { return d.params.Teams[team].Limit }
--- a/internal/core/dispatcher/inspect.go
+++ b/internal/core/dispatcher/inspect.go
@@ -10,25 +10,25 @@
 // IsAssigned tells whether a task is charged to a living shard.
 func (d *Dispatcher) IsAssigned(t model.Task, shard model.ShardID) bool {
 	j := d.jobs[t.Job]
-	return j != nil && d.holds(j, t.Index, shard)
+	return j != nil && d.isAssignedTo(j, t.Index, shard)
 }
 
 // IsCharged tells whether an attempt of a task on a machine counts against its team's limit: by
 // the task itself, or by its machine, all of which counts while it is not accounted for.
-func (d *Dispatcher) IsCharged(t model.Task, attempt uint64, on model.MachineID) bool {
-	if j := d.jobs[t.Job]; j != nil && d.isHeld(j, t.Index) {
+func (d *Dispatcher) IsCharged(t model.Task, attempt uint64, machine model.MachineID) bool {
+	if j := d.jobs[t.Job]; j != nil && d.isAssigned(j, t.Index) {
 		return true
 	}
-	_, leaving := d.strays[attempt]
-	return leaving || d.suspects[on]
+	_, rejected := d.rejected[attempt]
+	return rejected || d.unaccounted[machine]
 }
 
 // AssignedByZone counts a job's charged tasks by the zones that they are charged to.
 func (d *Dispatcher) AssignedByZone(id model.JobID) map[model.Name]int {
 	zones := map[model.Name]int{}
 	if j := d.jobs[id]; j != nil {
-		for _, h := range j.held {
-			zones[h.zone]++
+		for _, a := range j.assignments {
+			zones[a.zone]++
 		}
 	}
 	return zones
--- a/internal/core/dispatcher/job_holds.go
+++ b/internal/core/dispatcher/job_holds.go
@@ -9,14 +9,14 @@
 // HoldJob keeps a job from being dealt until Release: jobs that it needs are not done.
 func (d *Dispatcher) HoldJob(id model.JobID) {
 	if j := d.jobs[id]; j != nil {
-		j.waits = true
+		j.onHold = true
 	}
 }
 
 // OnHold tells whether a job is held back.
 func (d *Dispatcher) OnHold(id model.JobID) bool {
 	j := d.jobs[id]
-	return j != nil && j.waits
+	return j != nil && j.onHold
 }
 
 // JobVersion is that of an open job's record, 0 if there is none.
@@ -30,36 +30,37 @@
 // ReleaseJob lets a job begin, which has waited for machines since then. fresh tells
 // that a job that it needs was open in this term: no earlier leader can have begun
 // it, so that it need not wait until all of their machines are accounted for.
-func (d *Dispatcher) ReleaseJob(id model.JobID, since time.Duration, fresh bool) {
+func (d *Dispatcher) ReleaseJob(id model.JobID, since time.Duration, neverStarted bool) {
 	j := d.jobs[id]
-	if j == nil || !j.waits {
+	if j == nil || !j.onHold {
 		return
 	}
-	j.waits, j.since = false, since
-	j.old = j.old && !fresh
-	d.repriced = 0
+	j.onHold, j.waitingSince = false, since
+	j.fromEarlierTerm = j.fromEarlierTerm && !neverStarted
+	d.pricesUpdatedAt = 0
 }
 
 // InheritRank gives a job the rank of those that need it, and tells whether an aim speaks
 // of it or of one of them.
-func (d *Dispatcher) InheritRank(id model.JobID, rank model.Rank, aimed bool) {
+func (d *Dispatcher) InheritRank(id model.JobID, rank model.Rank, hasObjective bool) {
 	j := d.jobs[id]
 	if j == nil || j.ended {
 		return
 	}
 	if j.rank != rank {
 		j.rank = rank
-		d.repriced = 0
+		d.pricesUpdatedAt = 0
 	}
-	if j.spec.BestEffort == aimed {
-		sp := *j.spec // others hold the one of before
-		sp.BestEffort = !aimed
-		j.spec = &sp
-		d.reprices(j)
+	if j.spec.BestEffort == hasObjective {
+		updated := *j.spec // others hold the one of before
+		updated.BestEffort = !hasObjective
+		j.spec = &updated
+		d.sendPrice(j)
 	}
 }
 
-// reprices tells the shards what a job's tasks are worth now.
-func (d *Dispatcher) reprices(j *job) {
-	d.toAll(model.Order{Kind: model.RepriceJob, Job: j.spec.ID, Price: j.price, Objective: model.ObjectiveFor(!j.spec.BestEffort)})
+// sendPrice tells the shards what a job's tasks are worth now.
+func (d *Dispatcher) sendPrice(j *job) {
+	d.broadcast(model.Order{Kind: model.RepriceJob, Job: j.spec.ID, Price: j.price,
+		Objective: model.ObjectiveFor(!j.spec.BestEffort)})
 }
--- a/internal/core/dispatcher/job_holds_test.go
+++ b/internal/core/dispatcher/job_holds_test.go
@@ -10,18 +10,18 @@
 // A job that waits for others is dealt no task, is no hunger, and takes nothing of its
 // team's guarantee; released, it is dealt at once, ages from then, and does not wait for
 // the machines of earlier terms if it can't have begun there.
-func TestHeldJobHoldsNothing(t *testing.T) {
-	r := newRig(t, 1e6)
-	r.d.p.Teams[0].Guarantee = model.Capacity(5, 0, 0)
-	r.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 9, Addr: "y"}})
-	s := r.d.AddShard(0, "a")
-	r.machine(0, 1, s)
-	r.job(1, 2, true)
-	r.d.HoldJob(1)
-	r.job(2, 2, false)
-	r.status(time.Second, s, 1)
-	r.d.Dispatch(time.Second)
-	for _, o := range r.orders(model.AssignTask) {
+func TestJobOnHoldUsesNoCapacity(t *testing.T) {
+	h := newHarness(t, 1e6)
+	h.d.params.Teams[0].Guarantee = model.Capacity(5, 0, 0)
+	h.d.AddStoredBlock(BlockID{}, 4, []model.Machine{{ID: 9, Addr: "y"}})
+	s := h.d.AddShard(0, "a")
+	h.addMachine(0, 1, s)
+	h.addJob(1, 2, true)
+	h.d.HoldJob(1)
+	h.addJob(2, 2, false)
+	h.reportStatus(time.Second, s, 1)
+	h.d.Dispatch(time.Second)
+	for _, o := range h.takeOrders(model.AssignTask) {
 		if o.Assignment.Task.Job == 1 {
 			t.Fatalf("%v is dealt", o.Assignment.Task)
 		}
@@ -29,49 +29,49 @@
 			t.Errorf("price %v: a job that waits takes of the guarantee", o.Assignment.Price)
 		}
 	}
-	if n := r.d.Demand(); len(n) != 1 || n[0].Spec.ID != 2 {
+	if n := h.d.Demand(); len(n) != 1 || n[0].Spec.ID != 2 {
 		t.Errorf("needs %+v", n)
 	}
-	r.d.ReleaseJob(1, 30*time.Second, true)
-	r.status(31*time.Second, s, 1)
-	r.d.Dispatch(31 * time.Second)
-	given := r.orders(model.AssignTask)
-	if len(given) == 0 {
+	h.d.ReleaseJob(1, 30*time.Second, true)
+	h.reportStatus(31*time.Second, s, 1)
+	h.d.Dispatch(31 * time.Second)
+	assigned := h.takeOrders(model.AssignTask)
+	if len(assigned) == 0 {
 		t.Fatal("not dealt: it waits for machines that can hold nothing of it")
 	}
-	for _, o := range given {
+	for _, o := range assigned {
 		if o.Assignment.WaitingSince != 30*time.Second {
 			t.Errorf("it ages from %v", o.Assignment.WaitingSince)
 		}
 	}
 }
 
-func TestInheritedPriceIsToldAndTakenBack(t *testing.T) {
-	r := newRig(t, 1e6)
-	s := r.d.AddShard(0, "a")
-	r.machine(0, 1, s)
-	sp := r.job(1, 2, false)
-	sp.BestEffort = true
-	r.status(time.Second, s, 1)
-	r.d.Dispatch(time.Second)
-	r.d.TakeOrders()
+func TestInheritedRankReachesShardsAndIsReverted(t *testing.T) {
+	h := newHarness(t, 1e6)
+	s := h.d.AddShard(0, "a")
+	h.addMachine(0, 1, s)
+	spec := h.addJob(1, 2, false)
+	spec.BestEffort = true
+	h.reportStatus(time.Second, s, 1)
+	h.d.Dispatch(time.Second)
+	h.d.TakeOrders()
 	for i, c := range []struct {
 		rank  model.Rank
 		aimed bool
 		aim   model.Objective
 	}{{model.Urgent, true, model.HasObjective}, {model.Standard, false, model.NoObjective}} {
 		now := time.Duration(10+10*i) * time.Second
-		r.d.InheritRank(1, c.rank, c.aimed)
-		r.d.Dispatch(now)
-		told := r.orders(model.RepriceJob)
-		if len(told) == 0 {
+		h.d.InheritRank(1, c.rank, c.aimed)
+		h.d.Dispatch(now)
+		orders := h.takeOrders(model.RepriceJob)
+		if len(orders) == 0 {
 			t.Fatalf("%+v: the shard is not told", c)
 		}
-		if last := told[len(told)-1]; last.Price != Price(c.rank, false) || last.Objective != c.aim {
+		if last := orders[len(orders)-1]; last.Price != Price(c.rank, false) || last.Objective != c.aim {
 			t.Errorf("%+v: told %+v", c, last)
 		}
 	}
-	if !sp.BestEffort {
+	if !spec.BestEffort {
 		t.Error("the job's own description has changed: others hold it")
 	}
 }
@@ -79,14 +79,14 @@
 // When blocks change their size, the larger one is dropped only once every machine that
 // it names, and that may be in use, stands in a smaller one: in between a later leader
 // finds it in at least one of them.
-func TestLargerBlockGoesLast(t *testing.T) {
-	r := newRig(t, 1e6)
-	ms := []model.Machine{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}, {ID: 5, Addr: "c"}}
-	r.d.AddStoredBlock(BlockID{}, 4, ms)
-	r.d.SetLayout(2)
+func TestOldBlockIsDroppedAfterItsMachinesAreRecorded(t *testing.T) {
+	h := newHarness(t, 1e6)
+	machines := []model.Machine{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}, {ID: 5, Addr: "c"}}
+	h.d.AddStoredBlock(BlockID{}, 4, machines)
+	h.d.SetLayout(2)
 	stored := map[BlockID]bool{{}: true}
 	for round := range 20 {
-		ws := r.d.UrgentWrites(1)
+		ws := h.d.UrgentWrites(1)
 		if len(ws) == 0 {
 			break
 		}
@@ -102,17 +102,17 @@
 			}
 			delete(stored, w.Block)
 		}
-		r.d.WriteDone(time.Second, w, uint64(60+round), ok, lost)
+		h.d.WriteDone(time.Second, w, uint64(60+round), ok, lost)
 	}
 	if stored[BlockID{}] || len(stored) != 3 {
 		t.Errorf("stored %v", stored)
 	}
 	for _, id := range []model.MachineID{1, 2, 5} {
-		if m := r.d.machines[id]; !m.recorded || m.recordedIn != 2 {
-			t.Errorf("machine %d: recorded %v in %d", id, m.recorded, m.recordedIn)
+		if m := h.d.machines[id]; !m.recorded || m.recordedLayout != 2 {
+			t.Errorf("machine %d: recorded %v in %d", id, m.recorded, m.recordedLayout)
 		}
 	}
-	if ws := r.d.UrgentWrites(9); len(ws) > 0 {
+	if ws := h.d.UrgentWrites(9); len(ws) > 0 {
 		t.Errorf("%+v is still to be written", ws)
 	}
 }
--- a/internal/core/dispatcher/machine_balance.go
+++ b/internal/core/dispatcher/machine_balance.go
@@ -7,71 +7,72 @@
 )
 
 const (
-	spreadEvery = 3 * time.Second  // one machine at a time, or a twentieth of the difference
-	settled     = 10 * time.Second // a shard so old gets and gives machines
-	shun        = 2 * time.Minute
+	machineBalanceInterval = 3 * time.Second  // one machine at a time, or a twentieth of the difference
+	minShardAge            = 10 * time.Second // a shard so old gets and gives machines
+	avoidDuration          = 2 * time.Minute
 )
 
-// reach is a zone's workers and a controller.
-type reach struct {
+// zoneHost is a zone's workers and a controller.
+type zoneHost struct {
 	zone model.Name
 	host string
 }
 
-// spread moves a machine from the shard with most to the one with fewest, for
+// rebalanceMachines moves a machine from the shard with most to the one with fewest, for
 // the loss of a controller is the worse the more it owns. The worker is told
 // where to report; if it turns up elsewhere, it could not get there, and no
 // other of its zone is sent that way for a while.
-func (d *Dispatcher) spread(now time.Duration) {
-	if now < d.spreadAt || !d.Recovered() {
+func (d *Dispatcher) rebalanceMachines(now time.Duration) {
+	if now < d.nextMachineBalance || !d.Recovered() {
 		return
 	}
-	d.spreadAt = now + spreadEvery
-	owns := map[model.ShardID]int{}
+	d.nextMachineBalance = now + machineBalanceInterval
+	counts := map[model.ShardID]int{}
 	for _, m := range d.machines {
-		if m.releasing || m.owner == 0 || len(m.groups) > 0 {
-			if m.movedTo != 0 && now-m.movedAt < settled {
+		if m.releasing || m.owner == 0 || len(m.orphanGroups) > 0 {
+			if m.redirectedTo != 0 && now-m.redirectedAt < minShardAge {
 				return // one is under way
 			}
 			continue
 		}
-		owns[m.owner]++
+		counts[m.owner]++
 	}
-	var most, least *member
+	var most, fewest *member
 	for _, s := range d.sortedMembers() {
-		if now-s.joined < settled {
+		if now-s.joinedAt < minShardAge {
 			return // its workers may still be on their way
 		}
-		if most == nil || owns[s.id] > owns[most.id] {
+		if most == nil || counts[s.id] > counts[most.id] {
 			most = s
 		}
-		if least == nil || owns[s.id] < owns[least.id] {
-			least = s
+		if fewest == nil || counts[s.id] < counts[fewest.id] {
+			fewest = s
 		}
 	}
-	if most == nil || owns[most.id]-owns[least.id] < max(3, len(d.machines)/8) {
+	if most == nil || counts[most.id]-counts[fewest.id] < max(3, len(d.machines)/8) {
 		return
 	}
-	move := max(1, (owns[most.id]-owns[least.id])/20)
-	for _, m := range d.byID {
-		if m.owner != most.id || m.releasing || m.leaseExpired || m.gone || now < d.shunned[reach{m.Zone, least.host}] {
+	remaining := max(1, (counts[most.id]-counts[fewest.id])/20)
+	for _, m := range d.machinesByID {
+		if m.owner != most.id || m.releasing || m.leaseExpired || m.gone ||
+			now < d.avoidedUntil[zoneHost{m.Zone, fewest.host}] {
 			continue
 		}
-		m.releasing, m.movedTo, m.movedAt = true, least.id, now
-		d.order(most.id, model.Order{Kind: model.ReleaseMachine, ID: m.ID, RedirectTo: least.host})
-		if move--; move == 0 {
+		m.releasing, m.redirectedTo, m.redirectedAt = true, fewest.id, now
+		d.order(most.id, model.Order{Kind: model.ReleaseMachine, ID: m.ID, RedirectTo: fewest.host})
+		if remaining--; remaining == 0 {
 			return
 		}
 	}
 }
 
-// arrived notes where a worker that was sent away reports.
-func (d *Dispatcher) arrived(now time.Duration, m *machine, at model.ShardID) {
-	if m.movedTo == 0 {
+// recordArrival notes where a worker that was sent away reports.
+func (d *Dispatcher) recordArrival(now time.Duration, m *machine, at model.ShardID) {
+	if m.redirectedTo == 0 {
 		return
 	}
-	if s := d.members[m.movedTo]; s != nil && m.movedTo != at {
-		d.shunned[reach{m.Zone, s.host}] = now + shun
+	if s := d.members[m.redirectedTo]; s != nil && m.redirectedTo != at {
+		d.avoidedUntil[zoneHost{m.Zone, s.host}] = now + avoidDuration
 	}
-	m.movedTo = 0
+	m.redirectedTo = 0
 }
--- a/internal/core/dispatcher/orphans.go
+++ b/internal/core/dispatcher/orphans.go
@@ -7,27 +7,27 @@
 	"honeylock/internal/core/model"
 )
 
-// orphans is a set of tasks whose shard was lost, or let go of a machine. They
+// orphanGroup is a set of tasks whose shard was lost, or let go of a machine. They
 // may be on any of the machines, and are free once each of those has been
 // accounted for: its worker fenced by a new owner, its lease surely over, or
 // the machine gone. Those found are adopted before that.
-type orphans struct {
+type orphanGroup struct {
 	machines map[model.MachineID]bool
 	tasks    map[model.Task]bool
 }
 
-func newOrphans() *orphans {
-	return &orphans{machines: map[model.MachineID]bool{}, tasks: map[model.Task]bool{}}
+func newOrphanGroup() *orphanGroup {
+	return &orphanGroup{machines: map[model.MachineID]bool{}, tasks: map[model.Task]bool{}}
 }
 
-// mayBeOn has the tasks wait for a machine to be accounted for.
-func (g *orphans) mayBeOn(m *machine) {
+// waitForMachine has the tasks wait for a machine to be accounted for.
+func (g *orphanGroup) waitForMachine(m *machine) {
 	g.machines[m.ID] = true
-	m.groups = append(m.groups, g)
+	m.orphanGroups = append(m.orphanGroups, g)
 }
 
-// stray is an attempt that must go; it runs unaccounted until it has.
-type stray struct {
+// rejectedAttempt is an attempt that must go; it runs unaccounted until it has.
+type rejectedAttempt struct {
 	machine model.MachineID
 	owner   model.ShardID
 }
@@ -39,103 +39,103 @@
 		return
 	}
 	delete(d.members, id)
-	g := newOrphans()
+	group := newOrphanGroup()
 	for _, m := range d.sortedMachines() {
-		if m.next == id {
-			m.next = 0
+		if m.nextOwner == id {
+			m.nextOwner = 0
 		}
 		if m.owner == id {
-			m.owner, m.next, m.releasing = 0, 0, false
-			delete(d.heldBack, m.ID)
-			m.lost = max(m.lost, end)
-			m.authority = max(m.authority, end)
+			m.owner, m.nextOwner, m.releasing = 0, 0, false
+			delete(d.deferredEvents, m.ID)
+			m.lostAuthorityEnd = max(m.lostAuthorityEnd, end)
+			m.authorityEnd = max(m.authorityEnd, end)
 			m.leaseExpired = false
 			if m.gone {
 				continue // nothing is there, and it will be forgotten before it could be accounted for
 			}
-			g.mayBeOn(m)
+			group.waitForMachine(m)
 		}
 	}
 	for _, j := range d.sortedJobs() {
-		for no, h := range j.held {
-			if h.shard == id && h.orphans == nil {
-				d.setOrphaned(j, no, g)
+		for index, a := range j.assignments {
+			if a.shard == id && a.group == nil {
+				d.setOrphaned(j, index, group)
 			}
 		}
 	}
-	d.settle(g)
+	d.freeIfAccounted(group)
 }
 
-func (d *Dispatcher) setOrphaned(j *job, no int32, g *orphans) {
-	h := j.held[no]
-	if h.orphans == nil {
+func (d *Dispatcher) setOrphaned(j *job, index int32, group *orphanGroup) {
+	a := j.assignments[index]
+	if a.group == nil {
 		j.orphaned++
 	}
-	h.shard, h.orphans = 0, g
-	j.held[no] = h
-	g.tasks[model.Task{Job: j.spec.ID, Index: no}] = true
+	a.shard, a.group = 0, group
+	j.assignments[index] = a
+	group.tasks[model.Task{Job: j.spec.ID, Index: index}] = true
 }
 
-// settle frees what is still orphaned once no machine is left to look at.
-func (d *Dispatcher) settle(g *orphans) {
-	if len(g.machines) > 0 {
+// freeIfAccounted frees what is still orphaned once no machine is left to look at.
+func (d *Dispatcher) freeIfAccounted(group *orphanGroup) {
+	if len(group.machines) > 0 {
 		return
 	}
-	tasks := make([]model.Task, 0, len(g.tasks))
-	for t := range g.tasks {
+	tasks := make([]model.Task, 0, len(group.tasks))
+	for t := range group.tasks {
 		tasks = append(tasks, t)
 	}
 	slices.SortFunc(tasks, model.Task.Compare)
 	for _, t := range tasks {
-		if j := d.jobs[t.Job]; j != nil && j.held[t.Index].orphans == g {
-			d.freed(j, t.Index, MachinesAccounted)
-			if d.p.ReportInterruptions {
-				d.freedNow = append(d.freedNow, t)
+		if j := d.jobs[t.Job]; j != nil && j.assignments[t.Index].group == group {
+			d.freeTask(j, t.Index, MachinesAccounted)
+			if d.params.ReportInterruptions {
+				d.freedTasks = append(d.freedTasks, t)
 			}
 		}
 	}
-	g.tasks = nil
+	group.tasks = nil
 }
 
-// resolve accounts for a machine: all that an earlier owner left there has
+// markAccounted accounts for a machine: all that an earlier owner left there has
 // been found, or is gone.
-func (d *Dispatcher) resolve(m *machine) {
-	delete(d.suspects, m.ID)
-	for id, a := range d.strays {
+func (d *Dispatcher) markAccounted(m *machine) {
+	delete(d.unaccounted, m.ID)
+	for id, a := range d.rejected {
 		if a.machine == m.ID && a.owner != m.owner {
-			delete(d.strays, id) // its owner has found it again, or it is gone
+			delete(d.rejected, id) // its owner has found it again, or it is gone
 		}
 	}
-	groups := m.groups
-	m.groups = nil
-	for _, g := range groups {
-		delete(g.machines, m.ID)
-		d.settle(g)
+	groups := m.orphanGroups
+	m.orphanGroups = nil
+	for _, group := range groups {
+		delete(group.machines, m.ID)
+		d.freeIfAccounted(group)
 	}
 }
 
-func (d *Dispatcher) released(now time.Duration, from model.ShardID, m *machine, e model.Event) {
+func (d *Dispatcher) machineReleased(now time.Duration, from model.ShardID, m *machine, e model.Event) {
 	if m != nil && m.owner != from {
 		return
 	}
-	g := newOrphans()
+	group := newOrphanGroup()
 	for _, t := range e.Tasks {
-		if j := d.jobs[t.Job]; j != nil && d.holds(j, t.Index, from) {
-			d.setOrphaned(j, t.Index, g)
+		if j := d.jobs[t.Job]; j != nil && d.isAssignedTo(j, t.Index, from) {
+			d.setOrphaned(j, t.Index, group)
 		}
 	}
 	if m == nil { // only machines that are gone are forgotten: nothing is there
-		d.settle(g)
+		d.freeIfAccounted(group)
 		return
 	}
-	m.letGo(now, &e)
-	g.mayBeOn(m)
+	m.recordRelease(now, &e)
+	group.waitForMachine(m)
 	m.owner, m.releasing = 0, false
-	delete(d.heldBack, m.ID)
+	delete(d.deferredEvents, m.ID)
 	if m.gone {
-		d.resolve(m)
-	} else if d.members[m.next] != nil {
-		d.own(m, m.next)
+		d.markAccounted(m)
+	} else if d.members[m.nextOwner] != nil {
+		d.assignOwner(m, m.nextOwner)
 	}
-	m.next = 0
+	m.nextOwner = 0
 }
--- a/internal/core/dispatcher/reachability.go
+++ b/internal/core/dispatcher/reachability.go
@@ -14,28 +14,28 @@
 // been shown to hear, by an answer on a connection that they opened; its lease runs from
 // the last answer that may have arrived.
 const (
-	unfencedOwnersEnough = 2
-	// proveTurn is for how long such an owner asks before another one may try.
-	proveTurn = 5 * time.Second
+	maxUnfencedOwners = 2
+	// verificationTimeout is for how long such an owner asks before another one may try.
+	verificationTimeout = 5 * time.Second
 )
 
-func (m *machine) toProve() bool { return m.unfencedOwners >= unfencedOwnersEnough }
+func (m *machine) needsVerification() bool { return m.unfencedOwners >= maxUnfencedOwners }
 
-// letGo notes what its owner told when it let go of a machine.
-func (m *machine) letGo(now time.Duration, e *model.Event) {
+// recordRelease notes what its owner told when it let go of a machine.
+func (m *machine) recordRelease(now time.Duration, e *model.Event) {
 	if !m.fenced {
 		m.unfencedOwners++
 	}
 	if !e.Held {
 		// It was answered until now at the latest.
-		m.lost = max(m.lost, now)
-		m.authority = max(m.authority, now)
+		m.lostAuthorityEnd = max(m.lostAuthorityEnd, now)
+		m.authorityEnd = max(m.authorityEnd, now)
 	}
 }
 
-// meanwhile holds back what a shard tells that is to let go of a machine: orders that
+// deferEvent holds back what a shard tells that is to let go of a machine: orders that
 // follow from it would arrive too late there. Should it keep the machine, it counts.
-func (d *Dispatcher) meanwhile(e *model.Event) bool {
+func (d *Dispatcher) deferEvent(e *model.Event) bool {
 	switch e.Kind {
 	case model.WorkerFenced, model.LeaseExpiryConfirmed:
 	case model.AttemptFound:
@@ -45,25 +45,25 @@
 	default:
 		return false
 	}
-	d.heldBack[e.Machine] = append(d.heldBack[e.Machine], *e)
+	d.deferredEvents[e.Machine] = append(d.deferredEvents[e.Machine], *e)
 	return true
 }
 
-// kept takes the news that a shard was right to keep a machine: what came in elsewhere
+// machineKept takes the news that a shard was right to keep a machine: what came in elsewhere
 // was a copy.
-func (d *Dispatcher) kept(now time.Duration, from model.ShardID, m *machine) {
-	m.releasing, m.next = false, 0
-	held := d.heldBack[m.ID]
-	delete(d.heldBack, m.ID)
-	for i := range held {
-		d.HandleEvent(now, from, held[i])
+func (d *Dispatcher) machineKept(now time.Duration, from model.ShardID, m *machine) {
+	m.releasing, m.nextOwner = false, 0
+	deferred := d.deferredEvents[m.ID]
+	delete(d.deferredEvents, m.ID)
+	for i := range deferred {
+		d.HandleEvent(now, from, deferred[i])
 	}
 }
 
-// forgetFound drops what was held back of an attempt that is nowhere any more.
-func (d *Dispatcher) forgetFound(attempt uint64) {
-	for id, held := range d.heldBack {
-		d.heldBack[id] = slices.DeleteFunc(held, func(e model.Event) bool {
+// dropDeferredAttempt drops what was held back of an attempt that is nowhere any more.
+func (d *Dispatcher) dropDeferredAttempt(attempt uint64) {
+	for id, deferred := range d.deferredEvents {
+		d.deferredEvents[id] = slices.DeleteFunc(deferred, func(e model.Event) bool {
 			return e.Kind == model.AttemptFound && e.Attempt == attempt
 		})
 	}
@@ -72,8 +72,8 @@
 // UnverifiedCount counts the machines that have shown no owner that they receive, two in succession
 // or more.
 func (d *Dispatcher) UnverifiedCount() (n int) {
-	for _, m := range d.byID {
-		if m.toProve() && !m.fenced && !m.gone {
+	for _, m := range d.machinesByID {
+		if m.needsVerification() && !m.fenced && !m.gone {
 			n++
 		}
 	}
--- a/internal/core/dispatcher/scale_test.go
+++ b/internal/core/dispatcher/scale_test.go
@@ -10,31 +10,31 @@
 
 // Dealing the tasks of one new job must not cost more the more machines and
 // open jobs there are that it has nothing to do with.
-func TestDealCostsTheSameInALargeCluster(t *testing.T) {
+func TestDispatchCostDoesNotGrowWithClusterSize(t *testing.T) {
 	cost := func(machines int) float64 {
-		r := newRig(t, 1e6)
-		s := r.d.AddShard(0, "a")
+		h := newHarness(t, 1e6)
+		s := h.d.AddShard(0, "a")
 		for id := range model.MachineID(machines) {
-			r.machine(0, id, s)
+			h.addMachine(0, id, s)
 		}
 		full := make([]model.MachineStatus, machines)
 		for i := range full {
 			full[i] = model.MachineStatus{Machine: model.Machine{ID: model.MachineID(i)}, Ready: true}
 		}
 		full[0].Avail = model.Capacity(8, 0, 64)
-		r.d.UpdateStatus(0, s, full, nil, 0)
-		r.d.TakeOrders()
+		h.d.UpdateStatus(0, s, full, nil, 0)
+		h.d.TakeOrders()
 		now, id := time.Second, model.JobID(1)
 		return testing.AllocsPerRun(20, func() {
 			now += 2 * time.Second
 			id++
-			r.job(id, 2, false)
-			r.status(now, s, 0) // it has room again
-			r.d.Dispatch(now)
-			if len(r.orders(model.AssignTask)) != 2 {
+			h.addJob(id, 2, false)
+			h.reportStatus(now, s, 0) // it has room again
+			h.d.Dispatch(now)
+			if len(h.takeOrders(model.AssignTask)) != 2 {
 				t.Fatal("not dealt")
 			}
-			r.d.JobRemoved(id)
+			h.d.JobRemoved(id)
 		})
 	}
 	if small, large := cost(20), cost(2000); large > small+20 {
@@ -44,23 +44,23 @@
 
 // What is dealt beyond the free room, to find victims, goes where the machines
 // are: half of it once went to a controller that had just come back with five.
-func TestDealtAheadByMachines(t *testing.T) {
-	r := newRig(t, 1e6)
-	r.d.p.DispatchAhead = 12
-	a, b := r.d.AddShard(0, "a"), r.d.AddShard(0, "b")
+func TestTasksDispatchedAheadFollowMachineCounts(t *testing.T) {
+	h := newHarness(t, 1e6)
+	h.d.params.DispatchAhead = 12
+	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
 	for id := range model.MachineID(12) {
 		to := a
 		if id == 0 {
 			to = b
 		}
-		r.machine(0, id, to)
-		r.d.UpdateStatus(0, to, []model.MachineStatus{{Machine: model.Machine{ID: id}, Ready: true}}, nil, 0)
+		h.addMachine(0, id, to)
+		h.d.UpdateStatus(0, to, []model.MachineStatus{{Machine: model.Machine{ID: id}, Ready: true}}, nil, 0)
 	}
-	r.d.TakeOrders()
-	r.job(1, 100, false)
-	r.d.Dispatch(time.Second)
+	h.d.TakeOrders()
+	h.addJob(1, 100, false)
+	h.d.Dispatch(time.Second)
 	to := map[model.ShardID]int{}
-	for _, o := range r.orders(model.AssignTask) {
+	for _, o := range h.takeOrders(model.AssignTask) {
 		to[o.To]++
 	}
 	if to[a] != 11 || to[b] != 1 {
@@ -72,55 +72,57 @@
 // change of leader in chunks, and the job ends with its last task.
 func TestJobOfAHundredThousandTasks(t *testing.T) {
 	const tasks, chunk = 100_000, 65_536
-	r := newRig(t, 1e6)
-	r.d.p.ChunkSize = chunk
-	s := r.d.AddShard(0, "a")
-	r.machine(0, 1, s)
-	sp := r.job(1, tasks, false)
-	sp.PerTask = model.Request(0.001, 0, 0)
-	given := make([]bool, tasks)
+	h := newHarness(t, 1e6)
+	h.d.params.ChunkSize = chunk
+	s := h.d.AddShard(0, "a")
+	h.addMachine(0, 1, s)
+	spec := h.addJob(1, tasks, false)
+	spec.PerTask = model.Request(0.001, 0, 0)
+	assigned := make([]bool, tasks)
 	var stored []Write
 	now, done := time.Second, 0
 	for done < tasks/2 {
 		now += 2 * time.Second
-		r.status(now, s, 1)
-		r.d.Dispatch(now)
-		for _, o := range r.orders(model.AssignTask) {
-			no := o.Assignment.Task.Index
-			if given[no] {
-				t.Fatalf("task %d dealt twice", no)
+		h.reportStatus(now, s, 1)
+		h.d.Dispatch(now)
+		for _, o := range h.takeOrders(model.AssignTask) {
+			index := o.Assignment.Task.Index
+			if assigned[index] {
+				t.Fatalf("task %d dealt twice", index)
 			}
-			given[no] = true
+			assigned[index] = true
 			done++
-			r.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: uint64(no), Held: true})
+			h.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task,
+				Attempt: uint64(index), Held: true})
 		}
-		for _, w := range r.d.Writes(now, 10) {
+		for _, w := range h.d.Writes(now, 10) {
 			if w.Kind != PutChunk {
 				t.Fatalf("%+v with half of the tasks done", w)
 			}
 			stored = append(stored, w)
-			r.d.WriteDone(now, w, 60, true, false)
+			h.d.WriteDone(now, w, 60, true, false)
 		}
 	}
 	// The next leader knows what was done, and deals only the rest.
-	next := newRig(t, 1e6)
-	next.d.p.ChunkSize = chunk
+	next := newHarness(t, 1e6)
+	next.d.params.ChunkSize = chunk
 	s = next.d.AddShard(0, "b")
-	next.machine(0, 1, s)
-	next.job(1, tasks, true).PerTask = sp.PerTask
+	next.addMachine(0, 1, s)
+	next.addJob(1, tasks, true).PerTask = spec.PerTask
 	for _, w := range stored {
 		next.d.AddDoneChunk(1, w.Chunk, 1, w.FirstTask, w.Bits)
 	}
 	for range 30 {
 		now += 2 * time.Second
-		next.status(now, s, 1)
+		next.reportStatus(now, s, 1)
 		next.d.Dispatch(now)
-		for _, o := range next.orders(model.AssignTask) {
-			if given[o.Assignment.Task.Index] {
+		for _, o := range next.takeOrders(model.AssignTask) {
+			if assigned[o.Assignment.Task.Index] {
 				t.Fatalf("task %d, stored as done, is dealt again", o.Assignment.Task.Index)
 			}
 			done++
-			next.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1, Held: true})
+			next.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1,
+				Held: true})
 		}
 	}
 	if done != tasks {
@@ -135,13 +137,13 @@
 
 // A final deletes what may be stored, and nothing else: a chunk whose write went
 // unanswered may be there, one that was never written is not.
-func TestFinalDeletesOnlyWhatMayBeStored(t *testing.T) {
-	r := newRig(t, 1e6)
-	s := r.d.AddShard(0, "a")
-	r.machine(0, 1, s)
+func TestFinishDeletesOnlyChunksThatMayBeStored(t *testing.T) {
+	h := newHarness(t, 1e6)
+	s := h.d.AddShard(0, "a")
+	h.addMachine(0, 1, s)
 	finish := func(id model.JobID) []ChunkID {
 		t.Helper()
-		for _, w := range r.d.UrgentWrites(10) {
+		for _, w := range h.d.UrgentWrites(10) {
 			if w.Kind == FinishJob && w.Job == id {
 				return w.StoredChunks
 			}
@@ -149,23 +151,24 @@
 		t.Fatalf("job %d: no final", id)
 		return nil
 	}
-	run := func(id model.JobID, no int32) {
-		r.d.HandleEvent(time.Minute, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: id, Index: no},
-			Attempt: uint64(no)})
+	run := func(id model.JobID, index int32) {
+		h.d.HandleEvent(time.Minute, s, model.Event{Kind: model.TaskFinished, Machine: 1,
+			Task:    model.Task{Job: id, Index: index},
+			Attempt: uint64(index)})
 	}
-	r.job(1, 2, false)
+	h.addJob(1, 2, false)
 	run(1, 0)
 	run(1, 1)
-	if kept := finish(1); len(kept) != 0 {
-		t.Errorf("chunks %v deleted, none was ever written", kept)
+	if chunks := finish(1); len(chunks) != 0 {
+		t.Errorf("chunks %v deleted, none was ever written", chunks)
 	}
-	r.job(2, 2, false)
+	h.addJob(2, 2, false)
 	run(2, 0)
-	for _, w := range r.d.ProgressWrites(2*time.Minute, 10) {
-		r.d.WriteDone(2*time.Minute, w, 0, false, false)
+	for _, w := range h.d.ProgressWrites(2*time.Minute, 10) {
+		h.d.WriteDone(2*time.Minute, w, 0, false, false)
 	}
 	run(2, 1)
-	if kept := finish(2); !slices.Equal(kept, []ChunkID{{OldLayout: true}}) {
-		t.Errorf("chunks %v deleted, want the one whose write went unanswered", kept)
+	if chunks := finish(2); !slices.Equal(chunks, []ChunkID{{OldLayout: true}}) {
+		t.Errorf("chunks %v deleted, want the one whose write went unanswered", chunks)
 	}
 }
--- a/internal/core/dispatcher/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -16,36 +16,37 @@
 // the order as ever.
 
 const (
-	watchEvery = time.Second
-	pressEvery = 10 * time.Second // a shard forgets it after a while, and may be new
+	starvationInterval = time.Second
+	expediteInterval   = 10 * time.Second // a shard forgets it after a while, and may be new
 )
 
-// watch finds the jobs that should have begun, and tells the shards.
-func (d *Dispatcher) watch(now time.Duration, jobs []*job) {
-	if d.p.StartWithin <= 0 || d.watched != 0 && now-d.watched < watchEvery {
+// updateStarvation finds the jobs that should have begun, and tells the shards.
+func (d *Dispatcher) updateStarvation(now time.Duration, jobs []*job) {
+	if d.params.StartWithin <= 0 || d.starvationUpdatedAt != 0 && now-d.starvationUpdatedAt < starvationInterval {
 		return
 	}
-	d.watched = now
+	d.starvationUpdatedAt = now
 	if d.starvation == nil {
-		d.starvation = starvation.New(d.p.StartWithin)
+		d.starvation = starvation.New(d.params.StartWithin)
 	}
-	open := make([]starvation.Job, 0, len(jobs))
+	unfinished := make([]starvation.Job, 0, len(jobs))
 	for _, j := range jobs {
-		j.late = false
-		if j.ended || j.waits || j.trouble.broken {
+		j.overdue = false
+		if j.ended || j.onHold || j.failures.broken {
 			continue
 		}
-		j.begun = j.begun || j.nDone > 0 || len(j.held) > 0 && d.TaskCounts(j.spec.ID).Running > 0
-		open = append(open, starvation.Job{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks,
-			Since: j.since, Begun: j.begun})
+		j.started = j.started || j.doneCount > 0 || len(j.assignments) > 0 && d.TaskCounts(j.spec.ID).Running > 0
+		unfinished = append(unfinished, starvation.Job{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team,
+			Tasks: j.spec.Tasks,
+			Since: j.waitingSince, Begun: j.started})
 	}
-	d.starvation.Update(now, open)
+	d.starvation.Update(now, unfinished)
 	for _, id := range d.starvation.Overdue() {
 		j := d.jobs[id]
-		j.late = true
-		if j.pressed == 0 || now-j.pressed >= pressEvery {
-			j.pressed = now
-			d.toAll(model.Order{Kind: model.ExpediteJob, Job: id})
+		j.overdue = true
+		if j.expeditedAt == 0 || now-j.expeditedAt >= expediteInterval {
+			j.expeditedAt = now
+			d.broadcast(model.Order{Kind: model.ExpediteJob, Job: id})
 		}
 	}
 }
@@ -58,45 +59,46 @@
 	return d.starvation.GroupStats(now)
 }
 
-// ranked puts the jobs to deal in order: those that should have begun, by their wait,
+// sortByPriority puts the jobs to deal in order: those that should have begun, by their wait,
 // then by priority times wait.
-func (d *Dispatcher) ranked(now time.Duration, jobs []*job) {
-	score := func(j *job) float64 { return j.spec.Score(j.price, now-j.since) }
+func (d *Dispatcher) sortByPriority(now time.Duration, jobs []*job) {
+	score := func(j *job) float64 { return j.spec.Score(j.price, now-j.waitingSince) }
 	slices.SortStableFunc(jobs, func(a, b *job) int {
 		switch {
-		case a.late != b.late && a.late:
+		case a.overdue != b.overdue && a.overdue:
 			return -1
-		case a.late != b.late:
+		case a.overdue != b.overdue:
 			return 1
-		case a.late:
-			return cmp.Compare(a.since, b.since)
+		case a.overdue:
+			return cmp.Compare(a.waitingSince, b.waitingSince)
 		}
 		return cmp.Compare(score(b), score(a))
 	})
 }
 
-// dealFirst deals the first task of a late job whose tasks are pinned to zones, though
+// dispatchExpedited deals the first task of a late job whose tasks are pinned to zones, though
 // none has room: its shard is to make some. Pinned jobs are else dealt only where there
 // is room, and what is dealt ahead takes it first.
-func (d *Dispatcher) dealFirst(j *job, members []*member) {
-	if !j.late || len(j.held) > 0 {
+func (d *Dispatcher) dispatchExpedited(j *job, members []*member) {
+	if !j.overdue || len(j.assignments) > 0 {
 		return
 	}
-	var best part
+	var best batch
 	for _, m := range members {
 		zones := map[model.Name]int64{}
-		for _, k := range d.byID {
-			if k.owner == m.id && k.known() && k.status.Ready && j.spec.Allows(&k.Machine) && j.spec.PerTask.Fits(k.Cap) {
-				zones[k.Zone]++
+		for _, machine := range d.machinesByID {
+			if machine.owner == m.id && machine.statusKnown() && machine.status.Ready && j.spec.Allows(&machine.Machine) &&
+				j.spec.PerTask.Fits(machine.Cap) {
+				zones[machine.Zone]++
 			}
 		}
 		for z, n := range zones {
-			if n > best.n || n == best.n && best.to == m && z < best.zone {
-				best = part{m, z, n}
+			if n > best.count || n == best.count && best.shard == m && z < best.zone {
+				best = batch{m, z, n}
 			}
 		}
 	}
-	if best.n > 0 {
-		d.dealOne(j, best.to.id, best.zone)
+	if best.count > 0 {
+		d.dispatchOne(j, best.shard.id, best.zone)
 	}
 }
--- a/internal/core/dispatcher/teams.go
+++ b/internal/core/dispatcher/teams.go
@@ -5,14 +5,14 @@
 // SetTeam changes a team's limit and guarantee. Below what the team uses nothing new
 // starts until that has ended; nothing is stopped for it.
 func (d *Dispatcher) SetTeam(team model.Name, t Team) {
-	if d.p.Teams[team] != t {
-		d.p.Teams[team] = t
-		d.repriced = 0
+	if d.params.Teams[team] != t {
+		d.params.Teams[team] = t
+		d.pricesUpdatedAt = 0
 	}
 }
 
 // Teams are all teams' limits and guarantees now: a copy.
-func (d *Dispatcher) Teams() []Team { return append([]Team(nil), d.p.Teams...) }
+func (d *Dispatcher) Teams() []Team { return append([]Team(nil), d.params.Teams...) }
 
 // TeamStatus is how a team stands.
 type TeamStatus struct {
@@ -28,20 +28,20 @@
 
 // TeamStatus tells how each team stands, by its index.
 func (d *Dispatcher) TeamStatus() []TeamStatus {
-	out := make([]TeamStatus, len(d.p.Teams))
-	unseen := d.exposure()
+	out := make([]TeamStatus, len(d.params.Teams))
+	unaccounted := d.unaccountedResources()
 	for i := range out {
-		out[i] = TeamStatus{Team: d.p.Teams[i], Used: d.usage[i], Unaccounted: unseen}
+		out[i] = TeamStatus{Team: d.params.Teams[i], Used: d.usage[i], Unaccounted: unaccounted}
 	}
-	for _, j := range d.inOrder {
+	for _, j := range d.jobsBySubmission {
 		t := &out[j.spec.Team]
 		t.Orphaned += int(j.orphaned)
-		n := int(j.spec.Tasks-j.nDone) - len(j.held)
+		n := int(j.spec.Tasks-j.doneCount) - len(j.assignments)
 		switch {
 		case j.ended || n <= 0:
-		case j.waits:
+		case j.onHold:
 			t.JobsOnHold++
-		case j.old && !d.Recovered():
+		case j.fromEarlierTerm && !d.Recovered():
 			t.AwaitingRecovery += n
 		default:
 			if t.Waiting == 0 || j.spec.PerTask.CPU < t.SmallestTask.CPU {
--- a/internal/core/dispatcher/writes.go
+++ b/internal/core/dispatcher/writes.go
@@ -22,7 +22,7 @@
 	Bits         []byte
 	StoredChunks []ChunkID // Finish: chunks that may be stored
 
-	clears []clearing
+	pendingClears []clearRequest
 }
 
 // WriteKind tells writes apart.
@@ -48,7 +48,7 @@
 
 // chunkID is the id of a job's c-th chunk.
 func (d *Dispatcher) chunkID(j *job, c int32) ChunkID {
-	return ChunkID{OldLayout: j.spec.Tasks <= d.p.ChunkSize, Index: c}
+	return ChunkID{OldLayout: j.spec.Tasks <= d.params.ChunkSize, Index: c}
 }
 
 // Writes returns the changes to be stored now, at most n, the most urgent first.
@@ -61,14 +61,14 @@
 // now. Each comes back through Stored.
 func (d *Dispatcher) UrgentWrites(n int) []Write {
 	var out []Write
-	for _, j := range d.inOrder {
+	for _, j := range d.jobsBySubmission {
 		if len(out) >= n {
 			return out
 		}
-		if !j.ended && !j.writing && !j.waits && !j.spec.Daemon && j.nDone == j.spec.Tasks {
-			j.writing = true
+		if !j.ended && !j.writePending && !j.onHold && !j.spec.Daemon && j.doneCount == j.spec.Tasks {
+			j.writePending = true
 			out = append(out, Write{Kind: FinishJob, Job: j.spec.ID, Version: j.version,
-				StoredChunks: slices.SortedFunc(maps.Keys(j.kept), compareChunks)})
+				StoredChunks: slices.SortedFunc(maps.Keys(j.storedChunks), compareChunks)})
 		}
 	}
 	return d.blockWrites(out, n)
@@ -79,27 +79,28 @@
 func (d *Dispatcher) ProgressWrites(now time.Duration, n int) []Write {
 	var out []Write
 	jobs := d.sortedJobs()
-	slices.SortStableFunc(jobs, func(a, b *job) int { return int(a.stored - b.stored) })
+	slices.SortStableFunc(jobs, func(a, b *job) int { return int(a.lastWriteAt - b.lastWriteAt) })
 	for _, j := range jobs {
-		if j.ended || j.writing || now-j.stored < d.p.ProgressInterval {
+		if j.ended || j.writePending || now-j.lastWriteAt < d.params.ProgressInterval {
 			continue
 		}
-		for c := range j.dirty {
+		for index := range j.dirtyChunks {
 			if len(out) >= n {
 				return out
 			}
-			delete(j.dirty, c)
-			id := d.chunkID(j, c)
-			version := j.kept[id]
-			j.kept[id] = version // from here on, whatever becomes of the write
-			j.writing, j.stored = true, now
-			w := Write{Kind: PutChunk, Job: j.spec.ID, Chunk: id, FirstTask: c * d.p.ChunkSize, Bits: d.chunk(j, c),
+			delete(j.dirtyChunks, index)
+			id := d.chunkID(j, index)
+			version := j.storedChunks[id]
+			j.storedChunks[id] = version // from here on, whatever becomes of the write
+			j.writePending, j.lastWriteAt = true, now
+			w := Write{Kind: PutChunk, Job: j.spec.ID, Chunk: id, FirstTask: index * d.params.ChunkSize,
+				Bits:    d.chunkBits(j, index),
 				Version: version, JobVersion: j.version}
-			j.clears = slices.DeleteFunc(j.clears, func(cl clearing) bool {
-				if cl.task.Index/d.p.ChunkSize != c {
+			j.pendingClears = slices.DeleteFunc(j.pendingClears, func(request clearRequest) bool {
+				if request.task.Index/d.params.ChunkSize != index {
 					return false
 				}
-				w.clears = append(w.clears, cl)
+				w.pendingClears = append(w.pendingClears, request)
 				return true
 			})
 			out = append(out, w)
@@ -109,16 +110,16 @@
 	return out
 }
 
-func (d *Dispatcher) chunk(j *job, c int32) []byte {
-	lo := c * d.p.ChunkSize
-	hi := min(lo+d.p.ChunkSize, j.spec.Tasks)
-	b := make([]byte, (hi-lo+7)/8)
-	for no := lo; no < hi; no++ {
-		if j.isDone(no) {
-			b[(no-lo)/8] |= 1 << ((no - lo) % 8)
+func (d *Dispatcher) chunkBits(j *job, c int32) []byte {
+	first := c * d.params.ChunkSize
+	end := min(first+d.params.ChunkSize, j.spec.Tasks)
+	doneBits := make([]byte, (end-first+7)/8)
+	for index := first; index < end; index++ {
+		if j.isDone(index) {
+			doneBits[(index-first)/8] |= 1 << ((index - first) % 8)
 		}
 	}
-	return b
+	return doneBits
 }
 
 // WriteDone takes a write's outcome. lost tells that a Finish found the job's
@@ -139,28 +140,28 @@
 		if j == nil {
 			return
 		}
-		j.writing = false
+		j.writePending = false
 		if ok || lost {
-			j.kept[w.Chunk] = revision
+			j.storedChunks[w.Chunk] = revision
 		}
 		if ok {
-			for _, c := range w.clears {
-				d.clearIt(c)
+			for _, c := range w.pendingClears {
+				d.sendClear(c)
 			}
 		} else {
-			j.dirty[w.Chunk.Index] = true
-			j.clears = append(j.clears, w.clears...)
+			j.dirtyChunks[w.Chunk.Index] = true
+			j.pendingClears = append(j.pendingClears, w.pendingClears...)
 		}
-		d.forget(j)
+		d.removeIfUnused(j)
 	case FinishJob:
 		j := d.jobs[w.Job]
 		if j == nil {
 			return
 		}
-		j.writing = false
+		j.writePending = false
 		if (ok || lost) && !j.ended {
-			d.end(j)
+			d.endJob(j)
 		}
-		d.forget(j)
+		d.removeIfUnused(j)
 	}
 }
