--- a/internal/core/dispatcher/dispatch.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -8,10 +8,9 @@
 	"honeylock/internal/core/model"
 )
 
-// Price of a task. Ranks are a factor of ten apart. What fits into its team's
-// guarantee is worth thirty times as much: more than borrowed work one rank
-// up, so that guarantees get their room back, and the order of ranks within
-// the guarantee stays as it is.
+// Price returns the price of a task. Ranks are a factor of ten apart. A task within its team's
+// guarantee costs thirty times as much: that is more than borrowed work of the next rank, so a team
+// can evict it to get its guarantee back, and the order of ranks within guarantees does not change.
 func Price(rank model.Rank, withinGuarantee bool) float64 {
 	price := 1.0
 	for range rank {
@@ -23,27 +22,30 @@
 	return price
 }
 
-// GuaranteeChecker tells which jobs fit into their team's guarantee together with the
-// team's earlier unfinished jobs: they are asked about in the order of submission.
+// GuaranteeChecker decides which jobs fit into their team's guarantee together with the team's
+// earlier unfinished jobs. Jobs must be passed to Fits in the order of submission.
 type GuaranteeChecker struct {
-	teams  []Team
+	teams []Team
+	// demand is the sum of the tasks of each team's jobs that were passed to Fits.
 	demand []model.Resources
 }
 
-// NewGuaranteeChecker begins with no job.
+// NewGuaranteeChecker returns a checker that has seen no job yet.
 func NewGuaranteeChecker(teams []Team) *GuaranteeChecker {
 	return &GuaranteeChecker{teams, make([]model.Resources, len(teams))}
 }
 
-// Fits tells of the next job, which has so many tasks left.
+// Fits reports whether the next job, with the given number of unfinished tasks, fits into its
+// team's guarantee.
 func (g *GuaranteeChecker) Fits(spec *model.Spec, unfinished int64) bool {
 	demand, guarantee := &g.demand[spec.Team], g.teams[spec.Team].Guarantee
 	*demand = demand.Add(spec.PerTask.Times(unfinished))
 	return demand.CPU <= guarantee.CPU && demand.GPU <= guarantee.GPU && guarantee.CPU > 0
 }
 
-// updatePrices finds out which jobs fit into their team's guarantee together with
-// the team's earlier unfinished jobs.
+// updatePrices updates the prices of all jobs, at most once per second, and sends changed prices to
+// the shards. A job that fits into its team's guarantee together with the team's earlier unfinished
+// jobs costs more.
 func (d *Dispatcher) updatePrices(now time.Duration, jobs []*job) {
 	if d.pricesUpdatedAt != 0 && now-d.pricesUpdatedAt < time.Second {
 		return
@@ -51,7 +53,7 @@
 	d.pricesUpdatedAt = now
 	guarantees := NewGuaranteeChecker(d.params.Teams)
 	for _, j := range jobs {
-		if j.ended || j.onHold || j.failures.broken { // its one probe takes hardly any of the guarantee
+		if j.ended || j.onHold || j.failures.broken { // the single probe of a broken job uses little of the guarantee
 			continue
 		}
 		j.withinGuarantee = guarantees.Fits(j.spec, int64(j.spec.Tasks-j.doneCount))
@@ -64,11 +66,12 @@
 	}
 }
 
-// unlimited is more than there is of anything.
+// unlimited is a resource amount greater than any that exists.
 const unlimited = int64(1) << 40
 
-// unaccountedResources is what may run unseen: all of every machine that an earlier leader
-// may have used, and of every machine with an attempt that must go.
+// unaccountedResources returns the resources that tasks unknown to the dispatcher may be using: the
+// full capacity of every machine that an earlier leader may have used and that is not accounted for
+// yet, and of every machine with a rejected attempt that has not ended.
 func (d *Dispatcher) unaccountedResources() model.Resources {
 	var sum model.Resources
 	counted := map[model.MachineID]bool{}
@@ -76,7 +79,7 @@
 		if m := d.machines[id]; m != nil && !counted[id] {
 			counted[id] = true
 			capacity := m.Cap
-			if capacity.CPU == 0 { // of a type that the catalog does not have (yet)
+			if capacity.CPU == 0 { // the machine's type is not in the catalog (yet)
 				capacity = model.Resources{CPU: unlimited, GPU: unlimited}
 			}
 			sum = sum.Add(capacity)
@@ -91,7 +94,8 @@
 	return sum
 }
 
-// Remaining is what a team's limit leaves of what it uses.
+// Remaining returns what is left of a team's limit when the team uses the given resources. Memory
+// is not limited.
 func (t Team) Remaining(used model.Resources) model.Resources {
 	left := func(limit, used int64) int64 {
 		if limit == 0 {
@@ -102,7 +106,8 @@
 	return model.Resources{CPU: left(t.Limit.CPU, used.CPU), GPU: left(t.Limit.GPU, used.GPU), Mem: unlimited}
 }
 
-// UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
+// UnusedGuarantees returns the sum of the CPU, in thousandths, by which teams are below their
+// guarantees.
 func UnusedGuarantees(teams []Team, usage []model.Resources) int64 {
 	var sum int64
 	for i, t := range teams {
@@ -111,12 +116,14 @@
 	return sum
 }
 
-// headroom is what a team may still be dealt.
+// headroom returns the resources that tasks dispatched now may still take under the team's limit.
 func (d *Dispatcher) headroom(team model.Name, unaccounted model.Resources) model.Resources {
 	return d.params.Teams[team].Remaining(d.usage[team].Add(unaccounted))
 }
 
-// undispatched counts the tasks that may be dealt now.
+// undispatched returns the number of a job's tasks that may be dispatched now: none while the job
+// is on hold, waits for a retry, or comes from an earlier term and the machines of earlier terms
+// are not all accounted for.
 func (d *Dispatcher) undispatched(now time.Duration, j *job) int32 {
 	if j.ended || j.onHold || now < j.blockedUntil || j.fromEarlierTerm && !d.Recovered() {
 		return 0
@@ -128,7 +135,8 @@
 	return count
 }
 
-// nextTask picks the next task to deal. again: it was dealt before.
+// nextTask picks the next task to dispatch: tasks that came back first, then those not dispatched
+// in this term. The result redispatched tells that the task was dispatched before.
 func (d *Dispatcher) nextTask(j *job) (index int32, redispatched, ok bool) {
 	for len(j.requeued) > 0 {
 		index := j.requeued[0]
@@ -146,8 +154,10 @@
 	return 0, false, false
 }
 
-// Dispatch deals waiting tasks, the highest price times wait first, as far as the
-// shards' machines have room, with a few more for which victims may be found.
+// Dispatch assigns waiting tasks to shards. Overdue jobs come first, then the jobs with the highest
+// score of price and waiting time. Tasks are assigned as far as the shards' machines have free
+// capacity and teams' limits allow, with a few more per job for which a shard may find victims to
+// evict.
 func (d *Dispatcher) Dispatch(now time.Duration) {
 	jobs := d.sortedJobs()
 	d.updatePrices(now, jobs)
@@ -182,6 +192,7 @@
 	}
 }
 
+// dispatchBatch dispatches the tasks of a batch and returns how many there were.
 func (d *Dispatcher) dispatchBatch(j *job, b batch) int64 {
 	for i := range b.count {
 		if !d.dispatchOne(j, b.shard.id, b.zone) {
@@ -191,18 +202,20 @@
 	return b.count
 }
 
-// batch of a job's tasks that goes to one shard.
+// batch is a number of a job's tasks that go to one shard.
 type batch struct {
 	shard *member
 	zone  model.Name
 	count int64
 }
 
+// pinned reports whether the zones of the job's tasks depend on each other, so that the dispatcher
+// chooses the zone of each task.
 func (j *job) pinned() bool { return j.spec.SameZone || j.spec.Spread }
 
-// planBatches takes room for up to n tasks: where there is most of it first. Tasks of a
-// job whose tasks' zones depend on each other are pinned: every task is charged
-// to a zone before a shard sees it.
+// planBatches divides up to n tasks over shards and zones, those with the most free capacity first,
+// and reserves that capacity. For a pinned job each batch names a zone, because every task must be
+// charged to a zone before a shard places it.
 func planBatches(j *job, n int64, members []*member) []batch {
 	zones := []model.Name{model.None}
 	perZone := map[model.Name]int64{}
@@ -220,7 +233,7 @@
 		}
 	}
 	if j.spec.SameZone && len(perZone) == 0 && len(zones) > 0 {
-		// The whole job should fit where it goes: the zone with most room.
+		// The whole job should fit into its zone, so take the one with the most free capacity.
 		zones = []model.Name{zoneWithMostCapacity(j.spec, zones, n, members)}
 	}
 	var batches []batch
@@ -251,6 +264,8 @@
 	return batches
 }
 
+// zoneWithMostCapacity returns the zone in which most of n tasks fit into the free capacity of all
+// shards.
 func zoneWithMostCapacity(spec *model.Spec, zones []model.Name, n int64, members []*member) model.Name {
 	best, bestFitting := model.None, int64(-1)
 	for _, z := range zones {
@@ -265,9 +280,10 @@
 	return best
 }
 
-// dispatchAhead deals a few tasks without room to the shards with machines for
-// them: there they may find victims, the more the more machines there are. A
-// controller that has just come back has hardly any.
+// dispatchAhead dispatches a few tasks for which there is no free capacity, so that shards can find
+// victims to evict for them. Tasks go to shards with suitable machines, in proportion to the number
+// of their ready machines, because a controller that has just restarted owns hardly any.
+// Params.DispatchAhead limits the job's waiting tasks.
 func (d *Dispatcher) dispatchAhead(j *job, n int64, members []*member) {
 	ahead := min(n, int64(d.params.DispatchAhead-d.TaskCounts(j.spec.ID).Waiting))
 	if ahead <= 0 {
@@ -288,7 +304,7 @@
 		if !d.dispatchOne(j, m.id, model.None) {
 			return
 		}
-		// Counted at once: the shard's own count comes later.
+		// Count the task now; the shard's own count arrives later.
 		if m.jobs == nil {
 			m.jobs = map[model.JobID]model.TaskCounts{}
 		}
@@ -298,9 +314,10 @@
 	}
 }
 
-// rebalanceTasks takes waiting tasks back from a shard that has no room for so many of them while
-// another has some. What waits where nobody has room stays: it is placed as its shard's next
-// machine reports, which is sooner than the dealer could have it there.
+// rebalanceTasks recalls waiting tasks from a shard that lacks capacity for them while other shards
+// have some, at most once per second. Tasks for which no shard has capacity stay where they are:
+// their shard places them as soon as one of its machines reports, which is sooner than the
+// dispatcher could assign them again.
 func (d *Dispatcher) rebalanceTasks(now time.Duration, jobs []*job, members []*member) {
 	if len(members) < 2 || now-d.tasksBalancedAt < time.Second {
 		return
@@ -329,8 +346,9 @@
 	}
 }
 
-// collectCandidates finds, for each shard, the machines with room for the smallest of the
-// jobs' tasks, and one machine of each kind that it has.
+// collectCandidates sets for each shard its ready machines that have enough free CPU for the
+// smallest task of the jobs, the number of its ready machines, and one machine of each combination
+// of type, zone and spot.
 func (d *Dispatcher) collectCandidates(jobs []*job, members []*member) {
 	minCPU := unlimited
 	for _, j := range jobs {
@@ -357,7 +375,8 @@
 	}
 }
 
-// countFitting tells for how many of up to n tasks there is room, and takes it.
+// countFitting returns how many of up to n tasks fit into the free capacity of the shard's
+// candidates in a zone (None: any). With reserve it also subtracts the capacity that the tasks use.
 func (s *member) countFitting(spec *model.Spec, zone model.Name, n int64, reserve bool) int64 {
 	var fitting int64
 	for _, m := range s.candidates {
@@ -378,6 +397,8 @@
 	return fitting
 }
 
+// dispatchOne charges the job's next task and assigns it to a shard. It returns false if the job
+// has no task to dispatch.
 func (d *Dispatcher) dispatchOne(j *job, to model.ShardID, zone model.Name) bool {
 	index, redispatched, ok := d.nextTask(j)
 	if !ok {
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
-// Package dispatcher is the leader's book: open jobs, teams' limits and
-// guarantees, who holds each task, who owns each machine. It deals tasks to
-// shards and takes them back. It is a state machine without input or output of
-// its own.
+// Package dispatcher holds the leader's view of the cluster: open jobs, teams' limits and
+// guarantees, the shard that each task is assigned to, and the shard that owns each machine. It
+// assigns tasks to shards and recalls them. It is a state machine: its inputs are method calls, and
+// its outputs are the orders and writes that the caller collects.
 package dispatcher
 
 import (
@@ -13,68 +13,71 @@
 	"honeylock/internal/core/starvation"
 )
 
-// Team is what a team is guaranteed and limited to; a zero amount means none.
+// Team is a team's guarantee and limit; a zero amount means that there is none.
 type Team struct{ Guarantee, Limit model.Resources }
 
-// Params of a dealer.
+// Params are the parameters of a Dispatcher.
 type Params struct {
 	Term                uint64
-	Teams               []Team // by the team's index
+	Teams               []Team // indexed by the team's name
 	ChunkSize           int32  // tasks per stored chunk of a job's done set
-	BlockSize           uint64 // machines per stored block of records, in the layout of 0.4 and before
+	BlockSize           uint64 // machines per stored block of records, in the layout of version 0.4 and earlier
 	ProgressInterval    time.Duration
-	DispatchAhead       int // tasks of a job dealt beyond the free room, to find victims
+	DispatchAhead       int // a job's tasks dispatched beyond the free capacity, to find victims
 	MaxLease            time.Duration
-	MinOverloadMachines int           // machines that are no great load for a controller
-	StartWithin         time.Duration // a job's first task should begin within so long; 0: whenever
-	// ReportInterruptions: it is to be told which tasks are out of work, and when they run again.
+	MinOverloadMachines int           // a shard with fewer machines is never overloaded
+	StartWithin         time.Duration // time in which a job's first task should start; 0: no limit
+	// ReportInterruptions enables reports of which tasks are interrupted and when they run again.
 	ReportInterruptions bool
 }
 
-// member is a shard as the dealer sees it.
+// member is a shard as the dispatcher sees it.
 type member struct {
 	id              model.ShardID
 	host            string
-	assignedOn      map[*machine]bool // with room taken since the shard's last word on them
+	assignedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
 	jobs            map[model.JobID]model.TaskCounts
-	candidates      []*machine // while dealing: its machines with room
-	machineKinds    []*machine // ... one of each kind that it has
-	readyMachines   int        // ... and how many may get tasks
-	assignmentsSent uint64     // sent
+	candidates      []*machine // machines with free capacity; valid while dispatching
+	machineKinds    []*machine // one machine of each kind that the shard has; valid while dispatching
+	readyMachines   int        // machines that may get tasks; valid while dispatching
+	assignmentsSent uint64     // number of assignments sent to the shard
 	statusAt        time.Duration
 	joinedAt        time.Duration
-	lastReportAt    time.Duration // the last time that it heard a worker
+	lastReportAt    time.Duration // when the shard last received a worker's report
 }
 
-// Dispatcher is the state machine.
+// Dispatcher is the state machine of the package.
 type Dispatcher struct {
-	params              Params
-	now                 time.Duration // of the last input that tells it
-	tokensIssued        uint64
-	jobs                map[model.JobID]*job
-	jobsBySubmission    []*job // of jobs, as sortJobs orders them
-	machines            map[model.MachineID]*machine
-	machinesByID        []*machine // of machines
-	blocks              map[BlockID]*block
-	layout              uint64 // size of the blocks that are written, 0: p.BlockSize
-	unaccounted         map[model.MachineID]bool
+	params Params
+	now    time.Duration // time of the last event or tick
+	// tokensIssued is the sequence number of the last machine token of this term.
+	tokensIssued     uint64
+	jobs             map[model.JobID]*job
+	jobsBySubmission []*job // jobs, in the order of compareJobs
+	machines         map[model.MachineID]*machine
+	machinesByID     []*machine // machines, by ID
+	blocks           map[BlockID]*block
+	layout           uint64 // size of the blocks that are written; 0: Params.BlockSize
+	// unaccounted are the machines of earlier terms whose contents are not known yet.
+	unaccounted map[model.MachineID]bool
+	// rejected are the attempts, by number, that were found but not adopted and that must end.
 	rejected            map[uint64]rejectedAttempt
 	members             map[model.ShardID]*member
 	lastID              model.ShardID
-	earlierTermsEnd     time.Duration // no authority of an earlier term lasts beyond
+	earlierTermsEnd     time.Duration // when the authority of all earlier terms' shards has ended
 	usage               []model.Resources
 	orders              []model.Order
-	deferredEvents      map[model.MachineID][]model.Event // told by shards that are to let go
+	deferredEvents      map[model.MachineID][]model.Event // events of shards that were ordered to release the machine
 	types               map[model.Name]model.MachineType
-	newlyBroken         []model.JobID // newly held to be broken
-	freedTasks          []model.Task  // of lost shards, surely nowhere now
+	newlyBroken         []model.JobID // jobs newly considered broken
+	freedTasks          []model.Task  // tasks of lost shards that are certainly not running
 	pricesUpdatedAt     time.Duration
 	tasksBalancedAt     time.Duration
 	nextMachineBalance  time.Duration
-	roundRobin          int                        // whose turn it is to get a machine without an owner
-	avoidedUntil        map[zoneHost]time.Duration // controllers that a zone's workers did not reach
+	roundRobin          int                        // selects the shard that gets the next machine without an owner
+	avoidedUntil        map[zoneHost]time.Duration // until when a zone is not redirected to a host it failed to reach
 	cordoned            map[model.MachineID]bool
-	machineCounts       map[model.ShardID]int // machines of each shard when they were last counted
+	machineCounts       map[model.ShardID]int // machines of each shard as of countedAt
 	countedAt           time.Duration
 	starvation          *starvation.Detector
 	starvationUpdatedAt time.Duration
@@ -82,8 +85,8 @@
 	stats               Stats
 }
 
-// New returns a dealer for a term that begins now. No shard of an earlier term
-// acts beyond oldEnd.
+// New returns a dispatcher for a term that begins now. No shard of an earlier term acts after
+// earlierTermsEnd.
 func New(params Params, earlierTermsEnd time.Duration) *Dispatcher {
 	return &Dispatcher{params: params, members: map[model.ShardID]*member{}, earlierTermsEnd: earlierTermsEnd,
 		avoidedUntil:   map[zoneHost]time.Duration{},
@@ -94,14 +97,14 @@
 		types: map[model.Name]model.MachineType{}}
 }
 
-// TakeOrders takes away what shards must be told.
+// TakeOrders returns the orders for shards that were collected since the last call.
 func (d *Dispatcher) TakeOrders() []model.Order {
 	o := d.orders
 	d.orders = nil
 	return o
 }
 
-// order is for one shard; 0 has no shard any more and is dropped.
+// order queues an order for a shard. Shard 0 means no shard; its orders are dropped.
 func (d *Dispatcher) order(to model.ShardID, o model.Order) {
 	if to != 0 {
 		o.To = to
@@ -109,12 +112,14 @@
 	}
 }
 
+// broadcast queues an order for every shard.
 func (d *Dispatcher) broadcast(o model.Order) {
 	for _, m := range d.sortedMembers() {
 		d.order(m.id, o)
 	}
 }
 
+// sortedMembers returns the shards in the order of their IDs.
 func (d *Dispatcher) sortedMembers() []*member {
 	out := make([]*member, 0, len(d.members))
 	for _, m := range d.members {
@@ -124,17 +129,17 @@
 	return out
 }
 
-// AddShard takes a new shard and returns its id.
+// AddShard adds a shard for a controller that has joined, and returns its ID.
 func (d *Dispatcher) AddShard(now time.Duration, host string) model.ShardID {
 	d.lastID++
 	d.members[d.lastID] = &member{id: d.lastID, host: host, joinedAt: now, assignedOn: map[*machine]bool{}}
 	return d.lastID
 }
 
-// FirstAttempt is the first of the attempt numbers that are a shard's alone.
+// FirstAttempt returns the first number of the range of attempt numbers reserved for a shard.
 func (d *Dispatcher) FirstAttempt(id model.ShardID) uint64 { return d.params.Term<<36 | uint64(id)<<22 }
 
-// AssignmentsSent counts the deals made to a shard.
+// AssignmentsSent returns the number of assignments sent to a shard.
 func (d *Dispatcher) AssignmentsSent(id model.ShardID) uint64 {
 	if m := d.members[id]; m != nil {
 		return m.assignmentsSent
@@ -142,8 +147,8 @@
 	return 0
 }
 
-// UpdateStatus takes a shard's summary of the machines that have changed since its
-// last one.
+// UpdateStatus handles a shard's status: the machines that changed since its last status, its task
+// counts per job, and the number of assignments that it had received.
 func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus,
 	jobs map[model.JobID]model.TaskCounts, acked uint64) {
 	m := d.members[id]
@@ -151,8 +156,9 @@
 		return
 	}
 	m.jobs = jobs
-	// Rooms as of before the newest deals would be dealt twice: what was dealt
-	// on stays taken until the shard has said how it is after them.
+	// A status sent before the newest assignments arrived shows capacity that they will take.
+	// Capacity reserved on a machine stays reserved until a status covers all assignments, or a
+	// second has passed.
 	upToDate := acked >= m.assignmentsSent || now-m.statusAt >= time.Second
 	for i := range status {
 		machine := d.machines[status[i].Machine.ID]
@@ -174,10 +180,11 @@
 	}
 }
 
-// statusKnown tells whether the machine's owner has told how it is.
+// statusKnown reports whether the machine's present owner has reported its status.
 func (m *machine) statusKnown() bool { return m.statusFrom == m.owner && m.owner != 0 }
 
-// MachineStatuses is what all shards last said of their machines.
+// MachineStatuses returns the last reported status of every machine whose owner has reported one,
+// less the capacity reserved since.
 func (d *Dispatcher) MachineStatuses() []model.MachineStatus {
 	out := make([]model.MachineStatus, 0, len(d.machinesByID))
 	for _, m := range d.machinesByID {
@@ -190,7 +197,8 @@
 	return out
 }
 
-// ForEachOpenJob calls f for every open job with its counts.
+// ForEachOpenJob calls f for every open job with the version of its record and its numbers of done
+// and running tasks.
 func (d *Dispatcher) ForEachOpenJob(f func(id model.JobID, version uint64, done, running int)) {
 	for _, j := range d.sortedJobs() {
 		if !j.ended {
@@ -199,7 +207,7 @@
 	}
 }
 
-// TaskCounts sums up a job's tasks at the shards.
+// TaskCounts returns the sum of all shards' counts of a job's tasks.
 func (d *Dispatcher) TaskCounts(id model.JobID) model.TaskCounts {
 	var c model.TaskCounts
 	for _, m := range d.members {
@@ -209,8 +217,9 @@
 	return c
 }
 
-// SyncOpenJobs takes the ids of all open jobs as of a revision: what is not among them
-// and was there by then has ended. It returns what it did not know to have ended.
+// SyncOpenJobs compares the jobs with the IDs of all open jobs as of a revision. A job that was
+// stored by then and is not among them has ended. It returns the jobs that were not known to have
+// ended.
 func (d *Dispatcher) SyncOpenJobs(open map[model.JobID]bool, revision uint64) (ended []model.JobID) {
 	for id, j := range d.jobs {
 		if !open[id] && j.version <= revision && !j.ended {
@@ -224,7 +233,7 @@
 	return ended
 }
 
-// HandleEvent takes an event of a shard.
+// HandleEvent handles an event of a shard.
 func (d *Dispatcher) HandleEvent(now time.Duration, from model.ShardID, e model.Event) {
 	shard := d.members[from]
 	if shard == nil {
@@ -255,8 +264,9 @@
 			return
 		}
 		m.leaseExpired = true
-		// Nobody else may answer it, unless a lost shard still did. The shard
-		// must confirm after that: it may have answered meanwhile.
+		// Only the owner may answer the worker now, but a lost shard may have done so until
+		// authorityEnd. After that plus the longest lease the owner is asked to confirm, because it
+		// may have answered the worker meanwhile.
 		if now > m.authorityEnd+d.params.MaxLease {
 			d.order(from, model.Order{Kind: model.ConfirmLeaseExpiry, ID: m.ID})
 		}
@@ -273,9 +283,9 @@
 	case model.MachineReleased:
 		d.machineReleased(now, from, m, e)
 	case model.TokenNeeded, model.TokenSuperseded:
-		// A token of this term that is higher than the owner's was given by
-		// this dealer; one of a later term shows that this term is over, and
-		// then the lease says so as well.
+		// A token of this term that is higher than the owner's was issued by this dispatcher, so
+		// the owner gets a new one. A token of a later term shows that this term is over; the
+		// leader learns that from its own lease, so the event is ignored.
 		if isOwner && !m.gone && (e.Kind == model.TokenNeeded || e.Token>>32 == d.params.Term) {
 			d.assignOwner(m, from)
 		}
@@ -288,8 +298,8 @@
 			d.machineKept(now, from, m)
 		}
 	case model.MachineRemembered:
-		// Its worker will report there again: it is fenced there, and need not
-		// change hands.
+		// The worker will report to that shard again, which fences it, so the machine need not
+		// change owners.
 		if m != nil && m.owner == 0 && !m.gone {
 			d.assignOwner(m, from)
 		}
@@ -307,8 +317,8 @@
 	}
 }
 
-// Demand returns what waits for room, for the fleet: jobs with their tasks that
-// are not on machines, as far as their teams' limits let them run.
+// Demand returns the demand for machines: each open job that may run, with its number of unfinished
+// tasks and of those assigned to shards. The caller applies teams' limits.
 func (d *Dispatcher) Demand() []JobDemand {
 	var out []JobDemand
 	for _, j := range d.sortedJobs() {
@@ -316,7 +326,7 @@
 			continue
 		}
 		unfinished := j.spec.Tasks - j.doneCount
-		if j.failures.broken { // no machine is rented for it
+		if j.failures.broken { // no machines are rented for a broken job
 			unfinished = int32(len(j.assignments))
 		}
 		out = append(out, JobDemand{Spec: j.spec, Unfinished: unfinished, Assigned: int32(len(j.assignments)),
@@ -326,16 +336,17 @@
 	return out
 }
 
-// JobDemand is a job's hunger.
+// JobDemand is a job's demand for machines.
 type JobDemand struct {
 	Spec                 *model.Spec
 	Unfinished, Assigned int32
 	WithinGuarantee      bool
 	WaitingSince         time.Duration
-	Overdue              bool // it should have begun
+	Overdue              bool // the job should have started
 }
 
-// SetCordoned keeps tasks from a machine, whoever owns it, or lets it have some again.
+// SetCordoned cordons or uncordons a machine. A cordoned machine gets no new tasks, whoever owns
+// it; the machine need not be known yet.
 func (d *Dispatcher) SetCordoned(id model.MachineID, cordoned bool) {
 	if cordoned {
 		d.cordoned[id] = true
@@ -348,25 +359,25 @@
 	}
 }
 
-// InspectMachine asks a machine's owner what runs there. It answers with Looked, which
-// bears the number.
+// InspectMachine asks a machine's owner what runs there. The answer is a MachineInspected event
+// with the same sequence number.
 func (d *Dispatcher) InspectMachine(id model.MachineID, seq uint64) {
 	if m := d.machines[id]; m != nil {
 		d.order(m.owner, model.Order{Kind: model.InspectMachine, ID: id, Token: seq})
 	}
 }
 
-// RecallFrom has a task leave a machine, saving what it can. Wherever else it has
-// gone meanwhile it stays.
+// RecallFrom moves a task off a machine, saving its state if possible. If the task is no longer on
+// that machine, nothing happens.
 func (d *Dispatcher) RecallFrom(id model.MachineID, t model.Task) {
 	if m := d.machines[id]; m != nil {
 		d.order(m.owner, model.Order{Kind: model.RecallTask, ID: id, Task: t})
 	}
 }
 
-// ForEachMachine are the machines that this leader knows, and whether their owners have
-// told how they are. Those whose lease is over are not known to be anywhere: the
-// cloud's list tells.
+// ForEachMachine calls f for every machine that exists as far as this leader knows, and passes
+// whether its owner has reported its status. A machine whose lease expiry is confirmed is left out:
+// whether it still exists is known from the cloud's list alone.
 func (d *Dispatcher) ForEachMachine(f func(status model.MachineStatus, reported bool)) {
 	for _, m := range d.machinesByID {
 		status := model.MachineStatus{Machine: m.Machine}
@@ -381,7 +392,7 @@
 	}
 }
 
-// Spec is an open job's, nil if there is none.
+// Spec returns the spec of an open job, or nil if there is none.
 func (d *Dispatcher) Spec(id model.JobID) *model.Spec {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		return j.spec
@@ -389,8 +400,9 @@
 	return nil
 }
 
-// UnusedGuarantees is the CPU that teams have left of their guarantees, in thousandths.
+// UnusedGuarantees returns the sum of the CPU, in thousandths, by which teams are below their
+// guarantees.
 func (d *Dispatcher) UnusedGuarantees() int64 { return UnusedGuarantees(d.params.Teams, d.usage) }
 
-// TeamLimit is a team's limit.
+// TeamLimit returns a team's limit.
 func (d *Dispatcher) TeamLimit(team model.Name) model.Resources { return d.params.Teams[team].Limit }
--- a/internal/core/dispatcher/jobs.go
+++ b/internal/core/dispatcher/jobs.go
@@ -9,13 +9,14 @@
 	"honeylock/internal/core/model"
 )
 
-// assignment is a task charged to its team: dealt to a shard, or orphaned.
+// assignment is a task charged to its team's limit: assigned to a shard, or orphaned.
 type assignment struct {
 	zone  model.Name
 	shard model.ShardID
-	group *orphanGroup // nil: a living shard holds it
+	group *orphanGroup // the orphan group that the task is in; nil: it is assigned to a living shard
 }
 
+// clearRequest is an ended attempt that its worker may forget once the task is stored as done.
 type clearRequest struct {
 	shard   model.ShardID
 	machine model.MachineID
@@ -23,43 +24,48 @@
 	attempt uint64
 }
 
+// job is an open job with its assignments and its done set.
 type job struct {
-	spec            *model.Spec
-	version         uint64 // of its stored record
-	done            []uint64
-	doneCount       int32
-	assignments     map[int32]assignment
-	assignedInZone  map[model.Name]int32 // of held: how many are charged to each zone
-	nextIndex       int32                // tasks from here on were never dealt by this leader
+	spec           *model.Spec
+	version        uint64 // of its stored record
+	done           []uint64
+	doneCount      int32
+	assignments    map[int32]assignment
+	assignedInZone map[model.Name]int32 // assignments by the zone they are charged to
+	nextIndex      int32                // tasks from here on have not been dispatched by this leader
+	// requeued are tasks that were freed or returned by a shard, to be dispatched again.
 	requeued        []int32
-	waitingSince    time.Duration // began to wait
-	fromEarlierTerm bool          // accepted before this term: its tasks may be anywhere
+	waitingSince    time.Duration // when it began to wait
+	fromEarlierTerm bool          // accepted before this term: its tasks may be on any machine
 	ended           bool
 	withinGuarantee bool
 	price           float64
-	dirtyChunks     map[int32]bool // chunks to be stored
-	// storedChunks are the chunks that may be stored, with their versions as last known. A final
-	// deletes only these: at four times its size a deployment used up its changes deleting
-	// what never was.
-	storedChunks  map[ChunkID]uint64
-	writePending  bool
-	lastWriteAt   time.Duration
+	dirtyChunks     map[int32]bool // chunks of the done set to be stored
+	// storedChunks are the chunks that may be stored, with their last known versions. Finishing the
+	// job deletes only these: deleting chunks that were never written used up the state service's
+	// write rate in a deployment of four times the usual size.
+	storedChunks map[ChunkID]uint64
+	// writePending tells that a write for the job has not been answered.
+	writePending bool
+	lastWriteAt  time.Duration
+	// pendingClears are sent once the chunks of their tasks are stored.
 	pendingClears []clearRequest
 	failures      jobFailures
-	blockedUntil  time.Duration
-	// onHold: jobs that it needs are not done. It holds no part of its team's limit or
-	// guarantee, and nothing is rented for it.
+	// blockedUntil is when a task may be dispatched again after a failure.
+	blockedUntil time.Duration
+	// onHold tells that jobs it depends on are not done. The job uses nothing of its team's limit
+	// or guarantee, and no machines are rented for it.
 	onHold bool
-	// rank is the highest of its own and of those of the jobs that need it.
+	// rank is the highest rank of the job and of those that depend on it.
 	rank        model.Rank
-	orphaned    int32         // of held
+	orphaned    int32         // number of assignments that are in an orphan group
 	started     bool          // a task of it has run, or runs
-	overdue     bool          // none has, for too long
-	expeditedAt time.Duration // the shards were last told so
+	overdue     bool          // no task of it has started within Params.StartWithin
+	expeditedAt time.Duration // when the shards were last told to expedite it
 }
 
-// AddJob takes an open job. done holds its stored chunks; old tells that it
-// was accepted before this term.
+// AddJob adds an open job. fromEarlierTerm tells that it was accepted before this term. The stored
+// chunks of its done set follow through AddDoneChunk.
 func (d *Dispatcher) AddJob(now time.Duration, spec *model.Spec, version uint64, waited time.Duration,
 	fromEarlierTerm bool) {
 	if d.jobs[spec.ID] != nil || int(spec.Team) >= len(d.params.Teams) {
@@ -84,8 +90,8 @@
 	d.pricesUpdatedAt = 0
 }
 
-// AddDoneChunk takes a stored chunk of a job's done set, whose first bit is that of task
-// base, with its version.
+// AddDoneChunk adds a stored chunk of a job's done set with its version. Its first bit stands for
+// firstTask.
 func (d *Dispatcher) AddDoneChunk(id model.JobID, chunk ChunkID, version uint64, firstTask int32, doneBits []byte) {
 	j := d.jobs[id]
 	if j == nil || firstTask < 0 {
@@ -103,6 +109,7 @@
 
 func (j *job) isDone(index int32) bool { return j.done[index/64]&(1<<(index%64)) != 0 }
 
+// setDone adds a task to the done set, and reports whether it was not in it before.
 func (d *Dispatcher) setDone(j *job, index int32) bool {
 	if j.isDone(index) {
 		return false
@@ -112,21 +119,23 @@
 	return true
 }
 
-// JobRemoved takes the news that a job's open record is gone: cancelled, or
-// ended otherwise.
+// JobRemoved records that a job's open record is gone, because it was cancelled or has ended
+// otherwise.
 func (d *Dispatcher) JobRemoved(id model.JobID) {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		d.endJob(j)
 	}
 }
 
+// endJob ends a job: all shards stop its tasks.
 func (d *Dispatcher) endJob(j *job) {
 	j.ended = true
 	d.broadcast(model.Order{Kind: model.EndJob, Job: j.spec.ID})
 	d.removeIfUnused(j)
 }
 
-// removeIfUnused drops an ended job once none of its tasks is charged any more.
+// removeIfUnused removes an ended job once none of its tasks is charged and no write for it is
+// pending.
 func (d *Dispatcher) removeIfUnused(j *job) {
 	if j.ended && len(j.assignments) == 0 && !j.writePending {
 		delete(d.jobs, j.spec.ID)
@@ -136,11 +145,15 @@
 	}
 }
 
+// isAssignedTo reports whether a task is assigned to the given shard, and not orphaned.
 func (d *Dispatcher) isAssignedTo(j *job, index int32, id model.ShardID) bool {
 	a, ok := j.assignments[index]
 	return ok && a.group == nil && a.shard == id
 }
 
+// attemptFound handles an attempt that a shard found on one of its machines without knowing it. A
+// running attempt is adopted if it may be the only one of its task, and is killed otherwise. An
+// ended one is recorded as done or cleared.
 func (d *Dispatcher) attemptFound(now time.Duration, from model.ShardID, e model.Event) {
 	j := d.jobs[e.Task.Job]
 	known := j != nil && !j.ended && e.Task.Index < j.spec.Tasks
@@ -175,14 +188,15 @@
 			Machine:      e.Machine, Attempt: e.Attempt, WithinLimits: allowed})
 		return
 	}
-	// It takes room, and its team's share, until it is gone.
+	// The attempt uses resources, and possibly its team's limit, until it has ended.
 	d.rejected[e.Attempt] = rejectedAttempt{e.Machine, from}
 	d.order(from, model.Order{Kind: model.KillAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 }
 
-// canAdopt: the task was orphaned and may be there, or nobody holds it and what earlier owners
-// left on the machine is not known yet. Later than that it may have been dispatched elsewhere,
-// and been taken back: to adopt it would pass by its team's limit and its job's zones.
+// canAdopt reports whether a found attempt may be adopted: its task is orphaned and may be on that
+// machine, or it is not charged and what earlier owners left on the machine is not known yet. Once
+// the machine is accounted for, the task may have been dispatched elsewhere and returned, so
+// adoption would bypass its team's limit and its job's zone rules.
 func (d *Dispatcher) canAdopt(j *job, index int32, m *machine) bool {
 	a, ok := j.assignments[index]
 	if !ok {
@@ -191,13 +205,13 @@
 	return a.group != nil && a.group.machines[m.ID]
 }
 
-// withinLimits tells whether a task could be charged in a zone now, beside what else is charged: by
-// its team's limit and its job's zones. An earlier leader looked at both when it dispatched the
-// task, so what is not found yet need not be reckoned with.
+// withinLimits reports whether charging a task in a zone is allowed by its team's limit and its
+// job's zone rules, given all other charged tasks. The earlier leader checked both when it
+// dispatched the task, so tasks that have not been found yet need not be counted.
 func (d *Dispatcher) withinLimits(j *job, index int32, zone model.Name) bool {
 	used := d.usage[j.spec.Team]
 	inZone, total := j.assignedInZone[zone], int32(len(j.assignments))
-	if a, ok := j.assignments[index]; ok { // itself
+	if a, ok := j.assignments[index]; ok { // exclude the task itself
 		used = used.Sub(j.spec.PerTask)
 		total--
 		if a.zone == zone {
@@ -215,21 +229,23 @@
 	return true
 }
 
-// maxPerZone is how many tasks of a job that is spread may be in one zone.
+// maxPerZone returns how many tasks of a spread job may be in one zone: half of them, rounded up.
 func (j *job) maxPerZone() int32 { return (j.spec.Tasks + 1) / 2 }
 
-// moveToZone has a task charged to another zone.
+// moveToZone charges a task to another zone.
 func (j *job) moveToZone(from, to model.Name) {
 	j.removeFromZone(from)
 	j.assignedInZone[to]++
 }
 
+// removeFromZone subtracts a task from a zone's count.
 func (j *job) removeFromZone(zone model.Name) {
 	if j.assignedInZone[zone]--; j.assignedInZone[zone] == 0 {
 		delete(j.assignedInZone, zone)
 	}
 }
 
+// sendAssignment orders a shard to accept an assignment.
 func (d *Dispatcher) sendAssignment(to model.ShardID, a model.Assignment) {
 	if m := d.members[to]; m != nil {
 		m.assignmentsSent++
@@ -237,6 +253,8 @@
 	d.order(to, model.Order{Kind: model.AssignTask, Assignment: a})
 }
 
+// pinnedZone returns the zone that a task must run in: the given one for a pinned job, None
+// otherwise.
 func (j *job) pinnedZone(zone model.Name) model.Name {
 	if j.spec.SameZone || j.spec.Spread {
 		return zone
@@ -244,8 +262,10 @@
 	return model.None
 }
 
+// isAssigned reports whether a task is charged: assigned to a shard, or orphaned.
 func (d *Dispatcher) isAssigned(j *job, index int32) bool { _, ok := j.assignments[index]; return ok }
 
+// assign charges a task to its team and to a zone, and records the shard that it is assigned to.
 func (d *Dispatcher) assign(j *job, index int32, zone model.Name, shard model.ShardID, reason ChargeReason) {
 	a := assignment{zone: zone, shard: shard}
 	j.assignments[index] = a
@@ -254,6 +274,7 @@
 	d.reportCharge(j, index, a, reason)
 }
 
+// unassign takes back the charge of a task.
 func (d *Dispatcher) unassign(j *job, index int32, reason ChargeReason) {
 	if a, ok := j.assignments[index]; ok {
 		if a.group != nil {
@@ -266,6 +287,8 @@
 	}
 }
 
+// taskFinished handles a completed attempt. The task is added to the done set, and the attempt is
+// cleared on its machine only after that is stored. A task of a daemon is dispatched again.
 func (d *Dispatcher) taskFinished(now time.Duration, from model.ShardID, e model.Event) {
 	j := d.jobs[e.Task.Job]
 	request := clearRequest{from, e.Machine, e.Task, e.Attempt}
@@ -280,10 +303,10 @@
 		return
 	}
 	if a, ok := j.assignments[e.Task.Index]; ok && a.group == nil {
-		// It is done, yet started again elsewhere.
+		// The task is done but was assigned again to another shard.
 		d.order(a.shard, model.Order{Kind: model.RecallTask, Task: e.Task})
 	}
-	if j.spec.Daemon { // a replica has no end: it runs again
+	if j.spec.Daemon { // a daemon's task never completes: it runs again
 		if _, ok := j.assignments[e.Task.Index]; !ok {
 			j.requeued = append(j.requeued, e.Task.Index)
 		}
@@ -301,11 +324,13 @@
 	j.pendingClears = append(j.pendingClears, request)
 }
 
+// sendClear orders a shard to let a worker forget an ended attempt.
 func (d *Dispatcher) sendClear(c clearRequest) {
 	d.order(c.shard, model.Order{Kind: model.ClearAttempt, ID: c.machine, Task: c.task, Attempt: c.attempt})
 }
 
-// freeTask takes the certainty that a held task is nowhere.
+// freeTask handles a charged task that certainly runs nowhere: it is no longer charged, and is
+// dispatched again unless it is done or its job has ended.
 func (d *Dispatcher) freeTask(j *job, index int32, reason ChargeReason) {
 	d.unassign(j, index, reason)
 	if j.ended {
@@ -315,6 +340,8 @@
 	}
 }
 
+// taskReturned handles a task that its shard returned. After an error the failure is recorded.
+// After an unknown cause the job pauses for 2 s.
 func (d *Dispatcher) taskReturned(now time.Duration, j *job, e model.Event) {
 	d.freeTask(j, e.Task.Index, Returned)
 	if e.Cause == model.CauseError {
@@ -325,10 +352,11 @@
 	}
 }
 
+// compareJobs compares jobs by the time of submission, then by ID.
 func compareJobs(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.spec.SubmittedMS, b.spec.SubmittedMS), cmp.Compare(a.spec.ID, b.spec.ID))
 }
 
-// sortedJobs are all jobs, the earliest first: a copy, for jobs may go
-// while it is walked.
+// sortedJobs returns all jobs, the earliest submitted first. It is a copy, because jobs may be
+// removed during iteration.
 func (d *Dispatcher) sortedJobs() []*job { return slices.Clone(d.jobsBySubmission) }
--- a/internal/core/dispatcher/machines.go
+++ b/internal/core/dispatcher/machines.go
@@ -8,47 +8,53 @@
 	"honeylock/internal/core/model"
 )
 
+// machine is a machine that this leader knows: its record in the state service, its owner, and its
+// last status.
 type machine struct {
 	model.Machine
 	token    uint64
-	recorded bool // surely in a block's record
-	// recordedLayout is the layout of the block that it is recorded in.
+	recorded bool // certainly in a stored block
+	// recordedLayout is the layout of the block that holds the machine's record.
 	recordedLayout uint64
-	maybeStored    bool // perhaps in it
-	leaseExpired   bool // its owner has not answered it for a whole lease
-	// expiryConfirmed: nothing is there, and nothing goes there: it leaves the record,
-	// so that a later leader need not look for it.
+	maybeStored    bool // possibly in a stored block
+	leaseExpired   bool // the owner has not answered its worker for a whole lease
+	// expiryConfirmed tells that the lease is certainly over: no task is on the machine, and none
+	// is placed there. Its record is removed, so a later leader need not account for it.
 	expiryConfirmed bool
-	gone            bool
-	cordoned        bool          // gets no tasks
-	owner           model.ShardID // 0: none
-	nextOwner       model.ShardID // gets it once the owner has let go
-	releasing       bool          // the owner was asked to let go
-	// authorityEnd is when the last shard that was lost as its owner could
-	// answer it for the last time.
+	// gone tells that the machine no longer exists.
+	gone      bool
+	cordoned  bool          // gets no tasks
+	owner     model.ShardID // 0: none
+	nextOwner model.ShardID // the owner after the present one has released the machine
+	releasing bool          // the owner was ordered to release the machine
+	// authorityEnd is the last time at which a shard that was lost as the machine's owner could
+	// have answered its worker.
 	authorityEnd     time.Duration
-	lostAuthorityEnd time.Duration // authority of this term's lost shards alone
+	lostAuthorityEnd time.Duration // like authorityEnd, for shards of this term only
 	orphanGroups     []*orphanGroup
 	unanswered       bool                // a direct command to its worker was not answered
-	unreachable      bool                // ... nor has it reported, while others of its zone do
-	unownedSince     time.Duration       // seen without an owner since, 0: it has one
-	status           model.MachineStatus // as its owner last told
-	statusFrom       model.ShardID       // the owner that told it, 0: none has
-	avail            model.Resources     // of status, less what was dealt since
-	fenced           bool                // by its present owner
-	unfencedOwners   int                 // owners in succession that let go without having fenced it
-	ownedAt          time.Duration       // its owner was told
-	redirectedTo     model.ShardID       // its worker was told to report there
-	redirectedAt     time.Duration
+	unreachable      bool                // ... and its report is overdue, while others of its zone report
+	unownedSince     time.Duration       // when it was first seen without an owner; 0: it has one
+	status           model.MachineStatus // as last reported by the owner
+	statusFrom       model.ShardID       // the owner that reported status; 0: none
+	avail            model.Resources     // the available resources of status, less those reserved since
+	fenced           bool                // by the present owner
+	unfencedOwners   int                 // successive owners that released the machine without having fenced it
+	ownedAt          time.Duration       // when the present owner was assigned
+	redirectedTo     model.ShardID       // the shard that its worker was told to report to; 0: none
+	// redirectedAt is when the worker was told so.
+	redirectedAt time.Duration
 }
 
-// AllControllersJoined tells that all controllers have joined this term: nobody acts
-// for an earlier one.
+// AllControllersJoined records that all controllers have joined this term, so no shard acts for an
+// earlier term any more.
 func (d *Dispatcher) AllControllersJoined(now time.Duration) {
 	d.earlierTermsEnd = min(d.earlierTermsEnd, now)
 }
 
-// Tick settles what time alone decides.
+// Tick does what depends on time alone. It rebalances machines, accounts for machines without an
+// owner whose longest possible lease is over, and assigns an owner to those that have lacked one
+// for unownedTimeout.
 func (d *Dispatcher) Tick(now time.Duration) {
 	d.now = now
 	d.rebalanceMachines(now)
@@ -65,8 +71,9 @@
 			d.markAccounted(m)
 			continue
 		}
-		// Nobody's, and work waits until it is accounted for: a shard is to
-		// reach for its worker, for that may not report for long.
+		// The machine has no owner, and work waits until it is accounted for. Its worker may not
+		// report for a long time, so after unownedTimeout a shard is made owner and contacts the
+		// worker itself.
 		if m.unownedSince == 0 {
 			m.unownedSince = now
 		} else if now-m.unownedSince >= unownedTimeout && len(members) > 0 && !m.gone {
@@ -76,15 +83,16 @@
 	}
 }
 
-// unownedTimeout is how long a machine that lost its owner is left to report to
-// another one by itself.
+// unownedTimeout is the time in which the worker of a machine that lost its owner may report to
+// another controller by itself.
 const unownedTimeout = time.Second
 
-// Recovered tells whether every machine that an earlier leader may have used
-// has been accounted for.
+// Recovered reports whether every machine that an earlier leader may have used has been accounted
+// for.
 func (d *Dispatcher) Recovered() bool { return len(d.unaccounted) == 0 }
 
-// SetTypes takes the cloud's catalog.
+// SetTypes sets the machine types of the cloud's catalog. The owner of each machine whose capacity
+// changes is assigned again with the new capacity.
 func (d *Dispatcher) SetTypes(types []model.MachineType) {
 	for _, t := range types {
 		d.types[t.Name] = t
@@ -99,12 +107,14 @@
 	}
 }
 
+// compareMachines compares machines by ID.
 func compareMachines(a, b *machine) int { return cmp.Compare(a.ID, b.ID) }
 
-// sortedMachines are all machines by id: a copy, for machines may go while it
-// is walked.
+// sortedMachines returns all machines by ID. It is a copy, because machines may be removed during
+// iteration.
 func (d *Dispatcher) sortedMachines() []*machine { return slices.Clone(d.machinesByID) }
 
+// addMachine adds a machine and applies a cordon that was set before it was known.
 func (d *Dispatcher) addMachine(m *machine) {
 	d.machines[m.ID] = m
 	m.cordoned = d.cordoned[m.ID]
@@ -112,6 +122,7 @@
 	d.machinesByID = slices.Insert(d.machinesByID, i, m)
 }
 
+// removeMachine removes a machine from memory; its stored record is not changed.
 func (d *Dispatcher) removeMachine(m *machine) {
 	delete(d.machines, m.ID)
 	if i, ok := slices.BinarySearchFunc(d.machinesByID, m, compareMachines); ok {
@@ -119,9 +130,9 @@
 	}
 }
 
-// AddStoredBlock takes a stored block of machines that an earlier leader may have given
-// tasks. They are suspect until their workers are fenced or their leases are surely
-// over. Blocks of the layout that is to be written come first.
+// AddStoredBlock adds a stored block of machines that an earlier leader may have given tasks. Each
+// is unaccounted until its worker is fenced or its lease is certainly over. Blocks of the layout
+// that is to be written must be added first, because the first record of a machine counts.
 func (d *Dispatcher) AddStoredBlock(id BlockID, version uint64, machines []model.Machine) {
 	d.blockAt(id).version = version
 	for _, m := range machines {
@@ -129,6 +140,7 @@
 	}
 }
 
+// addUnaccounted adds a machine from a stored block, unless it is known.
 func (d *Dispatcher) addUnaccounted(stored model.Machine, layout uint64) {
 	if d.machines[stored.ID] != nil {
 		return
@@ -142,7 +154,8 @@
 	d.unaccounted[stored.ID] = true
 }
 
-// assignOwner gives the machine to a shard, under a token never used before.
+// assignOwner makes a shard the machine's owner, with a token that was never used before. Assigning
+// the present owner again only renews the token and sends the machine's current data.
 func (d *Dispatcher) assignOwner(m *machine, to model.ShardID) {
 	if m.owner != to {
 		m.ownedAt = d.now
@@ -159,7 +172,8 @@
 		VerifyFirst: m.needsVerification()})
 }
 
-// MachineGone takes the certainty that a machine and everything on it are gone.
+// MachineGone records that a machine no longer exists, with everything on it. It is kept in memory
+// while it may be in a stored block, and removed once the block is written without it.
 func (d *Dispatcher) MachineGone(id model.MachineID) {
 	if m := d.machines[id]; m != nil && !m.gone {
 		m.gone = true
@@ -173,8 +187,8 @@
 	}
 }
 
-// UnaccountedMachines returns the machines of earlier terms that are not accounted for yet,
-// if they are at most that share of all, or only one.
+// UnaccountedMachines returns the machines of earlier terms that are not accounted for yet. It
+// returns none if they are more than the given share of all machines, unless there is only one.
 func (d *Dispatcher) UnaccountedMachines(share float64) []model.MachineID {
 	if len(d.unaccounted) > max(1, int(share*float64(len(d.machines)))) {
 		return nil
@@ -188,8 +202,8 @@
 	return out
 }
 
-// AllUnaccountedUnresponsive tells whether each machine of earlier terms that is not accounted
-// for has left a command unanswered.
+// AllUnaccountedUnresponsive reports whether every unaccounted machine has left a command
+// unanswered.
 func (d *Dispatcher) AllUnaccountedUnresponsive() bool {
 	for id := range d.unaccounted {
 		if !d.machines[id].unanswered {
@@ -199,8 +213,8 @@
 	return true
 }
 
-// UnreachableMachines are the machines whose workers neither report nor answer though others of
-// their zone do.
+// UnreachableMachines returns the machines whose workers neither report nor answer, though other
+// workers of their zone report.
 func (d *Dispatcher) UnreachableMachines() (out []model.MachineID) {
 	for _, m := range d.machinesByID {
 		if m.unreachable && m.owner != 0 && !m.gone {
@@ -210,7 +224,7 @@
 	return out
 }
 
-// MachineOwners are the owners of all machines that have one.
+// MachineOwners returns the owner of each machine that has one.
 func (d *Dispatcher) MachineOwners() (out []model.ShardID) {
 	for _, m := range d.machinesByID {
 		if m.owner != 0 && !m.gone {
@@ -220,28 +234,32 @@
 	return out
 }
 
-// HasMachines tells whether there is any machine.
+// HasMachines reports whether any machine is known.
 func (d *Dispatcher) HasMachines() bool { return len(d.machines) > 0 }
 
-// LeaseExpired tells whether no shard has answered a machine for its whole lease.
+// LeaseExpired reports whether no shard is known to have answered a machine's worker for its whole
+// lease. It is also true for a machine that is unknown, gone or without an owner.
 func (d *Dispatcher) LeaseExpired(id model.MachineID) bool {
 	m := d.machines[id]
 	return m == nil || m.leaseExpired || m.gone || m.owner == 0
 }
 
-// SetUsable lets tasks be placed on a machine, or not.
+// SetUsable lets the owner place tasks on a machine, or forbids it. A machine that is not usable
+// for another reason stays so.
 func (d *Dispatcher) SetUsable(id model.MachineID, usable bool) {
 	if m := d.machines[id]; m != nil {
 		d.order(m.owner, model.Order{Kind: model.SetUsable, ID: id, Usable: usable && m.usable()})
 	}
 }
 
-// usable: a machine gets tasks only while its record is stored for sure.
+// usable reports whether the machine may get tasks: its record is certainly stored, its lease is
+// not confirmed expired, it is not cordoned, and its capacity is known.
 func (m *machine) usable() bool {
 	return m.recorded && !m.expiryConfirmed && !m.cordoned && m.Cap.CPU > 0
 }
 
-// reportedAgain takes the news that a machine's worker reports.
+// reportedAgain records that a machine's worker reports. A machine whose lease expiry was confirmed
+// becomes usable again, once it is recorded.
 func (d *Dispatcher) reportedAgain(m *machine) {
 	m.leaseExpired, m.unreachable = false, false
 	if !m.expiryConfirmed {
@@ -255,6 +273,9 @@
 	d.SetUsable(m.ID, true)
 }
 
+// unownedWorker handles the report of a worker to a shard that does not own its machine. The shard
+// becomes the owner if the machine has none. Otherwise the owner is asked to release the machine,
+// or the worker is redirected to a shard with fewer machines.
 func (d *Dispatcher) unownedWorker(now time.Duration, from model.ShardID, e *model.Event) {
 	report := e.Report
 	m := d.machines[report.Machine.ID]
@@ -268,29 +289,29 @@
 	case m == nil:
 		t, ok := d.types[report.Machine.Type]
 		if !ok {
-			return // the catalog is not known yet
+			return // the catalog is not loaded yet
 		}
 		m = &machine{Machine: report.Machine}
 		m.Cap, m.FetchRate = t.Cap, t.FetchRate
 		d.addMachine(m)
 		d.block(m.ID).dirty = true
-		// It gets tasks only once its record is stored: a later leader must
-		// know every machine that may hold something.
+		// The machine gets tasks only after its record is stored, because a later leader must know
+		// every machine that may run something.
 		if !d.redirectWorker(now, m, from) {
 			d.assignOwner(m, from)
 		}
-	case m.gone: // its record is being dropped: next time
-	case m.owner == from: // the order is on its way
+	case m.gone: // its record is being removed; handled at its next report
+	case m.owner == from: // the ownership order is on its way
 	case d.redirectWorker(now, m, from):
 	case m.owner == 0:
 		d.assignOwner(m, from)
 	case m.releasing:
 		m.nextOwner = from
 	case m.needsVerification() && !m.fenced && now-m.ownedAt < verificationTimeout:
-		// Its owner is asking it whether it hears.
+		// The owner is verifying whether the worker receives messages.
 	default:
-		// The worker has moved, unless this is a copy: its owner knows. What that knows
-		// of the machine must not be lost.
+		// The worker has moved, unless this report is a duplicate; the owner can tell. The owner's
+		// knowledge of the machine must not be lost, so it has to release the machine first.
 		m.nextOwner, m.releasing = from, true
 		d.order(m.owner, model.Order{Kind: model.ReleaseMachine, ID: m.ID, MessageID: e.MessageID})
 	}
--- a/internal/core/dispatcher/orphans.go
+++ b/internal/core/dispatcher/orphans.go
@@ -7,10 +7,10 @@
 	"honeylock/internal/core/model"
 )
 
-// orphanGroup is a set of tasks whose shard was lost, or let go of a machine. They
-// may be on any of the machines, and are free once each of those has been
-// accounted for: its worker fenced by a new owner, its lease surely over, or
-// the machine gone. Those found are adopted before that.
+// orphanGroup is a set of tasks whose shard was lost or has released a machine. Each may still run
+// on any of the group's machines. The tasks are freed once every machine is accounted for: its
+// worker was fenced by a new owner, its lease is certainly over, or it is gone. Tasks found before
+// that are adopted and leave the group.
 type orphanGroup struct {
 	machines map[model.MachineID]bool
 	tasks    map[model.Task]bool
@@ -20,20 +20,21 @@
 	return &orphanGroup{machines: map[model.MachineID]bool{}, tasks: map[model.Task]bool{}}
 }
 
-// waitForMachine has the tasks wait for a machine to be accounted for.
+// waitForMachine adds a machine that must be accounted for before the tasks are freed.
 func (g *orphanGroup) waitForMachine(m *machine) {
 	g.machines[m.ID] = true
 	m.orphanGroups = append(m.orphanGroups, g)
 }
 
-// rejectedAttempt is an attempt that must go; it runs unaccounted until it has.
+// rejectedAttempt is an attempt that was found but not adopted. Its whole machine is charged to all
+// teams until it has ended.
 type rejectedAttempt struct {
 	machine model.MachineID
 	owner   model.ShardID
 }
 
-// ShardLost takes the loss of a shard, which may have acted, unseen, until end. Its
-// tasks stay charged until each of its machines is accounted for.
+// ShardLost handles the loss of a shard, which may have acted until end. Its tasks become orphans:
+// they stay charged until each of its machines is accounted for.
 func (d *Dispatcher) ShardLost(id model.ShardID, end time.Duration) {
 	if d.members[id] == nil {
 		return
@@ -51,7 +52,7 @@
 			m.authorityEnd = max(m.authorityEnd, end)
 			m.leaseExpired = false
 			if m.gone {
-				continue // nothing is there, and it will be forgotten before it could be accounted for
+				continue // nothing runs there, and it may be removed before it could be accounted for
 			}
 			group.waitForMachine(m)
 		}
@@ -66,6 +67,7 @@
 	d.freeIfAccounted(group)
 }
 
+// setOrphaned moves a charged task from its shard to an orphan group.
 func (d *Dispatcher) setOrphaned(j *job, index int32, group *orphanGroup) {
 	a := j.assignments[index]
 	if a.group == nil {
@@ -76,7 +78,7 @@
 	group.tasks[model.Task{Job: j.spec.ID, Index: index}] = true
 }
 
-// freeIfAccounted frees what is still orphaned once no machine is left to look at.
+// freeIfAccounted frees the group's remaining tasks once all of its machines are accounted for.
 func (d *Dispatcher) freeIfAccounted(group *orphanGroup) {
 	if len(group.machines) > 0 {
 		return
@@ -97,13 +99,13 @@
 	group.tasks = nil
 }
 
-// markAccounted accounts for a machine: all that an earlier owner left there has
-// been found, or is gone.
+// markAccounted records that a machine is accounted for: everything that earlier owners left there
+// has been found or is gone.
 func (d *Dispatcher) markAccounted(m *machine) {
 	delete(d.unaccounted, m.ID)
 	for id, a := range d.rejected {
 		if a.machine == m.ID && a.owner != m.owner {
-			delete(d.rejected, id) // its owner has found it again, or it is gone
+			delete(d.rejected, id) // the new owner has found the attempt again, or it is gone
 		}
 	}
 	groups := m.orphanGroups
@@ -114,6 +116,8 @@
 	}
 }
 
+// machineReleased handles the release of a machine by its owner. The tasks that were there become
+// orphans until the next owner has fenced the worker.
 func (d *Dispatcher) machineReleased(now time.Duration, from model.ShardID, m *machine, e model.Event) {
 	if m != nil && m.owner != from {
 		return
@@ -124,7 +128,7 @@
 			d.setOrphaned(j, t.Index, group)
 		}
 	}
-	if m == nil { // only machines that are gone are forgotten: nothing is there
+	if m == nil { // the machine was removed because it is gone, so nothing runs there
 		d.freeIfAccounted(group)
 		return
 	}
--- a/internal/core/dispatcher/overloaded.go
+++ b/internal/core/dispatcher/overloaded.go
@@ -6,20 +6,21 @@
 	"honeylock/internal/core/model"
 )
 
-// A worker reports to whichever controller answers it. When all controllers have
-// just started, the one that takes workers first is told of all of them, and with
-// them come all the fences, reports and placing that were meant for several: it falls
-// behind, its workers ask elsewhere and come back, and it may lose leadership over
-// that. So a shard that has far more than its part gets no more machines while
-// another has room for them: their workers are told to go there.
+// A worker reports to whichever controller answers it. When all controllers restart at once, the
+// first one that answers workers would get all of them, with all the fencing, reports and placement
+// that several controllers should share. It falls behind, its workers time out, try others and
+// return, and it may lose leadership. Therefore a shard that owns far more than an equal share of
+// the machines gets no more of them while another shard can take them: their workers are redirected
+// there.
 const (
-	overloadFactor = 1.2 // of an equal part, and more than Params.Crowd
-	// A shard of which no worker was heard for so long is cut off from them.
+	overloadFactor = 1.2 // relative to an equal share; Params.MinOverloadMachines is the absolute minimum
+	// A shard that has received no report for this long may have lost the network to its workers.
 	workerReportTimeout = 10 * time.Second
-	loadCacheInterval   = 100 * time.Millisecond
+	// loadCacheInterval is how long counts of machines per shard are reused.
+	loadCacheInterval = 100 * time.Millisecond
 )
 
-// machineLoads counts the machines of each shard, as of a moment ago.
+// machineLoads returns the number of machines of each shard, counted again every loadCacheInterval.
 func (d *Dispatcher) machineLoads(now time.Duration) map[model.ShardID]int {
 	if d.machineCounts != nil && now-d.countedAt < loadCacheInterval {
 		return d.machineCounts
@@ -33,8 +34,8 @@
 	return d.machineCounts
 }
 
-// redirectWorker sends a worker that has reported to a crowded shard to another one, which
-// owns the machine from here on. It tells whether it did.
+// redirectWorker redirects a worker that reported to an overloaded shard to another one, which
+// becomes the machine's owner. It reports whether it did.
 func (d *Dispatcher) redirectWorker(now time.Duration, m *machine, from model.ShardID) bool {
 	if len(d.members) < 2 || m.releasing {
 		return false
@@ -59,7 +60,8 @@
 	return true
 }
 
-// leastLoaded is the shard with the fewest machines that the machine's zone can reach.
+// leastLoaded returns the shard with the fewest machines among those that the machine's zone can
+// reach.
 func (d *Dispatcher) leastLoaded(now time.Duration, m *machine, loads map[model.ShardID]int) (best *member) {
 	for _, s := range d.sortedMembers() {
 		if d.canReach(now, s, m) && (best == nil || loads[s.id] < loads[best.id]) {
@@ -69,12 +71,12 @@
 	return best
 }
 
-// canReach tells whether a machine's worker can probably report to a shard.
+// canReach reports whether a machine's worker can probably report to a shard.
 func (d *Dispatcher) canReach(now time.Duration, s *member, m *machine) bool {
 	return now >= d.avoidedUntil[zoneHost{m.Zone, s.host}] && now-max(s.lastReportAt, s.joinedAt) < workerReportTimeout
 }
 
-// recordReport notes that a shard has heard a worker.
+// recordReport records that a shard has received a worker's report, if the event shows that.
 func (s *member) recordReport(now time.Duration, k model.EventKind) {
 	switch k {
 	case model.UnownedWorker, model.WorkerFenced, model.AttemptFound, model.TaskFinished, model.WorkerBack:
--- a/internal/core/dispatcher/reachability.go
+++ b/internal/core/dispatcher/reachability.go
@@ -7,34 +7,40 @@
 	"honeylock/internal/core/model"
 )
 
-// A machine whose reports arrive while nothing reaches it goes from controller to
-// controller, for its worker takes none of them to answer. Each new owner would answer
-// it, and count its lease from then: what it held would wait for ever. So once two owners
-// in succession have not had it show its token, the next ones answer it only when it has
-// been shown to hear, by an answer on a connection that they opened; its lease runs from
-// the last answer that may have arrived.
+// A worker may be able to send reports while no message reaches it. It gets no answer, so it
+// reports to one controller after another. If each new owner answered it, each would count the
+// worker's lease from its own answer, and the tasks on the machine would never be freed. Therefore,
+// after maxUnfencedOwners successive owners that could not fence the worker, a new owner first
+// verifies that the worker receives messages: it does not answer reports until the worker has
+// answered a connection that the owner opened. The lease then counts from the last answer that may
+// have reached the worker.
 const (
 	maxUnfencedOwners = 2
-	// verificationTimeout is for how long such an owner asks before another one may try.
+	// verificationTimeout is how long an owner may verify a worker before another shard may become
+	// owner.
 	verificationTimeout = 5 * time.Second
 )
 
+// needsVerification reports whether a new owner must verify that the worker receives messages
+// before answering it.
 func (m *machine) needsVerification() bool { return m.unfencedOwners >= maxUnfencedOwners }
 
-// recordRelease notes what its owner told when it let go of a machine.
+// recordRelease updates a machine that its owner releases, as told by the owner's event. Held in
+// the event means that the owner never answered the worker.
 func (m *machine) recordRelease(now time.Duration, e *model.Event) {
 	if !m.fenced {
 		m.unfencedOwners++
 	}
 	if !e.Held {
-		// It was answered until now at the latest.
+		// The owner may have answered the worker until now.
 		m.lostAuthorityEnd = max(m.lostAuthorityEnd, now)
 		m.authorityEnd = max(m.authorityEnd, now)
 	}
 }
 
-// deferEvent holds back what a shard tells that is to let go of a machine: orders that
-// follow from it would arrive too late there. Should it keep the machine, it counts.
+// deferEvent holds back an event of a shard that was ordered to release its machine, and reports
+// whether it did. Orders that follow from the event would arrive after the release. The event is
+// handled if the shard keeps the machine.
 func (d *Dispatcher) deferEvent(e *model.Event) bool {
 	switch e.Kind {
 	case model.WorkerFenced, model.LeaseExpiryConfirmed:
@@ -49,8 +55,8 @@
 	return true
 }
 
-// machineKept takes the news that a shard was right to keep a machine: what came in elsewhere
-// was a copy.
+// machineKept handles the message that a shard keeps its machine: the report to another shard was a
+// duplicate. Deferred events are handled now.
 func (d *Dispatcher) machineKept(now time.Duration, from model.ShardID, m *machine) {
 	m.releasing, m.nextOwner = false, 0
 	deferred := d.deferredEvents[m.ID]
@@ -60,7 +66,7 @@
 	}
 }
 
-// dropDeferredAttempt drops what was held back of an attempt that is nowhere any more.
+// dropDeferredAttempt removes deferred events of an attempt that has ended.
 func (d *Dispatcher) dropDeferredAttempt(attempt uint64) {
 	for id, deferred := range d.deferredEvents {
 		d.deferredEvents[id] = slices.DeleteFunc(deferred, func(e model.Event) bool {
@@ -69,8 +75,8 @@
 	}
 }
 
-// UnverifiedCount counts the machines that have shown no owner that they receive, two in succession
-// or more.
+// UnverifiedCount returns the number of machines whose last owners, maxUnfencedOwners or more in
+// succession, could not show that the worker receives messages.
 func (d *Dispatcher) UnverifiedCount() (n int) {
 	for _, m := range d.machinesByID {
 		if m.needsVerification() && !m.fenced && !m.gone {
--- a/internal/core/dispatcher/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -9,18 +9,17 @@
 	"honeylock/internal/core/starvation"
 )
 
-// The exception to price times wait, for nobody may be starved: a job of which no task
-// has begun for Params.Begin has its first task dealt and placed before all else. It may
-// evict what its price lets it, no more; where no machine has room for the task, its
-// shard keeps one free of other work until it has. From its second task on it waits in
-// the order as ever.
+// Starvation is the exception to the order by price and waiting time. A job without a started task
+// for Params.StartWithin is overdue: its first task is dispatched and placed before all others. It
+// may evict only what its price allows. If no machine has free capacity for the task, its shard
+// reserves a machine until it has. From the second task on, the usual order applies.
 
 const (
 	starvationInterval = time.Second
-	expediteInterval   = 10 * time.Second // a shard forgets it after a while, and may be new
+	expediteInterval   = 10 * time.Second // repeated because shards forget it after a while, and new shards join
 )
 
-// updateStarvation finds the jobs that should have begun, and tells the shards.
+// updateStarvation finds the overdue jobs and tells the shards to expedite them.
 func (d *Dispatcher) updateStarvation(now time.Duration, jobs []*job) {
 	if d.params.StartWithin <= 0 || d.starvationUpdatedAt != 0 && now-d.starvationUpdatedAt < starvationInterval {
 		return
@@ -51,7 +50,7 @@
 	}
 }
 
-// Starvation tells what part of each class, team and size has begun.
+// Starvation returns the fractions of jobs that have started, by class, team and size.
 func (d *Dispatcher) Starvation(now time.Duration) []starvation.GroupStats {
 	if d.starvation == nil {
 		return nil
@@ -59,8 +58,8 @@
 	return d.starvation.GroupStats(now)
 }
 
-// sortByPriority puts the jobs to deal in order: those that should have begun, by their wait,
-// then by priority times wait.
+// sortByPriority sorts the jobs to dispatch: overdue jobs first, those that have waited longest
+// before others, then the rest by their score of price and waiting time.
 func (d *Dispatcher) sortByPriority(now time.Duration, jobs []*job) {
 	score := func(j *job) float64 { return j.spec.Score(j.price, now-j.waitingSince) }
 	slices.SortStableFunc(jobs, func(a, b *job) int {
@@ -76,9 +75,10 @@
 	})
 }
 
-// dispatchExpedited deals the first task of a late job whose tasks are pinned to zones, though
-// none has room: its shard is to make some. Pinned jobs are else dealt only where there
-// is room, and what is dealt ahead takes it first.
+// dispatchExpedited dispatches the first task of an overdue pinned job without free capacity for
+// it; its shard frees some. It chooses the shard and zone with the most suitable machines. Other
+// tasks of pinned jobs are dispatched only to free capacity, which tasks dispatched ahead would
+// always take first.
 func (d *Dispatcher) dispatchExpedited(j *job, members []*member) {
 	if !j.overdue || len(j.assignments) > 0 {
 		return
