--- a/internal/core/dispatcher/blocks.go
+++ b/internal/core/dispatcher/blocks.go
@@ -7,30 +7,31 @@
 	"honeylock/internal/core/model"
 )
 
-// BlockID names a block: so many neighbouring machines, the no-th such group. Size 0
-// is the layout of 0.4 and before, whose size is Params.BlockSize.
+// BlockID identifies a block of Size machines with neighbouring IDs by its index. Size 0 is the
+// layout of version 0.4 and earlier, whose block size is Params.BlockSize.
 type BlockID struct{ Size, Index uint64 }
 
-// block is a record in the state service that names neighbouring machines: all
-// that may have been given tasks, and that a later leader must account for. A
-// record for each machine would take the service minutes to write when a
-// thousand machines are new; a block takes one write for all that came
-// meanwhile.
+// block is a record in the state service that lists machines with neighbouring IDs: all that may
+// have been given tasks, so that a later leader must account for them. With one record per machine
+// the state service would need minutes to store a thousand new machines. One write of a block
+// covers all machines that were added to it since the last write.
 //
-// Blocks of one layout are written. Those of others are kept as they are until every
-// machine that may be in use stands in a record of that layout, and then dropped: at
-// any moment the records together name every machine that a later leader must look for.
+// Blocks of one layout are written. Blocks of other layouts stay unchanged until every machine in
+// them that may be in use is recorded in the current layout, and are then dropped. At any moment
+// the records together list every machine that a later leader must account for.
 type block struct {
-	version      uint64 // of the stored record, 0: none
-	dirty        bool   // the record is to change
+	version uint64 // of the stored record; 0: none
+	dirty   bool   // the record must be written again
+	// writePending tells that a write of the block has not been answered.
 	writePending bool
 }
 
-// blockOf is the block that a machine is written to.
+// blockOf returns the ID of the block that a machine is written to.
 func (d *Dispatcher) blockOf(id model.MachineID) BlockID {
 	return BlockID{d.layout, uint64(id) / d.blockSize(d.layout)}
 }
 
+// blockSize returns the number of machines per block of a layout.
 func (d *Dispatcher) blockSize(layout uint64) uint64 {
 	if layout == 0 {
 		return d.params.BlockSize
@@ -38,6 +39,7 @@
 	return layout
 }
 
+// blockAt returns a block, and adds it if it is not known.
 func (d *Dispatcher) blockAt(id BlockID) *block {
 	b := d.blocks[id]
 	if b == nil {
@@ -47,12 +49,14 @@
 	return b
 }
 
+// block returns the block that a machine is written to.
 func (d *Dispatcher) block(id model.MachineID) *block { return d.blockAt(d.blockOf(id)) }
 
-// Layout is the size of the blocks that are written, 0: that of 0.4 and before.
+// Layout returns the size of the blocks that are written; 0: the layout of version 0.4 and earlier.
 func (d *Dispatcher) Layout() uint64 { return d.layout }
 
-// SetLayout has machines written to blocks of another size from here on.
+// SetLayout changes the size of the blocks that are written from now on. Machines recorded in
+// another layout will be written again.
 func (d *Dispatcher) SetLayout(size uint64) {
 	d.layout = size
 	for _, m := range d.machinesByID {
@@ -62,7 +66,7 @@
 	}
 }
 
-// machinesInBlock returns the machines of a block, in order.
+// machinesInBlock returns the machines of a block by ID.
 func (d *Dispatcher) machinesInBlock(id BlockID) []*machine {
 	size := d.blockSize(id.Size)
 	indexOf := func(id uint64) int {
@@ -73,10 +77,10 @@
 	return slices.Clone(d.machinesByID[indexOf(id.Index*size):indexOf((id.Index+1)*size)])
 }
 
-// blockWrites appends the blocks to be written now, those that machines wait for
-// first, then those of another layout that nothing needs any more. A machine that is
-// left out counts as not recorded from here on: the write may be applied however late,
-// until a newer one has succeeded.
+// blockWrites appends the blocks to be written, up to n writes in all: first those with machines
+// that cannot be used before they are recorded, then other changed blocks, then the drops of blocks
+// of other layouts. A machine that is left out of its block counts as not recorded from here on,
+// because the write may be applied at any time until a newer one has succeeded.
 func (d *Dispatcher) blockWrites(out []Write, n int) []Write {
 	var ids, obsolete []BlockID
 	urgency := map[BlockID]int{}
@@ -118,7 +122,7 @@
 	return d.obsoleteBlockWrites(out, n, obsolete)
 }
 
-// obsoleteBlockWrites appends the blocks of other layouts that no machine's record rests on.
+// obsoleteBlockWrites appends drops of blocks of other layouts that hold no machine's only record.
 func (d *Dispatcher) obsoleteBlockWrites(out []Write, n int, obsolete []BlockID) []Write {
 	slices.SortFunc(obsolete, func(a, b BlockID) int {
 		return cmp.Or(cmp.Compare(a.Size, b.Size),
@@ -140,8 +144,8 @@
 	return out
 }
 
-// blockStored takes the outcome of a block's write. What became of a write
-// without an answer is told by the next one, for it bears the same version.
+// blockStored handles the outcome of a block's write. After a write without an answer the next one
+// shows what happened, because it carries the same version.
 func (d *Dispatcher) blockStored(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
 	b.writePending = false
@@ -160,11 +164,11 @@
 	for _, m := range d.machinesInBlock(w.Block) {
 		switch {
 		case written[m.ID] && (m.gone || m.expiryConfirmed):
-			b.dirty = true // it left while the write was under way
+			b.dirty = true // the machine was removed while the write was pending
 		case written[m.ID]:
 			m.recordedLayout = w.Block.Size
 			if w.Block.Size != d.layout {
-				d.block(m.ID).dirty = true // the layout changed while the write was under way
+				d.block(m.ID).dirty = true // the layout changed while the write was pending
 			}
 			if !m.recorded {
 				m.recorded = true
@@ -181,8 +185,8 @@
 	}
 }
 
-// blockDropped takes the outcome of dropping a block: ok, or lost to the version that
-// it is at, 0 if it is not there.
+// blockDropped handles the outcome of dropping a block. lost tells that the block has another
+// version, which is passed as revision; 0: the block does not exist.
 func (d *Dispatcher) blockDropped(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
 	b.writePending = false
--- a/internal/core/dispatcher/broken.go
+++ b/internal/core/dispatcher/broken.go
@@ -6,24 +6,25 @@
 	"honeylock/internal/core/model"
 )
 
-// jobFailures is the evidence against a job since a task of it last completed. A job
-// that fails on several machines without a success is held to be broken: its
-// user made a mistake, and will cancel it some day. Until then one task at a time
-// tries again, less and less often, for it must not take room, victims or
-// machines from work that can succeed. One success clears it.
+// jobFailures records a job's failures since one of its tasks last completed. A job that fails on
+// several machines without a success is considered broken by a mistake of its user, who will cancel
+// it eventually. Until then one task at a time is retried, at growing intervals, so that the job
+// takes no capacity, evictions or machines from work that can succeed. One success clears the
+// record.
 type jobFailures struct {
-	machines   map[model.MachineID]bool // machines that it failed on
+	machines   map[model.MachineID]bool // machines that tasks failed on
 	broken     bool
-	retryDelay time.Duration // until the next try
+	retryDelay time.Duration // time until the next retry
 }
 
 const (
-	brokenMachinesAfterSuccess = 4 // machines that a job with completed tasks fails on; without: model.BrokenFrom
+	brokenMachinesAfterSuccess = 4 // for a job with completed tasks; without any: model.BrokenJobMachines
 	minRetryDelay              = 2 * time.Second
 	maxRetryDelay              = 2 * time.Minute
 )
 
-// taskFailed takes an error of a job's task on a machine.
+// taskFailed records an error of a job's task on a machine. It marks the job as broken once it has
+// failed on enough machines, and doubles the retry delay of a broken job.
 func (d *Dispatcher) taskFailed(now time.Duration, j *job, machine model.MachineID) {
 	failures := &j.failures
 	if failures.machines == nil {
@@ -47,8 +48,9 @@
 	}
 }
 
-// probeCount is how many of n tasks a job that is held to be broken may be dealt. A
-// service has no completed task to clear it: that its probe lives on does.
+// probeCount returns how many of n tasks of a broken job may be dispatched: one if none is
+// assigned. A daemon has no completed task that could clear its failures, so they are cleared once
+// its probe has run for half of maxRetryDelay after the delay ended.
 func (j *job) probeCount(now time.Duration, n int32) int32 {
 	if len(j.assignments) == 0 {
 		return min(1, n)
@@ -60,13 +62,14 @@
 	return 0
 }
 
-// IsJobBroken tells whether a job is held to be broken: its failures say nothing of machines.
+// IsJobBroken reports whether a job is considered broken. Its failures are no evidence against
+// machines.
 func (d *Dispatcher) IsJobBroken(id model.JobID) bool {
 	j := d.jobs[id]
 	return j != nil && j.failures.broken
 }
 
-// BrokenJobCount counts the jobs held to be broken.
+// BrokenJobCount returns the number of open jobs considered broken.
 func (d *Dispatcher) BrokenJobCount() int {
 	n := 0
 	for _, j := range d.jobsBySubmission {
@@ -77,7 +80,7 @@
 	return n
 }
 
-// TakeBrokenJobs takes away the jobs newly held to be broken.
+// TakeBrokenJobs returns the jobs that became broken since the last call.
 func (d *Dispatcher) TakeBrokenJobs() []model.JobID {
 	b := d.newlyBroken
 	d.newlyBroken = nil
--- a/internal/core/dispatcher/charges.go
+++ b/internal/core/dispatcher/charges.go
@@ -2,36 +2,37 @@
 
 import "honeylock/internal/core/model"
 
-// ChargeReason is why a task began or ceased to count against its team's limit.
+// ChargeReason tells why a task began or ceased to count against its team's limit.
 type ChargeReason uint8
 
-// Reasons to charge a task, then reasons to take a charge back.
+// Reasons why a charge begins, then reasons why it ends.
 const (
-	Dispatched        ChargeReason = iota // given to a shard, under the limit
-	Adopted                               // found on a machine; it may be beyond the limit
-	Completed                             // it has completed
-	Returned                              // its shard told that it is nowhere
-	MachinesAccounted                     // each machine that it may have been on is accounted for
+	Dispatched        ChargeReason = iota // assigned to a shard, within the limit
+	Adopted                               // found on a machine; may exceed the limit
+	Completed                             // the task completed
+	Returned                              // its shard reported that it runs nowhere
+	MachinesAccounted                     // every machine that it may have been on is accounted for
 )
 
-// String is the reason as the log has it.
+// String returns the reason as it is logged.
 func (r ChargeReason) String() string {
 	return [...]string{"dispatched", "adopted", "completed", "returned by its shard", "machines accounted for"}[r]
 }
 
-// Charge is a change of what a team is charged for.
+// Charge is a change of the resources that a team is charged for.
 type Charge struct {
 	Task   model.Task
-	Zone   model.Name // that the task is charged to; None: any
+	Zone   model.Name // the zone that the task is charged to; None: any
 	Shard  model.ShardID
 	Reason ChargeReason
 	Used   model.Resources // by the team, after the change
 	Limit  model.Resources // of the team
 }
 
-// OnCharge has f told of each change of what teams are charged for; nil ends that.
+// OnCharge sets a function that is called for each change of a charge; nil removes it.
 func (d *Dispatcher) OnCharge(f func(Charge)) { d.onCharge = f }
 
+// reportCharge passes a change to the function set by OnCharge.
 func (d *Dispatcher) reportCharge(j *job, index int32, a assignment, reason ChargeReason) {
 	if d.onCharge == nil {
 		return
@@ -46,25 +47,26 @@
 	})
 }
 
-// Stats count what a term's dealer has seen; each is rare on a plain day.
+// Stats counts events of this term that are rare in normal operation.
 type Stats struct {
-	ExpiredMachines    uint64 // machines whose lease was over
-	ReturnedMachines   uint64 // machines that were heard of after that
+	ExpiredMachines    uint64 // machines whose lease expiry was confirmed
+	ReturnedMachines   uint64 // machines whose workers reported again after that
 	UnexpectedAttempts uint64 // attempts found on machines that were accounted for
-	LimitedRounds      uint64 // rounds in which a limit kept a job's tasks from being dispatched
+	LimitedRounds      uint64 // times that a limit kept tasks of a job from being dispatched
 }
 
-// Stats are this term's counts.
+// Stats returns the counts of this term.
 func (d *Dispatcher) Stats() Stats { return d.stats }
 
-// LeaseExpiryConfirmed tells whether a machine's lease is over and nothing was heard of it since.
+// LeaseExpiryConfirmed reports whether a machine's lease expiry was confirmed and its worker has
+// not reported since.
 func (d *Dispatcher) LeaseExpiryConfirmed(id model.MachineID) bool {
 	m := d.machines[id]
 	return m != nil && m.expiryConfirmed
 }
 
-// isAccounted tells whether all that earlier owners left on a machine is known: whatever else
-// is found there is not expected.
+// isAccounted reports whether everything that earlier owners left on a machine is known. Any other
+// attempt found there is unexpected.
 func (d *Dispatcher) isAccounted(m *machine) bool {
 	return m.fenced && !d.unaccounted[m.ID] && len(m.orphanGroups) == 0
 }
--- a/internal/core/dispatcher/inspect.go
+++ b/internal/core/dispatcher/inspect.go
@@ -2,19 +2,20 @@
 
 import "honeylock/internal/core/model"
 
-// What the cluster state says of a task, for checks that compare it with what shards hold and
-// with what machines run. Two things hold at any moment of a term: a task that a shard holds is
-// charged to that shard here, and an attempt on a machine is charged to its team, or the whole
-// machine is to all teams.
+// The methods below show a task's state for checks that compare it with the shards' state and with
+// what machines run. Two invariants hold throughout a term: a task that a shard holds is assigned
+// to that shard here, and a running attempt is charged to its team, or its whole machine is charged
+// to all teams.
 
-// IsAssigned tells whether a task is charged to a living shard.
+// IsAssigned reports whether a task is assigned to the given shard.
 func (d *Dispatcher) IsAssigned(t model.Task, shard model.ShardID) bool {
 	j := d.jobs[t.Job]
 	return j != nil && d.isAssignedTo(j, t.Index, shard)
 }
 
-// IsCharged tells whether an attempt of a task on a machine counts against its team's limit: by
-// the task itself, or by its machine, all of which counts while it is not accounted for.
+// IsCharged reports whether an attempt of a task on a machine counts against its team's limit: by
+// the task's own charge, or because the whole machine is charged while the attempt is rejected or
+// the machine is unaccounted.
 func (d *Dispatcher) IsCharged(t model.Task, attempt uint64, machine model.MachineID) bool {
 	if j := d.jobs[t.Job]; j != nil && d.isAssigned(j, t.Index) {
 		return true
@@ -23,7 +24,7 @@
 	return rejected || d.unaccounted[machine]
 }
 
-// AssignedByZone counts a job's charged tasks by the zones that they are charged to.
+// AssignedByZone returns the number of a job's charged tasks per zone that they are charged to.
 func (d *Dispatcher) AssignedByZone(id model.JobID) map[model.Name]int {
 	zones := map[model.Name]int{}
 	if j := d.jobs[id]; j != nil {
--- a/internal/core/dispatcher/job_holds.go
+++ b/internal/core/dispatcher/job_holds.go
@@ -6,20 +6,21 @@
 	"honeylock/internal/core/model"
 )
 
-// HoldJob keeps a job from being dealt until Release: jobs that it needs are not done.
+// HoldJob keeps a job from being dispatched until ReleaseJob, because jobs that it depends on are
+// not done.
 func (d *Dispatcher) HoldJob(id model.JobID) {
 	if j := d.jobs[id]; j != nil {
 		j.onHold = true
 	}
 }
 
-// OnHold tells whether a job is held back.
+// OnHold reports whether a job is on hold.
 func (d *Dispatcher) OnHold(id model.JobID) bool {
 	j := d.jobs[id]
 	return j != nil && j.onHold
 }
 
-// JobVersion is that of an open job's record, 0 if there is none.
+// JobVersion returns the version of an open job's record, 0 if the job is not open.
 func (d *Dispatcher) JobVersion(id model.JobID) uint64 {
 	if j := d.jobs[id]; j != nil && !j.ended {
 		return j.version
@@ -27,9 +28,9 @@
 	return 0
 }
 
-// ReleaseJob lets a job begin, which has waited for machines since then. fresh tells
-// that a job that it needs was open in this term: no earlier leader can have begun
-// it, so that it need not wait until all of their machines are accounted for.
+// ReleaseJob lets a job on hold be dispatched. It has waited for machines since the given time.
+// neverStarted tells that a job it depends on was still open in this term. Then no earlier leader
+// can have started it, and it need not wait until the machines of earlier terms are accounted for.
 func (d *Dispatcher) ReleaseJob(id model.JobID, since time.Duration, neverStarted bool) {
 	j := d.jobs[id]
 	if j == nil || !j.onHold {
@@ -40,8 +41,8 @@
 	d.pricesUpdatedAt = 0
 }
 
-// InheritRank gives a job the rank of those that need it, and tells whether an aim speaks
-// of it or of one of them.
+// InheritRank sets a job's rank to the highest of its own and of the jobs that depend on it, and
+// records whether any of these has an objective.
 func (d *Dispatcher) InheritRank(id model.JobID, rank model.Rank, hasObjective bool) {
 	j := d.jobs[id]
 	if j == nil || j.ended {
@@ -52,14 +53,14 @@
 		d.pricesUpdatedAt = 0
 	}
 	if j.spec.BestEffort == hasObjective {
-		updated := *j.spec // others hold the one of before
+		updated := *j.spec // a copy, because others use the old spec
 		updated.BestEffort = !hasObjective
 		j.spec = &updated
 		d.sendPrice(j)
 	}
 }
 
-// sendPrice tells the shards what a job's tasks are worth now.
+// sendPrice sends a job's price, and whether it has an objective, to all shards.
 func (d *Dispatcher) sendPrice(j *job) {
 	d.broadcast(model.Order{Kind: model.RepriceJob, Job: j.spec.ID, Price: j.price,
 		Objective: model.ObjectiveFor(!j.spec.BestEffort)})
--- a/internal/core/dispatcher/machine_balance.go
+++ b/internal/core/dispatcher/machine_balance.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	machineBalanceInterval = 3 * time.Second  // one machine at a time, or a twentieth of the difference
-	minShardAge            = 10 * time.Second // a shard so old gets and gives machines
-	avoidDuration          = 2 * time.Minute
+	machineBalanceInterval = 3 * time.Second  // moves one machine, or a twentieth of the difference
+	minShardAge            = 10 * time.Second // minimum age of every shard before machines are moved
+	// avoidDuration is how long a zone's workers are not redirected to a host that one of them did
+	// not reach.
+	avoidDuration = 2 * time.Minute
 )
 
-// zoneHost is a zone's workers and a controller.
+// zoneHost is a zone, whose workers may be unable to reach a controller, and that controller's
+// host.
 type zoneHost struct {
 	zone model.Name
 	host string
 }
 
-// rebalanceMachines moves a machine from the shard with most to the one with fewest, for
-// the loss of a controller is the worse the more it owns. The worker is told
-// where to report; if it turns up elsewhere, it could not get there, and no
-// other of its zone is sent that way for a while.
+// rebalanceMachines moves machines from the shard that owns most to the one that owns fewest,
+// because the loss of a controller costs more the more machines it owns. Workers are told to which
+// host to report. If a worker reports elsewhere, it could not reach that host, and no other worker
+// of its zone is sent there for avoidDuration.
 func (d *Dispatcher) rebalanceMachines(now time.Duration) {
 	if now < d.nextMachineBalance || !d.Recovered() {
 		return
@@ -31,7 +34,7 @@
 	for _, m := range d.machines {
 		if m.releasing || m.owner == 0 || len(m.orphanGroups) > 0 {
 			if m.redirectedTo != 0 && now-m.redirectedAt < minShardAge {
-				return // one is under way
+				return // a move is in progress
 			}
 			continue
 		}
@@ -40,7 +43,7 @@
 	var most, fewest *member
 	for _, s := range d.sortedMembers() {
 		if now-s.joinedAt < minShardAge {
-			return // its workers may still be on their way
+			return // workers may still be reporting to their first controller
 		}
 		if most == nil || counts[s.id] > counts[most.id] {
 			most = s
@@ -66,7 +69,8 @@
 	}
 }
 
-// recordArrival notes where a worker that was sent away reports.
+// recordArrival records that a redirected worker has reported to a shard. If it is another shard
+// than the intended one, that host is avoided for the worker's zone.
 func (d *Dispatcher) recordArrival(now time.Duration, m *machine, at model.ShardID) {
 	if m.redirectedTo == 0 {
 		return
--- a/internal/core/dispatcher/teams.go
+++ b/internal/core/dispatcher/teams.go
@@ -2,8 +2,8 @@
 
 import "honeylock/internal/core/model"
 
-// SetTeam changes a team's limit and guarantee. Below what the team uses nothing new
-// starts until that has ended; nothing is stopped for it.
+// SetTeam changes a team's limit and guarantee. If the team uses more than its new limit, nothing
+// is stopped, but no new task starts until its use is below the limit.
 func (d *Dispatcher) SetTeam(team model.Name, t Team) {
 	if d.params.Teams[team] != t {
 		d.params.Teams[team] = t
@@ -11,22 +11,22 @@
 	}
 }
 
-// Teams are all teams' limits and guarantees now: a copy.
+// Teams returns a copy of the limits and guarantees of all teams.
 func (d *Dispatcher) Teams() []Team { return append([]Team(nil), d.params.Teams...) }
 
-// TeamStatus is how a team stands.
+// TeamStatus is the state of a team's work.
 type TeamStatus struct {
 	Team
-	Used             model.Resources // charged: dealt, or orphaned
-	Orphaned         int             // of its tasks, those whose owner was lost
-	Unaccounted      model.Resources // charged to every team for machines that are not accounted for
-	Waiting          int             // tasks that could be dealt, but for room and the limit
-	SmallestTask     model.Resources // the smallest of them
+	Used             model.Resources // charged tasks: assigned or orphaned
+	Orphaned         int             // number of charged tasks that are orphaned
+	Unaccounted      model.Resources // charged to every team for unaccounted machines
+	Waiting          int             // tasks that only lack free capacity or exceed the limit
+	SmallestTask     model.Resources // the smallest waiting task
 	AwaitingRecovery int             // tasks that wait until all machines of earlier terms are accounted for
 	JobsOnHold       int             // jobs that wait for other jobs
 }
 
-// TeamStatus tells how each team stands, by its index.
+// TeamStatus returns the state of each team, indexed by team.
 func (d *Dispatcher) TeamStatus() []TeamStatus {
 	out := make([]TeamStatus, len(d.params.Teams))
 	unaccounted := d.unaccountedResources()
@@ -53,8 +53,8 @@
 	return out
 }
 
-// LimitReached tells whether the limit, with what is charged unseen, keeps the smallest
-// waiting task from being dealt.
+// LimitReached reports whether the limit, with the resources of unaccounted machines, keeps the
+// smallest waiting task from being dispatched.
 func (t *TeamStatus) LimitReached() bool {
 	return t.Waiting > 0 && t.SmallestTask.Count(t.Remaining(t.Used.Add(t.Unaccounted))) <= 0
 }
--- a/internal/core/dispatcher/work_counts.go
+++ b/internal/core/dispatcher/work_counts.go
@@ -2,17 +2,17 @@
 
 import "honeylock/internal/core/model"
 
-// TakeFreedTasks takes away the tasks that lost shards had, and that are surely nowhere now. They
-// are told only where the dealer is to be told what is out of work.
+// TakeFreedTasks returns the tasks of lost shards that were found to run nowhere since the last
+// call. They are collected only if Params.ReportInterruptions is set.
 func (d *Dispatcher) TakeFreedTasks() []model.Task {
 	out := d.freedTasks
 	d.freedTasks = nil
 	return out
 }
 
-// WorkCounts counts a team's tasks, or those of one of its classes (None: all): what runs,
-// what is orphaned, and what of the jobs of earlier terms is neither done nor known to run,
-// with the CPU of the last two, in thousandths.
+// WorkCounts counts the tasks of a team, or of one of its classes (None: all): those that run,
+// those that are orphaned, and those of jobs of earlier terms that are neither done nor known to
+// run. cpu is the CPU of the last two, in thousandths.
 func (d *Dispatcher) WorkCounts(team, class model.Name) (running, orphaned, unknown int, cpu int64) {
 	for _, j := range d.jobsBySubmission {
 		if j.ended || j.onHold || j.spec.Team != team || class != model.None && class != j.spec.Class {
--- a/internal/core/dispatcher/writes.go
+++ b/internal/core/dispatcher/writes.go
@@ -9,26 +9,27 @@
 	"honeylock/internal/core/model"
 )
 
-// Write is a change for the state service.
+// Write is a change to be stored in the state service.
 type Write struct {
 	Kind         WriteKind
 	Block        BlockID         // PutBlock, DropBlock
-	Machines     []model.Machine // PutBlock: all that the block is to hold
-	Version      uint64          // PutBlock, DropBlock: the block's; PutChunk: the chunk's; Finish: the job's
+	Machines     []model.Machine // PutBlock: the full contents of the block
+	Version      uint64          // PutBlock, DropBlock: the block's; PutChunk: the chunk's; FinishJob: the job's
 	Job          model.JobID
 	Chunk        ChunkID
 	JobVersion   uint64 // PutChunk: the version of the job's open record
-	FirstTask    int32  // PutChunk: the first task that its bits tell of
+	FirstTask    int32  // PutChunk: the task that the first bit stands for
 	Bits         []byte
-	StoredChunks []ChunkID // Finish: chunks that may be stored
+	StoredChunks []ChunkID // FinishJob: the chunks that may be stored
 
+	// pendingClears are sent once the chunk is stored.
 	pendingClears []clearRequest
 }
 
-// WriteKind tells writes apart.
+// WriteKind is the kind of a Write.
 type WriteKind uint8
 
-// Writes.
+// Kinds of writes.
 const (
 	PutBlock WriteKind = iota
 	PutChunk
@@ -36,29 +37,30 @@
 	DropBlock
 )
 
-// ChunkID names a chunk of a job's done set. A job of which all fits into one has
-// chunk 0 of the layout of 0.4 and before, which is the same; others have chunks that
-// say themselves which task is their first.
+// ChunkID identifies a chunk of a job's done set. A job that fits into one chunk uses chunk 0 of
+// the layout of version 0.4 and earlier, whose contents are the same. Chunks of larger jobs store
+// the index of their first task.
 type ChunkID struct {
 	OldLayout bool
 	Index     int32
 }
 
+// compareChunks compares chunks by index.
 func compareChunks(a, b ChunkID) int { return cmp.Compare(a.Index, b.Index) }
 
-// chunkID is the id of a job's c-th chunk.
+// chunkID returns the ID of a job's chunk with index c.
 func (d *Dispatcher) chunkID(j *job, c int32) ChunkID {
 	return ChunkID{OldLayout: j.spec.Tasks <= d.params.ChunkSize, Index: c}
 }
 
-// Writes returns the changes to be stored now, at most n, the most urgent first.
+// Writes returns at most n changes to be stored now, the most urgent first.
 func (d *Dispatcher) Writes(now time.Duration, n int) []Write {
 	out := d.UrgentWrites(n)
 	return append(out, d.ProgressWrites(now, n-len(out))...)
 }
 
-// UrgentWrites returns at most n ends of jobs, then records of machines, to be stored
-// now. Each comes back through Stored.
+// UrgentWrites returns at most n writes to be stored now: finished jobs first, then machine
+// records. The outcome of each must be passed to WriteDone.
 func (d *Dispatcher) UrgentWrites(n int) []Write {
 	var out []Write
 	for _, j := range d.jobsBySubmission {
@@ -74,8 +76,8 @@
 	return d.blockWrites(out, n)
 }
 
-// ProgressWrites returns at most n chunks of what is done, the longest not stored
-// first. Each comes back through Stored.
+// ProgressWrites returns at most n chunks of done sets to be stored, those of the jobs whose last
+// write is oldest first. The outcome of each must be passed to WriteDone.
 func (d *Dispatcher) ProgressWrites(now time.Duration, n int) []Write {
 	var out []Write
 	jobs := d.sortedJobs()
@@ -91,7 +93,7 @@
 			delete(j.dirtyChunks, index)
 			id := d.chunkID(j, index)
 			version := j.storedChunks[id]
-			j.storedChunks[id] = version // from here on, whatever becomes of the write
+			j.storedChunks[id] = version // from here on the chunk may be stored, whatever the write's outcome
 			j.writePending, j.lastWriteAt = true, now
 			w := Write{Kind: PutChunk, Job: j.spec.ID, Chunk: id, FirstTask: index * d.params.ChunkSize,
 				Bits:    d.chunkBits(j, index),
@@ -104,12 +106,13 @@
 				return true
 			})
 			out = append(out, w)
-			break // one at a time
+			break // one chunk of a job at a time
 		}
 	}
 	return out
 }
 
+// chunkBits returns the done bits of a chunk's tasks, the lowest bit of each byte first.
 func (d *Dispatcher) chunkBits(j *job, c int32) []byte {
 	first := c * d.params.ChunkSize
 	end := min(first+d.params.ChunkSize, j.spec.Tasks)
@@ -122,13 +125,13 @@
 	return doneBits
 }
 
-// WriteDone takes a write's outcome. lost tells that a Finish found the job's
-// record gone, for somebody else has ended it, or that a PutBlock or a PutChunk found its
-// key at another version, which is the revision then.
+// WriteDone handles the outcome of a write. lost tells that a FinishJob found the job's record gone
+// because someone else ended the job, or that a PutBlock, PutChunk or DropBlock found its key at
+// another version, which is then passed as revision.
 //
-// What became of a write without an answer is not known, and it may be carried out after
-// newer ones: a chunk without its version then took back what was stored since, whose
-// attempts had been cleared, and a later leader ran those tasks again.
+// A write without an answer may have been applied, or be applied after newer ones. Chunks are
+// therefore written under their version. A late write without one would overwrite newer done bits,
+// and the next leader would run tasks again whose attempts were already cleared.
 func (d *Dispatcher) WriteDone(now time.Duration, w Write, revision uint64, ok, lost bool) {
 	switch w.Kind {
 	case PutBlock:
