--- a/internal/core/dispatcher/adoption_test.go
+++ b/internal/core/dispatcher/adoption_test.go
@@ -8,15 +8,16 @@
 	"honeylock/internal/core/model"
 )
 
+// findAttempt reports a running attempt that the shard did not know.
 func (h *harness) findAttempt(now time.Duration, from model.ShardID, machine model.MachineID, task model.Task,
 	attempt uint64) {
 	h.d.HandleEvent(now, from, model.Event{Kind: model.AttemptFound, Machine: machine, Task: task, Attempt: attempt,
 		Status: model.AttemptStatus{Task: task, Attempt: attempt, Stage: model.Running}})
 }
 
-// Once all that was on a machine is accounted for, its tasks may have been dispatched elsewhere,
-// under limits and zones that an adoption does not look at. What is found there later is
-// stopped, and its machine counts against all teams until that is done.
+// Once a machine is accounted for, its tasks may have been dispatched elsewhere, and an adoption
+// does not check limits and zone rules. An attempt found there later is killed, and its machine is
+// charged to all teams until the attempt has ended.
 func TestAttemptOnAccountedMachineIsNotAdopted(t *testing.T) {
 	h := newHarness(t, 100)
 	s := h.d.AddShard(0, "a")
@@ -26,18 +27,18 @@
 	h.findAttempt(time.Second, s, 1, model.Task{Job: 1}, 77)
 	orders := h.d.TakeOrders()
 	if len(orders) != 1 || orders[0].Kind != model.KillAttempt {
-		t.Fatalf("orders %+v, want it stopped", orders)
+		t.Fatalf("orders %+v, want the attempt killed", orders)
 	}
 	if n := h.d.Stats().UnexpectedAttempts; n != 1 {
 		t.Errorf("%d unexpected attempts counted, want 1", n)
 	}
 	if h.d.IsAssigned(model.Task{Job: 1}, s) || !h.d.IsCharged(model.Task{Job: 1}, 77, 1) {
-		t.Error("held for the shard, or not charged")
+		t.Error("the task is assigned to the shard, or the attempt is not charged")
 	}
 }
 
-// An adoption tells whether dispatching would have allowed it: within the team's limit, and in a
-// zone that the job's other tasks leave to it.
+// An adoption reports whether dispatching would have been allowed: within the team's limit, and in
+// a zone that the job's other tasks permit.
 func TestAdoptionReportsWhetherItIsWithinLimits(t *testing.T) {
 	const zoneA, zoneB = model.Name(0), model.Name(1)
 	zones := func(z ...model.Name) []model.Name { return z }
@@ -46,7 +47,7 @@
 		limit            float64
 		sameZone, spread bool
 		tasks            int32
-		found            []model.Name // where its tasks are found, in turn
+		found            []model.Name // the zones in which its tasks are found, in this order
 		want             []bool
 	}{
 		"within the limit": {
@@ -59,12 +60,12 @@
 			found: zones(zoneA, zoneA, zoneA),
 			want:  allowed(true, true, false),
 		},
-		"together": {
+		"same zone": {
 			limit: 9, sameZone: true, tasks: 4,
 			found: zones(zoneA, zoneA),
 			want:  allowed(true, true),
 		},
-		"together and apart": {
+		"same zone, found in two zones": {
 			limit: 9, sameZone: true, tasks: 4,
 			found: zones(zoneA, zoneB),
 			want:  allowed(true, false),
@@ -74,7 +75,7 @@
 			found: zones(zoneA, zoneA, zoneB),
 			want:  allowed(true, true, true),
 		},
-		"spread, too many": {
+		"spread, too many in one zone": {
 			limit: 9, spread: true, tasks: 4,
 			found: zones(zoneA, zoneA, zoneA),
 			want:  allowed(true, true, false),
@@ -97,7 +98,7 @@
 				got = append(got, o.Assignment.WithinLimits)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("checked %v, want %v", got, c.want)
+				t.Errorf("WithinLimits %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/core/dispatcher/broken_test.go
+++ b/internal/core/dispatcher/broken_test.go
@@ -7,9 +7,9 @@
 	"honeylock/internal/core/model"
 )
 
-// A job that fails on every machine was dealt whole again after each pause, and
-// evicted others' work for it. It is tried with one task at a time, ever less
-// often, and one success clears it.
+// Guards against dispatching all tasks of a job that fails on every machine after each pause, which
+// evicts other work for it. The job is retried with one task at a time, at growing intervals, and
+// one success clears its failures.
 func TestBrokenJobIsRetriedWithOneTaskAtATime(t *testing.T) {
 	h := newHarness(t, 1e6)
 	s := h.d.AddShard(0, "a")
@@ -21,7 +21,7 @@
 	h.d.Dispatch(time.Second)
 	assigned := h.takeOrders(model.AssignTask)
 	if len(assigned) != 10 {
-		t.Fatalf("%d tasks dealt", len(assigned))
+		t.Fatalf("%d tasks dispatched", len(assigned))
 	}
 	now := 2 * time.Second
 	fail := func(o model.Order, machine model.MachineID) {
@@ -35,7 +35,7 @@
 		t.Errorf("machines would be rented for %d of its tasks", n)
 	}
 	if b := h.d.TakeBrokenJobs(); len(b) != 1 || b[0] != 1 {
-		t.Fatalf("held to be broken: %v", b)
+		t.Fatalf("broken jobs: %v", b)
 	}
 	var tries []time.Duration
 	for ; now < 5*time.Minute; now += time.Second {
@@ -47,11 +47,11 @@
 		}
 	}
 	if n := len(tries); n < 4 || n > 8 {
-		t.Fatalf("tried %d times in five minutes: %v", n, tries)
+		t.Fatalf("retried %d times in five minutes: %v", n, tries)
 	}
 	for i := 2; i < len(tries); i++ {
 		if tries[i]-tries[i-1] < tries[i-1]-tries[i-2] {
-			t.Fatalf("tried more often as time goes by: %v", tries)
+			t.Fatalf("the interval between retries shrinks: %v", tries)
 		}
 	}
 	now += 3 * time.Minute
@@ -59,18 +59,18 @@
 	h.d.Dispatch(now)
 	probe := h.takeOrders(model.AssignTask)
 	if len(probe) != 1 {
-		t.Fatalf("given up after %v", tries)
+		t.Fatalf("no retry after %v", tries)
 	}
 	h.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 3, Task: probe[0].Assignment.Task, Attempt: 9,
 		Held: true})
 	h.reportStatus(now, s, 0, 1, 2, 3)
 	h.d.Dispatch(now)
 	if n := len(h.takeOrders(model.AssignTask)); n != int(spec.Tasks)-1 {
-		t.Fatalf("%d tasks dealt after a success", n)
+		t.Fatalf("%d tasks dispatched after a success", n)
 	}
 }
 
-// One faulty machine is no evidence against a job: it goes on at once.
+// Errors on a single faulty machine are no evidence against a job: it continues at once.
 func TestFailuresOnOneMachineDoNotMakeJobBroken(t *testing.T) {
 	h := newHarness(t, 1e6)
 	s := h.d.AddShard(0, "a")
@@ -85,6 +85,6 @@
 	h.reportStatus(time.Second, s, 1)
 	h.d.Dispatch(time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 4 {
-		t.Fatalf("%d tasks dealt after errors of one machine", n)
+		t.Fatalf("%d tasks dispatched after errors on one machine", n)
 	}
 }
--- a/internal/core/dispatcher/chunks_test.go
+++ b/internal/core/dispatcher/chunks_test.go
@@ -7,10 +7,9 @@
 	"honeylock/internal/core/model"
 )
 
-// A write without an answer may be carried out after a newer one of the same leader. Each
-// bears the version that its chunk was last known at, and that of the job's open record:
-// carried out late, it must neither take back what was stored since nor bring back a chunk
-// of a job that has ended.
+// A write without an answer may be applied after a newer one of the same leader. Each write carries
+// the last known version of its chunk and the version of the job's open record, so that a late
+// write neither overwrites newer done bits nor restores a chunk of a finished job.
 func TestChunkWriteCarriesVersions(t *testing.T) {
 	h := newHarness(t, 0)
 	shard := h.d.AddShard(0, "a")
@@ -25,7 +24,7 @@
 		t.Helper()
 		ws := h.d.ProgressWrites(now, 9)
 		if len(ws) != 1 || ws[0].Version != version || ws[0].JobVersion != 5 || ws[0].Bits[0] != bits {
-			t.Fatalf("writes %+v, want %08b under version %d", ws, bits, version)
+			t.Fatalf("writes %+v, want %08b with version %d", ws, bits, version)
 		}
 		return ws[0]
 	}
@@ -37,16 +36,16 @@
 	h.d.WriteDone(2*time.Minute, w, 60, true, false)
 	finish(2)
 	if ws := h.d.UrgentWrites(9); len(ws) != 1 || ws[0].Kind != FinishJob {
-		t.Fatalf("writes %+v, want the job's end", ws)
+		t.Fatalf("writes %+v, want the job finished", ws)
 	}
 
-	// Should the first have got through meanwhile, the next finds its version.
+	// If the first write was applied, the next one fails and learns the version.
 	h.addJob(5, 3, false)
 	h.d.HandleEvent(time.Minute, shard, model.Event{Kind: model.TaskFinished, Machine: 1, Task: model.Task{Job: 5},
 		Attempt: 8})
 	ws := h.d.ProgressWrites(3*time.Minute, 9)
 	h.d.WriteDone(3*time.Minute, ws[0], 70, false, true)
 	if ws = h.d.ProgressWrites(4*time.Minute, 9); len(ws) != 1 || ws[0].Version != 70 {
-		t.Fatalf("writes %+v, want one under version 70", ws)
+		t.Fatalf("writes %+v, want one with version 70", ws)
 	}
 }
--- a/internal/core/dispatcher/dispatch.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -135,8 +135,8 @@
 	return count
 }
 
-// nextTask picks the next task to dispatch: tasks that came back first, then those not dispatched
-// in this term. The result redispatched tells that the task was dispatched before.
+// nextTask picks the next task to dispatch: tasks that were freed or returned first, then those
+// that this leader has not dispatched yet. The result redispatched tells that the task was dispatched before.
 func (d *Dispatcher) nextTask(j *job) (index int32, redispatched, ok bool) {
 	for len(j.requeued) > 0 {
 		index := j.requeued[0]
@@ -222,9 +222,9 @@
 	if j.pinned() {
 		zones = zones[:0]
 		for _, m := range members {
-			for _, r := range m.candidates {
-				if !slices.Contains(zones, r.Zone) {
-					zones = append(zones, r.Zone)
+			for _, candidate := range m.candidates {
+				if !slices.Contains(zones, candidate.Zone) {
+					zones = append(zones, candidate.Zone)
 				}
 			}
 		}
@@ -292,8 +292,7 @@
 	var eligible []*member
 	for _, m := range members {
 		if slices.ContainsFunc(m.machineKinds, func(kind *machine) bool {
-			return j.spec.Allows(&kind.Machine) &&
-				j.spec.PerTask.Fits(kind.Cap)
+			return j.spec.Allows(&kind.Machine) && j.spec.PerTask.Fits(kind.Cap)
 		}) {
 			eligible = append(eligible, m)
 		}
@@ -364,8 +363,7 @@
 		}
 		shard.readyMachines++
 		if !slices.ContainsFunc(shard.machineKinds, func(kind *machine) bool {
-			return kind.Type == m.Type &&
-				kind.Zone == m.Zone && kind.Spot == m.Spot
+			return kind.Type == m.Type && kind.Zone == m.Zone && kind.Spot == m.Spot
 		}) {
 			shard.machineKinds = append(shard.machineKinds, m)
 		}
@@ -405,8 +403,13 @@
 		return false
 	}
 	d.assign(j, index, zone, to, Dispatched)
-	d.sendAssignment(to, model.Assignment{Task: model.Task{Job: j.spec.ID, Index: index}, Spec: j.spec, Price: j.price,
+	d.sendAssignment(to, model.Assignment{
+		Task:         model.Task{Job: j.spec.ID, Index: index},
+		Spec:         j.spec,
+		Price:        j.price,
 		Zone:         zone,
-		WaitingSince: j.waitingSince, Redispatched: redispatched && d.params.ReportInterruptions})
+		WaitingSince: j.waitingSince,
+		Redispatched: redispatched && d.params.ReportInterruptions,
+	})
 	return true
 }
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -37,11 +37,11 @@
 	host            string
 	assignedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
 	jobs            map[model.JobID]model.TaskCounts
-	candidates      []*machine // machines with free capacity; valid while dispatching
-	machineKinds    []*machine // one machine of each kind that the shard has; valid while dispatching
-	readyMachines   int        // machines that may get tasks; valid while dispatching
-	assignmentsSent uint64     // number of assignments sent to the shard
-	statusAt        time.Duration
+	candidates      []*machine    // machines with free capacity; valid while dispatching
+	machineKinds    []*machine    // one machine of each kind that the shard has; valid while dispatching
+	readyMachines   int           // machines that may get tasks; valid while dispatching
+	assignmentsSent uint64        // number of assignments sent to the shard
+	statusAt        time.Duration // when the last up-to-date status arrived
 	joinedAt        time.Duration
 	lastReportAt    time.Duration // when the shard last received a worker's report
 }
@@ -64,8 +64,8 @@
 	rejected            map[uint64]rejectedAttempt
 	members             map[model.ShardID]*member
 	lastID              model.ShardID
-	earlierTermsEnd     time.Duration // when the authority of all earlier terms' shards has ended
-	usage               []model.Resources
+	earlierTermsEnd     time.Duration     // when the authority of all earlier terms' shards has ended
+	usage               []model.Resources // charged to each team, without unaccounted machines
 	orders              []model.Order
 	deferredEvents      map[model.MachineID][]model.Event // events of shards that were ordered to release the machine
 	types               map[model.Name]model.MachineType
@@ -88,13 +88,21 @@
 // New returns a dispatcher for a term that begins now. No shard of an earlier term acts after
 // earlierTermsEnd.
 func New(params Params, earlierTermsEnd time.Duration) *Dispatcher {
-	return &Dispatcher{params: params, members: map[model.ShardID]*member{}, earlierTermsEnd: earlierTermsEnd,
-		avoidedUntil:   map[zoneHost]time.Duration{},
-		deferredEvents: map[model.MachineID][]model.Event{},
-		cordoned:       map[model.MachineID]bool{}, jobs: map[model.JobID]*job{}, machines: map[model.MachineID]*machine{},
-		blocks: map[BlockID]*block{}, unaccounted: map[model.MachineID]bool{},
-		rejected: map[uint64]rejectedAttempt{}, usage: make([]model.Resources, len(params.Teams)),
-		types: map[model.Name]model.MachineType{}}
+	return &Dispatcher{
+		params:          params,
+		members:         map[model.ShardID]*member{},
+		earlierTermsEnd: earlierTermsEnd,
+		avoidedUntil:    map[zoneHost]time.Duration{},
+		deferredEvents:  map[model.MachineID][]model.Event{},
+		cordoned:        map[model.MachineID]bool{},
+		jobs:            map[model.JobID]*job{},
+		machines:        map[model.MachineID]*machine{},
+		blocks:          map[BlockID]*block{},
+		unaccounted:     map[model.MachineID]bool{},
+		rejected:        map[uint64]rejectedAttempt{},
+		usage:           make([]model.Resources, len(params.Teams)),
+		types:           map[model.Name]model.MachineType{},
+	}
 }
 
 // TakeOrders returns the orders for shards that were collected since the last call.
@@ -329,9 +337,14 @@
 		if j.failures.broken { // no machines are rented for a broken job
 			unfinished = int32(len(j.assignments))
 		}
-		out = append(out, JobDemand{Spec: j.spec, Unfinished: unfinished, Assigned: int32(len(j.assignments)),
-			WithinGuarantee: j.withinGuarantee, WaitingSince: j.waitingSince,
-			Overdue: j.overdue})
+		out = append(out, JobDemand{
+			Spec:            j.spec,
+			Unfinished:      unfinished,
+			Assigned:        int32(len(j.assignments)),
+			WithinGuarantee: j.withinGuarantee,
+			WaitingSince:    j.waitingSince,
+			Overdue:         j.overdue,
+		})
 	}
 	return out
 }
--- a/internal/core/dispatcher/dispatcher_test.go
+++ b/internal/core/dispatcher/dispatcher_test.go
@@ -10,6 +10,7 @@
 
 const maxLease = 10 * time.Second
 
+// harness drives a Dispatcher with one team and one machine type of 8 CPUs.
 type harness struct {
 	t *testing.T
 	d *Dispatcher
@@ -22,6 +23,7 @@
 	return &harness{t, d}
 }
 
+// addJob adds a job whose tasks need 2 CPUs each.
 func (h *harness) addJob(id model.JobID, tasks int32, fromEarlierTerm bool) *model.Spec {
 	spec := &model.Spec{ID: id, Tasks: tasks, PerTask: model.Request(2, 0, 1), Rank: model.Standard, Zone: model.None,
 		Spot: true}
@@ -29,6 +31,7 @@
 	return spec
 }
 
+// takeOrders takes all orders and returns those of one kind.
 func (h *harness) takeOrders(k model.OrderKind) []model.Order {
 	var out []model.Order
 	for _, o := range h.d.TakeOrders() {
@@ -39,7 +42,7 @@
 	return out
 }
 
-// addMachine makes a recorded machine of the shard's, with room.
+// addMachine adds a recorded and fenced machine that the shard owns.
 func (h *harness) addMachine(now time.Duration, id model.MachineID, to model.ShardID) {
 	m := model.Machine{ID: id, Addr: "x"}
 	h.d.HandleEvent(now, to, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
@@ -49,6 +52,7 @@
 	h.d.HandleEvent(now, to, model.Event{Kind: model.WorkerFenced, Machine: id})
 }
 
+// reportStatus reports the shard's machines as ready and empty.
 func (h *harness) reportStatus(now time.Duration, to model.ShardID, ids ...model.MachineID) {
 	var statuses []model.MachineStatus
 	for _, id := range ids {
@@ -66,23 +70,23 @@
 	h.addJob(1, 4, false)
 	h.d.Dispatch(time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 3 {
-		t.Fatalf("%d tasks of 2 CPUs dealt under a limit of 6", n)
+		t.Fatalf("%d tasks of 2 CPUs dispatched under a limit of 6", n)
 	}
 	h.reportStatus(time.Second, s, 1)
 	h.d.Dispatch(2 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d more dealt", n)
+		t.Fatalf("%d more tasks dispatched", n)
 	}
 	h.d.HandleEvent(3*time.Second, s, model.Event{Kind: model.TaskFinished, Machine: 1,
 		Task: model.Task{Job: 1, Index: 0}, Attempt: 1, Held: true})
 	h.reportStatus(3*time.Second, s, 1)
 	h.d.Dispatch(3 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 1 {
-		t.Fatalf("%d dealt after one is done", n)
+		t.Fatalf("%d tasks dispatched after one is done", n)
 	}
 }
 
-// An old job's tasks may be on any recorded machine until each is accounted for.
+// A task of an earlier term's job may be on any recorded machine until each is accounted for.
 func TestNewLeaderWaitsForMachinesOfEarlierTerms(t *testing.T) {
 	h := newHarness(t, 100)
 	s := h.d.AddShard(0, "a")
@@ -95,29 +99,29 @@
 	h.d.Dispatch(time.Second)
 	assignments := h.takeOrders(model.AssignTask)
 	if len(assignments) != 1 || assignments[0].Assignment.Task.Job != 2 {
-		t.Fatalf("dealt %v, want only the job of this term", assignments)
+		t.Fatalf("assignments %v, want only the job of this term", assignments)
 	}
-	// One task is found, then the worker is fenced: the other is nowhere.
+	// One task is found before the worker is fenced, so the other runs nowhere.
 	task := model.Task{Job: 1, Index: 1}
 	h.findAttempt(time.Second, s, 1, task, 77)
 	assignments = h.takeOrders(model.AssignTask)
 	if len(assignments) != 1 || assignments[0].Assignment.Attempt != 77 {
-		t.Fatalf("%v, want the found attempt adopted", assignments)
+		t.Fatalf("assignments %v, want the found attempt adopted", assignments)
 	}
 	h.d.HandleEvent(time.Second, s, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	if !h.d.Recovered() {
-		t.Fatal("all machines are accounted for")
+		t.Fatal("not recovered though all machines are accounted for")
 	}
 	h.reportStatus(time.Second, s, 1, 2)
 	h.d.Dispatch(2 * time.Second)
 	assignments = h.takeOrders(model.AssignTask)
 	if len(assignments) != 1 || assignments[0].Assignment.Task != (model.Task{Job: old.ID, Index: 0}) {
-		t.Fatalf("dealt %v, want the task that was nowhere", assignments)
+		t.Fatalf("assignments %v, want the task that was not found", assignments)
 	}
 }
 
-// While a machine of the old leader's is not accounted for, all of it counts
-// against every team's limit.
+// While a machine of an earlier term is unaccounted, its full capacity counts against every team's
+// limit.
 func TestUnaccountedMachineIsChargedInFull(t *testing.T) {
 	h := newHarness(t, 9)
 	s := h.d.AddShard(0, "a")
@@ -128,11 +132,12 @@
 	h.addJob(2, 4, false)
 	h.d.Dispatch(time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d tasks dealt with 1 CPU of the limit left", n)
+		t.Fatalf("%d tasks dispatched with 1 CPU of the limit left", n)
 	}
 }
 
-// What a machine of a type that the catalog lacks may hold is anybody's guess.
+// The capacity of a machine whose type is not in the catalog is unknown, so no limit allows any
+// task while such a machine is unaccounted.
 func TestUnaccountedMachineOfUnknownTypeStopsDispatching(t *testing.T) {
 	h := newHarness(t, 1000)
 	s := h.d.AddShard(0, "a")
@@ -143,12 +148,12 @@
 	h.addJob(2, 4, false)
 	h.d.Dispatch(time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d tasks dealt", n)
+		t.Fatalf("%d tasks dispatched", n)
 	}
 }
 
-// A lost shard may act until its grant ends, and its workers keep their tasks
-// for a lease after that.
+// A lost shard may act until its grant ends, and its workers keep their tasks for a lease after
+// that.
 func TestTasksOfLostShardStayChargedUntilMachinesAreAccountedFor(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -163,18 +168,18 @@
 	h.d.Tick(17 * time.Second)
 	h.d.Dispatch(17 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d tasks dealt twice", n)
+		t.Fatalf("%d tasks dispatched twice", n)
 	}
 	h.reportStatus(19*time.Second, b, 2)
 	h.d.Tick(19 * time.Second)
 	h.d.Dispatch(19 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 2 {
-		t.Fatalf("%d tasks dealt after the last lease, want 2", n)
+		t.Fatalf("%d tasks dispatched after the last lease, want 2", n)
 	}
 }
 
-// A worker that moves is given a new owner only once the old one has let go,
-// under a token never used before; its tasks are adopted where they are found.
+// A worker that moves to another shard gets a new owner only after the old one has released it,
+// with a token never used before. Its tasks are adopted where they are found.
 func TestMovedWorkerHasOneOwnerAtATime(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -188,9 +193,9 @@
 	h.d.HandleEvent(time.Second, b, model.Event{Kind: model.UnownedWorker, Machine: 1, Report: report})
 	got := h.d.TakeOrders()
 	if len(got) != 1 || got[0].Kind != model.ReleaseMachine || got[0].To != a {
-		t.Fatalf("orders %+v, want the old owner asked to let go", got)
+		t.Fatalf("orders %+v, want the old owner asked to release the machine", got)
 	}
-	// What the old owner finds before it lets go must not be adopted there.
+	// Tasks that the old owner releases with the machine must not be adopted there.
 	task := model.Task{Job: 1, Index: 0}
 	h.d.HandleEvent(time.Second, a, model.Event{Kind: model.MachineReleased, Machine: 1, Tasks: []model.Task{task}})
 	owners := h.takeOrders(model.OwnMachine)
@@ -199,13 +204,13 @@
 	}
 	h.findAttempt(2*time.Second, b, 1, task, 9)
 	if g := h.takeOrders(model.AssignTask); len(g) != 1 || g[0].To != b || g[0].Assignment.Attempt != 9 {
-		t.Fatalf("orders %+v, want it adopted at b", g)
+		t.Fatalf("orders %+v, want the attempt adopted at b", g)
 	}
 	h.d.HandleEvent(2*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 1})
 	h.reportStatus(2*time.Second, b, 1)
 	h.d.Dispatch(3 * time.Second)
 	if g := h.takeOrders(model.AssignTask); len(g) != 0 {
-		t.Fatalf("dealt %v though it runs", g)
+		t.Fatalf("assignments %v though the task runs", g)
 	}
 }
 
@@ -218,19 +223,19 @@
 	task := model.Task{Job: 99, Index: 0}
 	h.findAttempt(0, s, 1, task, 5)
 	if o := h.takeOrders(model.KillAttempt); len(o) != 1 {
-		t.Fatalf("orders %v, want it killed", o)
+		t.Fatalf("orders %v, want the attempt killed", o)
 	}
 	h.reportStatus(0, s, 2)
 	h.addJob(1, 4, false)
 	h.d.Dispatch(time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d dealt beside an attempt of unknown team", n)
+		t.Fatalf("%d tasks dispatched beside an attempt of unknown team", n)
 	}
 	h.d.HandleEvent(time.Second, s, model.Event{Kind: model.RejectedAttemptGone, Task: task, Attempt: 5})
 	h.reportStatus(time.Second, s, 2)
 	h.d.Dispatch(2 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 4 {
-		t.Fatalf("%d dealt, want 4", n)
+		t.Fatalf("%d tasks dispatched, want 4", n)
 	}
 }
 
@@ -254,14 +259,14 @@
 	if o := h.takeOrders(model.ClearAttempt); len(o) != 0 {
 		t.Fatal("cleared before it was stored")
 	}
-	h.d.WriteDone(2*time.Second, w[0], 60, false, false) // in doubt: again
+	h.d.WriteDone(2*time.Second, w[0], 60, false, false) // unknown outcome: written again
 	w = h.d.Writes(3*time.Second, 10)
 	if len(w) != 1 {
 		t.Fatalf("writes %+v, want the chunk again", w)
 	}
 	h.d.WriteDone(3*time.Second, w[0], 61, true, false)
 	if o := h.takeOrders(model.ClearAttempt); len(o) != 1 {
-		t.Fatalf("orders %v, want it cleared", o)
+		t.Fatalf("orders %v, want the attempt cleared", o)
 	}
 	finish(1)
 	w = h.d.Writes(4*time.Second, 10)
@@ -273,7 +278,7 @@
 	}
 	h.d.WriteDone(4*time.Second, w[0], 62, false, true) // cancelled meanwhile
 	if h.d.jobs[1] != nil || len(h.takeOrders(model.EndJob)) != 1 {
-		t.Fatal("an ended job goes on")
+		t.Fatal("an ended job continues")
 	}
 }
 
@@ -300,11 +305,11 @@
 	h.reportStatus(0, s, 0, 1, 2, 3)
 	h.d.Dispatch(time.Second)
 	if z := zones(); len(z) != 1 {
-		t.Fatalf("a job that stays together is dealt to zones %v", z)
+		t.Fatalf("a job with SameZone is dispatched to zones %v", z)
 	}
 	spec = &model.Spec{ID: 2, Tasks: 5, PerTask: model.Request(2, 0, 1), Zone: model.None, Spread: true}
 	h.d.AddJob(0, spec, 2, 0, false)
-	h.reportStatus(time.Second, s, 0, 2) // room in one zone only
+	h.reportStatus(time.Second, s, 0, 2) // free capacity in one zone only
 	h.d.UpdateStatus(time.Second, s, []model.MachineStatus{{Machine: model.Machine{ID: 1}},
 		{Machine: model.Machine{ID: 3}}}, nil, h.d.AssignmentsSent(s))
 	h.d.JobRemoved(1)
@@ -317,7 +322,7 @@
 func TestPricesFollowPreemptionRules(t *testing.T) {
 	for _, r := range []model.Rank{model.Idle, model.Standard, model.Urgent} {
 		if Price(r, true) <= Price(r+1, false) {
-			t.Errorf("work of rank %d within the guarantee can't have borrowed room back", r)
+			t.Errorf("work of rank %d within the guarantee can't evict borrowed work of the next rank", r)
 		}
 		if Price(r, true) >= Price(r+1, true) || Price(r, false) >= Price(r+1, false) {
 			t.Errorf("rank %d is not below the next", r)
@@ -329,7 +334,7 @@
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
 	if h.d.FirstAttempt(a)+1<<22 > h.d.FirstAttempt(b) {
-		t.Fatal("ranges of attempts overlap")
+		t.Fatal("ranges of attempt numbers overlap")
 	}
 	for id := range model.MachineID(5) {
 		h.addMachine(0, id, a)
@@ -341,13 +346,13 @@
 	}
 	slices.Sort(tokens)
 	if len(slices.Compact(tokens)) != 6 {
-		t.Fatalf("tokens %v", tokens)
+		t.Fatalf("tokens %v, want 6 different ones", tokens)
 	}
 }
 
-// A new leader waits for every recorded machine, so the record of a machine
-// that surely holds nothing is dropped; if its worker comes back, the record is
-// put again before it gets tasks, for the drop may be applied late.
+// A new leader waits for every recorded machine, so the record of a machine whose lease expiry is
+// confirmed is removed. If its worker reports again, the machine is recorded again before it gets
+// tasks, because the removal may be applied late.
 func TestExpiredMachineLosesItsRecordUntilItReports(t *testing.T) {
 	h := newHarness(t, 100)
 	s := h.d.AddShard(0, "a")
@@ -360,45 +365,45 @@
 		}
 		h.d.HandleEvent(now, s, model.Event{Kind: model.LeaseExpiryConfirmed, Machine: 1, Token: token})
 		if o := h.takeOrders(model.SetUsable); len(o) != 1 || o[0].Usable {
-			t.Fatalf("orders %v, want nothing placed there", o)
+			t.Fatalf("orders %v, want the machine not usable", o)
 		}
 	}
 	expire(20 * time.Second)
 	w := h.d.Writes(20*time.Second, 10)
 	if len(w) != 1 || w[0].Kind != PutBlock || w[0].Version != 50 || len(w[0].Machines) != 0 {
-		t.Fatalf("writes %+v, want it out of its block, at the block's version", w)
+		t.Fatalf("writes %+v, want the machine removed from its block, at the block's version", w)
 	}
-	// No answer; meanwhile the worker is back.
+	// The write gets no answer, and the worker reports again.
 	h.d.HandleEvent(21*time.Second, s, model.Event{Kind: model.WorkerBack, Machine: 1})
 	if o := h.takeOrders(model.SetUsable); len(o) != 1 || o[0].Usable {
-		t.Fatalf("orders %v: used without a record", o)
+		t.Fatalf("orders %v: usable without a record", o)
 	}
 	h.d.WriteDone(22*time.Second, w[0], 0, false, false)
 	w = h.d.Writes(22*time.Second, 10)
 	if len(w) != 1 || w[0].Version != 50 || len(w[0].Machines) != 1 {
-		t.Fatalf("writes %+v, want it recorded again, unless the write before was applied", w)
+		t.Fatalf("writes %+v, want the machine recorded again at the old version", w)
 	}
-	// It was: the block has another version now.
+	// The earlier write was applied: the block has another version now.
 	h.d.WriteDone(22*time.Second, w[0], 60, false, true)
 	if o := h.takeOrders(model.SetUsable); len(o) != 0 {
-		t.Fatalf("orders %v: used without a record", o)
+		t.Fatalf("orders %v: usable without a record", o)
 	}
 	w = h.d.Writes(22*time.Second, 10)
 	if len(w) != 1 || w[0].Version != 60 || len(w[0].Machines) != 1 {
-		t.Fatalf("writes %+v, want it recorded at the new version", w)
+		t.Fatalf("writes %+v, want the machine recorded at the new version", w)
 	}
 	h.d.WriteDone(22*time.Second, w[0], 70, true, false)
 	if o := h.takeOrders(model.SetUsable); len(o) != 1 || !o[0].Usable {
-		t.Fatalf("orders %v, want it used again", o)
+		t.Fatalf("orders %v, want the machine usable again", o)
 	}
 	expire(40 * time.Second)
 	if w = h.d.Writes(40*time.Second, 10); len(w) != 1 || w[0].Version != 70 || len(w[0].Machines) != 0 {
-		t.Fatalf("writes %+v, want it out of the new record", w)
+		t.Fatalf("writes %+v, want the machine removed from the new record", w)
 	}
 }
 
-// Machines are evened out one at a time; a worker that turns up elsewhere could
-// not reach the controller it was sent to, and its zone is sent there no more.
+// Machines are rebalanced one at a time. A worker that reports to another shard could not reach the
+// intended controller, and its zone is not sent there for a while.
 func TestMachinesAreRebalancedOneAtATime(t *testing.T) {
 	h := newHarness(t, 100)
 	a := h.d.AddShard(0, "a")
@@ -409,27 +414,27 @@
 	h.d.TakeOrders()
 	h.d.Tick(5 * time.Second)
 	if o := h.takeOrders(model.ReleaseMachine); len(o) != 0 {
-		t.Fatalf("%v moved to a shard that has just joined", o)
+		t.Fatalf("orders %v move machines to a shard that has just joined", o)
 	}
 	h.d.Tick(11 * time.Second)
 	o := h.takeOrders(model.ReleaseMachine)
 	if len(o) != 1 || o[0].To != a || o[0].RedirectTo != "b" {
-		t.Fatalf("orders %+v, want one machine sent to b", o)
+		t.Fatalf("orders %+v, want one machine redirected to b", o)
 	}
 	h.d.Tick(15 * time.Second)
 	if o := h.takeOrders(model.ReleaseMachine); len(o) != 0 {
-		t.Fatalf("%v while one is on its way", o)
+		t.Fatalf("orders %v while a move is in progress", o)
 	}
 	id := o[0].ID
 	h.d.HandleEvent(15*time.Second, a, model.Event{Kind: model.MachineReleased, Machine: id})
-	// It comes back to a.
+	// The worker reports to a again.
 	h.d.HandleEvent(16*time.Second, a, model.Event{Kind: model.UnownedWorker, Machine: id,
 		Report: &model.Report{Machine: model.Machine{ID: id}}})
 	h.d.HandleEvent(16*time.Second, a, model.Event{Kind: model.WorkerFenced, Machine: id})
 	h.d.TakeOrders()
 	h.d.Tick(30 * time.Second)
 	if o := h.takeOrders(model.ReleaseMachine); len(o) != 0 {
-		t.Fatalf("%v sent to a controller that its zone can't reach", o)
+		t.Fatalf("orders %v redirect to a controller that the zone can't reach", o)
 	}
 	h.d.Tick(10 * time.Minute)
 	if o := h.takeOrders(model.ReleaseMachine); len(o) != 1 || o[0].RedirectTo != "b" {
@@ -437,9 +442,9 @@
 	}
 }
 
-// After a controller is lost, old work waits until its machines are accounted
-// for. Their workers may not report for many seconds, so that the living shards
-// get them to reach for, each a part.
+// After a controller is lost, old work waits until its machines are accounted for. Their workers
+// may not report for many seconds, so the machines are divided among the living shards, which
+// contact the workers.
 func TestUnownedMachinesAreDividedAmongLivingShards(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -448,11 +453,11 @@
 	}
 	h.d.HandleEvent(0, a, model.Event{Kind: model.MachineRemembered, Machine: 0})
 	if o := h.takeOrders(model.OwnMachine); len(o) != 1 || o[0].To != a {
-		t.Fatalf("orders %v, want the machine with the shard that remembers it", o)
+		t.Fatalf("orders %v, want the machine owned by the shard that remembers it", o)
 	}
 	h.d.Tick(time.Second)
 	if o := h.takeOrders(model.OwnMachine); len(o) != 0 {
-		t.Fatalf("orders %v before they could report", o)
+		t.Fatalf("orders %v before the workers could report", o)
 	}
 	h.d.Tick(3 * time.Second)
 	to := map[model.ShardID]int{}
@@ -464,9 +469,8 @@
 	}
 }
 
-// A machine that is gone stays in the books until its record is written without
-// it. If its owner is lost meanwhile, nothing more can be learnt of it, and the
-// tasks of the lost shard must not wait for it: hundreds once waited for ever.
+// A machine that is gone stays in memory until its record is written without it. Guards against
+// tasks of a lost shard waiting forever for such a machine, which can never be accounted for.
 func TestTasksOfLostShardDoNotWaitForRemovedMachine(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -488,13 +492,13 @@
 	h.reportStatus(5*time.Second, b, 2)
 	h.d.Dispatch(5 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n < 4 {
-		t.Fatalf("%d tasks dealt anew", n)
+		t.Fatalf("%d tasks dispatched again", n)
 	}
 }
 
-// A shard that was asked to let go of a machine says what was there. If the
-// machine is gone and forgotten by then, those tasks are nowhere: nobody else
-// would ever give them back.
+// A shard that releases a machine names the tasks that were there. Guards against losing these
+// tasks if the machine is gone and removed by then: they run nowhere, and no other shard would
+// return them.
 func TestTasksReleasedWithRemovedMachineAreDispatchedAgain(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -514,6 +518,6 @@
 	h.reportStatus(3*time.Second, b, 2)
 	h.d.Dispatch(3 * time.Second)
 	if g := h.takeOrders(model.AssignTask); len(g) != 1 || g[0].To != b {
-		t.Fatalf("orders %+v, want the task dealt anew", g)
+		t.Fatalf("orders %+v, want the task dispatched again", g)
 	}
 }
--- a/internal/core/dispatcher/job_holds_test.go
+++ b/internal/core/dispatcher/job_holds_test.go
@@ -7,9 +7,9 @@
 	"honeylock/internal/core/model"
 )
 
-// A job that waits for others is dealt no task, is no hunger, and takes nothing of its
-// team's guarantee; released, it is dealt at once, ages from then, and does not wait for
-// the machines of earlier terms if it can't have begun there.
+// A job on hold is not dispatched, adds no demand, and uses nothing of its team's guarantee. After
+// its release it is dispatched at once, its waiting time counts from then, and it does not wait for
+// machines of earlier terms where it cannot have started.
 func TestJobOnHoldUsesNoCapacity(t *testing.T) {
 	h := newHarness(t, 1e6)
 	h.d.params.Teams[0].Guarantee = model.Capacity(5, 0, 0)
@@ -23,25 +23,25 @@
 	h.d.Dispatch(time.Second)
 	for _, o := range h.takeOrders(model.AssignTask) {
 		if o.Assignment.Task.Job == 1 {
-			t.Fatalf("%v is dealt", o.Assignment.Task)
+			t.Fatalf("%v is dispatched", o.Assignment.Task)
 		}
 		if o.Assignment.Price != Price(model.Standard, true) {
-			t.Errorf("price %v: a job that waits takes of the guarantee", o.Assignment.Price)
+			t.Errorf("price %v: a job on hold uses the guarantee", o.Assignment.Price)
 		}
 	}
 	if n := h.d.Demand(); len(n) != 1 || n[0].Spec.ID != 2 {
-		t.Errorf("needs %+v", n)
+		t.Errorf("demand %+v, want only job 2", n)
 	}
 	h.d.ReleaseJob(1, 30*time.Second, true)
 	h.reportStatus(31*time.Second, s, 1)
 	h.d.Dispatch(31 * time.Second)
 	assigned := h.takeOrders(model.AssignTask)
 	if len(assigned) == 0 {
-		t.Fatal("not dealt: it waits for machines that can hold nothing of it")
+		t.Fatal("not dispatched: the job waits for machines that cannot run its tasks")
 	}
 	for _, o := range assigned {
 		if o.Assignment.WaitingSince != 30*time.Second {
-			t.Errorf("it ages from %v", o.Assignment.WaitingSince)
+			t.Errorf("waiting since %v, want 30s", o.Assignment.WaitingSince)
 		}
 	}
 }
@@ -65,20 +65,20 @@
 		h.d.Dispatch(now)
 		orders := h.takeOrders(model.RepriceJob)
 		if len(orders) == 0 {
-			t.Fatalf("%+v: the shard is not told", c)
+			t.Fatalf("%+v: no order to the shard", c)
 		}
 		if last := orders[len(orders)-1]; last.Price != Price(c.rank, false) || last.Objective != c.aim {
-			t.Errorf("%+v: told %+v", c, last)
+			t.Errorf("%+v: order %+v", c, last)
 		}
 	}
 	if !spec.BestEffort {
-		t.Error("the job's own description has changed: others hold it")
+		t.Error("the spec was changed in place, though others use it")
 	}
 }
 
-// When blocks change their size, the larger one is dropped only once every machine that
-// it names, and that may be in use, stands in a smaller one: in between a later leader
-// finds it in at least one of them.
+// When the block size changes, a larger block is dropped only after every machine in it that may be
+// in use is recorded in a smaller one. At any moment a later leader finds each machine in at least
+// one block.
 func TestOldBlockIsDroppedAfterItsMachinesAreRecorded(t *testing.T) {
 	h := newHarness(t, 1e6)
 	machines := []model.Machine{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}, {ID: 5, Addr: "c"}}
@@ -91,21 +91,21 @@
 			break
 		}
 		w := ws[0]
-		// Every other write fails, and is lost to another version once.
+		// Every other write fails, once because the block has another version.
 		ok, lost := round%2 == 1, round == 4
 		if ok && w.Kind == PutBlock {
 			stored[w.Block] = true
 		}
 		if ok && w.Kind == DropBlock {
 			if !stored[BlockID{2, 0}] || !stored[BlockID{2, 1}] || !stored[BlockID{2, 2}] {
-				t.Fatalf("%v goes, stored are %v", w.Block, stored)
+				t.Fatalf("%v is dropped while only %v are stored", w.Block, stored)
 			}
 			delete(stored, w.Block)
 		}
 		h.d.WriteDone(time.Second, w, uint64(60+round), ok, lost)
 	}
 	if stored[BlockID{}] || len(stored) != 3 {
-		t.Errorf("stored %v", stored)
+		t.Errorf("stored blocks %v", stored)
 	}
 	for _, id := range []model.MachineID{1, 2, 5} {
 		if m := h.d.machines[id]; !m.recorded || m.recordedLayout != 2 {
@@ -113,6 +113,6 @@
 		}
 	}
 	if ws := h.d.UrgentWrites(9); len(ws) > 0 {
-		t.Errorf("%+v is still to be written", ws)
+		t.Errorf("writes %+v, want none left", ws)
 	}
 }
--- a/internal/core/dispatcher/jobs.go
+++ b/internal/core/dispatcher/jobs.go
@@ -24,7 +24,7 @@
 	attempt uint64
 }
 
-// job is an open job with its assignments and its done set.
+// job is an open job, or an ended one with tasks that are still charged.
 type job struct {
 	spec           *model.Spec
 	version        uint64 // of its stored record
@@ -107,6 +107,7 @@
 	}
 }
 
+// isDone reports whether a task is in the done set.
 func (j *job) isDone(index int32) bool { return j.done[index/64]&(1<<(index%64)) != 0 }
 
 // setDone adds a task to the done set, and reports whether it was not in it before.
@@ -183,9 +184,16 @@
 		} else {
 			d.assign(j, e.Task.Index, m.Zone, from, Adopted)
 		}
-		d.sendAssignment(from, model.Assignment{Task: e.Task, Spec: j.spec, Price: j.price, Zone: j.pinnedZone(m.Zone),
+		d.sendAssignment(from, model.Assignment{
+			Task:         e.Task,
+			Spec:         j.spec,
+			Price:        j.price,
+			Zone:         j.pinnedZone(m.Zone),
 			WaitingSince: j.waitingSince,
-			Machine:      e.Machine, Attempt: e.Attempt, WithinLimits: allowed})
+			Machine:      e.Machine,
+			Attempt:      e.Attempt,
+			WithinLimits: allowed,
+		})
 		return
 	}
 	// The attempt uses resources, and possibly its team's limit, until it has ended.
--- a/internal/core/dispatcher/machines.go
+++ b/internal/core/dispatcher/machines.go
@@ -41,8 +41,8 @@
 	fenced           bool                // by the present owner
 	unfencedOwners   int                 // successive owners that released the machine without having fenced it
 	ownedAt          time.Duration       // when the present owner was assigned
-	redirectedTo     model.ShardID       // the shard that its worker was told to report to; 0: none
-	// redirectedAt is when the worker was told so.
+	redirectedTo     model.ShardID       // the shard that its worker was redirected to; 0: none
+	// redirectedAt is when its worker was redirected.
 	redirectedAt time.Duration
 }
 
--- a/internal/core/dispatcher/overloaded_test.go
+++ b/internal/core/dispatcher/overloaded_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// reportUnowned has a worker without an owner report to a shard, and returns where it is
-// told to go, "" if nowhere.
+// reportUnowned reports a worker without an owner to a shard, and returns the host that it is
+// redirected to, "" if none.
 func (h *harness) reportUnowned(now time.Duration, id model.MachineID, at model.ShardID) (redirectTo string) {
 	m := model.Machine{ID: id, Addr: "x"}
 	h.d.HandleEvent(now, at, model.Event{Kind: model.UnownedWorker, Machine: id, Report: &model.Report{Machine: m}})
@@ -20,8 +20,9 @@
 	return redirectTo
 }
 
-// After all controllers had crashed, every worker of 2,746 came to the one that led:
-// it fell behind, lost leadership, and the next one was met the same way.
+// Guards against all workers staying with one controller. After all controllers of a cluster with
+// 2,746 workers had crashed, every worker reported to the leader, which fell behind and lost
+// leadership, and so did each next leader.
 func TestWorkersOfOverloadedShardAreRedirected(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b, c := h.d.AddShard(0, "a"), h.d.AddShard(0, "b"), h.d.AddShard(0, "c")
@@ -34,12 +35,12 @@
 		loads[m.owner]++
 	}
 	if loads[a] > 200 || loads[b] < 40 || loads[c] < 40 || sent["b"] != loads[b] || sent["c"] != loads[c] {
-		t.Errorf("machines %v of shards %d, %d, %d; workers sent to %v", loads, a, b, c, sent)
+		t.Errorf("machines %v of shards %d, %d, %d; workers redirected to %v", loads, a, b, c, sent)
 	}
 }
 
-// A worker that was sent to a controller that it can't reach comes back: it stays,
-// and no other of its zone is sent there for a while.
+// A worker that cannot reach the controller it was redirected to returns. It stays then, and no
+// other worker of its zone is redirected there for a while.
 func TestRedirectedWorkerThatReturnsStays(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -50,38 +51,38 @@
 		}
 	}
 	if m := h.d.machines[sent]; sent == 0 || m.owner != b {
-		t.Fatalf("nobody was sent to the empty shard")
+		t.Fatalf("no worker was redirected to the empty shard")
 	}
 	h.reportUnowned(6*time.Second, sent, a)
 	h.d.HandleEvent(6*time.Second, b, model.Event{Kind: model.MachineReleased, Machine: sent})
 	if m := h.d.machines[sent]; m.owner != a {
-		t.Errorf("the worker that came back has owner %d, want %d", m.owner, a)
+		t.Errorf("the worker that returned has owner %d, want %d", m.owner, a)
 	}
 	for id := model.MachineID(200); id < 300; id++ {
 		if k := h.reportUnowned(7*time.Second, id, a); k != "" {
-			t.Fatalf("machine %d of that zone is sent to %s", id, k)
+			t.Fatalf("machine %d of that zone is redirected to %s", id, k)
 		}
 	}
 }
 
-// A controller that is cut off from its workers stays a member: nobody is sent there.
+// A controller that is partitioned from its workers stays a member; no worker is redirected to it.
 func TestNoWorkerIsRedirectedToShardWithoutReports(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
 	h.addMachine(time.Second, 0, b)
 	for id := model.MachineID(1); id < 100; id++ {
 		if k := h.reportUnowned(workerReportTimeout+2*time.Second, id, a); k != "" {
-			t.Fatalf("machine %d is sent to %s, which heard nobody for %v", id, k, workerReportTimeout)
+			t.Fatalf("machine %d is redirected to %s, which received no report for %v", id, k, workerReportTimeout)
 		}
 	}
 	h.d.HandleEvent(workerReportTimeout+3*time.Second, b, model.Event{Kind: model.WorkerFenced, Machine: 0})
 	if k := h.reportUnowned(workerReportTimeout+4*time.Second, 100, a); k != "b" {
-		t.Errorf("b hears its workers again, and machine 100 is sent to %q", k)
+		t.Errorf("b receives reports again, but machine 100 is redirected to %q", k)
 	}
 }
 
-// Only a machine whose report is overdue is deaf: a command to a worker that has just
-// changed hands may go unanswered though it is well.
+// Only a machine whose report is overdue is unreachable. A command to a worker whose owner has just
+// changed may go unanswered though the worker is healthy.
 func TestOnlyOverdueMachinesAreUnreachable(t *testing.T) {
 	h := newHarness(t, 100)
 	a := h.d.AddShard(0, "a")
@@ -90,10 +91,10 @@
 	h.d.HandleEvent(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 1})
 	h.d.HandleEvent(time.Second, a, model.Event{Kind: model.CommandUnanswered, Machine: 2, Held: true})
 	if got := h.d.UnreachableMachines(); len(got) != 1 || got[0] != 2 {
-		t.Errorf("deaf: %v, want machine 2", got)
+		t.Errorf("unreachable: %v, want machine 2", got)
 	}
 	h.d.HandleEvent(2*time.Second, a, model.Event{Kind: model.WorkerBack, Machine: 2})
 	if got := h.d.UnreachableMachines(); len(got) != 0 {
-		t.Errorf("deaf: %v after it was heard", got)
+		t.Errorf("unreachable: %v after its worker reported", got)
 	}
 }
--- a/internal/core/dispatcher/rebalance_test.go
+++ b/internal/core/dispatcher/rebalance_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// A shard with many more waiting tasks than room is relieved by those with room, though it has
-// room for one.
+// Tasks are recalled from a shard with many more waiting tasks than free capacity if other shards
+// have some, even if one of the tasks fits.
 func TestWaitingTasksAreRecalledFromShardWithoutCapacity(t *testing.T) {
 	h := newHarness(t, 400)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
@@ -27,16 +27,16 @@
 	little := model.MachineStatus{Machine: model.Machine{ID: 0}, Avail: model.Capacity(2, 0, 64), Ready: true}
 	h.d.UpdateStatus(now, a, []model.MachineStatus{little},
 		map[model.JobID]model.TaskCounts{1: {Waiting: 9}}, h.d.AssignmentsSent(a))
-	h.reportStatus(now, b, 1, 2, 3) // room for twelve
+	h.reportStatus(now, b, 1, 2, 3) // capacity for twelve tasks
 	h.d.Dispatch(now)
 	recalled := 0
 	for _, o := range h.takeOrders(model.RecallWaitingTasks) {
 		if o.To != a {
-			t.Errorf("recalled from %d", o.To)
+			t.Errorf("tasks recalled from shard %d", o.To)
 		}
 		recalled += o.Count
 	}
 	if recalled != 8 { // all but the one that fits
-		t.Errorf("%d recalled, want 8", recalled)
+		t.Errorf("%d tasks recalled, want 8", recalled)
 	}
 }
--- a/internal/core/dispatcher/scale_test.go
+++ b/internal/core/dispatcher/scale_test.go
@@ -8,8 +8,8 @@
 	"honeylock/internal/core/model"
 )
 
-// Dealing the tasks of one new job must not cost more the more machines and
-// open jobs there are that it has nothing to do with.
+// The cost of dispatching a new job must not grow with the number of machines and open jobs that it
+// does not concern.
 func TestDispatchCostDoesNotGrowWithClusterSize(t *testing.T) {
 	cost := func(machines int) float64 {
 		h := newHarness(t, 1e6)
@@ -29,21 +29,21 @@
 			now += 2 * time.Second
 			id++
 			h.addJob(id, 2, false)
-			h.reportStatus(now, s, 0) // it has room again
+			h.reportStatus(now, s, 0) // the machine is empty again
 			h.d.Dispatch(now)
 			if len(h.takeOrders(model.AssignTask)) != 2 {
-				t.Fatal("not dealt")
+				t.Fatal("not dispatched")
 			}
 			h.d.JobRemoved(id)
 		})
 	}
 	if small, large := cost(20), cost(2000); large > small+20 {
-		t.Errorf("a deal allocates %v times among 2000 machines, %v among 20", large, small)
+		t.Errorf("dispatching a job allocates %v times with 2000 machines, %v with 20", large, small)
 	}
 }
 
-// What is dealt beyond the free room, to find victims, goes where the machines
-// are: half of it once went to a controller that had just come back with five.
+// Tasks dispatched ahead to find victims follow the numbers of machines. Guards against sending
+// half of them to a controller that has just restarted and owns few machines.
 func TestTasksDispatchedAheadFollowMachineCounts(t *testing.T) {
 	h := newHarness(t, 1e6)
 	h.d.params.DispatchAhead = 12
@@ -64,12 +64,12 @@
 		to[o.To]++
 	}
 	if to[a] != 11 || to[b] != 1 {
-		t.Errorf("dealt ahead %v to shards with 11 machines and 1", to)
+		t.Errorf("dispatched ahead %v to shards with 11 machines and 1", to)
 	}
 }
 
-// The largest job there may be: each task is dealt once, what is done survives a
-// change of leader in chunks, and the job ends with its last task.
+// Dispatches the largest job allowed: each task is dispatched once, the done set survives a change
+// of leader in chunks, and the job ends with its last task.
 func TestJobOfAHundredThousandTasks(t *testing.T) {
 	const tasks, chunk = 100_000, 65_536
 	h := newHarness(t, 1e6)
@@ -88,7 +88,7 @@
 		for _, o := range h.takeOrders(model.AssignTask) {
 			index := o.Assignment.Task.Index
 			if assigned[index] {
-				t.Fatalf("task %d dealt twice", index)
+				t.Fatalf("task %d dispatched twice", index)
 			}
 			assigned[index] = true
 			done++
@@ -97,13 +97,13 @@
 		}
 		for _, w := range h.d.Writes(now, 10) {
 			if w.Kind != PutChunk {
-				t.Fatalf("%+v with half of the tasks done", w)
+				t.Fatalf("write %+v with at most half of the tasks done", w)
 			}
 			stored = append(stored, w)
 			h.d.WriteDone(now, w, 60, true, false)
 		}
 	}
-	// The next leader knows what was done, and deals only the rest.
+	// The next leader knows the done set and dispatches only the other tasks.
 	next := newHarness(t, 1e6)
 	next.d.params.ChunkSize = chunk
 	s = next.d.AddShard(0, "b")
@@ -118,7 +118,7 @@
 		next.d.Dispatch(now)
 		for _, o := range next.takeOrders(model.AssignTask) {
 			if assigned[o.Assignment.Task.Index] {
-				t.Fatalf("task %d, stored as done, is dealt again", o.Assignment.Task.Index)
+				t.Fatalf("task %d, stored as done, is dispatched again", o.Assignment.Task.Index)
 			}
 			done++
 			next.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 1, Task: o.Assignment.Task, Attempt: 1,
@@ -126,17 +126,17 @@
 		}
 	}
 	if done != tasks {
-		t.Fatalf("%d tasks were dealt", done)
+		t.Fatalf("%d tasks were dispatched", done)
 	}
 	for _, w := range next.d.Writes(now, 1) {
 		if w.Kind != FinishJob || !slices.Equal(w.StoredChunks, []ChunkID{{}}) {
-			t.Errorf("%+v, want the end of the job and the chunk that was stored", w)
+			t.Errorf("write %+v, want the job finished with the stored chunk", w)
 		}
 	}
 }
 
-// A final deletes what may be stored, and nothing else: a chunk whose write went
-// unanswered may be there, one that was never written is not.
+// Finishing a job deletes only chunks that may be stored: a chunk whose write got no answer may
+// exist, one that was never written does not.
 func TestFinishDeletesOnlyChunksThatMayBeStored(t *testing.T) {
 	h := newHarness(t, 1e6)
 	s := h.d.AddShard(0, "a")
@@ -148,7 +148,7 @@
 				return w.StoredChunks
 			}
 		}
-		t.Fatalf("job %d: no final", id)
+		t.Fatalf("job %d: not finished", id)
 		return nil
 	}
 	run := func(id model.JobID, index int32) {
@@ -160,7 +160,7 @@
 	run(1, 0)
 	run(1, 1)
 	if chunks := finish(1); len(chunks) != 0 {
-		t.Errorf("chunks %v deleted, none was ever written", chunks)
+		t.Errorf("chunks %v deleted, though none was ever written", chunks)
 	}
 	h.addJob(2, 2, false)
 	run(2, 0)
@@ -169,6 +169,6 @@
 	}
 	run(2, 1)
 	if chunks := finish(2); !slices.Equal(chunks, []ChunkID{{OldLayout: true}}) {
-		t.Errorf("chunks %v deleted, want the one whose write went unanswered", chunks)
+		t.Errorf("chunks %v deleted, want the one whose write got no answer", chunks)
 	}
 }
--- a/internal/core/dispatcher/starvation_test.go
+++ b/internal/core/dispatcher/starvation_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// A job that waits too long to begin is dealt before all else, whatever its rank, and the
-// shards are told, again and again until it has begun.
+// An overdue job is dispatched before all others, whatever its rank, and the shards are told
+// repeatedly to expedite it until it has started.
 func TestOverdueJobIsDispatchedFirst(t *testing.T) {
 	h := newHarness(t, 1000)
 	h.d.params.StartWithin = 60 * time.Second
@@ -36,7 +36,7 @@
 		}
 	}
 	if expedited != 1 || first != 1 {
-		t.Fatalf("told %d times, job %d dealt first", expedited, first)
+		t.Fatalf("expedited %d times, job %d dispatched first", expedited, first)
 	}
 	again := func(now time.Duration) (n int) {
 		h.d.Dispatch(now)
@@ -48,33 +48,34 @@
 		return n
 	}
 	if n := again(72 * time.Second); n != 1 {
-		t.Errorf("told %d times more after 11 s", n)
+		t.Errorf("expedited %d times more after 11 s", n)
 	}
 	h.d.UpdateStatus(73*time.Second, a, nil, map[model.JobID]model.TaskCounts{1: {Running: 1}}, h.d.AssignmentsSent(a))
 	if n := again(90 * time.Second); n != 0 || h.d.jobs[1].overdue {
-		t.Error("told once more though it has begun")
+		t.Error("expedited again though it has started")
 	}
 }
 
-// A job whose tasks have to share a zone was dealt only where there was room, which what
-// is dealt ahead of others always took first.
+// Guards against starving a job whose tasks must share a zone. Such jobs are dispatched only to
+// free capacity, which tasks dispatched ahead for other jobs always took first.
 func TestOverduePinnedJobIsDispatchedWithoutFreeCapacity(t *testing.T) {
 	h := newHarness(t, 1000)
 	h.d.params.StartWithin = 60 * time.Second
 	a := h.d.AddShard(0, "a")
 	h.addMachine(0, 1, a)
-	h.d.UpdateStatus(0, a, []model.MachineStatus{{Machine: model.Machine{ID: 1}, Ready: true}}, nil, 0) // full
+	// The machine has no free capacity.
+	h.d.UpdateStatus(0, a, []model.MachineStatus{{Machine: model.Machine{ID: 1}, Ready: true}}, nil, 0)
 	h.addJob(1, 3, false).SameZone = true
 	h.d.Dispatch(59 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d dealt without room", n)
+		t.Fatalf("%d tasks dispatched without free capacity", n)
 	}
 	h.d.Dispatch(61 * time.Second)
 	if g := h.takeOrders(model.AssignTask); len(g) != 1 || g[0].Assignment.Zone != 0 {
-		t.Fatalf("%+v, want one task, pinned to the zone", g)
+		t.Fatalf("assignments %+v, want one task, pinned to the zone", g)
 	}
 	h.d.Dispatch(63 * time.Second)
 	if n := len(h.takeOrders(model.AssignTask)); n != 0 {
-		t.Fatalf("%d more dealt", n)
+		t.Fatalf("%d more tasks dispatched", n)
 	}
 }
