--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -36,11 +36,11 @@
 func (dt *dependencyTracker) run() {}
 
 // addJob takes an open job; the end of one that it awaits may have been told since.
-func (dt *dependencyTracker) addJob(spec *model.Spec, awaits []model.JobID, since time.Duration) {
-	if dt.graph.Add(pipeline.Job{ID: spec.ID, Rank: spec.Rank, HasObjective: !spec.BestEffort, DependsOn: awaits}, since) {
+func (dt *dependencyTracker) addJob(spec *model.Spec, dependsOn []model.JobID, since time.Duration) {
+	if dt.graph.Add(pipeline.Job{ID: spec.ID, Rank: spec.Rank, HasObjective: !spec.BestEffort, DependsOn: dependsOn}, since) {
 		dt.lead.dispatcher.HoldJob(spec.ID)
 	}
-	for _, id := range awaits {
+	for _, id := range dependsOn {
 		if s := dt.lead.dispatcher.Spec(id); s != nil && s.Daemon {
 			dt.lead.node.log.Info("job awaits a service: it waits until that is cancelled, and is cancelled with it", "job",
 				wire.JobName(spec.ID), "service", wire.JobName(id))
@@ -98,7 +98,7 @@
 
 // readEnd reads how a job has ended, and when by the time of day.
 func (dt *dependencyTracker) readEnd(id model.JobID) (pipeline.FinalState, int64) {
-	it, err := dt.lead.node.state.Get(state.As(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
+	item, err := dt.lead.node.state.Get(state.As(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
 	if errors.Is(err, state.ErrNotFound) {
 		dt.lead.node.log.Debug("a job that is awaited has not ended and is not known to be open", "job", wire.JobName(id))
 		return pipeline.Absent, 0
@@ -106,29 +106,29 @@
 	if err != nil {
 		return pipeline.Unknown, 0
 	}
-	var f wire.Final
-	if err := json.Unmarshal(it.Value, &f); err != nil {
+	var final wire.Final
+	if err := json.Unmarshal(item.Value, &final); err != nil {
 		dt.lead.node.log.Error("final record unreadable", "job", wire.JobName(id), "err", err)
 		return pipeline.Unknown, 0
 	}
-	switch jobs.Stage(f.Stage) {
+	switch jobs.Stage(final.Stage) {
 	case jobs.Done:
-		return pipeline.Done, f.AtMS
+		return pipeline.Done, final.AtMS
 	case jobs.Cancelled:
-		return pipeline.Cancelled, f.AtMS
+		return pipeline.Cancelled, final.AtMS
 	}
-	dt.lead.node.log.Error("final record unreadable", "job", wire.JobName(id), "stage", f.Stage)
+	dt.lead.node.log.Error("final record unreadable", "job", wire.JobName(id), "stage", final.Stage)
 	return pipeline.Unknown, 0
 }
 
 // writes are the cancellations of jobs that need a cancelled one. They take a
 // quarter of what may be written at a time, and leave the rest to the ends of jobs.
-func (dt *dependencyTracker) writes(now time.Duration, c writequota.Class, n int) []storeWrite {
-	if c != writequota.FinalRecords {
+func (dt *dependencyTracker) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
+	if class != writequota.FinalRecords {
 		return nil
 	}
 	var out []storeWrite
-	for _, id := range dt.graph.NextCancellations(now, max(1, n/4)) {
+	for _, id := range dt.graph.NextCancellations(now, max(1, maxWrites/4)) {
 		version := dt.lead.dispatcher.JobVersion(id)
 		if version == 0 {
 			dt.graph.CancellationFailed(now, id) // the watch has not told of its end yet
--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -15,23 +15,23 @@
 	if len(n.settings.Budgets) == 0 {
 		return nil
 	}
-	var bs []disruption.Budget
-	for _, b := range n.settings.Budgets {
-		team, ok := n.names.Teams.Lookup(b.Team)
+	var budgets []disruption.Budget
+	for _, setting := range n.settings.Budgets {
+		team, ok := n.names.Teams.Lookup(setting.Team)
 		if !ok {
 			continue // the command has refused it
 		}
-		x := disruption.Budget{Team: team, Class: model.None, MaxTasks: b.Tasks, MaxShare: b.Share,
-			MaxCPU: model.Capacity(b.CPUs, 0, 0).CPU, MaxLostCPU: b.LostCPUS, Window: b.Window, MaxMoves: b.Moves,
-			LastFraction: b.LastPart}
-		if b.Class != "" {
-			x.Class = n.names.Classes.ID(b.Class)
+		budget := disruption.Budget{Team: team, Class: model.None, MaxTasks: setting.Tasks, MaxShare: setting.Share,
+			MaxCPU: model.Capacity(setting.CPUs, 0, 0).CPU, MaxLostCPU: setting.LostCPUS, Window: setting.Window, MaxMoves: setting.Moves,
+			LastFraction: setting.LastPart}
+		if setting.Class != "" {
+			budget.Class = n.names.Classes.ID(setting.Class)
 		}
-		bs = append(bs, x)
+		budgets = append(budgets, budget)
 	}
-	k := disruption.New(bs)
-	k.TeamName = n.names.Teams.Name
-	return k
+	tracker := disruption.New(budgets)
+	tracker.TeamName = n.names.Teams.Name
+	return tracker
 }
 
 // teamClass is a team's, or one of its classes'.
@@ -53,21 +53,21 @@
 	dm.disruptions.Recovered = l.dispatcher.Recovered()
 	teamStates := map[teamClass]disruption.TeamState{}
 	dm.disruptions.TeamState = func(team, class model.Name) disruption.TeamState {
-		w := teamClass{team, class}
-		x, ok := teamStates[w]
+		key := teamClass{team, class}
+		state, ok := teamStates[key]
 		if !ok {
-			x.Running, x.Orphaned, x.Unknown, x.CPU = l.dispatcher.WorkCounts(team, class)
-			teamStates[w] = x
+			state.Running, state.Orphaned, state.Unknown, state.CPU = l.dispatcher.WorkCounts(team, class)
+			teamStates[key] = state
 		}
-		return x
+		return state
 	}
-	return func(m drain.MoveRequest) string {
+	return func(request drain.MoveRequest) string {
 		cause := disruption.PlanDrain
-		if m.ForPrice {
+		if request.ForPrice {
 			cause = disruption.PriceDrain
 		}
-		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Cause: cause, Ran: m.Ran,
-			Remaining: m.Remaining})
+		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: request.Task, Spec: request.Spec, Cause: cause, Ran: request.Ran,
+			Remaining: request.Remaining})
 	}
 }
 
@@ -138,12 +138,12 @@
 	if m.node.lead == nil || !m.node.lead.drains.disruptions.Enabled() {
 		return
 	}
-	for team, x := range m.node.lead.drains.disruptions.Counts {
+	for team, counts := range m.node.lead.drains.disruptions.Counts {
 		name := m.node.names.Teams.Name(team)
 		for _, s := range []struct {
 			d *prometheus.Desc
 			n [disruption.NumCauses]uint64
-		}{{m.granted, x.Granted}, {m.refused, x.Refused}, {m.involuntary, x.Involuntary}} {
+		}{{m.granted, counts.Granted}, {m.refused, counts.Refused}, {m.involuntary, counts.Involuntary}} {
 			for cause, v := range s.n {
 				if v > 0 {
 					c <- prometheus.MustNewConstMetric(s.d, prometheus.CounterValue, float64(v), name, disruption.Cause(cause).Label())
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -51,18 +51,18 @@
 }
 
 func (l *leadership) newDrainManager() *drainManager {
-	c := &l.node.cfg.Cluster
+	cluster := &l.node.cfg.Cluster
 	// A step takes three bytes as base64 for its number, two for its state.
-	maxSteps := int(c.State.ValueKB*1024-2*planfile.MaxSource) / 5
-	value := 0
-	if c.ValueKB() < c.State.ValueKB {
-		value = int(c.ValueKB() * 1024)
+	maxSteps := int(cluster.State.ValueKB*1024-2*planfile.MaxSource) / 5
+	maxRecordBytes := 0
+	if cluster.ValueKB() < cluster.State.ValueKB {
+		maxRecordBytes = int(cluster.ValueKB() * 1024)
 	}
 	return &drainManager{lead: l, audit: audit.New(auditSlots), runTimes: runtimes.New(),
 		disruptions:   l.node.newDisruptionTracker(),
 		teamOverrides: quota.New(l.node.teamLimits()), engine: drain.New(drain.Params{
-			Term: l.term, ReportInterval: config.Seconds(c.Workers.ReportS), RetryInterval: rentRetryInterval,
-			MaxMachines: max(1, maxSteps), MaxRecordBytes: value})}
+			Term: l.term, ReportInterval: config.Seconds(cluster.Workers.ReportS), RetryInterval: rentRetryInterval,
+			MaxMachines: max(1, maxSteps), MaxRecordBytes: maxRecordBytes})}
 }
 
 // read gets the stored plans and the audit record, where there is an operators'
@@ -72,17 +72,17 @@
 	var entries []audit.Entry
 	var teams []storedTeam
 	if dm.lead.node.settings.Operator != nil {
-		if _, err := dm.lead.node.state.List(ctx, planPrefix, func(it *wire.Item) error {
-			plans = append(plans, drain.StoredPlan{Name: strings.TrimPrefix(it.Key, planPrefix), Value: it.Value,
-				Version: it.Version})
+		if _, err := dm.lead.node.state.List(ctx, planPrefix, func(item *wire.Item) error {
+			plans = append(plans, drain.StoredPlan{Name: strings.TrimPrefix(item.Key, planPrefix), Value: item.Value,
+				Version: item.Version})
 			return nil
 		}); err != nil {
 			return nil, err
 		}
-		if _, err := dm.lead.node.state.List(ctx, auditPrefix, func(it *wire.Item) error {
+		if _, err := dm.lead.node.state.List(ctx, auditPrefix, func(item *wire.Item) error {
 			var e audit.Entry
-			if err := json.Unmarshal(it.Value, &e); err != nil {
-				dm.lead.node.log.Error("audit record unreadable", "key", it.Key, "err", err)
+			if err := json.Unmarshal(item.Value, &e); err != nil {
+				dm.lead.node.log.Error("audit record unreadable", "key", item.Key, "err", err)
 				return nil
 			}
 			entries = append(entries, e)
@@ -137,14 +137,14 @@
 		return
 	}
 	var empty []model.MachineID
-	v := dm.engineView(now)
-	v.RequestMove = requestMove
+	view := dm.engineView(now)
+	view.RequestMove = requestMove
 	if !dm.engine.HasGate() {
 		dm.evaluator = nil
 	} else if dm.evaluator == nil {
 		dm.evaluator = rollout.New()
 	}
-	for _, a := range dm.engine.Tick(v) {
+	for _, a := range dm.engine.Tick(view) {
 		if a.Kind == drain.ReturnMachine {
 			empty = append(empty, a.Machine)
 			continue
@@ -157,19 +157,19 @@
 }
 
 // execute carries out what the engine asks for.
-func (dm *drainManager) execute(now time.Duration, a drain.Action) {
+func (dm *drainManager) execute(now time.Duration, action drain.Action) {
 	l := dm.lead
-	switch a.Kind {
+	switch action.Kind {
 	case drain.Cordon, drain.Uncordon:
-		l.dispatcher.SetCordoned(a.Machine, a.Kind == drain.Cordon)
-		l.node.log.Info("machine drained or wanted again", "machine", wire.MachineName(a.Machine), "drained",
-			a.Kind == drain.Cordon)
+		l.dispatcher.SetCordoned(action.Machine, action.Kind == drain.Cordon)
+		l.node.log.Info("machine drained or wanted again", "machine", wire.MachineName(action.Machine), "drained",
+			action.Kind == drain.Cordon)
 	case drain.ListTasks:
-		l.dispatcher.InspectMachine(a.Machine, a.Seq)
+		l.dispatcher.InspectMachine(action.Machine, action.Seq)
 	case drain.Recall:
-		l.dispatcher.RecallFrom(a.Machine, a.Task)
+		l.dispatcher.RecallFrom(action.Machine, action.Task)
 	case drain.Rent:
-		go dm.rentReplacement(a, a.Template)
+		go dm.rentReplacement(action, action.Template)
 	}
 }
 
@@ -197,102 +197,102 @@
 }
 
 // rentReplacement asks the cloud for a machine like the one that is to go.
-func (dm *drainManager) rentReplacement(a drain.Action, template model.Machine) {
-	got, refused, _ := dm.lead.rentals.rentMachines(a.Request, template, 1)
+func (dm *drainManager) rentReplacement(action drain.Action, template model.Machine) {
+	got, refused, _ := dm.lead.rentals.rentMachines(action.Request, template, 1)
 	dm.lead.node.mu.Lock()
 	defer dm.lead.node.mu.Unlock()
 	now := dm.lead.node.now()
 	dm.lead.rentals.fleet.AddRented(now, got, template)
-	dm.engine.MachineRented(now, a, got, refused)
+	dm.engine.MachineRented(now, action, got, refused)
 }
 
 // handleEvent takes what shards tell.
-func (dm *drainManager) handleEvent(now time.Duration, e *model.Event) {
+func (dm *drainManager) handleEvent(now time.Duration, event *model.Event) {
 	if dm.disruptions.Enabled() {
-		if spec := dm.lead.dispatcher.Spec(e.Task.Job); spec != nil {
-			dm.disruptions.HandleEvent(now, e, spec)
+		if spec := dm.lead.dispatcher.Spec(event.Task.Job); spec != nil {
+			dm.disruptions.HandleEvent(now, event, spec)
 		}
 	}
 	if dm.evaluator != nil {
-		dm.recordTaskOutcome(e)
+		dm.recordTaskOutcome(event)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case model.MachineInspected:
-		if dm.forecasts.handleAnswer(e) {
+		if dm.forecasts.handleAnswer(event) {
 			return
 		}
-		dm.engine.TasksListed(now, e.Machine, e.Token, e.Placed, dm.lead.dispatcher.Spec)
+		dm.engine.TasksListed(now, event.Machine, event.Token, event.Placed, dm.lead.dispatcher.Spec)
 	case model.TaskFinished:
 		if dm.lead.node.settings.Operator == nil {
 			return
 		}
 		// How long it ran is seen from reports: of short tasks that tells little.
-		spec := dm.lead.dispatcher.Spec(e.Task.Job)
+		spec := dm.lead.dispatcher.Spec(event.Task.Job)
 		if spec != nil && spec.Estimate >= minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
-			dm.runTimes.Add(spec.Class, spec.Estimate, e.RunTime)
+			dm.runTimes.Add(spec.Class, spec.Estimate, event.RunTime)
 		}
 	}
 }
 
 // recordTaskOutcome takes how a task ended on a machine.
-func (dm *drainManager) recordTaskOutcome(e *model.Event) {
-	switch spec := dm.lead.dispatcher.Spec(e.Task.Job); {
+func (dm *drainManager) recordTaskOutcome(event *model.Event) {
+	switch spec := dm.lead.dispatcher.Spec(event.Task.Job); {
 	case spec == nil || spec.Daemon:
-	case e.Kind == model.TaskFinished:
-		ran := e.RunTime
+	case event.Kind == model.TaskFinished:
+		ran := event.RunTime
 		if spec.Estimate < minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
 			ran = 0 // of short tasks reports tell too little
 		}
-		dm.evaluator.AddCompleted(e.Machine, spec.Class, spec.Estimate, ran)
-	case e.Kind == model.TaskReturned && e.Cause == model.CauseError && !dm.lead.dispatcher.IsJobBroken(e.Task.Job):
-		dm.evaluator.AddFailed(e.Machine)
+		dm.evaluator.AddCompleted(event.Machine, spec.Class, spec.Estimate, ran)
+	case event.Kind == model.TaskReturned && event.Cause == model.CauseError && !dm.lead.dispatcher.IsJobBroken(event.Task.Job):
+		dm.evaluator.AddFailed(event.Machine)
 	}
 }
 
 // engineView is the present for the engine.
 func (dm *drainManager) engineView(now time.Duration) *drain.View {
 	l := dm.lead
-	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{},
+	view := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{},
 		UnusedGuaranteeCPU: l.dispatcher.UnusedGuarantees(),
 		RunTimeFactor:      dm.runTimes.Factor, BootTime: l.rentals.fleet.BootTime, JobName: wire.JobName}
 	listed := l.rentals.fleet.ForEachMachine(now, func(m model.Machine, since time.Duration) {
-		v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, KnownSince: since}
+		view.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, KnownSince: since}
 	})
 	l.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
-		v.Machines[status.Machine.ID] = drain.Machine{MachineStatus: status, Reported: reported,
-			KnownSince: v.Machines[status.Machine.ID].KnownSince}
+		view.Machines[status.Machine.ID] = drain.Machine{MachineStatus: status, Reported: reported,
+			KnownSince: view.Machines[status.Machine.ID].KnownSince}
 	})
 	if dm.evaluator != nil {
-		v.EvaluateGate = dm.evaluator.Evaluate
+		view.EvaluateGate = dm.evaluator.Evaluate
 	}
-	v.Recovered = listed && l.dispatcher.Recovered()
-	for _, need := range l.dispatcher.Demand() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished),
-			RunningTasks: l.dispatcher.TaskCounts(need.Spec.ID).Running})
+	view.Recovered = listed && l.dispatcher.Recovered()
+	for _, demand := range l.dispatcher.Demand() {
+		view.Jobs = append(view.Jobs, drain.Job{Spec: demand.Spec, UnfinishedTasks: int(demand.Unfinished),
+			RunningTasks: l.dispatcher.TaskCounts(demand.Spec.ID).Running})
 	}
-	return v
+	return view
 }
 
 // writes are the plans that have changed, each with the audit entries about it,
 // and entries that stand alone.
-func (dm *drainManager) writes(now time.Duration, c writequota.Class, n int) []storeWrite {
-	if c != writequota.OperatorRecords {
+func (dm *drainManager) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
+	if class != writequota.OperatorRecords {
 		return nil
 	}
 	var out []storeWrite
 	maxEntries := max(1, min(3, dm.lead.node.cfg.Cluster.TxnOps()-1))
-	busy := map[string]bool{}
-	for _, w := range dm.engine.Writes(n) {
-		busy[w.Name] = true
+	hasWrite := map[string]bool{}
+	for _, w := range dm.engine.Writes(maxWrites) {
+		hasWrite[w.Name] = true
 		out = append(out, dm.planWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == w.Name })))
 	}
-	for _, w := range dm.teamOverrides.Writes(n - len(out)) {
-		about := teamAuditName(dm.lead.node.names.Teams.Name(w.Team))
-		busy[about] = true
-		out = append(out, dm.teamWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == about })))
+	for _, w := range dm.teamOverrides.Writes(maxWrites - len(out)) {
+		auditName := teamAuditName(dm.lead.node.names.Teams.Name(w.Team))
+		hasWrite[auditName] = true
+		out = append(out, dm.teamWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == auditName })))
 	}
-	standalone := dm.audit.Unstored(maxEntries, func(name string) bool { return !busy[name] && dm.isStored(name) })
-	if len(standalone) > 0 && len(out) < n {
+	standalone := dm.audit.Unstored(maxEntries, func(name string) bool { return !hasWrite[name] && dm.isStored(name) })
+	if len(standalone) > 0 && len(out) < maxWrites {
 		out = append(out, dm.auditWrite(standalone))
 	}
 	return out
@@ -304,8 +304,8 @@
 		len(dm.audit.Unstored(1, func(string) bool { return true })) > 0
 }
 
-func (dm *drainManager) planWrite(w drain.Write, about []*audit.Entry) storeWrite {
-	return dm.recordWrite(planPrefix+w.Name, w.Value, w.Version, about, func(o writeOutcome) {
+func (dm *drainManager) planWrite(w drain.Write, entries []*audit.Entry) storeWrite {
+	return dm.recordWrite(planPrefix+w.Name, w.Value, w.Version, entries, func(o writeOutcome) {
 		dm.engine.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
 	})
 }
@@ -321,18 +321,18 @@
 	out := dm.auditWrite(about)
 	out.guards = []wire.Guard{{Key: key, Version: version}}
 	out.ops = append([]wire.Op{op}, out.ops...)
-	entries := out.onDone
+	entriesDone := out.onDone
 	out.onDone = func(now time.Duration, o writeOutcome) {
 		onWritten(o)
-		entries(now, o)
+		entriesDone(now, o)
 	}
 	return out
 }
 
 // isStored tells whether all that an audit entry's name stands for is surely stored.
 func (dm *drainManager) isStored(name string) bool {
-	team, of := strings.CutPrefix(name, teamAuditName(""))
-	if !of {
+	team, isTeam := strings.CutPrefix(name, teamAuditName(""))
+	if !isTeam {
 		return dm.engine.Synced(name)
 	}
 	id, ok := dm.lead.node.names.Teams.Lookup(team)
@@ -341,15 +341,15 @@
 
 // auditWrite stores entries. One that is applied late can do no more harm than
 // show an entry older than the newest 256 again.
-func (dm *drainManager) auditWrite(es []*audit.Entry) storeWrite {
+func (dm *drainManager) auditWrite(entries []*audit.Entry) storeWrite {
 	w := storeWrite{onDone: func(_ time.Duration, o writeOutcome) {
 		if o.err == nil {
-			for _, e := range es {
+			for _, e := range entries {
 				dm.audit.MarkStored(e)
 			}
 		}
 	}}
-	for _, e := range es {
+	for _, e := range entries {
 		w.ops = append(w.ops, wire.Op{Put: fmt.Sprintf("%s%03d", auditPrefix, dm.audit.Slot(e)), Value: mustEncode(e)})
 	}
 	return w
@@ -358,10 +358,10 @@
 var errRequestReused = errors.New("this request's id was used for something else")
 
 // knownRequest is what became of a request that was made before, nil if it was not.
-func (dm *drainManager) knownRequest(c *Call) (*audit.Entry, error) {
-	e := dm.audit.ByRequest(c.Request)
-	if e != nil && e.Digest != c.digest() {
+func (dm *drainManager) knownRequest(call *Call) (*audit.Entry, error) {
+	entry := dm.audit.ByRequest(call.Request)
+	if entry != nil && entry.Digest != call.digest() {
 		return nil, errRequestReused
 	}
-	return e, nil
+	return entry, nil
 }
--- a/internal/node/forecast.go
+++ b/internal/node/forecast.go
@@ -62,9 +62,9 @@
 }
 
 func (f *forecasts) find(c *Call) *forecastRun {
-	for _, x := range f.recent {
-		if x.request == c.Request && x.digest == c.digest() {
-			return x
+	for _, run := range f.recent {
+		if run.request == c.Request && run.digest == c.digest() {
+			return run
 		}
 	}
 	return nil
@@ -72,8 +72,8 @@
 
 // running tells whether a forecast is being made.
 func (f *forecasts) running() bool {
-	for _, x := range f.recent {
-		if x.result == nil && x.err == nil {
+	for _, run := range f.recent {
+		if run.result == nil && run.err == nil {
 			return true
 		}
 	}
@@ -84,18 +84,18 @@
 
 // startForecast begins a forecast, or finds the one begun under the request's id.
 func (dm *drainManager) startForecast(now time.Duration, c *Call) (*forecastRun, error) {
-	if x := dm.forecasts.find(c); x != nil {
-		return x, x.err
+	if run := dm.forecasts.find(c); run != nil {
+		return run, run.err
 	}
-	spec, plan, patch, err := dm.planToForecast(now, c)
+	spec, startPlan, patchTime, err := dm.planToForecast(now, c)
 	if err != nil {
 		return nil, err
 	}
 	if dm.forecasts.running() {
 		return nil, errForecastRunning
 	}
-	x := &forecastRun{request: c.Request, digest: c.digest(), spec: spec}
-	dm.forecasts.recent = append(dm.forecasts.recent, x)
+	run := &forecastRun{request: c.Request, digest: c.digest(), spec: spec}
+	dm.forecasts.recent = append(dm.forecasts.recent, run)
 	if n := len(dm.forecasts.recent) - maxKeptForecasts; n > 0 {
 		dm.forecasts.recent = dm.forecasts.recent[n:]
 	}
@@ -112,8 +112,8 @@
 		dm.lead.dispatcher.InspectMachine(id, s.seq)
 	}
 	dm.lead.node.requestCycle()
-	go dm.runForecast(x, s, plan, patch)
-	return x, nil
+	go dm.runForecast(run, s, startPlan, patchTime)
+	return run, nil
 }
 
 // planToForecast is the plan that a call is about: one given, or one under way.
@@ -129,21 +129,21 @@
 			return nil
 		}, defaultPatchTime, nil
 	}
-	d, err := dm.parsePlan(now, c.Plan)
+	declared, err := dm.parsePlan(now, c.Plan)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	if err := dm.engine.Check(d.spec, d.source, wire.MachineName); err != nil {
+	if err := dm.engine.Check(declared.spec, declared.source, wire.MachineName); err != nil {
 		return nil, nil, 0, err
 	}
-	patch := defaultPatchTime
-	if d.pb.PatchS != nil {
-		patch = config.Seconds(d.pb.GetPatchS())
+	patchTime := defaultPatchTime
+	if declared.pb.PatchS != nil {
+		patchTime = config.Seconds(declared.pb.GetPatchS())
 	}
-	return d.spec, func(e *drain.Engine, now time.Duration, wall time.Time) error {
-		e.Apply(now, wall, d.spec, nil, "")
+	return declared.spec, func(e *drain.Engine, now time.Duration, wall time.Time) error {
+		e.Apply(now, wall, declared.spec, nil, "")
 		return nil
-	}, patch, nil
+	}, patchTime, nil
 }
 
 const (
@@ -155,41 +155,41 @@
 )
 
 // runForecast waits for the survey, then plays.
-func (dm *drainManager) runForecast(x *forecastRun, s *survey, plan forecast.StartPlan, patch time.Duration) {
+func (dm *drainManager) runForecast(run *forecastRun, s *survey, startPlan forecast.StartPlan, patchTime time.Duration) {
 	n := dm.lead.node
 	for end := n.now() + surveyTimeout; n.now() < end && dm.lead.ctx.Err() == nil; sleep(dm.lead.ctx, 20*time.Millisecond) {
 		n.mu.Lock()
-		left := len(s.pending)
+		remaining := len(s.pending)
 		n.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
 	}
 	n.mu.Lock()
 	snap := dm.forecastSnapshot(n.now(), s)
-	x.unreported = len(s.pending)
+	run.unreported = len(s.pending)
 	params := forecast.Params{Runs: 5, Step: forecast.StepInterval(len(snap.Machines)), MaxDuration: 4 * time.Hour,
-		PatchTime: patch,
+		PatchTime: patchTime,
 		Seed:      dm.forecasts.started}
 	if len(snap.Machines) > 200 {
 		params.Runs = 1 // the more runs, the less luck matters
 	}
-	x.forecast = forecast.New(params, snap, x.spec, plan)
+	run.forecast = forecast.New(params, snap, run.spec, startPlan)
 	if dm.forecasts.survey == s {
 		dm.forecasts.survey = nil
 	}
 	n.mu.Unlock()
 	for done := false; !done && dm.lead.ctx.Err() == nil; {
 		for began := n.now(); !done && n.now()-began < forecastSlice; {
-			done = x.forecast.Advance()
+			done = run.forecast.Advance()
 		}
 		n.mu.Lock()
-		x.done = x.forecast.Progress()
+		run.done = run.forecast.Progress()
 		if done {
-			if x.err = x.forecast.Err(); x.err == nil {
-				x.result = x.forecast.Result()
+			if run.err = run.forecast.Err(); run.err == nil {
+				run.result = run.forecast.Result()
 			}
-			x.forecast = nil
+			run.forecast = nil
 		}
 		n.mu.Unlock()
 		sleep(dm.lead.ctx, forecastPause)
@@ -199,7 +199,7 @@
 // forecastSnapshot copies what a forecast needs.
 func (dm *drainManager) forecastSnapshot(now time.Duration, s *survey) *forecast.Snapshot {
 	l := dm.lead
-	out := &forecast.Snapshot{Now: now, Wall: time.Now(), RunTimeFactor: dm.runTimes.Copy().Factor,
+	snapshot := &forecast.Snapshot{Now: now, Wall: time.Now(), RunTimeFactor: dm.runTimes.Copy().Factor,
 		Teams:   l.dispatcher.Teams(),
 		JobName: wire.JobName,
 		Shard:   l.node.shardParams()}
@@ -207,19 +207,19 @@
 	for _, t := range l.node.types {
 		bootTimes[t.Name] = t.Boot
 	}
-	out.BootTime = func(t model.Name) time.Duration { return bootTimes[t] }
+	snapshot.BootTime = func(t model.Name) time.Duration { return bootTimes[t] }
 	l.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
-		on, ok := s.tasks[status.Machine.ID]
+		tasks, ok := s.tasks[status.Machine.ID]
 		if reported && ok {
-			out.Machines = append(out.Machines, forecast.Machine{Machine: status.Machine, Tasks: on,
+			snapshot.Machines = append(snapshot.Machines, forecast.Machine{Machine: status.Machine, Tasks: tasks,
 				Usable: status.Ready && !status.Draining && !status.Faulty})
 		}
 	})
-	for _, need := range l.dispatcher.Demand() {
-		out.Jobs = append(out.Jobs, forecast.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished),
-			Since: need.WaitingSince})
+	for _, demand := range l.dispatcher.Demand() {
+		snapshot.Jobs = append(snapshot.Jobs, forecast.Job{Spec: demand.Spec, UnfinishedTasks: int(demand.Unfinished),
+			Since: demand.WaitingSince})
 	}
-	return out
+	return snapshot
 }
 
 func (n *Node) teamLimits() []dispatcher.Team {
@@ -231,26 +231,26 @@
 }
 
 func (n *Node) shardParams() shard.Params {
-	c := &n.cfg.Cluster
-	return shard.Params{MaxLease: c.SureLease(), ReportInterval: config.Seconds(c.Workers.ReportS),
+	cluster := &n.cfg.Cluster
+	return shard.Params{MaxLease: cluster.SureLease(), ReportInterval: config.Seconds(cluster.Workers.ReportS),
 		VictimSample: n.settings.SampleSize,
 		PaybackLimit: n.settings.PaybackLimit, DemotionStep: n.settings.DemotionStep,
-		DirectRetryDelay: config.Seconds(c.Workers.ReportS) + 2*time.Second}
+		DirectRetryDelay: config.Seconds(cluster.Workers.ReportS) + 2*time.Second}
 }
 
 // answerForecast answers with a forecast, or with how far it is.
 func (dm *drainManager) answerForecast(now time.Duration, c *Call) CallReply {
-	x, err := dm.startForecast(now, c)
+	run, err := dm.startForecast(now, c)
 	switch {
 	case errors.Is(err, errForecastRunning):
 		return errorReply(http.StatusServiceUnavailable, err)
 	case err != nil:
 		return errorReply(errorStatus(err), err)
-	case x.result == nil:
+	case run.result == nil:
 		// 1 says that the rest is there: all may have been played, yet not summed up.
-		return okReply(ForecastReply{Name: x.spec.Name, Done: min(x.done, maxPartialDone)})
+		return okReply(ForecastReply{Name: run.spec.Name, Done: min(run.done, maxPartialDone)})
 	}
-	return okReply(dm.forecastReply(x))
+	return okReply(dm.forecastReply(run))
 }
 
 // forecastBeforeApply has a plan with windows forecast before it is applied; wait tells that
@@ -259,13 +259,13 @@
 	if c.Verb != DrainApply || !strings.Contains(c.Plan, "windows") {
 		return r, false
 	}
-	x, err := dm.startForecast(now, c)
+	run, err := dm.startForecast(now, c)
 	switch {
 	case errors.Is(err, errForecastRunning):
 		return errorReply(http.StatusServiceUnavailable, err), true
 	case err != nil:
 		return r, false // it is refused as it is made
-	case x.result == nil:
+	case run.result == nil:
 		return errorReply(http.StatusServiceUnavailable,
 			errors.New("it is being forecast, for it has windows: ask again under the same request id")), true
 	}
@@ -274,14 +274,14 @@
 
 // checkWindows refuses a plan whose forecast pushes a job past one of its windows.
 func (dm *drainManager) checkWindows(c *Call) error {
-	x := dm.forecasts.find(c)
-	if x == nil || x.result == nil {
+	run := dm.forecasts.find(c)
+	if run == nil || run.result == nil {
 		return nil
 	}
 	var jobs []string
-	for i := range x.result.Delayed {
-		if l := &x.result.Delayed[i]; l.Window != "" {
-			jobs = append(jobs, wire.JobName(l.Spec.ID)+" by "+l.Delay[1].Round(time.Second).String()+" past "+l.Window)
+	for i := range run.result.Delayed {
+		if delayed := &run.result.Delayed[i]; delayed.Window != "" {
+			jobs = append(jobs, wire.JobName(delayed.Spec.ID)+" by "+delayed.Delay[1].Round(time.Second).String()+" past "+delayed.Window)
 		}
 	}
 	if len(jobs) == 0 {
--- a/internal/node/forecast_test.go
+++ b/internal/node/forecast_test.go
@@ -22,7 +22,7 @@
 	l := &leadership{node: n, dispatcher: dispatcher.New(dispatcher.Params{Term: 1, Teams: n.teamLimits(), ChunkSize: 64,
 		BlockSize: 64}, 0)}
 	l.rentals = &rentalManager{lead: l, fleet: fleet.New(fleet.Params{})}
-	p := l.newDrainManager()
+	dm := l.newDrainManager()
 	l.dispatcher.SetTypes([]model.MachineType{{Cap: model.Capacity(64, 0, 256)}})
 	s := &survey{tasks: map[model.MachineID][]model.PlacedTask{}}
 	shard := l.dispatcher.AddShard(0, "a")
@@ -39,8 +39,8 @@
 		l.dispatcher.AddJob(0, &model.Spec{ID: id, Tasks: 50}, uint64(id)+1, 0, false)
 	}
 	for b.Loop() {
-		if snap := p.forecastSnapshot(time.Second, s); len(snap.Machines) != 1636 || len(snap.Jobs) != 800 {
-			b.Fatalf("%d machines, %d jobs", len(snap.Machines), len(snap.Jobs))
+		if snapshot := dm.forecastSnapshot(time.Second, s); len(snapshot.Machines) != 1636 || len(snapshot.Jobs) != 800 {
+			b.Fatalf("%d machines, %d jobs", len(snapshot.Machines), len(snapshot.Jobs))
 		}
 	}
 }
@@ -50,22 +50,22 @@
 func TestForecastDoneOnlyWithResult(t *testing.T) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.names = &wire.Names{Teams: wire.NewTable(), Classes: wire.NewTable()}
-	p := (&leadership{node: n}).newDrainManager()
-	c := &Call{Verb: DrainPlan, Request: "r"}
-	x := &forecastRun{request: "r", digest: c.digest(), spec: &drain.Spec{Name: "p"}, done: 1}
-	p.forecasts.recent = []*forecastRun{x}
-	ask := func() (r ForecastReply) {
+	dm := (&leadership{node: n}).newDrainManager()
+	call := &Call{Verb: DrainPlan, Request: "r"}
+	run := &forecastRun{request: "r", digest: call.digest(), spec: &drain.Spec{Name: "p"}, done: 1}
+	dm.forecasts.recent = []*forecastRun{run}
+	query := func() (r ForecastReply) {
 		t.Helper()
-		if err := json.Unmarshal(p.answerForecast(0, c).Body, &r); err != nil {
+		if err := json.Unmarshal(dm.answerForecast(0, call).Body, &r); err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	if r := ask(); r.Done >= 1 {
+	if r := query(); r.Done >= 1 {
 		t.Errorf("%+v without a result", r)
 	}
-	x.result = &forecast.Result{Runs: 5}
-	if r := ask(); r.Done != 1 || r.Runs != 5 {
+	run.result = &forecast.Result{Runs: 5}
+	if r := query(); r.Done != 1 || r.Runs != 5 {
 		t.Errorf("%+v with one", r)
 	}
 }
--- a/internal/node/forecastreply.go
+++ b/internal/node/forecastreply.go
@@ -51,17 +51,17 @@
 	return s
 }
 
-func (dm *drainManager) forecastReply(x *forecastRun) ForecastReply {
-	r, names := x.result, dm.lead.node.names
-	out := ForecastReply{Name: x.spec.Name, Done: 1, Jobs: r.Jobs, Runs: r.Runs, Unreported: x.unreported,
+func (dm *drainManager) forecastReply(run *forecastRun) ForecastReply {
+	r, names := run.result, dm.lead.node.names
+	out := ForecastReply{Name: run.spec.Name, Done: 1, Jobs: r.Jobs, Runs: r.Runs, Unreported: run.unreported,
 		TookS:      toSeconds(r.Duration),
 		Unfinished: r.Unfinished,
 		Delayed:    []DelayedJob{}, Guarantees: []DelayedGuarantee{}}
 	for i := range r.Delayed {
-		l := &r.Delayed[i]
-		j := DelayedJob{Job: wire.JobName(l.Spec.ID), Class: names.Classes.Name(l.Spec.Class), DelayS: toSeconds(l.Delay),
-			EndS: toSeconds(l.End), Why: l.Reason,
-			MovedTasks: l.MovedTasks, MissedLimit: missedLimit(l)}
+		delayed := &r.Delayed[i]
+		j := DelayedJob{Job: wire.JobName(delayed.Spec.ID), Class: names.Classes.Name(delayed.Spec.Class), DelayS: toSeconds(delayed.Delay),
+			EndS: toSeconds(delayed.End), Why: delayed.Reason,
+			MovedTasks: delayed.MovedTasks, MissedLimit: missedLimit(delayed)}
 		out.Delayed = append(out.Delayed, j)
 	}
 	for _, g := range r.Guarantees {
@@ -71,11 +71,11 @@
 	return out
 }
 
-func missedLimit(l *forecast.DelayedJob) string {
+func missedLimit(job *forecast.DelayedJob) string {
 	switch {
-	case l.Window != "":
-		return l.Window
-	case l.MissesDeadline:
+	case job.Window != "":
+		return job.Window
+	case job.MissesDeadline:
 		return "its deadline"
 	}
 	return ""
@@ -83,9 +83,9 @@
 
 // errorStatus tells refusals from malformed requests.
 func errorStatus(err error) int {
-	var r *drain.RefusedError
-	var q *quota.RefusedError
-	if errors.As(err, &r) || errors.As(err, &q) {
+	var drainRefused *drain.RefusedError
+	var quotaRefused *quota.RefusedError
+	if errors.As(err, &drainRefused) || errors.As(err, &quotaRefused) {
 		return http.StatusConflict
 	}
 	return http.StatusBadRequest
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -44,10 +44,10 @@
 	return "", preferred
 }
 
-func (n *Node) forward(ctx context.Context, addr string, k jobs.Kind, id model.JobID,
+func (n *Node) forward(ctx context.Context, addr string, kind jobs.Kind, id model.JobID,
 	sub *wire.Submission) (Reply, bool) {
 	var r Reply
-	if err := n.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: k, Job: id, Sub: sub}, &r); err != nil {
+	if err := n.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: kind, Job: id, Sub: sub}, &r); err != nil {
 		n.log.Debug("request not passed on", "job", wire.JobName(id), "err", err)
 		return r, false
 	}
@@ -59,15 +59,15 @@
 
 // serveForwarded answers what a sibling passes on; it is not passed on again.
 func (n *Node) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	var f forwardedRequest
-	if !readPeerRequest(w, r, &f) {
+	var request forwardedRequest
+	if !readPeerRequest(w, r, &request) {
 		return
 	}
-	if f.Kind == jobs.Submit && f.Sub == nil {
+	if request.Kind == jobs.Submit && request.Sub == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	n.writePeerReply(w, n.answerHere(r.Context(), f.Kind, f.Job, f.Sub))
+	n.writePeerReply(w, n.answerHere(r.Context(), request.Kind, request.Job, request.Sub))
 }
 
 // readPeerRequest reads what a sibling passes on; false tells that it can't be read, and
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -28,28 +28,28 @@
 }
 
 func (n *Node) readOpen(ctx context.Context, id model.JobID) jobs.Result {
-	it, err := n.state.Get(ctx, openPrefix+wire.JobName(id))
+	item, err := n.state.Get(ctx, openPrefix+wire.JobName(id))
 	if err != nil {
 		return jobs.Result{Outcome: readOutcome(err)}
 	}
 	var rec struct{ Awaits []string }
-	if json.Unmarshal(it.Value, &rec) != nil {
+	if json.Unmarshal(item.Value, &rec) != nil {
 		return jobs.Result{Outcome: jobs.Failed}
 	}
-	n.cacheOpenRecord(id, it.Version, len(rec.Awaits) > 0)
-	return jobs.Result{Version: it.Version}
+	n.cacheOpenRecord(id, item.Version, len(rec.Awaits) > 0)
+	return jobs.Result{Version: item.Version}
 }
 
 func (n *Node) readFinal(ctx context.Context, id model.JobID) jobs.Result {
-	it, err := n.state.Get(ctx, finalPrefix+wire.JobName(id))
+	item, err := n.state.Get(ctx, finalPrefix+wire.JobName(id))
 	if err != nil {
 		return jobs.Result{Outcome: readOutcome(err)}
 	}
-	var f wire.Final
-	if json.Unmarshal(it.Value, &f) != nil || !jobs.Stage(f.Stage).Ended() {
+	var final wire.Final
+	if json.Unmarshal(item.Value, &final) != nil || !jobs.Stage(final.Stage).Ended() {
 		return jobs.Result{Outcome: jobs.Failed}
 	}
-	return jobs.Result{Version: it.Version, Stage: jobs.Stage(f.Stage)}
+	return jobs.Result{Version: item.Version, Stage: jobs.Stage(final.Stage)}
 }
 
 // readOutcome is what an error of a read means to a request.
@@ -68,21 +68,21 @@
 	id := op.Job
 	name := wire.JobName(id)
 	openKey, finalKey := openPrefix+name, finalPrefix+name
-	t := wire.Txn{}
+	txn := wire.Txn{}
 	if op.Kind == jobs.Create {
-		t.Guards = []wire.Guard{{Key: openKey}, {Key: finalKey}}
+		txn.Guards = []wire.Guard{{Key: openKey}, {Key: finalKey}}
 		for _, g := range op.Guards {
-			t.Guards = append(t.Guards, wire.Guard{Key: openPrefix + wire.JobName(g.Job), Version: g.Version})
+			txn.Guards = append(txn.Guards, wire.Guard{Key: openPrefix + wire.JobName(g.Job), Version: g.Version})
 		}
-		t.Then = []wire.Op{{Put: openKey, Value: mustEncode(sub)}}
+		txn.Then = []wire.Op{{Put: openKey, Value: mustEncode(sub)}}
 		if op.Stage != "" {
-			t.Then = finalOps(id, op.Stage)[1:] // it never was open
+			txn.Then = finalOps(id, op.Stage)[1:] // it never was open
 		}
 	} else {
-		t.Guards = []wire.Guard{{Key: openKey, Version: op.Version}}
-		t.Then = finalOps(id, jobs.Cancelled)
+		txn.Guards = []wire.Guard{{Key: openKey, Version: op.Version}}
+		txn.Then = finalOps(id, jobs.Cancelled)
 	}
-	rev, err := n.state.Txn(state.As(ctx, ratelimit.Changes), t)
+	rev, err := n.state.Txn(state.As(ctx, ratelimit.Changes), txn)
 	switch {
 	case err == nil:
 		if op.Kind == jobs.Create && op.Stage == "" {
@@ -103,27 +103,27 @@
 func (n *Node) cachedOpenRecord(id model.JobID) (version uint64, ended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if v := n.openRecords[id]; v.version != 0 {
-		return v.version, false
+	if record := n.openRecords[id]; record.version != 0 {
+		return record.version, false
 	}
 	p, open := n.progress[id]
 	return p.version, !open && len(n.progress) > 0
 }
 
-func (n *Node) cacheOpenRecord(id model.JobID, version uint64, awaits bool) {
+func (n *Node) cacheOpenRecord(id model.JobID, version uint64, hasDependencies bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.openRecords) >= maxCachedFinals {
 		clear(n.openRecords) // they are read again
 	}
-	n.openRecords[id] = openRecordInfo{version, awaits}
+	n.openRecords[id] = openRecordInfo{version, hasDependencies}
 }
 
 // cacheRemovedRecords keeps those of jobs that the leader no longer tells of: their users will ask
 // once more, and a leader that has ended one answers without asking the state service.
 // Called under the lock.
-func (n *Node) cacheRemovedRecords(before map[model.JobID]jobProgress) {
-	for id, p := range before {
+func (n *Node) cacheRemovedRecords(previous map[model.JobID]jobProgress) {
+	for id, p := range previous {
 		if _, open := n.progress[id]; open || p.version == 0 {
 			continue
 		}
@@ -136,6 +136,6 @@
 // openRecordInfo is what was seen of an open record: its version, and whether its job awaits
 // others.
 type openRecordInfo struct {
-	version uint64
-	awaits  bool
+	version         uint64
+	hasDependencies bool
 }
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -55,11 +55,11 @@
 	id     uint64
 }
 
-func newOpenChecker(c *state.Client, txnOps, controllers int) *openChecker {
-	alone := min(maxBatchInterval, time.Duration(controllers)*leaderBatchInterval)
-	return &openChecker{state: c, startedAt: time.Now(), soloInterval: alone, waiters: map[readbatch.Waiter]checkWaiter{},
+func newOpenChecker(client *state.Client, txnOps, controllers int) *openChecker {
+	soloInterval := min(maxBatchInterval, time.Duration(controllers)*leaderBatchInterval)
+	return &openChecker{state: client, startedAt: time.Now(), soloInterval: soloInterval, waiters: map[readbatch.Waiter]checkWaiter{},
 		pending: map[uint64]chan<- jobs.Result{},
-		batcher: readbatch.New(readbatch.Params{Interval: alone, MaxBatch: guardsPerOp * txnOps})}
+		batcher: readbatch.New(readbatch.Params{Interval: soloInterval, MaxBatch: guardsPerOp * txnOps})}
 }
 
 // guardsPerOp is how many conditions a transaction may have for each of its changes, by the
@@ -78,10 +78,10 @@
 }
 
 // setLeading tells whether this controller leads, and so compares for all.
-func (q *openChecker) setLeading(yes bool) {
+func (q *openChecker) setLeading(leading bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if yes {
+	if leading {
 		q.batcher.SetInterval(leaderBatchInterval)
 	} else {
 		q.batcher.SetInterval(q.soloInterval)
@@ -95,9 +95,9 @@
 	defer q.mu.Unlock()
 	q.leaderQueue = leader
 	q.route.SetLeaderCompares(leader != nil)
-	for id, c := range q.pending {
+	for id, result := range q.pending {
 		delete(q.pending, id)
-		c <- jobs.Result{Outcome: jobs.Failed}
+		result <- jobs.Result{Outcome: jobs.Failed}
 	}
 }
 
@@ -112,7 +112,7 @@
 
 // askLeader asks the leader; it fails where there is none, or it does not answer.
 func (q *openChecker) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
-	c := make(chan jobs.Result, 1)
+	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
 	if !q.route.UseLeader(q.now()) {
 		q.mu.Unlock()
@@ -120,21 +120,21 @@
 	}
 	q.lastID++
 	id := q.lastID
-	q.pending[id] = c
+	q.pending[id] = result
 	q.leaderQueue.Send(&peerpb.Up{Msg: &peerpb.Up_Questions{Questions: &peerpb.Questions{Questions: []*peerpb.Question{
 		{Id: id, Job: uint64(g.Job), Version: g.Version}}}}})
 	q.mu.Unlock()
 	timeout := time.NewTimer(leaderAnswerTimeout)
 	defer timeout.Stop()
 	select {
-	case res := <-c:
+	case res := <-result:
 		return res
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, waits := q.pending[id]; waits {
+	if _, waiting := q.pending[id]; waiting {
 		delete(q.pending, id)
 		q.route.LeaderFailed(q.now())
 	}
@@ -142,20 +142,20 @@
 }
 
 // handleAnswers takes the leader's answers.
-func (q *openChecker) handleAnswers(as []*peerpb.Answer) {
+func (q *openChecker) handleAnswers(answers []*peerpb.Answer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, a := range as {
-		c := q.pending[a.GetId()]
-		if c == nil {
+	for _, answer := range answers {
+		result := q.pending[answer.GetId()]
+		if result == nil {
 			continue
 		}
-		delete(q.pending, a.GetId())
-		res := jobs.Result{Outcome: outcomesFromPeer[a.GetOutcome()], Stage: jobs.Stage(a.GetStage())}
+		delete(q.pending, answer.GetId())
+		res := jobs.Result{Outcome: outcomesFromPeer[answer.GetOutcome()], Stage: jobs.Stage(answer.GetStage())}
 		if res.Outcome == jobs.Failed {
 			q.route.LeaderFailed(q.now())
 		}
-		c <- res
+		result <- res
 	}
 }
 
@@ -182,26 +182,26 @@
 
 // compareHere has a question compared here.
 func (q *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
-	c := make(chan jobs.Result, 1)
+	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
 	now := q.now()
 	until := now + siblingCheckTimeout
 	if d, ok := ctx.Deadline(); ok {
 		until = d.Sub(q.startedAt)
 	}
-	w := q.batcher.Ask(now, g, until)
-	q.waiters[w] = checkWaiter{result: c}
+	waiter := q.batcher.Ask(now, g, until)
+	q.waiters[waiter] = checkWaiter{result: result}
 	q.step(now)
 	q.mu.Unlock()
 	select {
-	case res := <-c:
+	case res := <-result:
 		return res
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.batcher.Cancel(g, w)
-	delete(q.waiters, w)
+	q.batcher.Cancel(g, waiter)
+	delete(q.waiters, waiter)
 	return jobs.Result{Outcome: jobs.Busy}
 }
 
@@ -210,8 +210,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	w := q.batcher.Ask(now, g, now+siblingCheckTimeout)
-	q.waiters[w] = checkWaiter{link: k, id: id}
+	waiter := q.batcher.Ask(now, g, now+siblingCheckTimeout)
+	q.waiters[waiter] = checkWaiter{link: k, id: id}
 	q.step(now)
 }
 
@@ -262,16 +262,16 @@
 func (q *openChecker) deliver(answers []readbatch.Answer) {
 	toSend := map[*link][]*peerpb.Answer{}
 	for _, a := range answers {
-		to, ok := q.waiters[a.Waiter]
+		waiter, ok := q.waiters[a.Waiter]
 		if !ok {
 			continue
 		}
 		delete(q.waiters, a.Waiter)
-		if to.link != nil {
-			toSend[to.link] = append(toSend[to.link], answerToPeer(to.id, a.Result))
+		if waiter.link != nil {
+			toSend[waiter.link] = append(toSend[waiter.link], answerToPeer(waiter.id, a.Result))
 			continue
 		}
-		to.result <- a.Result
+		waiter.result <- a.Result
 	}
 	for k, batch := range toSend {
 		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: batch}}})
@@ -281,12 +281,12 @@
 // handleQuestions takes a member's questions. A job that is known to be done needs no
 // comparison, for that never changes. Of cancellations only the reader of their record
 // tells, who notes that before it tells anybody.
-func (l *leadership) handleQuestions(k *link, qs []*peerpb.Question) {
-	for _, question := range qs {
+func (l *leadership) handleQuestions(k *link, questions []*peerpb.Question) {
+	for _, question := range questions {
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
 		if l.node.cachedFinals[g.Job] == jobs.Done {
-			a := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
-			k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{a}}}})
+			answer := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
+			k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
 			continue
 		}
 		l.node.openChecker.compareForSibling(k, question.GetId(), g)
--- a/internal/node/openchecker_test.go
+++ b/internal/node/openchecker_test.go
@@ -14,16 +14,16 @@
 // lastGrant is the last grant that the leader has sent.
 func (r *leaderHarness) lastGrant() *peerpb.Grant {
 	r.t.Helper()
-	var g *peerpb.Grant
-	for _, m := range r.takeSent(r.t) {
-		if m.GetGrant() != nil {
-			g = m.GetGrant()
+	var grant *peerpb.Grant
+	for _, message := range r.takeSent(r.t) {
+		if message.GetGrant() != nil {
+			grant = message.GetGrant()
 		}
 	}
-	if g == nil {
+	if grant == nil {
 		r.t.Fatal("no grant")
 	}
-	return g
+	return grant
 }
 
 // A member is told its part of the state service's rate with each grant, by what it needs. To
@@ -32,19 +32,19 @@
 	r := newLeaderHarness(t)
 	now := r.node.now()
 	r.setOpenJobsAsOf(now)
-	parts := func(now time.Duration, need float64) *peerpb.Grant {
-		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
+	grantForDemand := func(now time.Duration, demand float64) *peerpb.Grant {
+		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
 		r.lead.ratesDividedAt = now - rateDivisionInterval
 		r.lead.divideRate(now)
 		r.takeSent(t)
-		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: need, WritesNeeded: need})
+		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
 		return r.lastGrant()
 	}
-	silent := parts(now, 0)
-	if equal := rateshare.TotalShare / 2; silent.GetRequestsShare() < equal-1e-9 {
-		t.Errorf("%v for a member that tells no needs", silent)
+	noDemand := grantForDemand(now, 0)
+	if equal := rateshare.TotalShare / 2; noDemand.GetRequestsShare() < equal-1e-9 {
+		t.Errorf("%v for a member that tells no needs", noDemand)
 	}
-	idle, busy := parts(now, 0.01), parts(now, 0.6)
+	idle, busy := grantForDemand(now, 0.01), grantForDemand(now, 0.6)
 	for _, g := range []*peerpb.Grant{idle, busy} {
 		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.node.stateShare() > rateshare.TotalShare+1e-9 {
 			t.Errorf("%v beside the leader's %v", g, r.node.stateShare())
--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -111,8 +111,8 @@
 }
 
 // sign is a MAC over all that a call asks for.
-func (c *Call) sign(a *config.Access) []byte {
-	h := hmac.New(sha256.New, a.Hash[:])
+func (c *Call) sign(access *config.Access) []byte {
+	h := hmac.New(sha256.New, access.Hash[:])
 	for _, s := range []string{string(c.Verb), c.Name, c.Machine, c.Plan, c.Who, c.Request} {
 		fmt.Fprintf(h, "%d:%s", len(s), s)
 	}
@@ -132,11 +132,11 @@
 		return errorReply(http.StatusServiceUnavailable, errNoLeader)
 	}
 	var r CallReply
-	a := n.operatorAccess(c.Who)
-	if a == nil {
+	access := n.operatorAccess(c.Who)
+	if access == nil {
 		return errorReply(http.StatusForbidden, errBadSignature)
 	}
-	c.Seal = c.sign(a)
+	c.Seal = c.sign(access)
 	if err := n.dialer.Forward(ctx, addr, peer.OpsPath, c, &r); err != nil {
 		n.log.Debug("operator's call not passed on", "verb", c.Verb, "err", err)
 		return errorReply(http.StatusServiceUnavailable, errNoLeader)
@@ -154,9 +154,9 @@
 	l := n.lead
 	n.mu.Unlock()
 	reply := errorReply(http.StatusServiceUnavailable, errNoLeader)
-	a := n.operatorAccess(c.Who)
+	access := n.operatorAccess(c.Who)
 	switch {
-	case a == nil || !hmac.Equal(c.Seal, c.sign(a)) || c.Verb.Changes() && !a.Operate:
+	case access == nil || !hmac.Equal(c.Seal, c.sign(access)) || c.Verb.Changes() && !access.Operate:
 		n.log.Error("operator's call refused: it bears no seal of ours", "who", c.Who, "verb", c.Verb)
 		reply = errorReply(http.StatusForbidden, errBadSignature)
 	case l != nil:
@@ -182,7 +182,7 @@
 		return errorReply(http.StatusConflict, err)
 	}
 	if e == nil {
-		if r, wait := l.drains.forecastBeforeApply(now, c); wait {
+		if r, pending := l.drains.forecastBeforeApply(now, c); pending {
 			return r
 		}
 		e = l.drains.recordChange(now, c)
@@ -257,18 +257,18 @@
 }
 
 func (dm *drainManager) applyPlan(now time.Duration, c *Call) (string, error) {
-	d, err := dm.parsePlan(now, c.Plan)
+	declared, err := dm.parsePlan(now, c.Plan)
 	if err != nil {
 		return "", err
 	}
-	c.Name = d.spec.Name
-	if err := dm.engine.Check(d.spec, d.source, wire.MachineName); err != nil {
+	c.Name = declared.spec.Name
+	if err := dm.engine.Check(declared.spec, declared.source, wire.MachineName); err != nil {
 		return "", err
 	}
 	if err := dm.checkWindows(c); err != nil {
 		return "", err
 	}
-	plan := dm.engine.Apply(now, time.Now(), d.spec, d.source, c.Who)
+	plan := dm.engine.Apply(now, time.Now(), declared.spec, declared.source, c.Who)
 	return "applied to " + formatCount(len(plan.Steps), "machine"), nil
 }
 
@@ -284,27 +284,27 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &declaredPlan{pb: pb, spec: planfile.Spec(pb, dm.lead.node.names)}
-	if d.source, err = planfile.Encode(pb); err != nil {
+	declared := &declaredPlan{pb: pb, spec: planfile.Spec(pb, dm.lead.node.names)}
+	if declared.source, err = planfile.Encode(pb); err != nil {
 		return nil, err
 	}
-	d.spec.Machines = planfile.Choose(pb, dm.candidates(now), dm.lead.node.names)
-	if missing := firstMissing(pb, d.spec.Machines); missing != "" {
+	declared.spec.Machines = planfile.Choose(pb, dm.candidates(now), dm.lead.node.names)
+	if missing := firstMissing(pb, declared.spec.Machines); missing != "" {
 		return nil, &drain.RefusedError{Reason: "machines.names: " + missing +
 			" is no machine of this cluster, or not one that the other fields allow"}
 	}
-	return d, nil
+	return declared, nil
 }
 
 // firstMissing is the first machine that a plan names and does not get.
-func firstMissing(pb *planpb.Plan, got []model.MachineID) string {
-	have := map[string]bool{}
-	for _, id := range got {
-		have[wire.MachineName(id)] = true
+func firstMissing(pb *planpb.Plan, machines []model.MachineID) string {
+	found := map[string]bool{}
+	for _, id := range machines {
+		found[wire.MachineName(id)] = true
 	}
-	for _, n := range pb.GetMachines().GetNames() {
-		if !have[n] {
-			return n
+	for _, name := range pb.GetMachines().GetNames() {
+		if !found[name] {
+			return name
 		}
 	}
 	return ""
--- a/internal/node/operatorcalls_test.go
+++ b/internal/node/operatorcalls_test.go
@@ -18,7 +18,7 @@
 	operator := config.Access{Name: "boss", Hash: sha256.Sum256([]byte("o")), Operate: true}
 	n := &Node{settings: &config.Settings{Operator: &config.Operator{Access: []config.Access{reader, operator}}},
 		log: slog.New(slog.DiscardHandler)}
-	ask := func(n *Node, c Call) int {
+	send := func(n *Node, c Call) int {
 		b, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
@@ -31,32 +31,32 @@
 		}
 		return r.Status
 	}
-	sealed := func(c Call, a *config.Access) Call {
-		c.Seal = c.sign(a)
+	signed := func(c Call, access *config.Access) Call {
+		c.Seal = c.sign(access)
 		return c
 	}
 	pause, list := Call{Verb: DrainPause, Name: "p", Who: "boss"}, Call{Verb: DrainList, Who: "reader"}
-	changed := sealed(pause, &operator)
-	changed.Name = "q"
+	altered := signed(pause, &operator)
+	altered.Name = "q"
 	byReader := pause
 	byReader.Who = "reader"
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		call Call
 		want int
 	}{
 		"no seal":             {pause, 403},
-		"another's seal":      {sealed(pause, &reader), 403},
-		"another plan":        {changed, 403},
-		"a change by readers": {sealed(byReader, &reader), 403},
-		"a stranger":          {sealed(Call{Verb: DrainList, Who: "x"}, &operator), 403},
-		"a change":            {sealed(pause, &operator), 503}, // taken; nobody leads here
-		"a question":          {sealed(list, &reader), 503},
+		"another's seal":      {signed(pause, &reader), 403},
+		"another plan":        {altered, 403},
+		"a change by readers": {signed(byReader, &reader), 403},
+		"a stranger":          {signed(Call{Verb: DrainList, Who: "x"}, &operator), 403},
+		"a change":            {signed(pause, &operator), 503}, // taken; nobody leads here
+		"a question":          {signed(list, &reader), 503},
 	} {
-		if got := ask(n, c.call); got != c.want {
-			t.Errorf("%s: %d, want %d", what, got, c.want)
+		if got := send(n, c.call); got != c.want {
+			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
-	if got := ask(&Node{settings: &config.Settings{}, log: n.log}, sealed(pause, &operator)); got != 403 {
+	if got := send(&Node{settings: &config.Settings{}, log: n.log}, signed(pause, &operator)); got != 403 {
 		t.Errorf("%d without a door", got)
 	}
 }
--- a/internal/node/planstatus.go
+++ b/internal/node/planstatus.go
@@ -39,11 +39,11 @@
 	if s.SlowestMachine != 0 {
 		out.Behind = wire.MachineName(s.SlowestMachine) + " for " + s.SlowestFor.Round(time.Second).String()
 	}
-	for _, t := range s.Steps {
-		step := PlanStep{Machine: wire.MachineName(t.Machine), State: t.State, BlockedReason: t.BlockedReason,
-			ForS: t.InStateFor.Round(100 * time.Millisecond).Seconds()}
-		if t.Replacement != 0 {
-			step.Replacement = wire.MachineName(t.Replacement)
+	for _, stepStatus := range s.Steps {
+		step := PlanStep{Machine: wire.MachineName(stepStatus.Machine), State: stepStatus.State, BlockedReason: stepStatus.BlockedReason,
+			ForS: stepStatus.InStateFor.Round(100 * time.Millisecond).Seconds()}
+		if stepStatus.Replacement != 0 {
+			step.Replacement = wire.MachineName(stepStatus.Replacement)
 		}
 		out.Steps = append(out.Steps, step)
 	}
@@ -51,9 +51,9 @@
 }
 
 // formatCount is a number of things, for people.
-func formatCount(n int, what string) string {
+func formatCount(n int, noun string) string {
 	if n == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return strconv.Itoa(n) + " " + what + "s"
+	return strconv.Itoa(n) + " " + noun + "s"
 }
--- a/internal/node/rentals.go
+++ b/internal/node/rentals.go
@@ -86,8 +86,9 @@
 		rm.fleet.SetUnreachable(rm.lead.dispatcher.UnreachableMachines())
 	}
 	var demand []fleet.Demand
-	for _, need := range rm.lead.dispatcher.Demand() {
-		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(rm.lead.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
+	for _, jobDemand := range rm.lead.dispatcher.Demand() {
+		demand = append(demand, fleet.Demand{Job: jobDemand,
+			Placed: jobDemand.Assigned - int32(rm.lead.dispatcher.TaskCounts(jobDemand.Spec.ID).Waiting)})
 	}
 	for _, a := range rm.fleet.Step(now, status, demand, rm.lead.dispatcher.TeamLimit) {
 		switch a.Kind {
@@ -114,8 +115,8 @@
 // shouldAbandon tells whether the lease of a worker that does not answer lasts so
 // much longer than it takes to find that out that its work should not wait for it.
 func (rm *rentalManager) shouldAbandon() bool {
-	s := rm.lead.node.shardParams()
-	return s.MaxLease-s.OverdueAfter()-directTimeout > 15*time.Second
+	params := rm.lead.node.shardParams()
+	return params.MaxLease-params.OverdueAfter()-directTimeout > 15*time.Second
 }
 
 // returnMachines returns machines to the cloud. told, if it is given, hears under the lock
@@ -187,18 +188,19 @@
 			continue
 		}
 		n.mu.Lock()
-		var out []fleet.ListedMachine
+		var machines []fleet.ListedMachine
 		for _, m := range list {
 			id, err := wire.ParseMachine(m.Name)
 			if err != nil {
 				continue
 			}
-			out = append(out, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type), Zone: n.names.Zones.ID(m.Zone),
+			machines = append(machines, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type),
+				Zone: n.names.Zones.ID(m.Zone),
 				Spot:   m.Spot,
 				Failed: m.Stage == "failed", Age: config.Seconds(m.AgeS)})
 		}
-		slices.SortFunc(out, func(a, b fleet.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
-		removed := rm.fleet.UpdateListed(n.now(), askedAt, out)
+		slices.SortFunc(machines, func(a, b fleet.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+		removed := rm.fleet.UpdateListed(n.now(), askedAt, machines)
 		for _, id := range removed {
 			rm.lead.dispatcher.MachineGone(id)
 		}
--- a/internal/node/teams.go
+++ b/internal/node/teams.go
@@ -34,13 +34,13 @@
 // readTeams gets the stored changes of teams. Those of teams that the platform has no
 // more are left alone.
 func (dm *drainManager) readTeams(ctx context.Context) (out []storedTeam, err error) {
-	_, err = dm.lead.node.state.List(ctx, teamPrefix, func(it *wire.Item) error {
-		name, err := url.PathUnescape(strings.TrimPrefix(it.Key, teamPrefix))
+	_, err = dm.lead.node.state.List(ctx, teamPrefix, func(item *wire.Item) error {
+		name, err := url.PathUnescape(strings.TrimPrefix(item.Key, teamPrefix))
 		if err != nil {
-			return fmt.Errorf("changes of a team %s: %w", it.Key, err)
+			return fmt.Errorf("changes of a team %s: %w", item.Key, err)
 		}
 		if team, ok := dm.lead.node.names.Teams.Lookup(name); ok {
-			out = append(out, storedTeam{team, it.Value, it.Version})
+			out = append(out, storedTeam{team, item.Value, item.Version})
 		}
 		return nil
 	})
@@ -58,8 +58,9 @@
 }
 
 // teamWrite stores a change of a team with the audit entries about it.
-func (dm *drainManager) teamWrite(w quota.Write, about []*audit.Entry) storeWrite {
-	return dm.recordWrite(teamKey(dm.lead.node.names.Teams.Name(w.Team)), w.Value, w.Version, about, func(o writeOutcome) {
+func (dm *drainManager) teamWrite(w quota.Write, entries []*audit.Entry) storeWrite {
+	return dm.recordWrite(teamKey(dm.lead.node.names.Teams.Name(w.Team)), w.Value, w.Version, entries,
+		func(o writeOutcome) {
 		dm.teamOverrides.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
 		dm.applyTeamOverrides()
 	})
@@ -74,7 +75,7 @@
 	if c.Verb == TeamUnset {
 		return "as the platform has it", dm.teamOverrides.Unset(team)
 	}
-	x, err := config.ParseTeamChange([]byte(c.Plan))
+	parsed, err := config.ParseTeamChange([]byte(c.Plan))
 	if err != nil {
 		return "", err
 	}
@@ -85,10 +86,10 @@
 		n := model.Capacity(*v, 0, 0).CPU
 		return &n
 	}
-	change := quota.Change{LimitCPU: toMilliCPU(x.LimitCPUs), LimitGPU: toMilliCPU(x.LimitGPUs),
-		GuaranteeCPU: toMilliCPU(x.GuaranteeCPUs), GuaranteeGPU: toMilliCPU(x.GuaranteeGPUs), By: c.Who}
-	if !x.Until.IsZero() {
-		change.UntilMS = x.Until.UnixMilli()
+	change := quota.Change{LimitCPU: toMilliCPU(parsed.LimitCPUs), LimitGPU: toMilliCPU(parsed.LimitGPUs),
+		GuaranteeCPU: toMilliCPU(parsed.GuaranteeCPUs), GuaranteeGPU: toMilliCPU(parsed.GuaranteeGPUs), By: c.Who}
+	if !parsed.Until.IsZero() {
+		change.UntilMS = parsed.Until.UnixMilli()
 	}
 	if err := dm.teamOverrides.Set(time.Now(), team, change); err != nil {
 		return "", err
@@ -97,25 +98,25 @@
 }
 
 // guaranteeWarning warns if more is guaranteed than there are machines for.
-func (dm *drainManager) guaranteeWarning(team model.Name, c quota.Change) string {
-	if c.GuaranteeCPU == nil {
+func (dm *drainManager) guaranteeWarning(team model.Name, change quota.Change) string {
+	if change.GuaranteeCPU == nil {
 		return ""
 	}
-	var sum, have int64
+	var guaranteed, available int64
 	for i, t := range dm.lead.dispatcher.Teams() {
 		if model.Name(i) == team {
-			t.Guarantee.CPU = *c.GuaranteeCPU
+			t.Guarantee.CPU = *change.GuaranteeCPU
 		}
-		sum += t.Guarantee.CPU
+		guaranteed += t.Guarantee.CPU
 	}
 	for _, status := range dm.lead.dispatcher.MachineStatuses() {
-		have += status.Machine.Cap.CPU
+		available += status.Machine.Cap.CPU
 	}
-	if sum <= have {
+	if guaranteed <= available {
 		return ""
 	}
-	return fmt.Sprintf("; guarantees add up to %g CPUs, the machines that are up have %g", float64(sum)/1000,
-		float64(have)/1000)
+	return fmt.Sprintf("; guarantees add up to %g CPUs, the machines that are up have %g", float64(guaranteed)/1000,
+		float64(available)/1000)
 }
 
 // TeamReply is how a team stands, as operators see it. Amounts are CPUs.
@@ -136,15 +137,16 @@
 	wall := time.Now()
 	var out []TeamReply
 	for i, t := range dm.lead.dispatcher.TeamStatus() {
-		cpu := func(n int64) float64 { return float64(n) / 1000 }
-		r := TeamReply{Team: dm.lead.node.names.Teams.Name(model.Name(i)), Limit: cpu(t.Limit.CPU),
-			Guarantee: cpu(t.Guarantee.CPU),
-			Used:      cpu(t.Used.CPU), Borrowed: cpu(max(0, t.Used.CPU-t.Guarantee.CPU)), Unaccounted: cpu(t.Unaccounted.CPU),
+		toCPUs := func(n int64) float64 { return float64(n) / 1000 }
+		r := TeamReply{Team: dm.lead.node.names.Teams.Name(model.Name(i)), Limit: toCPUs(t.Limit.CPU),
+			Guarantee: toCPUs(t.Guarantee.CPU),
+			Used:      toCPUs(t.Used.CPU), Borrowed: toCPUs(max(0, t.Used.CPU-t.Guarantee.CPU)),
+				Unaccounted: toCPUs(t.Unaccounted.CPU),
 			Waiting: t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
-		if c, ok := dm.teamOverrides.Active(model.Name(i), wall); ok {
-			r.Changed = "by " + c.By
-			if c.UntilMS > 0 {
-				r.Changed += " until " + time.UnixMilli(c.UntilMS).UTC().Format(time.RFC3339)
+		if change, ok := dm.teamOverrides.Active(model.Name(i), wall); ok {
+			r.Changed = "by " + change.By
+			if change.UntilMS > 0 {
+				r.Changed += " until " + time.UnixMilli(change.UntilMS).UTC().Format(time.RFC3339)
 			}
 		}
 		out = append(out, r)
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -42,15 +42,15 @@
 func roundTrip[T any](t *testing.T, name string) *T {
 	t.Helper()
 	v := new(T)
-	b := golden(t, name)
-	if err := json.Unmarshal(b, v); err != nil {
+	stored := golden(t, name)
+	if err := json.Unmarshal(stored, v); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	again, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := string(again), strings.TrimSpace(string(b)); got != want {
+	if got, want := string(again), strings.TrimSpace(string(stored)); got != want {
 		t.Errorf("%s is written as %s, was %s", name, got, want)
 	}
 	return v
@@ -150,10 +150,10 @@
 	if err := proto.Unmarshal(golden(t, "0.4/reprice.binpb"), &down); err != nil {
 		t.Fatal(err)
 	}
-	c := peer.NewCodec(&wire.Names{})
-	o, err := c.FromOrder(0, down.GetOrder())
-	if err != nil || o.Kind != model.RepriceJob || o.Price != 3000 || o.Objective != model.ObjectiveUnchanged {
-		t.Errorf("%+v, %v", o, err)
+	codec := peer.NewCodec(&wire.Names{})
+	order, err := codec.FromOrder(0, down.GetOrder())
+	if err != nil || order.Kind != model.RepriceJob || order.Price != 3000 || order.Objective != model.ObjectiveUnchanged {
+		t.Errorf("%+v, %v", order, err)
 	}
 	// A member of the last release tells no session, and its leader asks for none: a
 	// machine is let go of in any case, its worker need not be shown to hear, and nothing
@@ -161,20 +161,20 @@
 	if err := proto.Unmarshal(golden(t, "0.5/release.binpb"), &down); err != nil {
 		t.Fatal(err)
 	}
-	o, err = c.FromOrder(0, down.GetOrder())
-	if err != nil || o.Kind != model.ReleaseMachine || o.MessageID != (model.MessageID{}) || o.VerifyFirst {
-		t.Errorf("%+v, %v", o, err)
+	order, err = codec.FromOrder(0, down.GetOrder())
+	if err != nil || order.Kind != model.ReleaseMachine || order.MessageID != (model.MessageID{}) || order.VerifyFirst {
+		t.Errorf("%+v, %v", order, err)
 	}
 	var up peerpb.Up
 	if err := proto.Unmarshal(golden(t, "0.5/released.binpb"), &up); err != nil {
 		t.Fatal(err)
 	}
-	if e := c.FromEvent(up.GetEvent()); e.Kind != model.MachineReleased || e.Session != 0 || e.Held || len(e.Tasks) != 1 {
-		t.Errorf("%+v", e)
+	if event := codec.FromEvent(up.GetEvent()); event.Kind != model.MachineReleased || event.Session != 0 || event.Held || len(event.Tasks) != 1 {
+		t.Errorf("%+v", event)
 	}
 }
 
-type messagePair struct{ now, before proto.Message }
+type messagePair struct{ current, old proto.Message }
 
 // What this release sends is, but for what they don't know, the same to those before.
 func TestOldReleasesReadNewMessages(t *testing.T) {
@@ -209,9 +209,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range pairs {
+	for name, pair := range pairs {
 		desc := file.Messages().ByName(protoreflect.Name(name))
-		as := func(m proto.Message) *dynamicpb.Message {
+		asRelease := func(m proto.Message) *dynamicpb.Message {
 			b, err := proto.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
@@ -222,7 +222,7 @@
 			}
 			return d
 		}
-		if diff := cmp.Diff(as(c.before), as(c.now), protocmp.Transform()); diff != "" {
+		if diff := cmp.Diff(asRelease(pair.old), asRelease(pair.current), protocmp.Transform()); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
@@ -268,18 +268,18 @@
 	if n := len(mustEncode(wire.EncodeMachines(ms, names))); n > maxBytes {
 		t.Errorf("%d machines take %d bytes", len(ms), n)
 	}
-	full := make([]byte, chunkSize(c.ValueKB())/8)
-	for i := range full {
-		full[i] = 255
+	fullChunk := make([]byte, chunkSize(c.ValueKB())/8)
+	for i := range fullChunk {
+		fullChunk[i] = 255
 	}
-	if n := len(mustEncode(wire.Chunk{Part: full, From: 99_999})); n > maxBytes {
+	if n := len(mustEncode(wire.Chunk{Part: fullChunk, From: 99_999})); n > maxBytes {
 		t.Errorf("a chunk takes %d bytes", n)
 	}
 	// A job's final drops what it has room for, the rest comes after it.
 	n := &Node{cfg: &config.Platform{Cluster: c}}
-	p := &dispatchLoop{lead: &leadership{node: n}, dispatcher: dispatcher.New(dispatcher.Params{}, 0)}
-	w := p.encodeWrite(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
-	if len(w.ops) != 5 {
-		t.Errorf("%d changes in one transaction", len(w.ops))
+	loop := &dispatchLoop{lead: &leadership{node: n}, dispatcher: dispatcher.New(dispatcher.Params{}, 0)}
+	write := loop.encodeWrite(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
+	if len(write.ops) != 5 {
+		t.Errorf("%d changes in one transaction", len(write.ops))
 	}
 }
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -22,7 +22,9 @@
 	OverRate bool `json:",omitempty"`
 }
 
-func unavailable(why string) Reply { return Reply{Status: http.StatusServiceUnavailable, Err: why} }
+func unavailable(reason string) Reply {
+	return Reply{Status: http.StatusServiceUnavailable, Err: reason}
+}
 
 func (n *Node) stateReply(status int, id model.JobID, stage jobs.Stage) Reply {
 	s := &wire.JobState{NameID: wire.JobName(id), Stage: string(stage)}
@@ -49,12 +51,12 @@
 	if stage, ok := n.cachedFinal(id); ok {
 		return n.stateReply(http.StatusOK, id, stage)
 	}
-	ok, why := n.feasible(sub)
-	if why != "" && !ok {
+	ok, reason := n.feasible(sub)
+	if reason != "" && !ok {
 		// Should it have been accepted in spite of that, it stays accepted.
 		r := n.Poll(ctx, id)
 		if r.Status == http.StatusNotFound {
-			return Reply{Status: http.StatusUnprocessableEntity, Err: why}
+			return Reply{Status: http.StatusUnprocessableEntity, Err: reason}
 		}
 		return r
 	}
@@ -76,42 +78,42 @@
 
 // feasible tells whether a job can ever run. Without a reason it can't be told
 // yet.
-func (n *Node) feasible(s *wire.Submission) (ok bool, why string) {
+func (n *Node) feasible(sub *wire.Submission) (ok bool, reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	team, known := n.names.Teams.Lookup(*s.Team)
+	team, known := n.names.Teams.Lookup(*sub.Team)
 	if !known {
 		return false, "unknown team"
 	}
 	t := n.cfg.Cluster.Teams[team]
 	count := 1.0
-	if *s.Shape != "batch" { // all tasks at once
-		count = float64(*s.Tasks)
+	if *sub.Shape != "batch" { // all tasks at once
+		count = float64(*sub.Tasks)
 	}
-	if t.CPUsMax > 0 && *s.CPUs*count > t.CPUsMax || t.GPUsMax > 0 && *s.GPUs*count > t.GPUsMax {
+	if t.CPUsMax > 0 && *sub.CPUs*count > t.CPUsMax || t.GPUsMax > 0 && *sub.GPUs*count > t.GPUsMax {
 		return false, "above the team's limit"
 	}
 	if len(n.types) == 0 {
 		return false, ""
 	}
-	perTask := model.Request(*s.CPUs, *s.GPUs, *s.MemGB)
+	perTask := model.Request(*sub.CPUs, *sub.GPUs, *sub.MemGB)
 	for i := range n.types {
 		machineType := &n.types[i]
 		if !perTask.Fits(machineType.Cap) {
 			continue
 		}
-		allowed := s.Types == nil
-		for _, name := range s.Types {
+		allowed := sub.Types == nil
+		for _, name := range sub.Types {
 			allowed = allowed || n.names.Types.Name(machineType.Name) == name
 		}
 		if !allowed {
 			continue
 		}
-		if s.Zone == nil {
+		if sub.Zone == nil {
 			return true, ""
 		}
 		for _, z := range machineType.Zones {
-			if n.names.Zones.Name(z) == *s.Zone {
+			if n.names.Zones.Name(z) == *sub.Zone {
 				return true, ""
 			}
 		}
@@ -131,90 +133,90 @@
 
 // answerRequest answers a request here, or by way of a sibling if the state service does
 // not answer this controller.
-func (n *Node) answerRequest(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
+func (n *Node) answerRequest(ctx context.Context, kind jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
 	sibling, preferred := n.forwardTarget()
 	if sibling != "" && preferred {
-		if r, ok := n.forward(ctx, sibling, k, id, sub); ok {
+		if r, ok := n.forward(ctx, sibling, kind, id, sub); ok {
 			return r
 		}
 	}
-	r := n.answerHere(ctx, k, id, sub)
-	if r.Status != http.StatusServiceUnavailable || k == jobs.Poll && r.OverRate {
+	r := n.answerHere(ctx, kind, id, sub)
+	if r.Status != http.StatusServiceUnavailable || kind == jobs.Poll && r.OverRate {
 		return r // a question that found no rate here would find none there
 	}
 	if sibling == "" || preferred {
 		sibling = n.leaderForInDoubt(id) // it has been asked, or there is none
 	}
 	if sibling != "" {
-		if f, ok := n.forward(ctx, sibling, k, id, sub); ok {
-			return f
+		if forwarded, ok := n.forward(ctx, sibling, kind, id, sub); ok {
+			return forwarded
 		}
 	}
-	n.log.Debug("not answered", "job", wire.JobName(id), "request", k, "why", r.Err)
+	n.log.Debug("not answered", "job", wire.JobName(id), "request", kind, "why", r.Err)
 	return r
 }
 
-func (n *Node) answerHere(ctx context.Context, k jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
+func (n *Node) answerHere(ctx context.Context, kind jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
 	if stage, ok := n.cachedFinal(id); ok {
 		return n.stateReply(http.StatusOK, id, stage)
 	}
 	if n.isolated() {
 		return unavailable("cut off from the state service and the other controllers")
 	}
-	req, op := n.newRequest(k, id, sub)
+	req, op := n.newRequest(kind, id, sub)
 	for {
-		next, ans := req.Next(op, n.runJobOp(ctx, op, sub))
-		if ans == nil {
+		next, answer := req.Next(op, n.runJobOp(ctx, op, sub))
+		if answer == nil {
 			op = next
 			continue
 		}
 		switch {
-		case ans.RateLimited:
+		case answer.RateLimited:
 			return Reply{Status: http.StatusServiceUnavailable, OverRate: true,
 				Err: "the state service is asked for more than it serves"}
-		case ans.Status == http.StatusServiceUnavailable:
+		case answer.Status == http.StatusServiceUnavailable:
 			return unavailable("the state service does not answer")
-		case ans.Status == http.StatusUnprocessableEntity:
-			return Reply{Status: ans.Status, Err: "Awaits: " + wire.JobName(ans.UnknownDependency) + " was never accepted"}
-		case ans.Status == http.StatusNotFound:
-			return Reply{Status: ans.Status, Err: "no such job"}
+		case answer.Status == http.StatusUnprocessableEntity:
+			return Reply{Status: answer.Status, Err: "Awaits: " + wire.JobName(answer.UnknownDependency) + " was never accepted"}
+		case answer.Status == http.StatusNotFound:
+			return Reply{Status: answer.Status, Err: "no such job"}
 		}
-		if ans.Stage.Ended() {
-			n.recordEnd(id, ans.Stage)
-		} else if !ans.Created && !n.mayReportQueued(id) {
+		if answer.Stage.Ended() {
+			n.recordEnd(id, answer.Stage)
+		} else if !answer.Created && !n.mayReportQueued(id) {
 			return n.answerInDoubt(id)
 		}
-		return n.preferFinal(id, n.stateReply(ans.Status, id, ans.Stage))
+		return n.preferFinal(id, n.stateReply(answer.Status, id, answer.Stage))
 	}
 }
 
 // newRequest begins a newRequest. What a submission awaits was mostly seen a moment ago.
-func (n *Node) newRequest(k jobs.Kind, id model.JobID, sub *wire.Submission) (*jobs.Request, jobs.Op) {
-	if k != jobs.Submit {
+func (n *Node) newRequest(kind jobs.Kind, id model.JobID, sub *wire.Submission) (*jobs.Request, jobs.Op) {
+	if kind != jobs.Submit {
 		version, believedEnded := n.cachedOpenRecord(id)
 		if believedEnded {
-			return jobs.NewEnded(k, id)
+			return jobs.NewEnded(kind, id)
 		}
-		return jobs.New(k, id, version)
+		return jobs.New(kind, id, version)
 	}
 	if len(sub.Awaits) == 0 {
-		return jobs.New(k, id, 0) // a submission reads nothing first
+		return jobs.New(kind, id, 0) // a submission reads nothing first
 	}
-	needs := sub.Needs()
-	open := make(map[model.JobID]uint64, len(needs))
-	for _, need := range needs {
-		if v, _ := n.cachedOpenRecord(need); v != 0 {
-			open[need] = v
+	dependencies := sub.Needs()
+	open := make(map[model.JobID]uint64, len(dependencies))
+	for _, dependency := range dependencies {
+		if version, _ := n.cachedOpenRecord(dependency); version != 0 {
+			open[dependency] = version
 		}
 	}
-	return jobs.NewWithDependencies(id, needs, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
+	return jobs.NewWithDependencies(id, dependencies, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
 }
 
 // mayReportQueued tells whether users may be told that an open job is queued.
 func (n *Node) mayReportQueued(id model.JobID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	onHold := n.openRecords[id].awaits
+	onHold := n.openRecords[id].hasDependencies
 	if p, ok := n.progress[id]; ok {
 		onHold = p.onHold
 	}
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -36,18 +36,18 @@
 // What is no job at all is refused in any case.
 func TestSubmitRefusedWithoutMachineTypes(t *testing.T) {
 	r := newLeaderHarness(t)
-	job := `{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch","Rank":"standard","Cells":2,"Cpus":1,
+	submission := `{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch","Rank":"standard","Cells":2,"Cpus":1,
 		"Accelerators":0,"MemGb":1,"Wax":"img","ImageGb":1,"Together":false,"Spread":false,"SwarmBoxes":false,"ForageS":1,
 		"CapIntervalS":0,"CapS":0}`
-	if got := r.node.Submit(t.Context(), []byte(job)); got.Status != http.StatusServiceUnavailable {
+	if got := r.node.Submit(t.Context(), []byte(submission)); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("%d %q", got.Status, got.Err)
 	}
-	none := strings.Replace(job, `"Cells":2`, `"Cells":0`, 1)
-	if got := r.node.Submit(t.Context(), []byte(none)); got.Status != http.StatusBadRequest {
+	noTasks := strings.Replace(submission, `"Cells":2`, `"Cells":0`, 1)
+	if got := r.node.Submit(t.Context(), []byte(noTasks)); got.Status != http.StatusBadRequest {
 		t.Errorf("%d %q of no tasks", got.Status, got.Err)
 	}
 	r.node.recordEnd(8, jobs.Done) // a known job stays known
-	if got := r.node.Submit(t.Context(), []byte(job)); got.Status != http.StatusOK ||
+	if got := r.node.Submit(t.Context(), []byte(submission)); got.Status != http.StatusOK ||
 		got.State.Stage != string(jobs.Done) {
 		t.Errorf("%d %+v of a job that is done", got.Status, got.State)
 	}
