--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -16,45 +16,51 @@
 	"honeylock/internal/wire"
 )
 
-// maxEndLookups are the ended jobs that are asked about at a time.
+// maxEndLookups is how many final records of dependencies are read at a time.
 const maxEndLookups = 8
 
-// dependencyTracker is the leader's part that lets a job begin once all that it awaits is done,
-// and cancels it with one of them.
+// dependencyTracker is the leader's component that releases a job once all of its dependencies are
+// done, and cancels it if one of them is cancelled.
 type dependencyTracker struct {
 	lead    *leadership
 	graph   *pipeline.Graph
-	lookups int
+	lookups int // reads of final records under way
 	inDoubt pipeline.InDoubtJobs
 }
 
-// read has nothing to get: the open jobs' records name what they await.
+// read does nothing: the open jobs' records, which dispatchLoop reads, name the dependencies.
 func (dt *dependencyTracker) read(context.Context) (func(time.Duration) error, error) {
 	return func(time.Duration) error { return nil }, nil
 }
 
+// run does nothing: this component watches no service.
 func (dt *dependencyTracker) run() {}
 
-// addJob takes an open job; the end of one that it awaits may have been told since.
+// addJob adds an open job, and puts it on hold while a dependency is not done. since is the earliest
+// time at which the end of one of its dependencies may have been reported to a user.
 func (dt *dependencyTracker) addJob(spec *model.Spec, dependsOn []model.JobID, since time.Duration) {
-	if dt.graph.Add(pipeline.Job{ID: spec.ID, Rank: spec.Rank, HasObjective: !spec.BestEffort, DependsOn: dependsOn}, since) {
+	if dt.graph.Add(pipeline.Job{ID: spec.ID, Rank: spec.Rank, HasObjective: !spec.BestEffort, DependsOn: dependsOn},
+		since) {
 		dt.lead.dispatcher.HoldJob(spec.ID)
 	}
 	for _, id := range dependsOn {
 		if s := dt.lead.dispatcher.Spec(id); s != nil && s.Daemon {
-			dt.lead.node.log.Info("job awaits a service: it waits until that is cancelled, and is cancelled with it", "job",
+			dt.lead.node.log.Info("job awaits a service: it waits until the service is cancelled, and is then cancelled too",
+				"job",
 				wire.JobName(spec.ID), "service", wire.JobName(id))
 		}
 	}
 }
 
-// jobEnded takes the news that a job is no longer open.
+// jobEnded updates the jobs that depend on one that is no longer open.
 func (dt *dependencyTracker) jobEnded(now time.Duration, id model.JobID, e pipeline.FinalState) {
 	dt.graph.JobEnded(id, e, dt.lead.dispatchLoop.openJobsAsOf)
 	dt.applyDecisions(now)
 }
 
-// applyDecisions passes on what the graph has decided.
+// applyDecisions passes the graph's decisions to the dispatcher: jobs that are released, and ranks
+// that jobs inherit from those that depend on them. A released job counts as waiting from now on, or
+// from the end of its last dependency, at most an hour ago, if all of them ended before this term.
 func (dt *dependencyTracker) applyDecisions(now time.Duration) {
 	released := dt.graph.TakeReleased()
 	for _, r := range released {
@@ -73,7 +79,7 @@
 	}
 }
 
-// tick asks how jobs have ended that others await.
+// tick starts reading the final records of ended dependencies whose outcome is not known.
 func (dt *dependencyTracker) tick(now time.Duration) {
 	ids := dt.graph.NextLookups(now, maxEndLookups-dt.lookups)
 	dt.lookups += len(ids)
@@ -82,6 +88,7 @@
 	}
 }
 
+// lookUpEnd reads how a dependency ended and updates the jobs that depend on it.
 func (dt *dependencyTracker) lookUpEnd(id model.JobID) {
 	n := dt.lead.node
 	end, atMS := dt.readEnd(id)
@@ -96,11 +103,12 @@
 	dt.applyDecisions(now)
 }
 
-// readEnd reads how a job has ended, and when by the time of day.
+// readEnd reads a job's final record. It returns how the job ended, and the wall clock time of its
+// end in milliseconds.
 func (dt *dependencyTracker) readEnd(id model.JobID) (pipeline.FinalState, int64) {
 	item, err := dt.lead.node.state.Get(state.As(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
 	if errors.Is(err, state.ErrNotFound) {
-		dt.lead.node.log.Debug("a job that is awaited has not ended and is not known to be open", "job", wire.JobName(id))
+		dt.lead.node.log.Debug("a dependency has not ended and is not known to be open", "job", wire.JobName(id))
 		return pipeline.Absent, 0
 	}
 	if err != nil {
@@ -121,8 +129,8 @@
 	return pipeline.Unknown, 0
 }
 
-// writes are the cancellations of jobs that need a cancelled one. They take a
-// quarter of what may be written at a time, and leave the rest to the ends of jobs.
+// writes returns the cancellations of jobs with a cancelled dependency. They use a quarter of the
+// writes that are allowed at a time, and leave the rest to the jobs that finish.
 func (dt *dependencyTracker) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
 	if class != writequota.FinalRecords {
 		return nil
@@ -131,10 +139,10 @@
 	for _, id := range dt.graph.NextCancellations(now, max(1, maxWrites/4)) {
 		version := dt.lead.dispatcher.JobVersion(id)
 		if version == 0 {
-			dt.graph.CancellationFailed(now, id) // the watch has not told of its end yet
+			dt.graph.CancellationFailed(now, id) // it has ended, and the graph has yet to be updated
 			continue
 		}
-		dt.lead.node.log.Debug("cancelled with a job that it needs", "job", wire.JobName(id))
+		dt.lead.node.log.Debug("job is cancelled because a dependency was cancelled", "job", wire.JobName(id))
 		out = append(out, storeWrite{
 			guards: []wire.Guard{{Key: openPrefix + wire.JobName(id), Version: version}},
 			ops:    finalOps(id, jobs.Cancelled),
@@ -144,13 +152,13 @@
 	return out
 }
 
-// cancellationDone takes the outcome of a cancellation.
+// cancellationDone handles the outcome of a cancellation's write.
 func (dt *dependencyTracker) cancellationDone(now time.Duration, id model.JobID, o writeOutcome) {
 	switch {
 	case o.err == nil:
 		dt.lead.dispatcher.JobRemoved(id)
 		dt.jobEnded(now, id, pipeline.Cancelled)
-	case o.conflict && o.foundVersion == 0: // its user was faster, or an answer was lost
+	case o.conflict && o.foundVersion == 0: // its user cancelled it first, or this write's first answer was lost
 		dt.lead.dispatcher.JobRemoved(id)
 		dt.jobEnded(now, id, pipeline.Unknown)
 	default:
@@ -158,15 +166,15 @@
 	}
 }
 
-// propagatedUntil is the moment up to which every cancellation that a user was told of has
-// gone through to all that need the job.
+// propagatedUntil returns the time up to which every cancellation that was acknowledged to a user
+// has been applied to all jobs that depend on the cancelled one.
 func (dt *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
 	return min(dt.lead.dispatchLoop.openJobsAsOf, dt.graph.PropagatedUntil(now))
 }
 
-// queuedConfirmed tells whether a job that waits for others may be called queued: no
-// cancellation of one of them that is older than cancel_s can be unknown here. Called
-// under the lock.
+// queuedConfirmed reports whether a job that waits for dependencies may be reported as queued: no
+// cancellation of one of them that is older than cancel_s can be unknown here. Called under the
+// lock.
 func (n *Node) queuedConfirmed(now time.Duration, id model.JobID) bool {
 	if l := n.lead; l != nil && l.loaded {
 		n.statusFreshness.SetPropagated(l.dependencies.propagatedUntil(now))
@@ -175,15 +183,16 @@
 	return n.statusFreshness.MayReportQueued(now, known && !p.inDoubt)
 }
 
-// cancelledConfirmed tells whether a job that is open may be called cancelled. Called under the lock.
+// cancelledConfirmed reports whether an open job is certain to be cancelled and so may be reported
+// as cancelled. Only the leader can confirm that. Called under the lock.
 func (n *Node) cancelledConfirmed(now time.Duration, id model.JobID) bool {
 	l := n.lead
 	return l != nil && l.loaded && l.dependencies.inDoubt.CertainlyCancelled(now, n.statusFreshness.MaxAge,
 		l.dependencies.graph, id)
 }
 
-// leaderForInDoubt is the address of the leader if it may know what became of a job that can't be
-// vouched for here, else "".
+// leaderForInDoubt returns the leader's address if the leader reported the job as in doubt and so
+// may know its state, else "".
 func (n *Node) leaderForInDoubt(id model.JobID) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -10,7 +10,8 @@
 	"honeylock/internal/core/model"
 )
 
-// newDisruptionTracker makes the book of the settings' budgets; nil where there are none.
+// newDisruptionTracker returns a tracker of the disruption budgets in the settings, nil if there are
+// none.
 func (n *Node) newDisruptionTracker() *disruption.Tracker {
 	if len(n.settings.Budgets) == 0 {
 		return nil
@@ -19,10 +20,11 @@
 	for _, setting := range n.settings.Budgets {
 		team, ok := n.names.Teams.Lookup(setting.Team)
 		if !ok {
-			continue // the command has refused it
+			continue // can't happen: such settings are refused at the start
 		}
 		budget := disruption.Budget{Team: team, Class: model.None, MaxTasks: setting.Tasks, MaxShare: setting.Share,
-			MaxCPU: model.Capacity(setting.CPUs, 0, 0).CPU, MaxLostCPU: setting.LostCPUS, Window: setting.Window, MaxMoves: setting.Moves,
+			MaxCPU: model.Capacity(setting.CPUs, 0, 0).CPU, MaxLostCPU: setting.LostCPUS, Window: setting.Window,
+			MaxMoves:     setting.Moves,
 			LastFraction: setting.LastPart}
 		if setting.Class != "" {
 			budget.Class = n.names.Classes.ID(setting.Class)
@@ -34,18 +36,19 @@
 	return tracker
 }
 
-// teamClass is a team's, or one of its classes'.
+// teamClass identifies a team's work, or that of one class of the team.
 type teamClass struct{ team, class model.Name }
 
-// updateDisruptions brings the book up to date for a turn of the drains, and returns how they draw
-// from it; nil where there are no budgets.
+// updateDisruptions brings the tracker up to date with the dispatcher before the drains advance. It
+// returns the function with which they request to move a task, which returns the reason if a
+// budget refuses; nil if there are no budgets.
 func (dm *drainManager) updateDisruptions(now time.Duration) func(drain.MoveRequest) string {
 	if !dm.disruptions.Enabled() {
 		return nil
 	}
 	l := dm.lead
 	for _, t := range l.dispatcher.TakeFreedTasks() {
-		if spec := l.dispatcher.Spec(t.Job); spec != nil { // nobody saw how long it had run
+		if spec := l.dispatcher.Spec(t.Job); spec != nil { // how long it had run is not known
 			dm.disruptions.TaskStopped(t, spec, disruption.Lost, spec.Estimate/2)
 		}
 	}
@@ -66,25 +69,27 @@
 		if request.ForPrice {
 			cause = disruption.PriceDrain
 		}
-		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: request.Task, Spec: request.Spec, Cause: cause, Ran: request.Ran,
+		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: request.Task, Spec: request.Spec, Cause: cause,
+			Ran:       request.Ran,
 			Remaining: request.Remaining})
 	}
 }
 
-// BudgetStatus is how a budget of disruption stands, as operators see it.
+// BudgetStatus is the use of a disruption budget as operators see it.
 type BudgetStatus struct {
 	Team            string         `json:"team"`
 	Class           string         `json:"class,omitempty"`
 	Running         int            `json:"running"`
-	Interrupted     int            `json:"out"`
-	MaxTasks        int            `json:"most"` // tasks, -1: not bounded
+	Interrupted     int            `json:"out"`  // tasks
+	MaxTasks        int            `json:"most"` // limit of Interrupted; -1: none
 	InterruptedCPUs float64        `json:"out_cpus"`
-	CPUs            float64        `json:"cpus,omitempty"` // bound, 0: none
-	LostCPUS        float64        `json:"lost_cpu_s"`
-	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"`
-	By              map[string]int `json:"by"`
+	CPUs            float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
+	LostCPUS        float64        `json:"lost_cpu_s"`                // CPU seconds lost in the budget's window
+	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"` // limit of LostCPUS; 0: none
+	By              map[string]int `json:"by"`                        // interrupted tasks by cause
 }
 
+// budgetStatuses returns the use of all disruption budgets.
 func (dm *drainManager) budgetStatuses(now time.Duration) []BudgetStatus {
 	out := []BudgetStatus{}
 	if dm.updateDisruptions(now) == nil {
@@ -109,12 +114,13 @@
 	return out
 }
 
-// disruptionMetrics are the book's counts, on the leader.
+// disruptionMetrics exports the disruption tracker's counts on the leader.
 type disruptionMetrics struct {
 	node                          *Node
 	granted, refused, involuntary *prometheus.Desc
 }
 
+// newDisruptionMetrics returns the collector of the node's disruption counts.
 func newDisruptionMetrics(n *Node) *disruptionMetrics {
 	desc := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc("honeylock_disruption_"+name+"_total", help+" by this leader, by team and cause.",
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -23,36 +23,39 @@
 	"honeylock/internal/wire"
 )
 
-// Keys of what operators have declared and changed.
+// Key prefixes in the state service of operators' plans and of the audit log.
 const (
 	planPrefix  = "ops/plan/"
 	auditPrefix = "ops/audit/"
 )
 
-// minReportsToLearn is how many reports a task must be estimated to last, for its run time
-// to be learnt from.
+// minReportsToLearn is the shortest estimated run time, in worker report intervals, of a task
+// whose run time is used for estimates. Run times are seen through reports only, so those of
+// shorter tasks are too coarse.
 const minReportsToLearn = 5
 
-// auditSlots are the operators' changes that are kept.
+// auditSlots is the number of operators' changes that the audit log keeps.
 const auditSlots = 256
 
-// drainManager is the leader's part that empties machines, for operators' plans and
-// for their price, and keeps the record of what operators change.
+// drainManager is the leader's component that drains machines, for operators' plans and to
+// save cost, and that stores operators' changes and their audit log.
 type drainManager struct {
 	lead          *leadership
 	engine        *drain.Engine
 	audit         *audit.Log
 	runTimes      *runtimes.Estimator
-	disruptions   *disruption.Tracker // of budgets of disruption, nil: there are none
-	teamOverrides *quota.Overrides    // what operators changed about teams
-	evaluator     *rollout.Evaluator  // how tasks fare on machines, nil: no plan has a gate
+	disruptions   *disruption.Tracker // use of the disruption budgets; nil if none are configured
+	teamOverrides *quota.Overrides    // operators' changes of teams' limits and guarantees
+	evaluator     *rollout.Evaluator  // how tasks run on each machine; nil if no active plan has a gate
 	lastTick      time.Duration
 	forecasts     forecasts
 }
 
+// newDrainManager returns the component with its limits derived from the largest value that
+// the state service stores.
 func (l *leadership) newDrainManager() *drainManager {
 	cluster := &l.node.cfg.Cluster
-	// A step takes three bytes as base64 for its number, two for its state.
+	// In base64, a step takes three bytes for its machine number and two for its state.
 	maxSteps := int(cluster.State.ValueKB*1024-2*planfile.MaxSource) / 5
 	maxRecordBytes := 0
 	if cluster.ValueKB() < cluster.State.ValueKB {
@@ -65,8 +68,8 @@
 			MaxMachines: max(1, maxSteps), MaxRecordBytes: maxRecordBytes})}
 }
 
-// read gets the stored plans and the audit record, where there is an operators'
-// door: without one there are none.
+// read lists the stored plans, audit entries and team changes, and returns a function that
+// loads them. Without an operators' endpoint in the settings there are none.
 func (dm *drainManager) read(ctx context.Context) (func(time.Duration) error, error) {
 	var plans []drain.StoredPlan
 	var entries []audit.Entry
@@ -113,7 +116,7 @@
 	}, nil
 }
 
-// decodePlan turns a stored plan into the cores' terms.
+// decodePlan decodes a stored plan into the drain engine's spec.
 func (dm *drainManager) decodePlan(source []byte) (*drain.Spec, error) {
 	pb, err := planfile.Decode(source)
 	if err != nil {
@@ -122,10 +125,10 @@
 	return planfile.Spec(pb, dm.lead.node.names), nil
 }
 
-// run has nothing to follow.
+// run does nothing: this component watches no service.
 func (dm *drainManager) run() {}
 
-// tick moves what is being drained on.
+// tick advances all drains, at most twice a second.
 func (dm *drainManager) tick(now time.Duration) {
 	if now-dm.lastTick < 500*time.Millisecond {
 		return
@@ -152,17 +155,17 @@
 		dm.execute(now, a)
 	}
 	dm.returnMachines(now, empty)
-	dm.lead.rentals.fleet.SetDrainPlans(dm.engine.MachinePlans()) // after: with the last plan's end nothing is held
+	dm.lead.rentals.fleet.SetDrainPlans(dm.engine.MachinePlans()) // after the tick, which may have ended the last plan
 	dm.lead.node.requestCycle()
 }
 
-// execute carries out what the engine asks for.
+// execute carries out an action of the engine other than returning a machine.
 func (dm *drainManager) execute(now time.Duration, action drain.Action) {
 	l := dm.lead
 	switch action.Kind {
 	case drain.Cordon, drain.Uncordon:
 		l.dispatcher.SetCordoned(action.Machine, action.Kind == drain.Cordon)
-		l.node.log.Info("machine drained or wanted again", "machine", wire.MachineName(action.Machine), "drained",
+		l.node.log.Info("machine cordoned or uncordoned", "machine", wire.MachineName(action.Machine), "drained",
 			action.Kind == drain.Cordon)
 	case drain.ListTasks:
 		l.dispatcher.InspectMachine(action.Machine, action.Seq)
@@ -173,8 +176,9 @@
 	}
 }
 
-// returnMachines returns empty machines in one call; one is under way at a time, and the
-// cloud takes only so many: the engine asks again for the rest.
+// returnMachines returns empty machines to the cloud in one call. Only one such call runs at
+// a time, and it takes at most fleet.MaxReturn machines. The others are reported to the engine
+// as not returned, and it tries them again.
 func (dm *drainManager) returnMachines(now time.Duration, ids []model.MachineID) {
 	if len(ids) == 0 {
 		return
@@ -196,7 +200,8 @@
 	})
 }
 
-// rentReplacement asks the cloud for a machine like the one that is to go.
+// rentReplacement rents a machine like the one that a plan drains, and passes the outcome to
+// the engine.
 func (dm *drainManager) rentReplacement(action drain.Action, template model.Machine) {
 	got, refused, _ := dm.lead.rentals.rentMachines(action.Request, template, 1)
 	dm.lead.node.mu.Lock()
@@ -206,7 +211,8 @@
 	dm.engine.MachineRented(now, action, got, refused)
 }
 
-// handleEvent takes what shards tell.
+// handleEvent updates the disruption budgets, gates, drains and run time estimates from a
+// shard's event.
 func (dm *drainManager) handleEvent(now time.Duration, event *model.Event) {
 	if dm.disruptions.Enabled() {
 		if spec := dm.lead.dispatcher.Spec(event.Task.Job); spec != nil {
@@ -226,7 +232,7 @@
 		if dm.lead.node.settings.Operator == nil {
 			return
 		}
-		// How long it ran is seen from reports: of short tasks that tells little.
+		// Run times are seen through reports, so those of short tasks are too coarse.
 		spec := dm.lead.dispatcher.Spec(event.Task.Job)
 		if spec != nil && spec.Estimate >= minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
 			dm.runTimes.Add(spec.Class, spec.Estimate, event.RunTime)
@@ -234,22 +240,24 @@
 	}
 }
 
-// recordTaskOutcome takes how a task ended on a machine.
+// recordTaskOutcome records for the gates how a task ended on a machine. Daemons never
+// complete, and failures of a broken job say nothing about the machine.
 func (dm *drainManager) recordTaskOutcome(event *model.Event) {
 	switch spec := dm.lead.dispatcher.Spec(event.Task.Job); {
 	case spec == nil || spec.Daemon:
 	case event.Kind == model.TaskFinished:
 		ran := event.RunTime
 		if spec.Estimate < minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
-			ran = 0 // of short tasks reports tell too little
+			ran = 0 // too coarse for short tasks
 		}
 		dm.evaluator.AddCompleted(event.Machine, spec.Class, spec.Estimate, ran)
-	case event.Kind == model.TaskReturned && event.Cause == model.CauseError && !dm.lead.dispatcher.IsJobBroken(event.Task.Job):
+	case event.Kind == model.TaskReturned && event.Cause == model.CauseError &&
+		!dm.lead.dispatcher.IsJobBroken(event.Task.Job):
 		dm.evaluator.AddFailed(event.Machine)
 	}
 }
 
-// engineView is the present for the engine.
+// engineView returns the current machines and jobs as the engine needs them.
 func (dm *drainManager) engineView(now time.Duration) *drain.View {
 	l := dm.lead
 	view := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{},
@@ -273,8 +281,8 @@
 	return view
 }
 
-// writes are the plans that have changed, each with the audit entries about it,
-// and entries that stand alone.
+// writes returns at most maxWrites writes of this component's records: changed plans and
+// teams, each with the audit entries about it, then audit entries whose record needs no write.
 func (dm *drainManager) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
 	if class != writequota.OperatorRecords {
 		return nil
@@ -298,20 +306,21 @@
 	return out
 }
 
-// hasUnstored tells whether something is to be stored.
+// hasUnstored reports whether a plan, a team change or an audit entry is not stored yet.
 func (dm *drainManager) hasUnstored() bool {
 	return !dm.engine.AllSynced() || dm.teamOverrides.HasPendingWrites() ||
 		len(dm.audit.Unstored(1, func(string) bool { return true })) > 0
 }
 
+// planWrite returns the write of a plan's record with the audit entries about it.
 func (dm *drainManager) planWrite(w drain.Write, entries []*audit.Entry) storeWrite {
 	return dm.recordWrite(planPrefix+w.Name, w.Value, w.Version, entries, func(o writeOutcome) {
 		dm.engine.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
 	})
 }
 
-// recordWrite stores a record of operators' (nil: it goes) over that of a version, with
-// the audit entries about it.
+// recordWrite returns a transaction that replaces the record at the given version (a nil value
+// deletes it) and stores the audit entries about the change with it.
 func (dm *drainManager) recordWrite(key string, value []byte, version uint64, about []*audit.Entry,
 	onWritten func(writeOutcome)) storeWrite {
 	op := wire.Op{Put: key, Value: value}
@@ -329,7 +338,8 @@
 	return out
 }
 
-// isStored tells whether all that an audit entry's name stands for is surely stored.
+// isStored reports whether the plan or team that an audit entry names is certainly stored in
+// its current state.
 func (dm *drainManager) isStored(name string) bool {
 	team, isTeam := strings.CutPrefix(name, teamAuditName(""))
 	if !isTeam {
@@ -339,8 +349,8 @@
 	return !ok || dm.teamOverrides.Synced(id)
 }
 
-// auditWrite stores entries. One that is applied late can do no more harm than
-// show an entry older than the newest 256 again.
+// auditWrite returns a write of audit entries, without conditions on versions: if it is applied
+// late, the worst effect is that an entry older than the newest auditSlots reappears.
 func (dm *drainManager) auditWrite(entries []*audit.Entry) storeWrite {
 	w := storeWrite{onDone: func(_ time.Duration, o writeOutcome) {
 		if o.err == nil {
@@ -357,7 +367,8 @@
 
 var errRequestReused = errors.New("this request's id was used for something else")
 
-// knownRequest is what became of a request that was made before, nil if it was not.
+// knownRequest returns the audit entry of an earlier call with the same request ID, nil if there
+// was none. It fails if that call asked for a different change.
 func (dm *drainManager) knownRequest(call *Call) (*audit.Entry, error) {
 	entry := dm.audit.ByRequest(call.Request)
 	if entry != nil && entry.Digest != call.digest() {
--- a/internal/node/finalcache.go
+++ b/internal/node/finalcache.go
@@ -7,7 +7,7 @@
 	"honeylock/internal/core/model"
 )
 
-// cachedFinal answers from the bounded cache of cachedFinal states, which never change.
+// cachedFinal returns a job's final stage if it is in the bounded cache. Final stages never change.
 func (n *Node) cachedFinal(id model.JobID) (jobs.Stage, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -15,7 +15,9 @@
 	return stage, ok
 }
 
-// recordEnd notes how a job is stored to have ended, before a user is told here.
+// recordEnd records that a job has ended, as its final record says, before this controller reports
+// that to a user. A cancellation also goes into the log that all controllers exchange, and on the
+// leader it is applied at once.
 func (n *Node) recordEnd(id model.JobID, stage jobs.Stage) {
 	if stage == jobs.Cancelled {
 		n.mu.Lock()
@@ -29,13 +31,14 @@
 	n.addFinal(id, stage)
 }
 
+// addFinal adds a job's final stage to the cache.
 func (n *Node) addFinal(id model.JobID, stage jobs.Stage) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.addFinalLocked(id, stage)
 }
 
-// addFinalLocked keeps a final state. Called under the lock.
+// addFinalLocked is addFinal for callers that hold the lock. The oldest entry leaves a full cache.
 func (n *Node) addFinalLocked(id model.JobID, stage jobs.Stage) {
 	delete(n.openRecords, id)
 	if _, ok := n.cachedFinals[id]; ok {
@@ -49,8 +52,9 @@
 	n.finalOrder = append(n.finalOrder, id)
 }
 
-// preferFinal gives an answer that was found while this controller has told another user of the
-// job's end as that end: the two may leave in either order.
+// preferFinal replaces a reply with an open state by one with the final state, if this controller has
+// learned meanwhile that the job ended. It may have reported that to another user already, and the
+// two replies may be sent in either order.
 func (n *Node) preferFinal(id model.JobID, r Reply) Reply {
 	if r.State == nil || jobs.Stage(r.State.Stage).Ended() {
 		return r
--- a/internal/node/forecast.go
+++ b/internal/node/forecast.go
@@ -15,30 +15,34 @@
 	"honeylock/internal/wire"
 )
 
-// forecasts is the leader's forecasts: one at a time is played, the newest are
-// kept. They are nobody's record: a new leader forecasts anew.
+// forecasts holds the leader's forecasts. One runs at a time, and the newest are kept. They are
+// not stored: after a change of leader they have to be requested again.
 type forecasts struct {
-	survey  *survey
+	survey  *survey // of the forecast that is starting, nil if none is
 	recent  []*forecastRun
-	started uint64
+	started uint64 // number of forecasts started, also their seed
 }
 
 const (
 	maxKeptForecasts = 8
-	maxPartialDone   = 0.99
+	// maxPartialDone is the highest progress reported for a forecast without a result, because
+	// 1 means that the result is included.
+	maxPartialDone = 0.99
 )
 
-// survey asks all machines' owners what runs there.
+// survey collects which tasks run on each machine, from the shards that own the machines.
 type survey struct {
-	seq     uint64
-	pending map[model.MachineID]bool
+	seq     uint64                   // sequence number of the requests and of their answers
+	pending map[model.MachineID]bool // machines without an answer yet
 	tasks   map[model.MachineID][]model.PlacedTask
 }
 
-// Surveys are numbered apart from the engine's questions.
+// surveySeqBase separates the sequence numbers of surveys from those that the drain engine uses
+// when it lists a machine's tasks.
 const surveySeqBase = 1 << 40
 
-// handleAnswer takes an answer to a survey; false tells that it is to something else.
+// handleAnswer records an answer to the survey. It returns false if the answer is to a request of
+// the drain engine.
 func (f *forecasts) handleAnswer(e *model.Event) bool {
 	if e.Token < surveySeqBase {
 		return false
@@ -50,17 +54,19 @@
 	return true
 }
 
-// forecastRun is a forecast under way or complete.
+// forecastRun is a forecast that is running or complete.
 type forecastRun struct {
-	request, digest string
-	forecast        *forecast.Forecast // nil: the survey is under way
+	request, digest string             // of the call that started it
+	forecast        *forecast.Forecast // nil during the survey and after the end
 	spec            *drain.Spec
-	result          *forecast.Result
-	unreported      int // machines whose owner did not tell what runs there
+	result          *forecast.Result // nil until it is complete
+	unreported      int              // machines whose owner did not answer the survey
 	err             error
-	done            float64
+	done            float64 // progress, 0 to 1
 }
 
+// find returns the forecast that an earlier call with the same request ID started, nil if there is
+// none.
 func (f *forecasts) find(c *Call) *forecastRun {
 	for _, run := range f.recent {
 		if run.request == c.Request && run.digest == c.digest() {
@@ -70,7 +76,7 @@
 	return nil
 }
 
-// running tells whether a forecast is being made.
+// running reports whether a forecast is running.
 func (f *forecasts) running() bool {
 	for _, run := range f.recent {
 		if run.result == nil && run.err == nil {
@@ -80,9 +86,10 @@
 	return false
 }
 
-var errForecastRunning = errors.New("another forecast is being made: come back")
+var errForecastRunning = errors.New("another forecast is running: try again later")
 
-// startForecast begins a forecast, or finds the one begun under the request's id.
+// startForecast starts a forecast with a survey of all machines that have reported, or returns the
+// one that was started with the same request ID.
 func (dm *drainManager) startForecast(now time.Duration, c *Call) (*forecastRun, error) {
 	if run := dm.forecasts.find(c); run != nil {
 		return run, run.err
@@ -116,7 +123,9 @@
 	return run, nil
 }
 
-// planToForecast is the plan that a call is about: one given, or one under way.
+// planToForecast returns the plan that a call asks to forecast, either the one in the call or one
+// under way, with a function that starts it in a forecast's own engine and the time that patching
+// a machine takes. A plan under way continues from its stored state.
 func (dm *drainManager) planToForecast(now time.Duration,
 	c *Call) (*drain.Spec, forecast.StartPlan, time.Duration, error) {
 	if c.Verb == DrainForecast {
@@ -149,13 +158,15 @@
 const (
 	defaultPatchTime = 5 * time.Minute
 	surveyTimeout    = 3 * time.Second
-	// A forecast works for so long at a time and then lets others go first.
+	// A forecast computes for one slice and then pauses, to leave the processor to scheduling.
 	forecastSlice = 4 * time.Millisecond
 	forecastPause = 4 * time.Millisecond
 )
 
-// runForecast waits for the survey, then plays.
-func (dm *drainManager) runForecast(run *forecastRun, s *survey, startPlan forecast.StartPlan, patchTime time.Duration) {
+// runForecast waits until the survey is complete or times out, and then simulates the plan in short
+// slices until the forecast is complete or the term ends.
+func (dm *drainManager) runForecast(run *forecastRun, s *survey, startPlan forecast.StartPlan,
+	patchTime time.Duration) {
 	n := dm.lead.node
 	for end := n.now() + surveyTimeout; n.now() < end && dm.lead.ctx.Err() == nil; sleep(dm.lead.ctx, 20*time.Millisecond) {
 		n.mu.Lock()
@@ -172,7 +183,7 @@
 		PatchTime: patchTime,
 		Seed:      dm.forecasts.started}
 	if len(snap.Machines) > 200 {
-		params.Runs = 1 // the more runs, the less luck matters
+		params.Runs = 1 // with many machines, random differences between runs average out in one run
 	}
 	run.forecast = forecast.New(params, snap, run.spec, startPlan)
 	if dm.forecasts.survey == s {
@@ -196,7 +207,8 @@
 	}
 }
 
-// forecastSnapshot copies what a forecast needs.
+// forecastSnapshot copies the teams, machines and jobs that a forecast starts from. Machines that
+// did not answer the survey are left out. Called under the lock.
 func (dm *drainManager) forecastSnapshot(now time.Duration, s *survey) *forecast.Snapshot {
 	l := dm.lead
 	snapshot := &forecast.Snapshot{Now: now, Wall: time.Now(), RunTimeFactor: dm.runTimes.Copy().Factor,
@@ -222,6 +234,7 @@
 	return snapshot
 }
 
+// teamLimits returns the teams' limits and guarantees from the platform file.
 func (n *Node) teamLimits() []dispatcher.Team {
 	out := make([]dispatcher.Team, len(n.cfg.Cluster.Teams))
 	for i, t := range n.cfg.Cluster.Teams {
@@ -230,6 +243,7 @@
 	return out
 }
 
+// shardParams returns the parameters of a shard on this platform.
 func (n *Node) shardParams() shard.Params {
 	cluster := &n.cfg.Cluster
 	return shard.Params{MaxLease: cluster.SureLease(), ReportInterval: config.Seconds(cluster.Workers.ReportS),
@@ -238,7 +252,7 @@
 		DirectRetryDelay: config.Seconds(cluster.Workers.ReportS) + 2*time.Second}
 }
 
-// answerForecast answers with a forecast, or with how far it is.
+// answerForecast starts a forecast if needed, and answers with its result or its progress.
 func (dm *drainManager) answerForecast(now time.Duration, c *Call) CallReply {
 	run, err := dm.startForecast(now, c)
 	switch {
@@ -247,14 +261,14 @@
 	case err != nil:
 		return errorReply(errorStatus(err), err)
 	case run.result == nil:
-		// 1 says that the rest is there: all may have been played, yet not summed up.
+		// All runs may be complete without a result yet, so the progress stays below 1.
 		return okReply(ForecastReply{Name: run.spec.Name, Done: min(run.done, maxPartialDone)})
 	}
 	return okReply(dm.forecastReply(run))
 }
 
-// forecastBeforeApply has a plan with windows forecast before it is applied; wait tells that
-// the answer is not there yet.
+// forecastBeforeApply has a plan with windows forecast before it is applied, so that checkWindows
+// can refuse it. pending is set while there is no result yet; r is the answer then.
 func (dm *drainManager) forecastBeforeApply(now time.Duration, c *Call) (r CallReply, pending bool) {
 	if c.Verb != DrainApply || !strings.Contains(c.Plan, "windows") {
 		return r, false
@@ -264,15 +278,16 @@
 	case errors.Is(err, errForecastRunning):
 		return errorReply(http.StatusServiceUnavailable, err), true
 	case err != nil:
-		return r, false // it is refused as it is made
+		return r, false // applyPlan fails in the same way and reports the error
 	case run.result == nil:
 		return errorReply(http.StatusServiceUnavailable,
-			errors.New("it is being forecast, for it has windows: ask again under the same request id")), true
+			errors.New("windows: the plan is forecast before it is applied: try again with the same request id")), true
 	}
 	return r, false
 }
 
-// checkWindows refuses a plan whose forecast pushes a job past one of its windows.
+// checkWindows refuses a plan if its forecast delays a job past one of its windows. The first few
+// such jobs are named.
 func (dm *drainManager) checkWindows(c *Call) error {
 	run := dm.forecasts.find(c)
 	if run == nil || run.result == nil {
@@ -290,5 +305,5 @@
 	if len(jobs) > 5 {
 		jobs = append(jobs[:5], "and more")
 	}
-	return &drain.RefusedError{Reason: "windows: it would push " + strings.Join(jobs, ", ")}
+	return &drain.RefusedError{Reason: "windows: the plan would delay " + strings.Join(jobs, ", ")}
 }
--- a/internal/node/forecastreply.go
+++ b/internal/node/forecastreply.go
@@ -11,17 +11,16 @@
 	"honeylock/internal/wire"
 )
 
-// ForecastReply is a forecast as operators see it. Until it is complete only Done
-// is told. Spans are the least, the middle and the most of what was played, in
-// seconds.
+// ForecastReply is a forecast as operators see it. Until it is complete, only Name and Done are
+// set. Durations are the minimum, median and maximum of all runs, in seconds.
 type ForecastReply struct {
 	Name       string             `json:"name"`
-	Done       float64            `json:"done"` // 1: complete
+	Done       float64            `json:"done"` // progress; 1: complete
 	Jobs       int                `json:"jobs"`
-	Runs       int                `json:"plays"`
-	Unreported int                `json:"untold_machines"`
-	TookS      [3]float64         `json:"took_s"`
-	Unfinished string             `json:"unfinished,omitempty"`
+	Runs       int                `json:"plays"`                // simulated runs
+	Unreported int                `json:"untold_machines"`      // machines left out: their tasks are not known
+	TookS      [3]float64         `json:"took_s"`               // duration of the plan
+	Unfinished string             `json:"unfinished,omitempty"` // why the plan did not finish
 	Delayed    []DelayedJob       `json:"late"`
 	Guarantees []DelayedGuarantee `json:"guarantees"`
 }
@@ -32,18 +31,19 @@
 	Class       string     `json:"class"`
 	DelayS      [3]float64 `json:"delay_s"`
 	EndS        [3]float64 `json:"end_s"` // from now, with the plan
-	Why         string     `json:"why"`
+	Why         string     `json:"why"`   // reason for the delay
 	MovedTasks  int        `json:"moved_tasks"`
-	MissedLimit string     `json:"past,omitempty"` // a window or deadline
+	MissedLimit string     `json:"past,omitempty"` // window or deadline that the job misses
 }
 
-// DelayedGuarantee is a team whose work within its guarantee would wait.
+// DelayedGuarantee is a team whose tasks within its guarantee would wait longer for capacity.
 type DelayedGuarantee struct {
 	Team     string  `json:"team"`
-	WithoutS float64 `json:"without_s"`
-	WithS    float64 `json:"with_s"`
+	WithoutS float64 `json:"without_s"` // longest wait without the plan
+	WithS    float64 `json:"with_s"`    // longest wait with the plan
 }
 
+// toSeconds converts durations to seconds, rounded to tenths.
 func toSeconds(d [3]time.Duration) (s [3]float64) {
 	for i := range d {
 		s[i] = d[i].Round(100 * time.Millisecond).Seconds()
@@ -51,6 +51,7 @@
 	return s
 }
 
+// forecastReply converts a complete forecast for operators.
 func (dm *drainManager) forecastReply(run *forecastRun) ForecastReply {
 	r, names := run.result, dm.lead.node.names
 	out := ForecastReply{Name: run.spec.Name, Done: 1, Jobs: r.Jobs, Runs: r.Runs, Unreported: run.unreported,
@@ -59,8 +60,9 @@
 		Delayed:    []DelayedJob{}, Guarantees: []DelayedGuarantee{}}
 	for i := range r.Delayed {
 		delayed := &r.Delayed[i]
-		j := DelayedJob{Job: wire.JobName(delayed.Spec.ID), Class: names.Classes.Name(delayed.Spec.Class), DelayS: toSeconds(delayed.Delay),
-			EndS: toSeconds(delayed.End), Why: delayed.Reason,
+		j := DelayedJob{Job: wire.JobName(delayed.Spec.ID), Class: names.Classes.Name(delayed.Spec.Class),
+			DelayS: toSeconds(delayed.Delay),
+			EndS:   toSeconds(delayed.End), Why: delayed.Reason,
 			MovedTasks: delayed.MovedTasks, MissedLimit: missedLimit(delayed)}
 		out.Delayed = append(out.Delayed, j)
 	}
@@ -71,6 +73,7 @@
 	return out
 }
 
+// missedLimit names the window or deadline that a delayed job misses, "" if it misses none.
 func missedLimit(job *forecast.DelayedJob) string {
 	switch {
 	case job.Window != "":
@@ -81,7 +84,8 @@
 	return ""
 }
 
-// errorStatus tells refusals from malformed requests.
+// errorStatus returns the HTTP status of a failed change: 409 if it was refused in the present
+// state, 400 if the request is malformed.
 func errorStatus(err error) int {
 	var drainRefused *drain.RefusedError
 	var quotaRefused *quota.RefusedError
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -14,19 +14,20 @@
 	"honeylock/internal/wire"
 )
 
-// A controller that the state service refuses, or that is cut off from it, while
-// it answers a sibling passes users' requests on: until the load balancer has
-// noticed, and for the connections that stay, they would all fail.
+// A controller that the state service refuses or that is cut off from it, while another controller
+// is served, forwards users' requests to that one. Otherwise they would all fail until the load
+// balancer has noticed, and on connections that stay open.
 
-// forwardedRequest is a user's request passed on to a sibling.
+// forwardedRequest is a user's request that is forwarded to another controller.
 type forwardedRequest struct {
 	Kind jobs.Kind
 	Job  model.JobID
 	Sub  *wire.Submission
 }
 
-// forwardTarget is the address of a sibling that the state service answers, "" if none
-// is known. first tells that it has not answered this controller for a while.
+// forwardTarget returns the address of another controller that the state service serves, "" if none
+// is known. preferred is set if the state service has not served this controller for a while, so
+// that requests should be forwarded at once.
 func (n *Node) forwardTarget() (addr string, preferred bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,11 +45,13 @@
 	return "", preferred
 }
 
+// forward forwards a request to another controller, and caches the job's final state if the reply
+// has one. It returns false if there was no reply.
 func (n *Node) forward(ctx context.Context, addr string, kind jobs.Kind, id model.JobID,
 	sub *wire.Submission) (Reply, bool) {
 	var r Reply
 	if err := n.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: kind, Job: id, Sub: sub}, &r); err != nil {
-		n.log.Debug("request not passed on", "job", wire.JobName(id), "err", err)
+		n.log.Debug("user's request not forwarded to another controller", "job", wire.JobName(id), "err", err)
 		return r, false
 	}
 	if r.Status == http.StatusOK && r.State != nil && jobs.Stage(r.State.Stage).Ended() {
@@ -57,7 +60,8 @@
 	return n.preferFinal(id, r), true
 }
 
-// serveForwarded answers what a sibling passes on; it is not passed on again.
+// serveForwarded answers a user's request that another controller forwarded. It is not forwarded
+// again.
 func (n *Node) serveForwarded(w http.ResponseWriter, r *http.Request) {
 	var request forwardedRequest
 	if !readPeerRequest(w, r, &request) {
@@ -70,8 +74,8 @@
 	n.writePeerReply(w, n.answerHere(r.Context(), request.Kind, request.Job, request.Sub))
 }
 
-// readPeerRequest reads what a sibling passes on; false tells that it can't be read, and
-// that this was answered.
+// readPeerRequest decodes the body of a request that another controller forwarded. If it can't, it
+// answers with 400 and returns false.
 func readPeerRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 128<<10))
 	if err == nil {
@@ -83,10 +87,10 @@
 	return err == nil
 }
 
-// writePeerReply passes an answer back to a sibling.
+// writePeerReply sends the answer to a request that another controller forwarded.
 func (n *Node) writePeerReply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		n.log.Debug("answer not passed back", "err", err)
+		n.log.Debug("answer to a forwarded request not sent", "err", err)
 	}
 }
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -13,7 +13,7 @@
 	"honeylock/internal/wire"
 )
 
-// runJobOp carries out an operation of a user's request.
+// runJobOp carries out an operation that a user's request needs.
 func (n *Node) runJobOp(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
 	switch op.Kind {
 	case jobs.CompareOpen:
@@ -27,6 +27,7 @@
 	}
 }
 
+// readOpen reads a job's open record and caches its version.
 func (n *Node) readOpen(ctx context.Context, id model.JobID) jobs.Result {
 	item, err := n.state.Get(ctx, openPrefix+wire.JobName(id))
 	if err != nil {
@@ -40,6 +41,7 @@
 	return jobs.Result{Version: item.Version}
 }
 
+// readFinal reads a job's final record.
 func (n *Node) readFinal(ctx context.Context, id model.JobID) jobs.Result {
 	item, err := n.state.Get(ctx, finalPrefix+wire.JobName(id))
 	if err != nil {
@@ -52,7 +54,7 @@
 	return jobs.Result{Version: item.Version, Stage: jobs.Stage(final.Stage)}
 }
 
-// readOutcome is what an error of a read means to a request.
+// readOutcome maps the error of a read to the outcome for a request.
 func readOutcome(err error) jobs.Outcome {
 	switch {
 	case errors.Is(err, state.ErrNotFound):
@@ -63,7 +65,8 @@
 	return jobs.Failed
 }
 
-// changeJob accepts or cancels a job.
+// changeJob accepts or cancels a job in one transaction. A job that is accepted with a final stage
+// gets only a final record.
 func (n *Node) changeJob(ctx context.Context, op jobs.Op, sub *wire.Submission) jobs.Result {
 	id := op.Job
 	name := wire.JobName(id)
@@ -76,7 +79,7 @@
 		}
 		txn.Then = []wire.Op{{Put: openKey, Value: mustEncode(sub)}}
 		if op.Stage != "" {
-			txn.Then = finalOps(id, op.Stage)[1:] // it never was open
+			txn.Then = finalOps(id, op.Stage)[1:] // without the deletion: there is no open record
 		}
 	} else {
 		txn.Guards = []wire.Guard{{Key: openKey, Version: op.Version}}
@@ -97,9 +100,10 @@
 	return jobs.Result{Outcome: jobs.Failed}
 }
 
-// cachedOpenRecord returns the version of a job's open record, if it has been seen, else 0. ended
-// tells that the job is believed to have ended: no open record of it was seen, and a leader
-// that told of all open jobs did not tell of it. It may have been submitted since.
+// cachedOpenRecord returns the version of a job's open record if this controller has seen it or the
+// leader has reported it, else 0. ended is set if the job is believed to have ended: its open
+// record was not seen, and the leader's last report of all open jobs does not contain it. It may
+// have been submitted since then.
 func (n *Node) cachedOpenRecord(id model.JobID) (version uint64, ended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,18 +114,19 @@
 	return p.version, !open && len(n.progress) > 0
 }
 
+// cacheOpenRecord remembers a job's open record.
 func (n *Node) cacheOpenRecord(id model.JobID, version uint64, hasDependencies bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.openRecords) >= maxCachedFinals {
-		clear(n.openRecords) // they are read again
+		clear(n.openRecords) // the records are read again when needed
 	}
 	n.openRecords[id] = openRecordInfo{version, hasDependencies}
 }
 
-// cacheRemovedRecords keeps those of jobs that the leader no longer tells of: their users will ask
-// once more, and a leader that has ended one answers without asking the state service.
-// Called under the lock.
+// cacheRemovedRecords remembers the open records of jobs that the leader reported before but no
+// longer reports. Their users will poll once more, and for a job that the leader has completed it
+// then answers without a request to the state service. Called under the lock.
 func (n *Node) cacheRemovedRecords(previous map[model.JobID]jobProgress) {
 	for id, p := range previous {
 		if _, open := n.progress[id]; open || p.version == 0 {
@@ -133,8 +138,7 @@
 	}
 }
 
-// openRecordInfo is what was seen of an open record: its version, and whether its job awaits
-// others.
+// openRecordInfo is what is remembered of a job's open record.
 type openRecordInfo struct {
 	version         uint64
 	hasDependencies bool
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -17,58 +17,64 @@
 )
 
 const (
-	// leaderBatchInterval is for how long the leader gathers questions, those of all controllers.
+	// leaderBatchInterval is how long the leader collects checks, its own and those of the other
+	// controllers, before it compares them in one request.
 	leaderBatchInterval = 100 * time.Millisecond
-	// maxBatchInterval bounds it for a controller that compares by itself, which gathers for as
-	// much longer as there are controllers: together they then compare as often as a leader.
-	// Its user waits 2 s.
+	// maxBatchInterval limits the interval of a controller that compares without a leader. That
+	// interval is leaderBatchInterval times the number of controllers, so that all of them
+	// together compare as often as a leader would. Users wait 2 s for an answer.
 	maxBatchInterval = 600 * time.Millisecond
-	// leaderAnswerTimeout is how long the leader's answer is waited for; then this controller has
-	// time left to compare by itself.
+	// leaderAnswerTimeout is how long this controller waits for the leader's answer. It leaves
+	// time for the controller to compare by itself.
 	leaderAnswerTimeout = 900 * time.Millisecond
-	// siblingCheckTimeout is how long a sibling's question is worth an answer.
+	// siblingCheckTimeout is how long another controller's check is of use after it arrived.
 	siblingCheckTimeout = time.Second
 )
 
-// openChecker answers whether jobs are still open. The leader compares for all controllers,
-// so that what users ask costs the same whatever their number; without a leader that
-// answers, each compares by itself.
+// openChecker checks whether jobs are still open, by comparing the versions of their open records
+// in the state service. The leader compares for all controllers, so that the number of
+// controllers does not change the number of requests to the state service. Without a leader
+// that answers, each controller compares by itself.
 type openChecker struct {
 	state        *state.Client
 	startedAt    time.Time
-	soloInterval time.Duration // for how long questions are gathered unless this controller leads
+	soloInterval time.Duration // batch interval while this controller does not lead
 
 	mu          sync.Mutex
 	batcher     *readbatch.Batcher
 	waiters     map[readbatch.Waiter]checkWaiter
-	nextStepAt  time.Duration // the batcher is to be stepped then; 0: nothing waits
+	nextStepAt  time.Duration // time of the next scheduled step; 0: none
 	route       readbatch.Route
-	leaderQueue *peer.Queue // of this controller's link to the leader
-	lastID      uint64      // of the last question to the leader
-	pending     map[uint64]chan<- jobs.Result
+	leaderQueue *peer.Queue                   // this controller's link to the leader, nil without one
+	lastID      uint64                        // ID of the last question sent to the leader
+	pending     map[uint64]chan<- jobs.Result // questions sent to the leader, by ID
 }
 
-// checkWaiter waits for an answer: a user's request here, or a sibling's question.
+// checkWaiter is who waits for a check's result: a user's request at this controller (result is
+// set) or a question of another controller (link and id are set).
 type checkWaiter struct {
 	result chan<- jobs.Result
 	link   *link
 	id     uint64
 }
 
+// newOpenChecker returns a checker that compares by itself until setLeader or setLeading is called.
 func newOpenChecker(client *state.Client, txnOps, controllers int) *openChecker {
 	soloInterval := min(maxBatchInterval, time.Duration(controllers)*leaderBatchInterval)
-	return &openChecker{state: client, startedAt: time.Now(), soloInterval: soloInterval, waiters: map[readbatch.Waiter]checkWaiter{},
+	return &openChecker{state: client, startedAt: time.Now(), soloInterval: soloInterval,
+		waiters: map[readbatch.Waiter]checkWaiter{},
 		pending: map[uint64]chan<- jobs.Result{},
 		batcher: readbatch.New(readbatch.Params{Interval: soloInterval, MaxBatch: guardsPerOp * txnOps})}
 }
 
-// guardsPerOp is how many conditions a transaction may have for each of its changes, by the
-// state service's protocol.
+// guardsPerOp is the number of conditions that a transaction may have for each change that it
+// may have, as the state service's protocol defines it.
 const guardsPerOp = 4
 
 func (q *openChecker) now() time.Duration { return time.Since(q.startedAt) }
 
-// openCheckStats are counts since the start.
+// openCheckStats counts, since the start, the checks that this controller compared, the comparisons
+// that they took, and the checks that it sent to the leader.
 type openCheckStats struct{ compared, comparisons, forwarded uint64 }
 
 func (q *openChecker) stats() openCheckStats {
@@ -77,7 +83,7 @@
 	return openCheckStats{compared: q.batcher.Questions, comparisons: q.batcher.Comparisons, forwarded: q.lastID}
 }
 
-// setLeading tells whether this controller leads, and so compares for all.
+// setLeading sets whether this controller leads and so compares for all controllers.
 func (q *openChecker) setLeading(leading bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -88,8 +94,8 @@
 	}
 }
 
-// setLeader takes the link to a leader that compares for others; nil: there is none any more.
-// What that was asked and has not answered is compared here.
+// setLeader sets the link to a leader that compares for other controllers; nil if there is none.
+// Questions that the previous leader has not answered fail, and their callers compare here.
 func (q *openChecker) setLeader(leader *peer.Queue) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,8 +107,8 @@
 	}
 }
 
-// stillOpen tells whether a job's open record has the version. The comparison is made after
-// this was called, so the answer is as good as a read's.
+// stillOpen checks whether a job's open record still has the given version. The comparison begins
+// after the call, so the answer is as recent as that of a read.
 func (q *openChecker) stillOpen(ctx context.Context, g jobs.Guard) jobs.Result {
 	if res := q.askLeader(ctx, g); res.Outcome != jobs.Failed {
 		return res
@@ -110,7 +116,8 @@
 	return q.compareHere(ctx, g)
 }
 
-// askLeader asks the leader; it fails where there is none, or it does not answer.
+// askLeader has the leader make the check. The result is Failed if there is no leader to ask, or
+// if it does not answer in time; then the leader is avoided for a while.
 func (q *openChecker) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
 	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
@@ -141,7 +148,7 @@
 	return jobs.Result{Outcome: jobs.Failed}
 }
 
-// handleAnswers takes the leader's answers.
+// handleAnswers passes the leader's answers to the requests that wait for them.
 func (q *openChecker) handleAnswers(answers []*peerpb.Answer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -159,7 +166,8 @@
 	}
 }
 
-// outcomesFromPeer are the answers' in the cores' terms; one that is unknown failed.
+// outcomesFromPeer maps the outcomes in messages to those of package jobs. It must contain all of
+// them: a missing one would map to jobs.OK.
 var outcomesFromPeer = map[peerpb.Outcome]jobs.Outcome{
 	peerpb.Outcome_OUTCOME_FAILED: jobs.Failed,
 	peerpb.Outcome_OUTCOME_OPEN:   jobs.OK,
@@ -167,6 +175,7 @@
 	peerpb.Outcome_OUTCOME_BUSY:   jobs.Busy,
 }
 
+// answerToPeer returns the message that answers a question with the result.
 func answerToPeer(id uint64, r jobs.Result) *peerpb.Answer {
 	a := &peerpb.Answer{Id: id, Stage: string(r.Stage)}
 	switch r.Outcome {
@@ -180,7 +189,8 @@
 	return a
 }
 
-// compareHere has a question compared here.
+// compareHere makes a check with this controller's own comparison. The result is Busy if the
+// context ends first.
 func (q *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
 	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
@@ -205,7 +215,7 @@
 	return jobs.Result{Outcome: jobs.Busy}
 }
 
-// compareForSibling has a sibling's question compared here.
+// compareForSibling adds another controller's question to this controller's next comparison.
 func (q *openChecker) compareForSibling(k *link, id uint64, g jobs.Guard) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -215,7 +225,8 @@
 	q.step(now)
 }
 
-// step steps the batcher, and once more when that is due.
+// step advances the batcher: it sends the batches that are due, answers the checks that have
+// expired, and schedules the next step. Called under the lock.
 func (q *openChecker) step(now time.Duration) {
 	batches, expired, next := q.batcher.Step(now)
 	for _, b := range batches {
@@ -233,7 +244,7 @@
 	})
 }
 
-// sendBatch makes a comparison.
+// sendBatch compares a batch in the state service and delivers the results.
 func (q *openChecker) sendBatch(b readbatch.Batch) {
 	guards := make([]wire.Guard, 0, len(b.Guards))
 	for _, g := range b.Guards {
@@ -258,7 +269,8 @@
 	q.step(now)
 }
 
-// deliver passes answers to those that wait for them.
+// deliver passes answers to their waiters, those of one link in one message. Called under the
+// lock.
 func (q *openChecker) deliver(answers []readbatch.Answer) {
 	toSend := map[*link][]*peerpb.Answer{}
 	for _, a := range answers {
@@ -278,9 +290,9 @@
 	}
 }
 
-// handleQuestions takes a member's questions. A job that is known to be done needs no
-// comparison, for that never changes. Of cancellations only the reader of their record
-// tells, who notes that before it tells anybody.
+// handleQuestions answers another controller's questions. A job that is known to be done needs no
+// comparison, because that never changes. A cancellation is compared all the same: the controller
+// that reports it to a user must first read the final record itself and record that it did.
 func (l *leadership) handleQuestions(k *link, questions []*peerpb.Question) {
 	for _, question := range questions {
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -22,17 +22,18 @@
 	"honeylock/internal/wire"
 )
 
-// Verb of an operator's call.
+// Verb is the operation that an operator calls.
 type Verb string
 
-// Verbs. Those from Apply on change something.
+// Verbs of operators' calls.
 const (
 	AuditList    Verb = "audit list"
 	DrainList    Verb = "drain list"
 	DrainStatus  Verb = "drain status"
 	DrainBudgets Verb = "drain budgets"
-	// DrainPlan forecasts a plan, DrainAgain one that is under way: begun under a
-	// request's id, asked again under it until it is complete.
+	// DrainPlan forecasts a given plan, DrainForecast one that is under way. The first call
+	// starts the forecast; repeated calls with the same request ID return its progress until
+	// it is complete.
 	DrainPlan     Verb = "drain plan"
 	DrainForecast Verb = "drain forecast"
 	DrainApply    Verb = "drain apply"
@@ -47,7 +48,7 @@
 	TeamUnset     Verb = "team unset"
 )
 
-// Changes tells whether a call changes something.
+// Changes reports whether the verb changes something.
 func (v Verb) Changes() bool {
 	switch v {
 	case AuditList, DrainList, DrainStatus, DrainBudgets, DrainPlan, DrainForecast, MemberList, TeamList, TeamShow:
@@ -56,20 +57,22 @@
 	return true
 }
 
-// Call is an operator's request, as one controller passes it to another.
+// Call is an operator's request, also as one controller forwards it to the leader.
 type Call struct {
 	Verb    Verb
-	Name    string // of the plan, or the team
-	Machine string // DrainDone
-	Plan    string // DrainApply, TeamSet: protobuf text
-	Who     string
-	Request string // the asker's id; a change repeated under it is not made twice
-	// Seal is made with the hash of the token that the caller showed to the
-	// controller that passes the call on: its own port is no way round the tokens.
+	Name    string // of the plan or team
+	Machine string // of DrainPatched
+	Plan    string // of DrainPlan, DrainApply and TeamSet: protobuf text
+	Who     string // name of the operator's access entry in the settings
+	Request string // the caller's request ID; a change repeated under it is made once
+	// Seal is the signature of a forwarded call, keyed with the hash of the token that the
+	// operator presented to the forwarding controller. It prevents calls on the controllers'
+	// own port from bypassing the tokens.
 	Seal []byte `json:",omitempty"`
 }
 
-// digest tells changes apart.
+// digest returns a hash of what the call asks for, to detect that a request ID is reused for a
+// different change.
 func (c *Call) digest() string {
 	h := sha256.New()
 	for _, s := range []string{string(c.Verb), c.Name, c.Machine, c.Plan} {
@@ -79,7 +82,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// CallReply answers an operator.
+// CallReply is the answer to an operator's call: an HTTP status with a JSON body or an error.
 type CallReply struct {
 	Status int
 	Body   json.RawMessage `json:",omitempty"`
@@ -91,13 +94,13 @@
 func okReply(v any) CallReply { return CallReply{Status: http.StatusOK, Body: mustEncode(v)} }
 
 var (
-	errNoLeader = errors.New("no leader can be reached: come back")
-	errUnstored = errors.New("it is not known yet whether this is stored: ask again under the same request id")
+	errNoLeader = errors.New("no leader can be reached: try again later")
+	errUnstored = errors.New("it is not known yet whether this is stored: try again with the same request id")
 )
 
 var errBadSignature = errors.New("the controllers' settings differ: the leader does not know this token")
 
-// operatorAccess is what the settings say of an operator, nil if they say nothing.
+// operatorAccess returns an operator's access entry in the settings, nil if there is none.
 func (n *Node) operatorAccess(who string) *config.Access {
 	if n.settings.Operator == nil {
 		return nil
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// sign is a MAC over all that a call asks for.
+// sign returns a MAC over all of the call's fields, keyed with the hash of the operator's token.
 func (c *Call) sign(access *config.Access) []byte {
 	h := hmac.New(sha256.New, access.Hash[:])
 	for _, s := range []string{string(c.Verb), c.Name, c.Machine, c.Plan, c.Who, c.Request} {
@@ -119,7 +122,8 @@
 	return h.Sum(nil)
 }
 
-// Operate answers an operator here, or passes the call to the leader.
+// Operate answers an operator's call if this controller leads, and else forwards it to the
+// leader.
 func (n *Node) Operate(ctx context.Context, c Call) CallReply {
 	n.mu.Lock()
 	l, leader := n.lead, n.leader
@@ -138,13 +142,14 @@
 	}
 	c.Seal = c.sign(access)
 	if err := n.dialer.Forward(ctx, addr, peer.OpsPath, c, &r); err != nil {
-		n.log.Debug("operator's call not passed on", "verb", c.Verb, "err", err)
+		n.log.Debug("operator's call not forwarded to the leader", "verb", c.Verb, "err", err)
 		return errorReply(http.StatusServiceUnavailable, errNoLeader)
 	}
 	return r
 }
 
-// serveCall answers what a sibling passes on; it is not passed on again.
+// serveCall answers an operator's call that another controller forwarded. It is not forwarded
+// again.
 func (n *Node) serveCall(w http.ResponseWriter, r *http.Request) {
 	var c Call
 	if !readPeerRequest(w, r, &c) {
@@ -157,7 +162,8 @@
 	access := n.operatorAccess(c.Who)
 	switch {
 	case access == nil || !hmac.Equal(c.Seal, c.sign(access)) || c.Verb.Changes() && !access.Operate:
-		n.log.Error("operator's call refused: it bears no seal of ours", "who", c.Who, "verb", c.Verb)
+		n.log.Error("forwarded operator's call refused: operator unknown, signature invalid, or change not permitted",
+			"who", c.Who, "verb", c.Verb)
 		reply = errorReply(http.StatusForbidden, errBadSignature)
 	case l != nil:
 		reply = l.operate(r.Context(), &c)
@@ -165,7 +171,8 @@
 	n.writePeerReply(w, reply)
 }
 
-// operate answers on the leader.
+// operate answers a call on the leader. A change is made once per request ID, and answered when
+// it is stored.
 func (l *leadership) operate(ctx context.Context, c *Call) CallReply {
 	n := l.node
 	n.mu.Lock()
@@ -192,8 +199,8 @@
 	return l.waitStored(ctx, e)
 }
 
-// waitStored answers a change once it is surely stored: before, a new leader might
-// not know of it.
+// waitStored waits until a change is certainly stored, and returns its outcome: until then a
+// new leader might not know the change. It releases the node's lock while it waits.
 func (l *leadership) waitStored(ctx context.Context, e *audit.Entry) CallReply {
 	for !l.drains.audit.IsStored(e) || !l.drains.isStored(e.Name) && e.Status == http.StatusOK {
 		l.node.mu.Unlock()
@@ -209,31 +216,31 @@
 	return okReply(Outcome{Name: e.Name, Outcome: e.Outcome})
 }
 
-// Outcome of a change.
+// Outcome is the answer to a change that was made.
 type Outcome struct {
 	Name    string `json:"name"`
 	Outcome string `json:"outcome"`
 }
 
-// recordChange makes a recordChange, or refuses it; the entry tells.
+// recordChange makes or refuses a change, and returns the audit entry with the outcome.
 func (dm *drainManager) recordChange(now time.Duration, c *Call) *audit.Entry {
 	e := audit.Entry{AtMS: time.Now().UnixMilli(), Who: c.Who, Request: c.Request, Digest: c.digest(),
 		What: string(c.Verb), Name: c.Name,
 		Status: http.StatusOK}
 	outcome, err := dm.applyChange(now, c)
-	e.Name = c.Name // of a plan that is applied
+	e.Name = c.Name // applyPlan sets it to the plan's name
 	if c.Verb == TeamSet || c.Verb == TeamUnset {
 		e.Name = teamAuditName(c.Name)
 	}
 	if err != nil {
 		e.Status, outcome = errorStatus(err), err.Error()
 	}
-	const maxOutcomeBytes = 1024 // an entry must fit into a value
+	const maxOutcomeBytes = 1024 // an entry must fit into a value of the state service
 	e.Outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
 	return dm.audit.Add(e)
 }
 
-// applyChange makes a change.
+// applyChange makes the change that a call asks for, and describes its outcome.
 func (dm *drainManager) applyChange(now time.Duration, c *Call) (outcome string, err error) {
 	switch c.Verb {
 	case DrainApply:
@@ -256,6 +263,7 @@
 	return "", errors.New("unknown verb " + string(c.Verb))
 }
 
+// applyPlan starts a plan, unless it conflicts with another one or its forecast misses a window.
 func (dm *drainManager) applyPlan(now time.Duration, c *Call) (string, error) {
 	declared, err := dm.parsePlan(now, c.Plan)
 	if err != nil {
@@ -272,13 +280,15 @@
 	return "applied to " + formatCount(len(plan.Steps), "machine"), nil
 }
 
-// declaredPlan is a plan as an operator gave it, with the machines that it means now.
+// declaredPlan is a plan from an operator's text, with the machines that it selects now.
 type declaredPlan struct {
 	pb     *planpb.Plan
 	spec   *drain.Spec
 	source []byte
 }
 
+// parsePlan parses a plan and selects its machines. A named machine that is not selected is an
+// error.
 func (dm *drainManager) parsePlan(now time.Duration, text string) (*declaredPlan, error) {
 	pb, err := planfile.Parse([]byte(text))
 	if err != nil {
@@ -291,12 +301,13 @@
 	declared.spec.Machines = planfile.Choose(pb, dm.candidates(now), dm.lead.node.names)
 	if missing := firstMissing(pb, declared.spec.Machines); missing != "" {
 		return nil, &drain.RefusedError{Reason: "machines.names: " + missing +
-			" is no machine of this cluster, or not one that the other fields allow"}
+			" is no machine of this cluster, or the other fields of the plan exclude it"}
 	}
 	return declared, nil
 }
 
-// firstMissing is the first machine that a plan names and does not get.
+// firstMissing returns the first machine that a plan names and that was not selected, "" if
+// there is none.
 func firstMissing(pb *planpb.Plan, machines []model.MachineID) string {
 	found := map[string]bool{}
 	for _, id := range machines {
@@ -310,7 +321,7 @@
 	return ""
 }
 
-// candidates are the machines that a plan may mean.
+// candidates returns all machines that a plan can select.
 func (dm *drainManager) candidates(now time.Duration) []planfile.Candidate {
 	machineAges := map[model.MachineID]time.Duration{}
 	dm.lead.rentals.fleet.ForEachMachine(now, func(m model.Machine,
@@ -325,7 +336,7 @@
 	return out
 }
 
-// answerQuery answers a question.
+// answerQuery answers a call that changes nothing.
 func (dm *drainManager) answerQuery(now time.Duration, c *Call) CallReply {
 	switch c.Verb {
 	case AuditList:
--- a/internal/node/rentals.go
+++ b/internal/node/rentals.go
@@ -13,21 +13,24 @@
 	"honeylock/internal/wire"
 )
 
-// rentalManager is the leader's part that rents machines and gives them back.
+// rentalManager is the leader's component that rents machines and returns them to the cloud.
 type rentalManager struct {
 	lead          *leadership
 	fleet         *fleet.Fleet
 	lastFleetRun  time.Duration
-	fleetDuration time.Duration // of the fleet's last turn: it looks at all that is open, and at all machines
-	// returningUnaccounted: machines that can't be reached are being returned.
+	fleetDuration time.Duration // of the fleet's last run, which covers all open jobs and all machines
+	// returningUnaccounted is set once the unaccounted machines are being returned.
 	returningUnaccounted bool
 }
 
-// read has nothing to get: the cloud's list and the workers' reports tell all.
+// read does nothing: this component stores nothing, since the machines are known from the cloud's
+// list and the workers' reports.
 func (rm *rentalManager) read(context.Context) (func(time.Duration) error, error) {
 	return func(time.Duration) error { return nil }, nil
 }
 
+// tick returns unaccounted machines if few are left, and runs the fleet, less often the longer a run
+// takes.
 func (rm *rentalManager) tick(now time.Duration) {
 	rm.returnUnaccounted(now)
 	if now-rm.lastFleetRun >= max(500*time.Millisecond, 8*rm.fleetDuration) {
@@ -37,23 +40,25 @@
 	}
 }
 
+// writes returns nothing: this component stores nothing.
 func (rm *rentalManager) writes(time.Duration, writequota.Class, int) []storeWrite { return nil }
 
 const (
-	// Of all machines, a part that may be given up for the rest: the few that
-	// answer no command; more once every worker that lives has reported, too.
-	// A zone that is cut off is more than that, and waits for its leases.
+	// unaccountedShareEarly and unaccountedShareLate are the largest shares of all machines
+	// that are returned because they are unaccounted: the smaller one once all of them have left
+	// a command unanswered, the larger one once every live worker must have reported. A zone
+	// that is cut off exceeds both, and its leases have to expire.
 	unaccountedShareEarly = 0.02
 	unaccountedShareLate  = 0.15
-	// A leader that has not heard of the state service for so long rents nothing: a machine
-	// gets tasks only once its record is stored.
+	// rentMaxOpenJobsAge is the age of the open jobs, as last read from the state service, beyond
+	// which the leader rents nothing: a machine gets tasks only once its record is stored.
 	rentMaxOpenJobsAge = 15 * time.Second
 )
 
-// returnUnaccounted returns the machines of earlier terms that answer neither
-// reports nor commands, if they are few. All old jobs wait for them, so they
-// are worth less than the time until their leases are over: once returned they
-// are surely gone.
+// returnUnaccounted returns the machines of earlier terms whose workers neither report nor answer
+// commands, if they are few. All jobs of earlier terms wait until these machines are accounted for.
+// Returning them ends that wait sooner than the expiry of their leases, because a returned machine
+// is certainly gone.
 func (rm *rentalManager) returnUnaccounted(now time.Duration) {
 	if rm.lead.dispatchLoop.recovered || rm.returningUnaccounted {
 		return
@@ -79,6 +84,7 @@
 	}
 }
 
+// runFleet updates the fleet with the machines and the demand, and carries out what it decides.
 func (rm *rentalManager) runFleet(now time.Duration) {
 	status := rm.lead.dispatcher.MachineStatuses()
 	rm.fleet.Observe(now, status, rm.lead.dispatcher.LeaseExpired)
@@ -112,15 +118,16 @@
 	rm.lead.node.requestCycle()
 }
 
-// shouldAbandon tells whether the lease of a worker that does not answer lasts so
-// much longer than it takes to find that out that its work should not wait for it.
+// shouldAbandon reports whether unreachable machines should be returned: whether a worker's lease
+// lasts so much longer than it takes to detect that the worker does not answer that its tasks
+// should not wait for the lease to expire.
 func (rm *rentalManager) shouldAbandon() bool {
 	params := rm.lead.node.shardParams()
 	return params.MaxLease-params.OverdueAfter()-directTimeout > 15*time.Second
 }
 
-// returnMachines returns machines to the cloud. told, if it is given, hears under the lock
-// whether it has them.
+// returnMachines returns machines to the cloud. onDone, if not nil, is then called under the lock
+// with whether that succeeded.
 func (rm *rentalManager) returnMachines(a fleet.Action, onDone func(now time.Duration, ok bool)) {
 	n := rm.lead.node
 	names := make([]string, len(a.Machines))
@@ -128,7 +135,7 @@
 		names[i] = wire.MachineName(id)
 	}
 	err := errTermOver
-	if rm.lead.stillLeading() { // it may have stood still since this was decided
+	if rm.lead.stillLeading() { // this process may have been paused since the decision
 		err = n.cloud.Return(rm.lead.ctx, names)
 	}
 	n.log.Info("machines returned", "machines", names, "err", err)
@@ -151,6 +158,7 @@
 	}
 }
 
+// rent rents machines for the fleet and passes it the outcome.
 func (rm *rentalManager) rent(a fleet.Action) {
 	got, refused, uncertain := rm.rentMachines(a.RequestName, model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot},
 		a.Count)
@@ -159,8 +167,9 @@
 	rm.fleet.RentDone(rm.lead.node.now(), a, got, refused, uncertain)
 }
 
-// rentMachines asks the cloud for machines like one, under a name that is used for nothing
-// else. It is called without the lock.
+// rentMachines rents machines like the template. name identifies the request, so that repeating it
+// rents nothing twice; it is used for no other rental. refused and uncertain are as for
+// rentFromCloud. Called without the lock.
 func (rm *rentalManager) rentMachines(name string, template model.Machine,
 	count int) (got []model.MachineID, refused, uncertain bool) {
 	n := rm.lead.node
@@ -174,7 +183,7 @@
 	return n.rentFromCloud(rm.lead.ctx, r)
 }
 
-// run keeps the machine list.
+// run lists the cloud's machines every few seconds, and drops machines that are no longer there.
 func (rm *rentalManager) run() {
 	n := rm.lead.node
 	for rm.lead.ctx.Err() == nil {
@@ -195,7 +204,7 @@
 				continue
 			}
 			machines = append(machines, fleet.ListedMachine{ID: id, Type: n.names.Types.ID(m.Type),
-				Zone: n.names.Zones.ID(m.Zone),
+				Zone:   n.names.Zones.ID(m.Zone),
 				Spot:   m.Spot,
 				Failed: m.Stage == "failed", Age: config.Seconds(m.AgeS)})
 		}
--- a/internal/node/teams.go
+++ b/internal/node/teams.go
@@ -16,28 +16,30 @@
 	"honeylock/internal/wire"
 )
 
-// teamPrefix are of what operators changed about teams, by the team's name (escaped, for a
-// key has no spaces).
+// teamPrefix is the key prefix of operators' changes of teams in the state service. The team's name
+// follows, escaped because a key may not contain spaces.
 const teamPrefix = "ops/team/"
 
 func teamKey(name string) string { return teamPrefix + url.PathEscape(name) }
 
-// teamAuditName is a team's name in the audit record: no plan has a name like it.
+// teamAuditName returns the name that stands for a team in the audit log. It differs from all plans'
+// names, which contain no space.
 func teamAuditName(name string) string { return "team " + name }
 
+// storedTeam is the stored change of one team.
 type storedTeam struct {
 	team    model.Name
 	value   []byte
 	version uint64
 }
 
-// readTeams gets the stored changes of teams. Those of teams that the platform has no
-// more are left alone.
+// readTeams lists the stored changes of teams. Those of teams that are no longer in the platform
+// file are ignored, and stay stored.
 func (dm *drainManager) readTeams(ctx context.Context) (out []storedTeam, err error) {
 	_, err = dm.lead.node.state.List(ctx, teamPrefix, func(item *wire.Item) error {
 		name, err := url.PathUnescape(strings.TrimPrefix(item.Key, teamPrefix))
 		if err != nil {
-			return fmt.Errorf("changes of a team %s: %w", item.Key, err)
+			return fmt.Errorf("stored change of a team %s: %w", item.Key, err)
 		}
 		if team, ok := dm.lead.node.names.Teams.Lookup(name); ok {
 			out = append(out, storedTeam{team, item.Value, item.Version})
@@ -47,7 +49,8 @@
 	return out, err
 }
 
-// applyTeamOverrides brings the teams' limits and guarantees up to date.
+// applyTeamOverrides passes the teams' current limits and guarantees to the dispatcher, after it has
+// dropped the changes that have expired.
 func (dm *drainManager) applyTeamOverrides() {
 	wall := time.Now()
 	dm.teamOverrides.Expire(wall)
@@ -57,16 +60,16 @@
 	}
 }
 
-// teamWrite stores a change of a team with the audit entries about it.
+// teamWrite returns the write of a team's change with the audit entries about it.
 func (dm *drainManager) teamWrite(w quota.Write, entries []*audit.Entry) storeWrite {
 	return dm.recordWrite(teamKey(dm.lead.node.names.Teams.Name(w.Team)), w.Value, w.Version, entries,
 		func(o writeOutcome) {
-		dm.teamOverrides.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
-		dm.applyTeamOverrides()
-	})
+			dm.teamOverrides.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
+			dm.applyTeamOverrides()
+		})
 }
 
-// changeTeam makes an operator's change of a team.
+// changeTeam sets or unsets an operator's change of a team, and describes the outcome.
 func (dm *drainManager) changeTeam(c *Call) (string, error) {
 	team, ok := dm.lead.node.names.Teams.Lookup(c.Name)
 	if !ok {
@@ -97,7 +100,8 @@
 	return "changed" + dm.guaranteeWarning(team, change), nil
 }
 
-// guaranteeWarning warns if more is guaranteed than there are machines for.
+// guaranteeWarning returns a warning, to be appended to the outcome of a change, if the guarantees of
+// all teams then exceed the CPUs of the machines.
 func (dm *drainManager) guaranteeWarning(team model.Name, change quota.Change) string {
 	if change.GuaranteeCPU == nil {
 		return ""
@@ -119,20 +123,21 @@
 		float64(available)/1000)
 }
 
-// TeamReply is how a team stands, as operators see it. Amounts are CPUs.
+// TeamReply is the state of a team as operators see it. Amounts are in CPUs.
 type TeamReply struct {
 	Team        string  `json:"team"`
 	Limit       float64 `json:"limit_cpus"` // 0: none
 	Guarantee   float64 `json:"guarantee_cpus"`
 	Used        float64 `json:"used_cpus"`
-	Borrowed    float64 `json:"borrowed_cpus"` // beyond the guarantee
-	Unaccounted float64 `json:"unseen_cpus"`   // charged for machines that are not accounted for
-	Waiting     int     `json:"waiting"`       // tasks
-	Awaiting    int     `json:"awaiting"`      // jobs that wait for other jobs
-	BlockedBy   string  `json:"holds"`         // what holds the team now
-	Changed     string  `json:"changed,omitempty"`
+	Borrowed    float64 `json:"borrowed_cpus"`     // beyond the guarantee
+	Unaccounted float64 `json:"unseen_cpus"`       // charged for tasks on machines that are not accounted for
+	Waiting     int     `json:"waiting"`           // tasks that wait to start
+	Awaiting    int     `json:"awaiting"`          // jobs that wait for other jobs
+	BlockedBy   string  `json:"holds"`             // what the team's waiting tasks wait for
+	Changed     string  `json:"changed,omitempty"` // by whom the platform file is overridden, and until when
 }
 
+// teamReplies returns the state of all teams, in the platform file's order.
 func (dm *drainManager) teamReplies() []TeamReply {
 	wall := time.Now()
 	var out []TeamReply
@@ -141,8 +146,8 @@
 		r := TeamReply{Team: dm.lead.node.names.Teams.Name(model.Name(i)), Limit: toCPUs(t.Limit.CPU),
 			Guarantee: toCPUs(t.Guarantee.CPU),
 			Used:      toCPUs(t.Used.CPU), Borrowed: toCPUs(max(0, t.Used.CPU-t.Guarantee.CPU)),
-				Unaccounted: toCPUs(t.Unaccounted.CPU),
-			Waiting: t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
+			Unaccounted: toCPUs(t.Unaccounted.CPU),
+			Waiting:     t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
 		if change, ok := dm.teamOverrides.Active(model.Name(i), wall); ok {
 			r.Changed = "by " + change.By
 			if change.UntilMS > 0 {
@@ -154,7 +159,7 @@
 	return out
 }
 
-// teamBlockedBy is what teamBlockedBy a team, in one line.
+// teamBlockedBy describes in one line what a team's waiting tasks wait for.
 func teamBlockedBy(t *dispatcher.TeamStatus) string {
 	switch {
 	case t.AwaitingRecovery > 0:
@@ -171,6 +176,7 @@
 	return "nothing"
 }
 
+// answerTeams answers a call for the state of one team or of all teams.
 func (dm *drainManager) answerTeams(c *Call) CallReply {
 	all := dm.teamReplies()
 	if c.Verb == TeamList {
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -13,19 +13,22 @@
 	"honeylock/internal/wire"
 )
 
-// Reply to a user.
+// Reply is the answer to a user's request: an HTTP status with a job's state or an error.
 type Reply struct {
 	Status int
 	State  *wire.JobState
 	Err    string
-	// OverRate: a 503 for want of the state service's rate alone.
+	// OverRate is set on a 503 whose only cause is that the state service's request rate is
+	// exhausted.
 	OverRate bool `json:",omitempty"`
 }
 
+// unavailable returns a 503 with the reason.
 func unavailable(reason string) Reply {
 	return Reply{Status: http.StatusServiceUnavailable, Err: reason}
 }
 
+// stateReply returns a reply with a job's stage, and for an open job with its last known progress.
 func (n *Node) stateReply(status int, id model.JobID, stage jobs.Stage) Reply {
 	s := &wire.JobState{NameID: wire.JobName(id), Stage: string(stage)}
 	if !stage.Ended() {
@@ -41,19 +44,19 @@
 	return Reply{Status: status, State: s}
 }
 
-// Submit takes a submission.
+// Submit accepts a job from its JSON description. Submitting a job again returns its state.
 func (n *Node) Submit(ctx context.Context, body []byte) Reply {
 	sub, err := wire.ParseSubmission(body)
 	if err != nil {
 		return Reply{Status: http.StatusBadRequest, Err: err.Error()}
 	}
-	id, _ := wire.ParseJob(*sub.NameID) // it was checked
+	id, _ := wire.ParseJob(*sub.NameID) // ParseSubmission has validated it
 	if stage, ok := n.cachedFinal(id); ok {
 		return n.stateReply(http.StatusOK, id, stage)
 	}
 	ok, reason := n.feasible(sub)
 	if reason != "" && !ok {
-		// Should it have been accepted in spite of that, it stays accepted.
+		// If the job was accepted earlier all the same, it stays accepted.
 		r := n.Poll(ctx, id)
 		if r.Status == http.StatusNotFound {
 			return Reply{Status: http.StatusUnprocessableEntity, Err: reason}
@@ -69,15 +72,16 @@
 		r := n.Poll(ctx, id)
 		if r.Status == http.StatusNotFound {
 			return Reply{Status: http.StatusBadRequest, Err: fmt.Sprintf(
-				"the job takes %d bytes to store, more than %d; %d of its names are in Awaits", size, maxBytes, len(sub.Awaits))}
+				"the job's record takes %d bytes, more than the limit of %d; Awaits names %d jobs", size, maxBytes,
+				len(sub.Awaits))}
 		}
 		return r
 	}
 	return n.answerRequest(ctx, jobs.Submit, id, sub)
 }
 
-// feasible tells whether a job can ever run. Without a reason it can't be told
-// yet.
+// feasible reports whether a job can ever run. If it returns false without a reason, that is not
+// known yet because the machine types have not been read.
 func (n *Node) feasible(sub *wire.Submission) (ok bool, reason string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,7 +91,7 @@
 	}
 	t := n.cfg.Cluster.Teams[team]
 	count := 1.0
-	if *sub.Shape != "batch" { // all tasks at once
+	if *sub.Shape != "batch" { // all of its tasks run at once
 		count = float64(*sub.Tasks)
 	}
 	if t.CPUsMax > 0 && *sub.CPUs*count > t.CPUsMax || t.GPUsMax > 0 && *sub.GPUs*count > t.GPUsMax {
@@ -121,7 +125,7 @@
 	return false, "a task fits no allowed machine type"
 }
 
-// Poll answers with a job's state.
+// Poll returns a job's state.
 func (n *Node) Poll(ctx context.Context, id model.JobID) Reply {
 	return n.answerRequest(ctx, jobs.Poll, id, nil)
 }
@@ -131,8 +135,9 @@
 	return n.answerRequest(ctx, jobs.Withdraw, id, nil)
 }
 
-// answerRequest answers a request here, or by way of a sibling if the state service does
-// not answer this controller.
+// answerRequest answers a user's request. It forwards the request to another controller, before or
+// after an attempt here, if the state service does not answer this one, and to the leader if only
+// that may know whether the job was cancelled.
 func (n *Node) answerRequest(ctx context.Context, kind jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
 	sibling, preferred := n.forwardTarget()
 	if sibling != "" && preferred {
@@ -142,20 +147,22 @@
 	}
 	r := n.answerHere(ctx, kind, id, sub)
 	if r.Status != http.StatusServiceUnavailable || kind == jobs.Poll && r.OverRate {
-		return r // a question that found no rate here would find none there
+		return r // the rate is shared: a poll would be refused there too
 	}
 	if sibling == "" || preferred {
-		sibling = n.leaderForInDoubt(id) // it has been asked, or there is none
+		sibling = n.leaderForInDoubt(id) // the other controller has failed already, or there is none
 	}
 	if sibling != "" {
 		if forwarded, ok := n.forward(ctx, sibling, kind, id, sub); ok {
 			return forwarded
 		}
 	}
-	n.log.Debug("not answered", "job", wire.JobName(id), "request", kind, "why", r.Err)
+	n.log.Debug("user's request answered as unavailable", "job", wire.JobName(id), "request", kind, "why", r.Err)
 	return r
 }
 
+// answerHere answers a request from the cache of final states or with operations on the state
+// service.
 func (n *Node) answerHere(ctx context.Context, kind jobs.Kind, id model.JobID, sub *wire.Submission) Reply {
 	if stage, ok := n.cachedFinal(id); ok {
 		return n.stateReply(http.StatusOK, id, stage)
@@ -190,7 +197,9 @@
 	}
 }
 
-// newRequest begins a newRequest. What a submission awaits was mostly seen a moment ago.
+// newRequest returns a request's state machine and its first operation. For the dependencies of a
+// submission it passes the versions of the open records that were seen earlier, which saves
+// reading most of them.
 func (n *Node) newRequest(kind jobs.Kind, id model.JobID, sub *wire.Submission) (*jobs.Request, jobs.Op) {
 	if kind != jobs.Submit {
 		version, believedEnded := n.cachedOpenRecord(id)
@@ -200,7 +209,7 @@
 		return jobs.New(kind, id, version)
 	}
 	if len(sub.Awaits) == 0 {
-		return jobs.New(kind, id, 0) // a submission reads nothing first
+		return jobs.New(kind, id, 0) // a submission without dependencies reads nothing first
 	}
 	dependencies := sub.Needs()
 	open := make(map[model.JobID]uint64, len(dependencies))
@@ -212,7 +221,9 @@
 	return jobs.NewWithDependencies(id, dependencies, open, guardsPerOp*n.cfg.Cluster.TxnOps()-2)
 }
 
-// mayReportQueued tells whether users may be told that an open job is queued.
+// mayReportQueued reports whether an open job may be reported to users as queued. For a job that
+// waits for dependencies, none of which may have been cancelled too long ago, that has to be
+// confirmed.
 func (n *Node) mayReportQueued(id model.JobID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,48 +234,51 @@
 	return !onHold || n.queuedConfirmed(n.now(), id)
 }
 
-// answerInDoubt answers about a waiting job that nobody may call queued: as cancelled, where
-// that is certain.
+// answerInDoubt answers for a waiting job that may not be reported as queued. If it is certainly
+// going to be cancelled it is reported as cancelled, else the request fails.
 func (n *Node) answerInDoubt(id model.JobID) Reply {
 	n.mu.Lock()
 	cancelled := n.cancelledConfirmed(n.now(), id)
 	n.mu.Unlock()
 	if !cancelled {
-		// It may have been cancelled with a job that it needs, longer ago than may be.
-		return unavailable("no leader has told of cancellations for too long")
+		// A dependency may have been cancelled longer ago than reports to users may lag.
+		return unavailable("no leader has reported cancellations for too long")
 	}
 	n.addFinal(id, jobs.Cancelled)
 	return n.stateReply(http.StatusOK, id, jobs.Cancelled)
 }
 
-// Healthy tells whether users' requests can be taken.
+// Healthy reports whether load balancers should send users' requests to this controller.
 func (n *Node) Healthy() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// Refused by the state service while it answers the leader, this node can
-	// take nothing; in an outage all are alike, and none should be shunned.
+	// A controller that the state service refuses while it serves the leader can answer
+	// nothing. In an outage all controllers are refused alike, and none should be avoided.
 	served, _ := n.health.lastServed()
 	refused := n.health.refusedAlone(n.now(), n.leaderStateServedAt) &&
 		n.leaderStateServedAt > served+2500*time.Millisecond
-	// Without the machine types it still answers polls and cancellations, which
-	// is better than no node at all.
+	// Without the machine types, after a few seconds, it still answers polls and
+	// cancellations, which is better than having no controller at all.
 	return (len(n.types) > 0 || n.now() > 10*time.Second) && !refused && !n.isolatedLocked(n.now())
 }
 
-// isolatedLocked tells whether neither the state service nor any sibling has been heard for a
-// while: whatever users ask here, nobody could answer, while its workers may still be
-// served under the grant. In an outage siblings are heard, and in a quarrel of
-// controllers the state service is. Called under the lock.
+// isolatedLocked reports whether this controller has been cut off for a while from both the state
+// service and all other controllers. Then it can't answer users, but may still serve its workers
+// under its grant. In an outage of the state service the other controllers are reachable, and when
+// only the connections between controllers fail, the state service is. Called under the lock.
 func (n *Node) isolatedLocked(now time.Duration) bool {
 	return len(n.cfg.Siblings) > 0 && n.health.stateUnserved(now) && now-n.siblingSeenAt > linkTimeout
 }
 
+// isolated is isolatedLocked for callers that do not hold the lock.
 func (n *Node) isolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isolatedLocked(n.now())
 }
 
+// rentFromCloud rents machines. refused is set if the cloud has no capacity, uncertain if it is not
+// known whether it rented any.
 func (n *Node) rentFromCloud(ctx context.Context, r wire.Rental) (ids []model.MachineID, refused, uncertain bool) {
 	names, err := n.cloud.Rent(ctx, r)
 	n.log.Info("rental", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "got",
