--- a/internal/node/forecast.go
+++ b/internal/node/forecast.go
@@ -168,7 +168,8 @@
 func (dm *drainManager) runForecast(run *forecastRun, s *survey, startPlan forecast.StartPlan,
 	patchTime time.Duration) {
 	n := dm.lead.node
-	for end := n.now() + surveyTimeout; n.now() < end && dm.lead.ctx.Err() == nil; sleep(dm.lead.ctx, 20*time.Millisecond) {
+	for end := n.now() + surveyTimeout; n.now() < end && dm.lead.ctx.Err() == nil; sleep(dm.lead.ctx,
+		20*time.Millisecond) {
 		n.mu.Lock()
 		remaining := len(s.pending)
 		n.mu.Unlock()
@@ -296,7 +297,8 @@
 	var jobs []string
 	for i := range run.result.Delayed {
 		if delayed := &run.result.Delayed[i]; delayed.Window != "" {
-			jobs = append(jobs, wire.JobName(delayed.Spec.ID)+" by "+delayed.Delay[1].Round(time.Second).String()+" past "+delayed.Window)
+			jobs = append(jobs, wire.JobName(delayed.Spec.ID)+" by "+delayed.Delay[1].Round(time.Second).String()+
+				" past "+delayed.Window)
 		}
 	}
 	if len(jobs) == 0 {
--- a/internal/node/forecast_test.go
+++ b/internal/node/forecast_test.go
@@ -14,8 +14,8 @@
 	"honeylock/internal/wire"
 )
 
-// BenchmarkLargeSnapshot is what a forecast does under the controller's lock: with
-// 1,636 machines, 39,264 tasks and 800 jobs it must not hold dealing up for 50 ms.
+// BenchmarkLargeSnapshot measures the part of a forecast that holds the controller's lock. With 1,636
+// machines, 39,264 tasks and 800 jobs it must delay dispatching by less than 50 ms.
 func BenchmarkLargeSnapshot(b *testing.B) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.cfg.Cluster.Teams = []config.Team{{Name: "t", CPUs: 100, CPUsMax: 1e6}}
@@ -45,8 +45,8 @@
 	}
 }
 
-// A forecast that was played to its end, yet not summed up, was told as complete,
-// with nothing in it.
+// A forecast is reported as complete only with its result. Between the end of the last run and the
+// result, it was once reported as complete without content.
 func TestForecastDoneOnlyWithResult(t *testing.T) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.names = &wire.Names{Teams: wire.NewTable(), Classes: wire.NewTable()}
@@ -66,6 +66,6 @@
 	}
 	run.result = &forecast.Result{Runs: 5}
 	if r := query(); r.Done != 1 || r.Runs != 5 {
-		t.Errorf("%+v with one", r)
+		t.Errorf("%+v with a result", r)
 	}
 }
--- a/internal/node/openchecker_test.go
+++ b/internal/node/openchecker_test.go
@@ -11,7 +11,7 @@
 	"honeylock/internal/peer/peerpb"
 )
 
-// lastGrant is the last grant that the leader has sent.
+// lastGrant returns the last grant that the leader has sent.
 func (r *leaderHarness) lastGrant() *peerpb.Grant {
 	r.t.Helper()
 	var grant *peerpb.Grant
@@ -26,8 +26,8 @@
 	return grant
 }
 
-// A member is told its part of the state service's rate with each grant, by what it needs. To
-// one that says nothing of its needs, as a release before 0.9, an equal part is left.
+// Each grant carries the member's share of the state service's rate, by its demand. A member that
+// reports no demand, as releases before 0.9, gets an equal share.
 func TestGrantsCarryRateShares(t *testing.T) {
 	r := newLeaderHarness(t)
 	now := r.node.now()
@@ -42,23 +42,24 @@
 	}
 	noDemand := grantForDemand(now, 0)
 	if equal := rateshare.TotalShare / 2; noDemand.GetRequestsShare() < equal-1e-9 {
-		t.Errorf("%v for a member that tells no needs", noDemand)
+		t.Errorf("%v for a member that reports no demand", noDemand)
 	}
 	idle, busy := grantForDemand(now, 0.01), grantForDemand(now, 0.6)
 	for _, g := range []*peerpb.Grant{idle, busy} {
 		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.node.stateShare() > rateshare.TotalShare+1e-9 {
-			t.Errorf("%v beside the leader's %v", g, r.node.stateShare())
+			t.Errorf("share of the member %v, of the leader %v", g, r.node.stateShare())
 		}
 	}
 }
 
+// stateShare returns the node's own share of the state service's rate.
 func (n *Node) stateShare() float64 {
 	share, _, _ := n.state.Stats()
 	return share
 }
 
-// A job that the leader knows to be done needs no comparison; of a cancellation the member has
-// to read the record, so that it notes it before it tells anybody.
+// The leader answers at once for a job that it knows to be done. For a cancelled job it does not, so
+// that the member reads the final record itself and logs the cancellation before it reports it.
 func TestLeaderAnswersForDoneJobs(t *testing.T) {
 	r := newLeaderHarness(t)
 	r.node.addFinalLocked(7, jobs.Done)
@@ -74,8 +75,8 @@
 	}
 }
 
-// A member's questions go to the leader while it answers. One that it does not answer, or
-// that was under way when the link broke, is compared by the member itself.
+// A member sends its checks to the leader as long as it answers. A check that the leader does not
+// answer, or that is pending when the link breaks, fails there, and the leader is then avoided.
 func TestOpenCheckFallsBackToOwnCompare(t *testing.T) {
 	g := jobs.Guard{Job: 7, Version: 3}
 	for _, c := range []struct {
@@ -113,7 +114,7 @@
 			q.mu.Lock()
 			defer q.mu.Unlock()
 			if avoided := !q.route.UseLeader(q.now()); avoided != (c.want == jobs.Failed) {
-				t.Errorf("shunned: %v", avoided)
+				t.Errorf("leader avoided: %v", avoided)
 			}
 		})
 	}
--- a/internal/node/operatorcalls_test.go
+++ b/internal/node/operatorcalls_test.go
@@ -11,8 +11,8 @@
 	"honeylock/internal/config"
 )
 
-// The controllers' own port takes operators' calls from a sibling only: without a
-// seal made with the token's hash it would be a way round the tokens.
+// The controllers' own port accepts operators' calls only with a signature keyed with the hash of the
+// operator's token. Without that, the port would bypass the tokens.
 func TestForwardedCallsNeedSignature(t *testing.T) {
 	reader := config.Access{Name: "reader", Hash: sha256.Sum256([]byte("r"))}
 	operator := config.Access{Name: "boss", Hash: sha256.Sum256([]byte("o")), Operate: true}
@@ -44,19 +44,19 @@
 		call Call
 		want int
 	}{
-		"no seal":             {pause, 403},
-		"another's seal":      {signed(pause, &reader), 403},
+		"no signature":        {pause, 403},
+		"another's signature": {signed(pause, &reader), 403},
 		"another plan":        {altered, 403},
 		"a change by readers": {signed(byReader, &reader), 403},
-		"a stranger":          {signed(Call{Verb: DrainList, Who: "x"}, &operator), 403},
-		"a change":            {signed(pause, &operator), 503}, // taken; nobody leads here
-		"a question":          {signed(list, &reader), 503},
+		"unknown operator":    {signed(Call{Verb: DrainList, Who: "x"}, &operator), 403},
+		"a change":            {signed(pause, &operator), 503}, // accepted, but no controller leads
+		"a query":             {signed(list, &reader), 503},
 	} {
 		if got := send(n, c.call); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
 	if got := send(&Node{settings: &config.Settings{}, log: n.log}, signed(pause, &operator)); got != 403 {
-		t.Errorf("%d without a door", got)
+		t.Errorf("%d without an operators' endpoint", got)
 	}
 }
--- a/internal/node/teams.go
+++ b/internal/node/teams.go
@@ -163,7 +163,8 @@
 func teamBlockedBy(t *dispatcher.TeamStatus) string {
 	switch {
 	case t.AwaitingRecovery > 0:
-		return formatCount(t.AwaitingRecovery, "task") + " of before the change of leader wait for machines that are not accounted for"
+		return formatCount(t.AwaitingRecovery, "task") +
+			" of before the change of leader wait for machines that are not accounted for"
 	case t.LimitReached() && t.Unaccounted.CPU > 0:
 		return "its limit, with what is charged for machines that are not accounted for"
 	case t.LimitReached():
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -24,10 +24,11 @@
 	"honeylock/internal/wire"
 )
 
-// testdata/0.4 and 0.5 hold records and messages as the release in production at the
-// upgrade and the one after it wrote them, and the descriptions of their messages
+// testdata/0.4 and testdata/0.5 hold records and messages that those releases wrote, and the
+// descriptors of their messages. 0.4 was in production when the upgrade began, and 0.5 followed it
 // (docs/upgrade.md).
 
+// golden reads a file of testdata.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
@@ -37,8 +38,8 @@
 	return b
 }
 
-// roundTrip decodes a record of the release before, and writes it again: nothing it holds may
-// be lost, and what is new is not there until it is used.
+// roundTrip decodes a record of an older release and encodes it again. The result must be the same:
+// no field may be lost, and a new field must not appear before it is used.
 func roundTrip[T any](t *testing.T, name string) *T {
 	t.Helper()
 	v := new(T)
@@ -56,6 +57,7 @@
 	return v
 }
 
+// Records of release 0.4 are read and written without loss.
 func TestReadRecordsOf04(t *testing.T) {
 	sub := roundTrip[wire.Submission](t, "0.4/open.json")
 	if len(sub.Needs()) != 0 || *sub.NameID != "job-000412" || sub.SubmittedMS != 1790000000123 {
@@ -78,6 +80,7 @@
 	}
 }
 
+// Records of release 0.5 are read and written without loss.
 func TestReadRecordsOfLastRelease(t *testing.T) {
 	sub := roundTrip[wire.Submission](t, "0.5/open.json")
 	if !slices.Equal(sub.Needs(), []model.JobID{398, 405}) || *sub.NameID != "job-000420" {
@@ -100,8 +103,8 @@
 	}
 }
 
-// What is new in a record is passed over by the release before, whose records these are:
-// encoding/json skips fields that it does not know, and so does what it used.
+// Older releases ignore the new fields of records, because their JSON decoder skips unknown fields.
+// The structs here are the records as those releases declare them.
 func TestOldReleaseReadsNewRecords(t *testing.T) {
 	var final struct {
 		Stage string `json:"Stage"`
@@ -109,8 +112,7 @@
 	if err := json.Unmarshal(mustEncode(wire.Final{Stage: "done", AtMS: 5}), &final); err != nil || final.Stage != "done" {
 		t.Errorf("%+v, %v", final, err)
 	}
-	// A chunk of a job that does not fit into one must not be taken for tasks 0 and
-	// onwards.
+	// A later chunk of a job must not be read as the chunk that starts at task 0.
 	var chunk struct {
 		Bits []byte `json:"Bits"`
 	}
@@ -126,7 +128,7 @@
 		"0.5/give", "0.5/reprice", "0.5/own", "0.5/release"}
 )
 
-// Messages of the releases before mean the same here.
+// Messages of older releases are read with the same meaning, and written as they were.
 func TestReadMessagesOfOldReleases(t *testing.T) {
 	for _, name := range slices.Concat(upMessages, downMessages) {
 		var m proto.Message = &peerpb.Down{}
@@ -145,7 +147,7 @@
 			t.Errorf("%s: %d bytes unknown", name, n)
 		}
 	}
-	// A price without a word about aims leaves the aim as it is.
+	// A price change without an objective leaves the objective unchanged.
 	var down peerpb.Down
 	if err := proto.Unmarshal(golden(t, "0.4/reprice.binpb"), &down); err != nil {
 		t.Fatal(err)
@@ -155,9 +157,9 @@
 	if err != nil || order.Kind != model.RepriceJob || order.Price != 3000 || order.Objective != model.ObjectiveUnchanged {
 		t.Errorf("%+v, %v", order, err)
 	}
-	// A member of the last release tells no session, and its leader asks for none: a
-	// machine is let go of in any case, its worker need not be shown to hear, and nothing
-	// left there is freed by a session.
+	// Controllers of 0.5 send no session with a released machine, and their leader asks for
+	// none. The machine is released in any case, without verifying that its worker receives
+	// messages, and its tasks are not freed by a session.
 	if err := proto.Unmarshal(golden(t, "0.5/release.binpb"), &down); err != nil {
 		t.Fatal(err)
 	}
@@ -169,14 +171,16 @@
 	if err := proto.Unmarshal(golden(t, "0.5/released.binpb"), &up); err != nil {
 		t.Fatal(err)
 	}
-	if event := codec.FromEvent(up.GetEvent()); event.Kind != model.MachineReleased || event.Session != 0 || event.Held || len(event.Tasks) != 1 {
+	if event := codec.FromEvent(up.GetEvent()); event.Kind != model.MachineReleased || event.Session != 0 ||
+		event.Held || len(event.Tasks) != 1 {
 		t.Errorf("%+v", event)
 	}
 }
 
+// messagePair is a message of this release, and what an older release should read in it.
 type messagePair struct{ current, old proto.Message }
 
-// What this release sends is, but for what they don't know, the same to those before.
+// Older releases read the messages of this release as before, except for fields that they don't know.
 func TestOldReleasesReadNewMessages(t *testing.T) {
 	compareAtRelease(t, "0.5", map[string]messagePair{
 		"Ask": {&peerpb.Ask{Seq: 5, Promised: 4, StateAgeUs: 7, Told: []uint64{412, 9}, ToldForUs: 60},
@@ -199,6 +203,8 @@
 	})
 }
 
+// compareAtRelease decodes both messages of each pair, given by message name, with the descriptors of
+// an older release, and requires them to be equal.
 func compareAtRelease(t *testing.T, release string, pairs map[string]messagePair) {
 	t.Helper()
 	var set descriptorpb.FileDescriptorSet
@@ -228,6 +234,7 @@
 	}
 }
 
+// Record keys of 0.4 and of later layouts are parsed and written, and malformed ones refused.
 func TestRecordKeysOfBothLayouts(t *testing.T) {
 	for key, want := range map[string]dispatcher.BlockID{
 		"machines/00000003": {Index: 3}, "machines/s19/00000012": {Size: 19, Index: 12},
@@ -250,7 +257,7 @@
 	}
 }
 
-// Whatever is written fits the limits of now and those to come.
+// Records fit both the current limits of the state service and the announced ones.
 func TestRecordsFitBothLimits(t *testing.T) {
 	var c config.Cluster
 	c.State.ValueKB, c.State.Next.ValueKB, c.State.TxnOps, c.State.Next.TxnOps = 16, 2, 16, 5
@@ -275,10 +282,12 @@
 	if n := len(mustEncode(wire.Chunk{Part: fullChunk, From: 99_999})); n > maxBytes {
 		t.Errorf("a chunk takes %d bytes", n)
 	}
-	// A job's final drops what it has room for, the rest comes after it.
+	// The transaction that finishes a job deletes as many chunks as fit. The others are deleted
+	// after it.
 	n := &Node{cfg: &config.Platform{Cluster: c}}
 	loop := &dispatchLoop{lead: &leadership{node: n}, dispatcher: dispatcher.New(dispatcher.Params{}, 0)}
-	write := loop.encodeWrite(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4, StoredChunks: make([]dispatcher.ChunkID, 9)})
+	write := loop.encodeWrite(dispatcher.Write{Kind: dispatcher.FinishJob, Job: 4,
+		StoredChunks: make([]dispatcher.ChunkID, 9)})
 	if len(write.ops) != 5 {
 		t.Errorf("%d changes in one transaction", len(write.ops))
 	}
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -9,8 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// An answer that was found before this controller told of the job's end, and leaves after it,
-// tells the end: of two connections the later one would else get the older state.
+// An answer that was determined before this controller reported the job's end to another user, and is
+// sent after that, also reports the end. Otherwise the later answer would have the older state.
 func TestAnswerNotOlderThanReportedEnd(t *testing.T) {
 	const job = model.JobID(412)
 	for _, end := range []jobs.Stage{jobs.Done, jobs.Cancelled} {
@@ -22,7 +22,7 @@
 			}
 			r.node.recordEnd(job, end)
 			if got := r.node.preferFinal(job, found); got.State.Stage != string(end) || got.Status != http.StatusOK {
-				t.Errorf("%d %s after %s was told", got.Status, got.State.Stage, end)
+				t.Errorf("%d %s after %s was reported", got.Status, got.State.Stage, end)
 			}
 			refused := unavailable("busy")
 			if got := r.node.preferFinal(job, refused); got != refused {
@@ -32,22 +32,22 @@
 	}
 }
 
-// While the machine types are unknown nobody can tell whether a job can run: its user asks again.
-// What is no job at all is refused in any case.
+// While the machine types are unknown, it is not known whether a job can run, and its submission is
+// answered with 503. An invalid job is refused in any case.
 func TestSubmitRefusedWithoutMachineTypes(t *testing.T) {
 	r := newLeaderHarness(t)
-	submission := `{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch","Rank":"standard","Cells":2,"Cpus":1,
+	body := `{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch","Rank":"standard","Cells":2,"Cpus":1,
 		"Accelerators":0,"MemGb":1,"Wax":"img","ImageGb":1,"Together":false,"Spread":false,"SwarmBoxes":false,"ForageS":1,
 		"CapIntervalS":0,"CapS":0}`
-	if got := r.node.Submit(t.Context(), []byte(submission)); got.Status != http.StatusServiceUnavailable {
+	if got := r.node.Submit(t.Context(), []byte(body)); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("%d %q", got.Status, got.Err)
 	}
-	noTasks := strings.Replace(submission, `"Cells":2`, `"Cells":0`, 1)
+	noTasks := strings.Replace(body, `"Cells":2`, `"Cells":0`, 1)
 	if got := r.node.Submit(t.Context(), []byte(noTasks)); got.Status != http.StatusBadRequest {
 		t.Errorf("%d %q of no tasks", got.Status, got.Err)
 	}
-	r.node.recordEnd(8, jobs.Done) // a known job stays known
-	if got := r.node.Submit(t.Context(), []byte(submission)); got.Status != http.StatusOK ||
+	r.node.recordEnd(8, jobs.Done) // a job that is known to have ended is found
+	if got := r.node.Submit(t.Context(), []byte(body)); got.Status != http.StatusOK ||
 		got.State.Stage != string(jobs.Done) {
 		t.Errorf("%d %+v of a job that is done", got.Status, got.State)
 	}
