--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -10,42 +10,45 @@
 	"honeylock/internal/core/model"
 )
 
-// newDisruptionTracker makes the book of the settings' budgets; nil where there are none.
+// newDisruptionTracker returns a tracker of the disruption budgets in the settings, nil if there are
+// none.
 func (n *Node) newDisruptionTracker() *disruption.Tracker {
 	if len(n.settings.Budgets) == 0 {
 		return nil
 	}
-	var bs []disruption.Budget
-	for _, b := range n.settings.Budgets {
-		team, ok := n.names.Teams.Lookup(b.Team)
+	var budgets []disruption.Budget
+	for _, setting := range n.settings.Budgets {
+		team, ok := n.names.Teams.Lookup(setting.Team)
 		if !ok {
-			continue // the command has refused it
+			continue // can't happen: such settings are refused at the start
 		}
-		x := disruption.Budget{Team: team, Class: model.None, MaxTasks: b.Tasks, MaxShare: b.Share,
-			MaxCPU: model.Capacity(b.CPUs, 0, 0).CPU, MaxLostCPU: b.LostCPUS, Window: b.Window, MaxMoves: b.Moves,
-			LastFraction: b.LastPart}
-		if b.Class != "" {
-			x.Class = n.names.Classes.ID(b.Class)
+		budget := disruption.Budget{Team: team, Class: model.None, MaxTasks: setting.Tasks, MaxShare: setting.Share,
+			MaxCPU: model.Capacity(setting.CPUs, 0, 0).CPU, MaxLostCPU: setting.LostCPUS, Window: setting.Window,
+			MaxMoves:     setting.Moves,
+			LastFraction: setting.LastPart}
+		if setting.Class != "" {
+			budget.Class = n.names.Classes.ID(setting.Class)
 		}
-		bs = append(bs, x)
+		budgets = append(budgets, budget)
 	}
-	k := disruption.New(bs)
-	k.TeamName = n.names.Teams.Name
-	return k
+	tracker := disruption.New(budgets)
+	tracker.TeamName = n.names.Teams.Name
+	return tracker
 }
 
-// teamClass is a team's, or one of its classes'.
+// teamClass identifies a team's work, or that of one class of the team.
 type teamClass struct{ team, class model.Name }
 
-// updateDisruptions brings the book up to date for a turn of the drains, and returns how they draw
-// from it; nil where there are no budgets.
+// updateDisruptions brings the tracker up to date with the dispatcher before the drains advance. It
+// returns the function with which they request to move a task, which returns the reason if a
+// budget refuses; nil if there are no budgets.
 func (dm *drainManager) updateDisruptions(now time.Duration) func(drain.MoveRequest) string {
 	if !dm.disruptions.Enabled() {
 		return nil
 	}
 	l := dm.lead
 	for _, t := range l.dispatcher.TakeFreedTasks() {
-		if spec := l.dispatcher.Spec(t.Job); spec != nil { // nobody saw how long it had run
+		if spec := l.dispatcher.Spec(t.Job); spec != nil { // how long it had run is not known
 			dm.disruptions.TaskStopped(t, spec, disruption.Lost, spec.Estimate/2)
 		}
 	}
@@ -53,38 +56,40 @@
 	dm.disruptions.Recovered = l.dispatcher.Recovered()
 	teamStates := map[teamClass]disruption.TeamState{}
 	dm.disruptions.TeamState = func(team, class model.Name) disruption.TeamState {
-		w := teamClass{team, class}
-		x, ok := teamStates[w]
+		key := teamClass{team, class}
+		state, ok := teamStates[key]
 		if !ok {
-			x.Running, x.Orphaned, x.Unknown, x.CPU = l.dispatcher.WorkCounts(team, class)
-			teamStates[w] = x
+			state.Running, state.Orphaned, state.Unknown, state.CPU = l.dispatcher.WorkCounts(team, class)
+			teamStates[key] = state
 		}
-		return x
+		return state
 	}
-	return func(m drain.MoveRequest) string {
+	return func(request drain.MoveRequest) string {
 		cause := disruption.PlanDrain
-		if m.ForPrice {
+		if request.ForPrice {
 			cause = disruption.PriceDrain
 		}
-		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Cause: cause, Ran: m.Ran,
-			Remaining: m.Remaining})
+		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: request.Task, Spec: request.Spec, Cause: cause,
+			Ran:       request.Ran,
+			Remaining: request.Remaining})
 	}
 }
 
-// BudgetStatus is how a budget of disruption stands, as operators see it.
+// BudgetStatus is the use of a disruption budget as operators see it.
 type BudgetStatus struct {
 	Team            string         `json:"team"`
 	Class           string         `json:"class,omitempty"`
 	Running         int            `json:"running"`
-	Interrupted     int            `json:"out"`
-	MaxTasks        int            `json:"most"` // tasks, -1: not bounded
+	Interrupted     int            `json:"out"`  // tasks
+	MaxTasks        int            `json:"most"` // limit of Interrupted; -1: none
 	InterruptedCPUs float64        `json:"out_cpus"`
-	CPUs            float64        `json:"cpus,omitempty"` // bound, 0: none
-	LostCPUS        float64        `json:"lost_cpu_s"`
-	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"`
-	By              map[string]int `json:"by"`
+	CPUs            float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
+	LostCPUS        float64        `json:"lost_cpu_s"`                // CPU seconds lost in the budget's window
+	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"` // limit of LostCPUS; 0: none
+	By              map[string]int `json:"by"`                        // interrupted tasks by cause
 }
 
+// budgetStatuses returns the use of all disruption budgets.
 func (dm *drainManager) budgetStatuses(now time.Duration) []BudgetStatus {
 	out := []BudgetStatus{}
 	if dm.updateDisruptions(now) == nil {
@@ -109,12 +114,13 @@
 	return out
 }
 
-// disruptionMetrics are the book's counts, on the leader.
+// disruptionMetrics exports the disruption tracker's counts on the leader.
 type disruptionMetrics struct {
 	node                          *Node
 	granted, refused, involuntary *prometheus.Desc
 }
 
+// newDisruptionMetrics returns the collector of the node's disruption counts.
 func newDisruptionMetrics(n *Node) *disruptionMetrics {
 	desc := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc("honeylock_disruption_"+name+"_total", help+" by this leader, by team and cause.",
@@ -138,12 +144,12 @@
 	if m.node.lead == nil || !m.node.lead.drains.disruptions.Enabled() {
 		return
 	}
-	for team, x := range m.node.lead.drains.disruptions.Counts {
+	for team, counts := range m.node.lead.drains.disruptions.Counts {
 		name := m.node.names.Teams.Name(team)
 		for _, s := range []struct {
 			d *prometheus.Desc
 			n [disruption.NumCauses]uint64
-		}{{m.granted, x.Granted}, {m.refused, x.Refused}, {m.involuntary, x.Involuntary}} {
+		}{{m.granted, counts.Granted}, {m.refused, counts.Refused}, {m.involuntary, counts.Involuntary}} {
 			for cause, v := range s.n {
 				if v > 0 {
 					c <- prometheus.MustNewConstMetric(s.d, prometheus.CounterValue, float64(v), name, disruption.Cause(cause).Label())
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -23,66 +23,69 @@
 	"honeylock/internal/wire"
 )
 
-// Keys of what operators have declared and changed.
+// Key prefixes in the state service of operators' plans and of the audit log.
 const (
 	planPrefix  = "ops/plan/"
 	auditPrefix = "ops/audit/"
 )
 
-// minReportsToLearn is how many reports a task must be estimated to last, for its run time
-// to be learnt from.
+// minReportsToLearn is the shortest estimated run time, in worker report intervals, of a task
+// whose run time is used for estimates. Run times are seen through reports only, so those of
+// shorter tasks are too coarse.
 const minReportsToLearn = 5
 
-// auditSlots are the operators' changes that are kept.
+// auditSlots is the number of operators' changes that the audit log keeps.
 const auditSlots = 256
 
-// drainManager is the leader's part that empties machines, for operators' plans and
-// for their price, and keeps the record of what operators change.
+// drainManager is the leader's component that drains machines, for operators' plans and to
+// save cost, and that stores operators' changes and their audit log.
 type drainManager struct {
 	lead          *leadership
 	engine        *drain.Engine
 	audit         *audit.Log
 	runTimes      *runtimes.Estimator
-	disruptions   *disruption.Tracker // of budgets of disruption, nil: there are none
-	teamOverrides *quota.Overrides    // what operators changed about teams
-	evaluator     *rollout.Evaluator  // how tasks fare on machines, nil: no plan has a gate
+	disruptions   *disruption.Tracker // use of the disruption budgets; nil if none are configured
+	teamOverrides *quota.Overrides    // operators' changes of teams' limits and guarantees
+	evaluator     *rollout.Evaluator  // how tasks run on each machine; nil if no active plan has a gate
 	lastTick      time.Duration
 	forecasts     forecasts
 }
 
+// newDrainManager returns the component with its limits derived from the largest value that
+// the state service stores.
 func (l *leadership) newDrainManager() *drainManager {
-	c := &l.node.cfg.Cluster
-	// A step takes three bytes as base64 for its number, two for its state.
-	maxSteps := int(c.State.ValueKB*1024-2*planfile.MaxSource) / 5
-	value := 0
-	if c.ValueKB() < c.State.ValueKB {
-		value = int(c.ValueKB() * 1024)
+	cluster := &l.node.cfg.Cluster
+	// In base64, a step takes three bytes for its machine number and two for its state.
+	maxSteps := int(cluster.State.ValueKB*1024-2*planfile.MaxSource) / 5
+	maxRecordBytes := 0
+	if cluster.ValueKB() < cluster.State.ValueKB {
+		maxRecordBytes = int(cluster.ValueKB() * 1024)
 	}
 	return &drainManager{lead: l, audit: audit.New(auditSlots), runTimes: runtimes.New(),
 		disruptions:   l.node.newDisruptionTracker(),
 		teamOverrides: quota.New(l.node.teamLimits()), engine: drain.New(drain.Params{
-			Term: l.term, ReportInterval: config.Seconds(c.Workers.ReportS), RetryInterval: rentRetryInterval,
-			MaxMachines: max(1, maxSteps), MaxRecordBytes: value})}
+			Term: l.term, ReportInterval: config.Seconds(cluster.Workers.ReportS), RetryInterval: rentRetryInterval,
+			MaxMachines: max(1, maxSteps), MaxRecordBytes: maxRecordBytes})}
 }
 
-// read gets the stored plans and the audit record, where there is an operators'
-// door: without one there are none.
+// read lists the stored plans, audit entries and team changes, and returns a function that
+// loads them. Without an operators' endpoint in the settings there are none.
 func (dm *drainManager) read(ctx context.Context) (func(time.Duration) error, error) {
 	var plans []drain.StoredPlan
 	var entries []audit.Entry
 	var teams []storedTeam
 	if dm.lead.node.settings.Operator != nil {
-		if _, err := dm.lead.node.state.List(ctx, planPrefix, func(it *wire.Item) error {
-			plans = append(plans, drain.StoredPlan{Name: strings.TrimPrefix(it.Key, planPrefix), Value: it.Value,
-				Version: it.Version})
+		if _, err := dm.lead.node.state.List(ctx, planPrefix, func(item *wire.Item) error {
+			plans = append(plans, drain.StoredPlan{Name: strings.TrimPrefix(item.Key, planPrefix), Value: item.Value,
+				Version: item.Version})
 			return nil
 		}); err != nil {
 			return nil, err
 		}
-		if _, err := dm.lead.node.state.List(ctx, auditPrefix, func(it *wire.Item) error {
+		if _, err := dm.lead.node.state.List(ctx, auditPrefix, func(item *wire.Item) error {
 			var e audit.Entry
-			if err := json.Unmarshal(it.Value, &e); err != nil {
-				dm.lead.node.log.Error("audit record unreadable", "key", it.Key, "err", err)
+			if err := json.Unmarshal(item.Value, &e); err != nil {
+				dm.lead.node.log.Error("audit record unreadable", "key", item.Key, "err", err)
 				return nil
 			}
 			entries = append(entries, e)
@@ -113,7 +116,7 @@
 	}, nil
 }
 
-// decodePlan turns a stored plan into the cores' terms.
+// decodePlan decodes a stored plan into the drain engine's spec.
 func (dm *drainManager) decodePlan(source []byte) (*drain.Spec, error) {
 	pb, err := planfile.Decode(source)
 	if err != nil {
@@ -122,10 +125,10 @@
 	return planfile.Spec(pb, dm.lead.node.names), nil
 }
 
-// run has nothing to follow.
+// run does nothing: this component watches no service.
 func (dm *drainManager) run() {}
 
-// tick moves what is being drained on.
+// tick advances all drains, at most twice a second.
 func (dm *drainManager) tick(now time.Duration) {
 	if now-dm.lastTick < 500*time.Millisecond {
 		return
@@ -137,14 +140,14 @@
 		return
 	}
 	var empty []model.MachineID
-	v := dm.engineView(now)
-	v.RequestMove = requestMove
+	view := dm.engineView(now)
+	view.RequestMove = requestMove
 	if !dm.engine.HasGate() {
 		dm.evaluator = nil
 	} else if dm.evaluator == nil {
 		dm.evaluator = rollout.New()
 	}
-	for _, a := range dm.engine.Tick(v) {
+	for _, a := range dm.engine.Tick(view) {
 		if a.Kind == drain.ReturnMachine {
 			empty = append(empty, a.Machine)
 			continue
@@ -152,29 +155,30 @@
 		dm.execute(now, a)
 	}
 	dm.returnMachines(now, empty)
-	dm.lead.rentals.fleet.SetDrainPlans(dm.engine.MachinePlans()) // after: with the last plan's end nothing is held
+	dm.lead.rentals.fleet.SetDrainPlans(dm.engine.MachinePlans()) // after the tick, which may have ended the last plan
 	dm.lead.node.requestCycle()
 }
 
-// execute carries out what the engine asks for.
-func (dm *drainManager) execute(now time.Duration, a drain.Action) {
+// execute carries out an action of the engine other than returning a machine.
+func (dm *drainManager) execute(now time.Duration, action drain.Action) {
 	l := dm.lead
-	switch a.Kind {
+	switch action.Kind {
 	case drain.Cordon, drain.Uncordon:
-		l.dispatcher.SetCordoned(a.Machine, a.Kind == drain.Cordon)
-		l.node.log.Info("machine drained or wanted again", "machine", wire.MachineName(a.Machine), "drained",
-			a.Kind == drain.Cordon)
+		l.dispatcher.SetCordoned(action.Machine, action.Kind == drain.Cordon)
+		l.node.log.Info("machine cordoned or uncordoned", "machine", wire.MachineName(action.Machine), "drained",
+			action.Kind == drain.Cordon)
 	case drain.ListTasks:
-		l.dispatcher.InspectMachine(a.Machine, a.Seq)
+		l.dispatcher.InspectMachine(action.Machine, action.Seq)
 	case drain.Recall:
-		l.dispatcher.RecallFrom(a.Machine, a.Task)
+		l.dispatcher.RecallFrom(action.Machine, action.Task)
 	case drain.Rent:
-		go dm.rentReplacement(a, a.Template)
+		go dm.rentReplacement(action, action.Template)
 	}
 }
 
-// returnMachines returns empty machines in one call; one is under way at a time, and the
-// cloud takes only so many: the engine asks again for the rest.
+// returnMachines returns empty machines to the cloud in one call. Only one such call runs at
+// a time, and it takes at most fleet.MaxReturn machines. The others are reported to the engine
+// as not returned, and it tries them again.
 func (dm *drainManager) returnMachines(now time.Duration, ids []model.MachineID) {
 	if len(ids) == 0 {
 		return
@@ -196,122 +200,127 @@
 	})
 }
 
-// rentReplacement asks the cloud for a machine like the one that is to go.
-func (dm *drainManager) rentReplacement(a drain.Action, template model.Machine) {
-	got, refused, _ := dm.lead.rentals.rentMachines(a.Request, template, 1)
+// rentReplacement rents a machine like the one that a plan drains, and passes the outcome to
+// the engine.
+func (dm *drainManager) rentReplacement(action drain.Action, template model.Machine) {
+	got, refused, _ := dm.lead.rentals.rentMachines(action.Request, template, 1)
 	dm.lead.node.mu.Lock()
 	defer dm.lead.node.mu.Unlock()
 	now := dm.lead.node.now()
 	dm.lead.rentals.fleet.AddRented(now, got, template)
-	dm.engine.MachineRented(now, a, got, refused)
+	dm.engine.MachineRented(now, action, got, refused)
 }
 
-// handleEvent takes what shards tell.
-func (dm *drainManager) handleEvent(now time.Duration, e *model.Event) {
+// handleEvent updates the disruption budgets, gates, drains and run time estimates from a
+// shard's event.
+func (dm *drainManager) handleEvent(now time.Duration, event *model.Event) {
 	if dm.disruptions.Enabled() {
-		if spec := dm.lead.dispatcher.Spec(e.Task.Job); spec != nil {
-			dm.disruptions.HandleEvent(now, e, spec)
+		if spec := dm.lead.dispatcher.Spec(event.Task.Job); spec != nil {
+			dm.disruptions.HandleEvent(now, event, spec)
 		}
 	}
 	if dm.evaluator != nil {
-		dm.recordTaskOutcome(e)
+		dm.recordTaskOutcome(event)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case model.MachineInspected:
-		if dm.forecasts.handleAnswer(e) {
+		if dm.forecasts.handleAnswer(event) {
 			return
 		}
-		dm.engine.TasksListed(now, e.Machine, e.Token, e.Placed, dm.lead.dispatcher.Spec)
+		dm.engine.TasksListed(now, event.Machine, event.Token, event.Placed, dm.lead.dispatcher.Spec)
 	case model.TaskFinished:
 		if dm.lead.node.settings.Operator == nil {
 			return
 		}
-		// How long it ran is seen from reports: of short tasks that tells little.
-		spec := dm.lead.dispatcher.Spec(e.Task.Job)
+		// Run times are seen through reports, so those of short tasks are too coarse.
+		spec := dm.lead.dispatcher.Spec(event.Task.Job)
 		if spec != nil && spec.Estimate >= minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
-			dm.runTimes.Add(spec.Class, spec.Estimate, e.RunTime)
+			dm.runTimes.Add(spec.Class, spec.Estimate, event.RunTime)
 		}
 	}
 }
 
-// recordTaskOutcome takes how a task ended on a machine.
-func (dm *drainManager) recordTaskOutcome(e *model.Event) {
-	switch spec := dm.lead.dispatcher.Spec(e.Task.Job); {
+// recordTaskOutcome records for the gates how a task ended on a machine. Daemons never
+// complete, and failures of a broken job say nothing about the machine.
+func (dm *drainManager) recordTaskOutcome(event *model.Event) {
+	switch spec := dm.lead.dispatcher.Spec(event.Task.Job); {
 	case spec == nil || spec.Daemon:
-	case e.Kind == model.TaskFinished:
-		ran := e.RunTime
+	case event.Kind == model.TaskFinished:
+		ran := event.RunTime
 		if spec.Estimate < minReportsToLearn*config.Seconds(dm.lead.node.cfg.Cluster.Workers.ReportS) {
-			ran = 0 // of short tasks reports tell too little
+			ran = 0 // too coarse for short tasks
 		}
-		dm.evaluator.AddCompleted(e.Machine, spec.Class, spec.Estimate, ran)
-	case e.Kind == model.TaskReturned && e.Cause == model.CauseError && !dm.lead.dispatcher.IsJobBroken(e.Task.Job):
-		dm.evaluator.AddFailed(e.Machine)
+		dm.evaluator.AddCompleted(event.Machine, spec.Class, spec.Estimate, ran)
+	case event.Kind == model.TaskReturned && event.Cause == model.CauseError &&
+		!dm.lead.dispatcher.IsJobBroken(event.Task.Job):
+		dm.evaluator.AddFailed(event.Machine)
 	}
 }
 
-// engineView is the present for the engine.
+// engineView returns the current machines and jobs as the engine needs them.
 func (dm *drainManager) engineView(now time.Duration) *drain.View {
 	l := dm.lead
-	v := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{},
+	view := &drain.View{Now: now, Wall: time.Now(), Machines: map[model.MachineID]drain.Machine{},
 		UnusedGuaranteeCPU: l.dispatcher.UnusedGuarantees(),
 		RunTimeFactor:      dm.runTimes.Factor, BootTime: l.rentals.fleet.BootTime, JobName: wire.JobName}
 	listed := l.rentals.fleet.ForEachMachine(now, func(m model.Machine, since time.Duration) {
-		v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, KnownSince: since}
+		view.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m}, KnownSince: since}
 	})
 	l.dispatcher.ForEachMachine(func(status model.MachineStatus, reported bool) {
-		v.Machines[status.Machine.ID] = drain.Machine{MachineStatus: status, Reported: reported,
-			KnownSince: v.Machines[status.Machine.ID].KnownSince}
+		view.Machines[status.Machine.ID] = drain.Machine{MachineStatus: status, Reported: reported,
+			KnownSince: view.Machines[status.Machine.ID].KnownSince}
 	})
 	if dm.evaluator != nil {
-		v.EvaluateGate = dm.evaluator.Evaluate
+		view.EvaluateGate = dm.evaluator.Evaluate
 	}
-	v.Recovered = listed && l.dispatcher.Recovered()
-	for _, need := range l.dispatcher.Demand() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: need.Spec, UnfinishedTasks: int(need.Unfinished),
-			RunningTasks: l.dispatcher.TaskCounts(need.Spec.ID).Running})
+	view.Recovered = listed && l.dispatcher.Recovered()
+	for _, demand := range l.dispatcher.Demand() {
+		view.Jobs = append(view.Jobs, drain.Job{Spec: demand.Spec, UnfinishedTasks: int(demand.Unfinished),
+			RunningTasks: l.dispatcher.TaskCounts(demand.Spec.ID).Running})
 	}
-	return v
+	return view
 }
 
-// writes are the plans that have changed, each with the audit entries about it,
-// and entries that stand alone.
-func (dm *drainManager) writes(now time.Duration, c writequota.Class, n int) []storeWrite {
-	if c != writequota.OperatorRecords {
+// writes returns at most maxWrites writes of this component's records: changed plans and
+// teams, each with the audit entries about it, then audit entries whose record needs no write.
+func (dm *drainManager) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
+	if class != writequota.OperatorRecords {
 		return nil
 	}
 	var out []storeWrite
 	maxEntries := max(1, min(3, dm.lead.node.cfg.Cluster.TxnOps()-1))
-	busy := map[string]bool{}
-	for _, w := range dm.engine.Writes(n) {
-		busy[w.Name] = true
+	hasWrite := map[string]bool{}
+	for _, w := range dm.engine.Writes(maxWrites) {
+		hasWrite[w.Name] = true
 		out = append(out, dm.planWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == w.Name })))
 	}
-	for _, w := range dm.teamOverrides.Writes(n - len(out)) {
-		about := teamAuditName(dm.lead.node.names.Teams.Name(w.Team))
-		busy[about] = true
-		out = append(out, dm.teamWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == about })))
+	for _, w := range dm.teamOverrides.Writes(maxWrites - len(out)) {
+		auditName := teamAuditName(dm.lead.node.names.Teams.Name(w.Team))
+		hasWrite[auditName] = true
+		out = append(out, dm.teamWrite(w, dm.audit.Unstored(maxEntries, func(name string) bool { return name == auditName })))
 	}
-	standalone := dm.audit.Unstored(maxEntries, func(name string) bool { return !busy[name] && dm.isStored(name) })
-	if len(standalone) > 0 && len(out) < n {
+	standalone := dm.audit.Unstored(maxEntries, func(name string) bool { return !hasWrite[name] && dm.isStored(name) })
+	if len(standalone) > 0 && len(out) < maxWrites {
 		out = append(out, dm.auditWrite(standalone))
 	}
 	return out
 }
 
-// hasUnstored tells whether something is to be stored.
+// hasUnstored reports whether a plan, a team change or an audit entry is not stored yet.
 func (dm *drainManager) hasUnstored() bool {
 	return !dm.engine.AllSynced() || dm.teamOverrides.HasPendingWrites() ||
 		len(dm.audit.Unstored(1, func(string) bool { return true })) > 0
 }
 
-func (dm *drainManager) planWrite(w drain.Write, about []*audit.Entry) storeWrite {
-	return dm.recordWrite(planPrefix+w.Name, w.Value, w.Version, about, func(o writeOutcome) {
+// planWrite returns the write of a plan's record with the audit entries about it.
+func (dm *drainManager) planWrite(w drain.Write, entries []*audit.Entry) storeWrite {
+	return dm.recordWrite(planPrefix+w.Name, w.Value, w.Version, entries, func(o writeOutcome) {
 		dm.engine.WriteDone(w, o.revision, o.err == nil, o.conflict, o.foundVersion)
 	})
 }
 
-// recordWrite stores a record of operators' (nil: it goes) over that of a version, with
-// the audit entries about it.
+// recordWrite returns a transaction that replaces the record at the given version (a nil value
+// deletes it) and stores the audit entries about the change with it.
 func (dm *drainManager) recordWrite(key string, value []byte, version uint64, about []*audit.Entry,
 	onWritten func(writeOutcome)) storeWrite {
 	op := wire.Op{Put: key, Value: value}
@@ -321,35 +330,36 @@
 	out := dm.auditWrite(about)
 	out.guards = []wire.Guard{{Key: key, Version: version}}
 	out.ops = append([]wire.Op{op}, out.ops...)
-	entries := out.onDone
+	entriesDone := out.onDone
 	out.onDone = func(now time.Duration, o writeOutcome) {
 		onWritten(o)
-		entries(now, o)
+		entriesDone(now, o)
 	}
 	return out
 }
 
-// isStored tells whether all that an audit entry's name stands for is surely stored.
+// isStored reports whether the plan or team that an audit entry names is certainly stored in
+// its current state.
 func (dm *drainManager) isStored(name string) bool {
-	team, of := strings.CutPrefix(name, teamAuditName(""))
-	if !of {
+	team, isTeam := strings.CutPrefix(name, teamAuditName(""))
+	if !isTeam {
 		return dm.engine.Synced(name)
 	}
 	id, ok := dm.lead.node.names.Teams.Lookup(team)
 	return !ok || dm.teamOverrides.Synced(id)
 }
 
-// auditWrite stores entries. One that is applied late can do no more harm than
-// show an entry older than the newest 256 again.
-func (dm *drainManager) auditWrite(es []*audit.Entry) storeWrite {
+// auditWrite returns a write of audit entries, without conditions on versions: if it is applied
+// late, the worst effect is that an entry older than the newest auditSlots reappears.
+func (dm *drainManager) auditWrite(entries []*audit.Entry) storeWrite {
 	w := storeWrite{onDone: func(_ time.Duration, o writeOutcome) {
 		if o.err == nil {
-			for _, e := range es {
+			for _, e := range entries {
 				dm.audit.MarkStored(e)
 			}
 		}
 	}}
-	for _, e := range es {
+	for _, e := range entries {
 		w.ops = append(w.ops, wire.Op{Put: fmt.Sprintf("%s%03d", auditPrefix, dm.audit.Slot(e)), Value: mustEncode(e)})
 	}
 	return w
@@ -357,11 +367,12 @@
 
 var errRequestReused = errors.New("this request's id was used for something else")
 
-// knownRequest is what became of a request that was made before, nil if it was not.
-func (dm *drainManager) knownRequest(c *Call) (*audit.Entry, error) {
-	e := dm.audit.ByRequest(c.Request)
-	if e != nil && e.Digest != c.digest() {
+// knownRequest returns the audit entry of an earlier call with the same request ID, nil if there
+// was none. It fails if that call asked for a different change.
+func (dm *drainManager) knownRequest(call *Call) (*audit.Entry, error) {
+	entry := dm.audit.ByRequest(call.Request)
+	if entry != nil && entry.Digest != call.digest() {
 		return nil, errRequestReused
 	}
-	return e, nil
+	return entry, nil
 }
--- a/internal/node/forecast_test.go
+++ b/internal/node/forecast_test.go
@@ -14,15 +14,15 @@
 	"honeylock/internal/wire"
 )
 
-// BenchmarkLargeSnapshot is what a forecast does under the controller's lock: with
-// 1,636 machines, 39,264 tasks and 800 jobs it must not hold dealing up for 50 ms.
+// BenchmarkLargeSnapshot measures the part of a forecast that holds the controller's lock. With 1,636
+// machines, 39,264 tasks and 800 jobs it must delay dispatching by less than 50 ms.
 func BenchmarkLargeSnapshot(b *testing.B) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.cfg.Cluster.Teams = []config.Team{{Name: "t", CPUs: 100, CPUsMax: 1e6}}
 	l := &leadership{node: n, dispatcher: dispatcher.New(dispatcher.Params{Term: 1, Teams: n.teamLimits(), ChunkSize: 64,
 		BlockSize: 64}, 0)}
 	l.rentals = &rentalManager{lead: l, fleet: fleet.New(fleet.Params{})}
-	p := l.newDrainManager()
+	dm := l.newDrainManager()
 	l.dispatcher.SetTypes([]model.MachineType{{Cap: model.Capacity(64, 0, 256)}})
 	s := &survey{tasks: map[model.MachineID][]model.PlacedTask{}}
 	shard := l.dispatcher.AddShard(0, "a")
@@ -39,33 +39,33 @@
 		l.dispatcher.AddJob(0, &model.Spec{ID: id, Tasks: 50}, uint64(id)+1, 0, false)
 	}
 	for b.Loop() {
-		if snap := p.forecastSnapshot(time.Second, s); len(snap.Machines) != 1636 || len(snap.Jobs) != 800 {
-			b.Fatalf("%d machines, %d jobs", len(snap.Machines), len(snap.Jobs))
+		if snapshot := dm.forecastSnapshot(time.Second, s); len(snapshot.Machines) != 1636 || len(snapshot.Jobs) != 800 {
+			b.Fatalf("%d machines, %d jobs", len(snapshot.Machines), len(snapshot.Jobs))
 		}
 	}
 }
 
-// A forecast that was played to its end, yet not summed up, was told as complete,
-// with nothing in it.
+// A forecast is reported as complete only with its result. Between the end of the last run and the
+// result, it was once reported as complete without content.
 func TestForecastDoneOnlyWithResult(t *testing.T) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.names = &wire.Names{Teams: wire.NewTable(), Classes: wire.NewTable()}
-	p := (&leadership{node: n}).newDrainManager()
-	c := &Call{Verb: DrainPlan, Request: "r"}
-	x := &forecastRun{request: "r", digest: c.digest(), spec: &drain.Spec{Name: "p"}, done: 1}
-	p.forecasts.recent = []*forecastRun{x}
-	ask := func() (r ForecastReply) {
+	dm := (&leadership{node: n}).newDrainManager()
+	call := &Call{Verb: DrainPlan, Request: "r"}
+	run := &forecastRun{request: "r", digest: call.digest(), spec: &drain.Spec{Name: "p"}, done: 1}
+	dm.forecasts.recent = []*forecastRun{run}
+	query := func() (r ForecastReply) {
 		t.Helper()
-		if err := json.Unmarshal(p.answerForecast(0, c).Body, &r); err != nil {
+		if err := json.Unmarshal(dm.answerForecast(0, call).Body, &r); err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	if r := ask(); r.Done >= 1 {
+	if r := query(); r.Done >= 1 {
 		t.Errorf("%+v without a result", r)
 	}
-	x.result = &forecast.Result{Runs: 5}
-	if r := ask(); r.Done != 1 || r.Runs != 5 {
-		t.Errorf("%+v with one", r)
+	run.result = &forecast.Result{Runs: 5}
+	if r := query(); r.Done != 1 || r.Runs != 5 {
+		t.Errorf("%+v with a result", r)
 	}
 }
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -17,58 +17,64 @@
 )
 
 const (
-	// leaderBatchInterval is for how long the leader gathers questions, those of all controllers.
+	// leaderBatchInterval is how long the leader collects checks, its own and those of the other
+	// controllers, before it compares them in one request.
 	leaderBatchInterval = 100 * time.Millisecond
-	// maxBatchInterval bounds it for a controller that compares by itself, which gathers for as
-	// much longer as there are controllers: together they then compare as often as a leader.
-	// Its user waits 2 s.
+	// maxBatchInterval limits the interval of a controller that compares without a leader. That
+	// interval is leaderBatchInterval times the number of controllers, so that all of them
+	// together compare as often as a leader would. Users wait 2 s for an answer.
 	maxBatchInterval = 600 * time.Millisecond
-	// leaderAnswerTimeout is how long the leader's answer is waited for; then this controller has
-	// time left to compare by itself.
+	// leaderAnswerTimeout is how long this controller waits for the leader's answer. It leaves
+	// time for the controller to compare by itself.
 	leaderAnswerTimeout = 900 * time.Millisecond
-	// siblingCheckTimeout is how long a sibling's question is worth an answer.
+	// siblingCheckTimeout is how long another controller's check is of use after it arrived.
 	siblingCheckTimeout = time.Second
 )
 
-// openChecker answers whether jobs are still open. The leader compares for all controllers,
-// so that what users ask costs the same whatever their number; without a leader that
-// answers, each compares by itself.
+// openChecker checks whether jobs are still open, by comparing the versions of their open records
+// in the state service. The leader compares for all controllers, so that the number of
+// controllers does not change the number of requests to the state service. Without a leader
+// that answers, each controller compares by itself.
 type openChecker struct {
 	state        *state.Client
 	startedAt    time.Time
-	soloInterval time.Duration // for how long questions are gathered unless this controller leads
+	soloInterval time.Duration // batch interval while this controller does not lead
 
 	mu          sync.Mutex
 	batcher     *readbatch.Batcher
 	waiters     map[readbatch.Waiter]checkWaiter
-	nextStepAt  time.Duration // the batcher is to be stepped then; 0: nothing waits
+	nextStepAt  time.Duration // time of the next scheduled step; 0: none
 	route       readbatch.Route
-	leaderQueue *peer.Queue // of this controller's link to the leader
-	lastID      uint64      // of the last question to the leader
-	pending     map[uint64]chan<- jobs.Result
+	leaderQueue *peer.Queue                   // this controller's link to the leader, nil without one
+	lastID      uint64                        // ID of the last question sent to the leader
+	pending     map[uint64]chan<- jobs.Result // questions sent to the leader, by ID
 }
 
-// checkWaiter waits for an answer: a user's request here, or a sibling's question.
+// checkWaiter is who waits for a check's result: a user's request at this controller (result is
+// set) or a question of another controller (link and id are set).
 type checkWaiter struct {
 	result chan<- jobs.Result
 	link   *link
 	id     uint64
 }
 
-func newOpenChecker(c *state.Client, txnOps, controllers int) *openChecker {
-	alone := min(maxBatchInterval, time.Duration(controllers)*leaderBatchInterval)
-	return &openChecker{state: c, startedAt: time.Now(), soloInterval: alone, waiters: map[readbatch.Waiter]checkWaiter{},
+// newOpenChecker returns a checker that compares by itself until setLeader or setLeading is called.
+func newOpenChecker(client *state.Client, txnOps, controllers int) *openChecker {
+	soloInterval := min(maxBatchInterval, time.Duration(controllers)*leaderBatchInterval)
+	return &openChecker{state: client, startedAt: time.Now(), soloInterval: soloInterval,
+		waiters: map[readbatch.Waiter]checkWaiter{},
 		pending: map[uint64]chan<- jobs.Result{},
-		batcher: readbatch.New(readbatch.Params{Interval: alone, MaxBatch: guardsPerOp * txnOps})}
+		batcher: readbatch.New(readbatch.Params{Interval: soloInterval, MaxBatch: guardsPerOp * txnOps})}
 }
 
-// guardsPerOp is how many conditions a transaction may have for each of its changes, by the
-// state service's protocol.
+// guardsPerOp is the number of conditions that a transaction may have for each change that it
+// may have, as the state service's protocol defines it.
 const guardsPerOp = 4
 
 func (q *openChecker) now() time.Duration { return time.Since(q.startedAt) }
 
-// openCheckStats are counts since the start.
+// openCheckStats counts, since the start, the checks that this controller compared, the comparisons
+// that they took, and the checks that it sent to the leader.
 type openCheckStats struct{ compared, comparisons, forwarded uint64 }
 
 func (q *openChecker) stats() openCheckStats {
@@ -77,32 +83,32 @@
 	return openCheckStats{compared: q.batcher.Questions, comparisons: q.batcher.Comparisons, forwarded: q.lastID}
 }
 
-// setLeading tells whether this controller leads, and so compares for all.
-func (q *openChecker) setLeading(yes bool) {
+// setLeading sets whether this controller leads and so compares for all controllers.
+func (q *openChecker) setLeading(leading bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if yes {
+	if leading {
 		q.batcher.SetInterval(leaderBatchInterval)
 	} else {
 		q.batcher.SetInterval(q.soloInterval)
 	}
 }
 
-// setLeader takes the link to a leader that compares for others; nil: there is none any more.
-// What that was asked and has not answered is compared here.
+// setLeader sets the link to a leader that compares for other controllers; nil if there is none.
+// Questions that the previous leader has not answered fail, and their callers compare here.
 func (q *openChecker) setLeader(leader *peer.Queue) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.leaderQueue = leader
 	q.route.SetLeaderCompares(leader != nil)
-	for id, c := range q.pending {
+	for id, result := range q.pending {
 		delete(q.pending, id)
-		c <- jobs.Result{Outcome: jobs.Failed}
+		result <- jobs.Result{Outcome: jobs.Failed}
 	}
 }
 
-// stillOpen tells whether a job's open record has the version. The comparison is made after
-// this was called, so the answer is as good as a read's.
+// stillOpen checks whether a job's open record still has the given version. The comparison begins
+// after the call, so the answer is as recent as that of a read.
 func (q *openChecker) stillOpen(ctx context.Context, g jobs.Guard) jobs.Result {
 	if res := q.askLeader(ctx, g); res.Outcome != jobs.Failed {
 		return res
@@ -110,9 +116,10 @@
 	return q.compareHere(ctx, g)
 }
 
-// askLeader asks the leader; it fails where there is none, or it does not answer.
+// askLeader has the leader make the check. The result is Failed if there is no leader to ask, or
+// if it does not answer in time; then the leader is avoided for a while.
 func (q *openChecker) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
-	c := make(chan jobs.Result, 1)
+	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
 	if !q.route.UseLeader(q.now()) {
 		q.mu.Unlock()
@@ -120,46 +127,47 @@
 	}
 	q.lastID++
 	id := q.lastID
-	q.pending[id] = c
+	q.pending[id] = result
 	q.leaderQueue.Send(&peerpb.Up{Msg: &peerpb.Up_Questions{Questions: &peerpb.Questions{Questions: []*peerpb.Question{
 		{Id: id, Job: uint64(g.Job), Version: g.Version}}}}})
 	q.mu.Unlock()
 	timeout := time.NewTimer(leaderAnswerTimeout)
 	defer timeout.Stop()
 	select {
-	case res := <-c:
+	case res := <-result:
 		return res
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, waits := q.pending[id]; waits {
+	if _, waiting := q.pending[id]; waiting {
 		delete(q.pending, id)
 		q.route.LeaderFailed(q.now())
 	}
 	return jobs.Result{Outcome: jobs.Failed}
 }
 
-// handleAnswers takes the leader's answers.
-func (q *openChecker) handleAnswers(as []*peerpb.Answer) {
+// handleAnswers passes the leader's answers to the requests that wait for them.
+func (q *openChecker) handleAnswers(answers []*peerpb.Answer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, a := range as {
-		c := q.pending[a.GetId()]
-		if c == nil {
+	for _, answer := range answers {
+		result := q.pending[answer.GetId()]
+		if result == nil {
 			continue
 		}
-		delete(q.pending, a.GetId())
-		res := jobs.Result{Outcome: outcomesFromPeer[a.GetOutcome()], Stage: jobs.Stage(a.GetStage())}
+		delete(q.pending, answer.GetId())
+		res := jobs.Result{Outcome: outcomesFromPeer[answer.GetOutcome()], Stage: jobs.Stage(answer.GetStage())}
 		if res.Outcome == jobs.Failed {
 			q.route.LeaderFailed(q.now())
 		}
-		c <- res
+		result <- res
 	}
 }
 
-// outcomesFromPeer are the answers' in the cores' terms; one that is unknown failed.
+// outcomesFromPeer maps the outcomes in messages to those of package jobs. It must contain all of
+// them: a missing one would map to jobs.OK.
 var outcomesFromPeer = map[peerpb.Outcome]jobs.Outcome{
 	peerpb.Outcome_OUTCOME_FAILED: jobs.Failed,
 	peerpb.Outcome_OUTCOME_OPEN:   jobs.OK,
@@ -167,6 +175,7 @@
 	peerpb.Outcome_OUTCOME_BUSY:   jobs.Busy,
 }
 
+// answerToPeer returns the message that answers a question with the result.
 func answerToPeer(id uint64, r jobs.Result) *peerpb.Answer {
 	a := &peerpb.Answer{Id: id, Stage: string(r.Stage)}
 	switch r.Outcome {
@@ -180,42 +189,44 @@
 	return a
 }
 
-// compareHere has a question compared here.
+// compareHere makes a check with this controller's own comparison. The result is Busy if the
+// context ends first.
 func (q *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
-	c := make(chan jobs.Result, 1)
+	result := make(chan jobs.Result, 1)
 	q.mu.Lock()
 	now := q.now()
 	until := now + siblingCheckTimeout
 	if d, ok := ctx.Deadline(); ok {
 		until = d.Sub(q.startedAt)
 	}
-	w := q.batcher.Ask(now, g, until)
-	q.waiters[w] = checkWaiter{result: c}
+	waiter := q.batcher.Ask(now, g, until)
+	q.waiters[waiter] = checkWaiter{result: result}
 	q.step(now)
 	q.mu.Unlock()
 	select {
-	case res := <-c:
+	case res := <-result:
 		return res
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.batcher.Cancel(g, w)
-	delete(q.waiters, w)
+	q.batcher.Cancel(g, waiter)
+	delete(q.waiters, waiter)
 	return jobs.Result{Outcome: jobs.Busy}
 }
 
-// compareForSibling has a sibling's question compared here.
+// compareForSibling adds another controller's question to this controller's next comparison.
 func (q *openChecker) compareForSibling(k *link, id uint64, g jobs.Guard) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	w := q.batcher.Ask(now, g, now+siblingCheckTimeout)
-	q.waiters[w] = checkWaiter{link: k, id: id}
+	waiter := q.batcher.Ask(now, g, now+siblingCheckTimeout)
+	q.waiters[waiter] = checkWaiter{link: k, id: id}
 	q.step(now)
 }
 
-// step steps the batcher, and once more when that is due.
+// step advances the batcher: it sends the batches that are due, answers the checks that have
+// expired, and schedules the next step. Called under the lock.
 func (q *openChecker) step(now time.Duration) {
 	batches, expired, next := q.batcher.Step(now)
 	for _, b := range batches {
@@ -233,7 +244,7 @@
 	})
 }
 
-// sendBatch makes a comparison.
+// sendBatch compares a batch in the state service and delivers the results.
 func (q *openChecker) sendBatch(b readbatch.Batch) {
 	guards := make([]wire.Guard, 0, len(b.Guards))
 	for _, g := range b.Guards {
@@ -258,35 +269,36 @@
 	q.step(now)
 }
 
-// deliver passes answers to those that wait for them.
+// deliver passes answers to their waiters, those of one link in one message. Called under the
+// lock.
 func (q *openChecker) deliver(answers []readbatch.Answer) {
 	toSend := map[*link][]*peerpb.Answer{}
 	for _, a := range answers {
-		to, ok := q.waiters[a.Waiter]
+		waiter, ok := q.waiters[a.Waiter]
 		if !ok {
 			continue
 		}
 		delete(q.waiters, a.Waiter)
-		if to.link != nil {
-			toSend[to.link] = append(toSend[to.link], answerToPeer(to.id, a.Result))
+		if waiter.link != nil {
+			toSend[waiter.link] = append(toSend[waiter.link], answerToPeer(waiter.id, a.Result))
 			continue
 		}
-		to.result <- a.Result
+		waiter.result <- a.Result
 	}
 	for k, batch := range toSend {
 		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: batch}}})
 	}
 }
 
-// handleQuestions takes a member's questions. A job that is known to be done needs no
-// comparison, for that never changes. Of cancellations only the reader of their record
-// tells, who notes that before it tells anybody.
-func (l *leadership) handleQuestions(k *link, qs []*peerpb.Question) {
-	for _, question := range qs {
+// handleQuestions answers another controller's questions. A job that is known to be done needs no
+// comparison, because that never changes. A cancellation is compared all the same: the controller
+// that reports it to a user must first read the final record itself and record that it did.
+func (l *leadership) handleQuestions(k *link, questions []*peerpb.Question) {
+	for _, question := range questions {
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
 		if l.node.cachedFinals[g.Job] == jobs.Done {
-			a := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
-			k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{a}}}})
+			answer := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
+			k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
 			continue
 		}
 		l.node.openChecker.compareForSibling(k, question.GetId(), g)
