--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -18,91 +18,93 @@
 	NotAfter time.Duration // the shard's authority ends: not to be sent after
 }
 
-// inFlight is a direct command under way, with the launches it carries.
-type inFlight struct {
-	m        *machine
-	launched []*slot
-	asks     bool            // to learn whether its worker hears
-	seen     model.MessageID // the newest message of its worker when it was sent
+// pendingCommand is a direct command under way, with the launches it carries.
+type pendingCommand struct {
+	machine       *machine
+	launches      []*attempt
+	isProbe       bool            // to learn whether its worker hears
+	newestMessage model.MessageID // the newest message of its worker when it was sent
 }
 
 // TakeDirectCommands takes away the commands to send.
 func (s *Shard) TakeDirectCommands() []DirectCommand {
-	d := s.directs
-	s.directs = nil
+	d := s.directCommands
+	s.directCommands = nil
 	return d
 }
 
 // Flush sends commands that should not wait for the next report, while fewer than
 // most are under way.
-func (s *Shard) Flush(now time.Duration, most int) {
+func (s *Shard) Flush(now time.Duration, maxInFlight int) {
 	if !s.HasGrant(now) {
 		return
 	}
-	for _, m := range s.order {
-		if len(s.pending) >= most {
+	for _, m := range s.sortedMachines {
+		if len(s.pendingCommands) >= maxInFlight {
 			return // a thousand at once would all be late
 		}
-		if !m.wake || m.inFlight > 0 || m.Addr == "" || now < m.quietUntil || m.leaseExpired && !m.probe ||
-			!m.fenced && now < m.patient {
+		if !m.needsFlush || m.commandsInFlight > 0 || m.Addr == "" || now < m.directRetryAt ||
+			m.leaseExpired && !m.needsProbe ||
+			!m.fenced && now < m.directNotBefore {
 			continue
 		}
-		asks := m.inboundLost || s.unverified(now, m)
-		if asks && s.asking >= max(1, most/questionPart) {
+		isProbe := m.inboundLost || s.unverified(now, m)
+		if isProbe && s.pendingProbes >= max(1, maxInFlight/commandsPerProbe) {
 			continue
 		}
-		m.wake = false
-		cmds := s.commands(now, m, 0, true)
-		if len(cmds) == 0 && m.fenced && !m.probe {
+		m.needsFlush = false
+		cmds := s.commandsFor(now, m, 0, true)
+		if len(cmds) == 0 && m.fenced && !m.needsProbe {
 			continue
 		}
-		m.probe, m.tokenSent = false, true
-		s.directID++
-		d := DirectCommand{ID: s.directID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session), Commands: cmds, NotAfter: s.until}
-		var launched []*slot
+		m.needsProbe, m.tokenSent = false, true
+		s.lastDirectID++
+		d := DirectCommand{ID: s.lastDirectID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session),
+			Commands: cmds, NotAfter: s.grantedUntil}
+		var launches []*attempt
 		for _, c := range cmds {
 			if c.Verb == model.Launch {
-				sl := m.slots.get(key{c.Task, c.Attempt})
-				sl.direct++
-				launched = append(launched, sl)
+				a := m.attempts.get(attemptKey{c.Task, c.Attempt})
+				a.directLaunches++
+				launches = append(launches, a)
 			}
 		}
-		s.pending[d.ID] = inFlight{m, launched, asks, model.MessageID{Session: m.session, Seq: m.seq}}
-		if asks {
-			s.asking++
+		s.pendingCommands[d.ID] = pendingCommand{m, launches, isProbe, model.MessageID{Session: m.session, Seq: m.seq}}
+		if isProbe {
+			s.pendingProbes++
 		}
-		m.inFlight++
-		s.directs = append(s.directs, d)
+		m.commandsInFlight++
+		s.directCommands = append(s.directCommands, d)
 	}
 }
 
 // DirectCommandDone takes the outcome of a direct command: the worker's report after
 // it (nil: no answer) and whether it was executed.
 func (s *Shard) DirectCommandDone(now time.Duration, d DirectCommand, r *model.Report, executed bool) {
-	sent := s.pending[d.ID]
-	delete(s.pending, d.ID)
-	if sent.asks {
-		s.asking--
+	pending := s.pendingCommands[d.ID]
+	delete(s.pendingCommands, d.ID)
+	if pending.isProbe {
+		s.pendingProbes--
 	}
-	for _, sl := range sent.launched {
-		sl.direct--
+	for _, a := range pending.launches {
+		a.directLaunches--
 		// It may be executed minutes later, or once more, as long as token and session match.
-		sl.doubt = max(sl.doubt, d.Token)
-		sl.unsure = sl.unsure || r == nil
+		a.directToken = max(a.directToken, d.Token)
+		a.launchUnanswered = a.launchUnanswered || r == nil
 	}
 	m := s.machines[d.Machine]
-	if m == nil || m != sent.m {
+	if m == nil || m != pending.machine {
 		return // let go of meanwhile
 	}
-	m.inFlight--
+	m.commandsInFlight--
 	if r == nil {
-		m.quietUntil = now + s.pause(now, m)
-		m.questionFailed = m.questionFailed || m.tokenOffered != 0
-		s.directFailed(now, m)
+		m.directRetryAt = now + s.directRetryPause(now, m)
+		m.probeFailed = m.probeFailed || m.tokenOfferedAt != 0
+		s.handleDirectFailure(now, m)
 		return
 	}
 	if !executed && r.Token <= m.token && !m.fenced {
-		m.wake = true // the session was unknown: once more, with it
+		m.needsFlush = true // the session was unknown: once more, with it
 	}
 	if r.Machine.ID != m.ID {
 		return
@@ -112,18 +114,18 @@
 		return
 	}
 	if m.unreachable || m.leaseExpired && s.unverified(now, m) {
-		s.signOfLife(m)
+		s.markAlive(m)
 	}
-	s.receives(m)
-	m.directAnswered = now
+	s.markReceiving(m)
+	m.directAnsweredAt = now
 	switch {
 	case !s.HasGrant(now):
 	case !m.fenced:
 		// Said on a connection that was opened to it, so it holds, whatever copies told.
-		s.take(now, m, r, false)
-	case r.Token < m.first || sent.seen.AtLeast(r.MessageID()):
-		s.reborn(m, r)
+		s.applyMessage(now, m, r, false)
+	case r.Token < m.fencingToken || pending.newestMessage.AtLeast(r.MessageID()):
+		s.restartSession(m, r)
 	case r.Newer(m.session, m.seq) && !m.ofEndedSession(r):
-		s.take(now, m, r, false)
+		s.applyMessage(now, m, r, false)
 	}
 }
--- a/internal/core/shard/expedite_test.go
+++ b/internal/core/shard/expedite_test.go
@@ -7,64 +7,65 @@
 	"honeylock/internal/core/model"
 )
 
-// small keeps machines full of small tasks, of which there are always more, until a job
+// fillWithSmallTasks keeps machines full of small tasks, of which there are always more, until a job
 // begins or the time is over. It returns how long that took.
-func (r *rig) small(machines int, job model.JobID, press bool) time.Duration {
-	type on struct {
+func (h *harness) fillWithSmallTasks(machines int, job model.JobID, expedite bool) time.Duration {
+	type runningTask struct {
 		c   model.AttemptStatus
 		end time.Duration
 	}
-	running := map[model.MachineID][]on{}
-	sp := r.spec(1, model.Urgent, 1)
+	running := map[model.MachineID][]runningTask{}
+	spec := h.spec(1, model.Urgent, 1)
 	next := int32(0)
-	began := r.now
-	for r.now < began+3*time.Minute {
-		for len(r.s.queue[groupKey{1, model.None}].list()) < 20 {
-			r.give(sp, next, 100)
+	start := h.now
+	for h.now < start+3*time.Minute {
+		for len(h.shard.waiting[groupKey{1, model.None}].waitingTasks()) < 20 {
+			h.assign(spec, next, 100)
 			next++
 		}
-		if press {
-			r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: job})
+		if expedite {
+			h.shard.HandleOrder(h.now, model.Order{Kind: model.ExpediteJob, Job: job})
 		}
 		for id := range model.MachineID(machines) {
-			var cells []model.AttemptStatus
+			var attempts []model.AttemptStatus
 			for i, o := range running[id] {
-				if r.now >= o.end {
+				if h.now >= o.end {
 					o.c.Stage, o.c.Cause = model.Exited, model.CauseDone
 					running[id][i] = o
 				}
-				cells = append(cells, o.c)
+				attempts = append(attempts, o.c)
 			}
-			var left []on
+			var remaining []runningTask
 			for _, o := range running[id] {
 				if o.c.Stage != model.Exited {
-					left = append(left, o)
+					remaining = append(remaining, o)
 				}
 			}
-			running[id] = left
-			for _, c := range r.report(id, 5, cells...) {
+			running[id] = remaining
+			for _, c := range h.report(id, 5, attempts...) {
 				if c.Verb != model.Launch {
 					continue
 				}
 				if c.Task.Job == job {
-					return r.now - began
+					return h.now - start
 				}
-				running[id] = append(running[id], on{model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running},
-					r.now + time.Duration(5+c.Task.Index%7)*time.Second})
+				running[id] = append(running[id], runningTask{model.AttemptStatus{Task: c.Task, Attempt: c.Attempt,
+					Stage: model.Running},
+					h.now + time.Duration(5+c.Task.Index%7)*time.Second})
 			}
-			for _, e := range r.s.TakeEvents() {
+			for _, e := range h.shard.TakeEvents() {
 				if e.Kind == model.TaskFinished {
-					r.s.HandleOrder(r.now, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
+					h.shard.HandleOrder(h.now, model.Order{Kind: model.ClearAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 				}
 			}
 		}
-		r.now += time.Second
-		r.s.Tick(r.now)
+		h.now += time.Second
+		h.shard.Tick(h.now)
 	}
-	return r.now - began
+	return h.now - start
 }
 
-func (g *group) list() []*task {
+func (g *waitingGroup) waitingTasks() []*task {
 	if g == nil {
 		return nil
 	}
@@ -73,26 +74,26 @@
 
 // A task that needs a whole machine never found one, for each hole went to the small ones
 // that waited beside it.
-func TestARoomIsKeptForAJobThatShouldHaveBegun(t *testing.T) {
-	play := func(press bool) time.Duration {
-		r := newRig(t)
+func TestMachineIsReservedForExpeditedJob(t *testing.T) {
+	run := func(expedite bool) time.Duration {
+		h := newHarness(t)
 		for id := range model.MachineID(4) {
-			r.own(id, 5, 8)
-			r.report(id, 5)
+			h.ownMachine(id, 5, 8)
+			h.report(id, 5)
 		}
-		r.s.TakeEvents()
-		sp := r.spec(2, model.Idle, 8)
-		r.give(sp, 0, 1)
+		h.shard.TakeEvents()
+		spec := h.spec(2, model.Idle, 8)
+		h.assign(spec, 0, 1)
 		// The machines are full before the large one is looked at.
-		for no := range int32(40) {
-			r.give(r.spec(1, model.Urgent, 1), 1000+no, 100)
+		for index := range int32(40) {
+			h.assign(h.spec(1, model.Urgent, 1), 1000+index, 100)
 		}
-		return r.small(4, 2, press)
+		return h.fillWithSmallTasks(4, 2, expedite)
 	}
-	if d := play(false); d < 3*time.Minute {
+	if d := run(false); d < 3*time.Minute {
 		t.Fatalf("it began after %v by itself: the test shows nothing", d)
 	}
-	if d := play(true); d > 20*time.Second {
+	if d := run(true); d > 20*time.Second {
 		t.Errorf("it began after %v", d)
 	}
 }
@@ -100,33 +101,33 @@
 // A job that should have begun gets the first room that comes free on any machine, not only
 // on one that is kept for such jobs: where all are full of long tasks, a hundred jobs waited
 // for three machines.
-func TestRoomThatComesFreeGoesToAJobThatShouldHaveBegun(t *testing.T) {
-	r := newRig(t)
-	full := r.spec(1, model.Urgent, 4)
+func TestFreedCapacityGoesToExpeditedJob(t *testing.T) {
+	h := newHarness(t)
+	full := h.spec(1, model.Urgent, 4)
 	for id := range model.MachineID(2) {
-		r.own(id, 5, 8)
-		r.report(id, 5)
+		h.ownMachine(id, 5, 8)
+		h.report(id, 5)
 	}
-	for no := range int32(12) { // four run, the others wait
-		r.give(full, no, 100)
+	for index := range int32(12) { // four run, the others wait
+		h.assign(full, index, 100)
 	}
-	cells := map[model.MachineID][]model.AttemptStatus{}
+	attempts := map[model.MachineID][]model.AttemptStatus{}
 	for id := range model.MachineID(2) {
-		for _, c := range r.report(id, 5) {
-			cells[id] = append(cells[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+		for _, c := range h.report(id, 5) {
+			attempts[id] = append(attempts[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 		}
-		r.report(id, 5, cells[id]...)
+		h.report(id, 5, attempts[id]...)
 	}
-	r.give(r.spec(2, model.Idle, 4), 0, 1)
-	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
-	r.now += time.Second
-	r.s.Tick(r.now) // one machine is kept for it
+	h.assign(h.spec(2, model.Idle, 4), 0, 1)
+	h.shard.HandleOrder(h.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	h.now += time.Second
+	h.shard.Tick(h.now) // one machine is kept for it
 	free := model.MachineID(0)
-	if r.s.machines[0].keptFor == 2 {
+	if h.shard.machines[0].reservedFor == 2 {
 		free = 1
 	}
-	cells[free][0].Stage, cells[free][0].Cause = model.Exited, model.CauseDone
-	for _, c := range r.report(free, 5, cells[free]...) {
+	attempts[free][0].Stage, attempts[free][0].Cause = model.Exited, model.CauseDone
+	for _, c := range h.report(free, 5, attempts[free]...) {
 		if c.Verb == model.Launch && c.Task.Job == 2 {
 			return
 		}
@@ -136,29 +137,29 @@
 
 // The room of a machine that is kept for one job is no room for others: told of it, the dealer
 // dealt thousands of tasks to the shard, which could place none, and charged their teams.
-func TestRoomThatIsKeptIsNotOffered(t *testing.T) {
-	r := newRig(t)
-	r.own(0, 5, 8)
-	r.report(0, 5)
-	full := r.spec(1, model.Urgent, 4)
-	for no := range int32(2) {
-		r.give(full, no, 100)
-	}
-	var cells []model.AttemptStatus
-	for _, c := range r.report(0, 5) {
-		cells = append(cells, model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
-	}
-	r.report(0, 5, cells...)
-	r.give(r.spec(2, model.Idle, 8), 0, 1) // it needs the whole machine
-	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
-	r.now += time.Second
-	r.s.Tick(r.now)
-	cells[0].Stage, cells[0].Cause = model.Exited, model.CauseDone
-	r.report(0, 5, cells...)
-	if m := r.s.machines[0]; !m.kept(r.now, 1) || m.Cap.CPU-m.used.CPU < 4000 {
+func TestReservedCapacityIsNotReportedAvailable(t *testing.T) {
+	h := newHarness(t)
+	h.ownMachine(0, 5, 8)
+	h.report(0, 5)
+	full := h.spec(1, model.Urgent, 4)
+	for index := range int32(2) {
+		h.assign(full, index, 100)
+	}
+	var attempts []model.AttemptStatus
+	for _, c := range h.report(0, 5) {
+		attempts = append(attempts, model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+	}
+	h.report(0, 5, attempts...)
+	h.assign(h.spec(2, model.Idle, 8), 0, 1) // it needs the whole machine
+	h.shard.HandleOrder(h.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	h.now += time.Second
+	h.shard.Tick(h.now)
+	attempts[0].Stage, attempts[0].Cause = model.Exited, model.CauseDone
+	h.report(0, 5, attempts...)
+	if m := h.shard.machines[0]; !m.reservedForOther(h.now, 1) || m.Cap.CPU-m.used.CPU < 4000 {
 		t.Fatal("half of the machine is not free and kept: the test shows nothing")
 	}
-	for _, st := range r.s.TakeStatus(r.now) {
+	for _, st := range h.shard.TakeStatus(h.now) {
 		if st.Avail.CPU > 0 {
 			t.Errorf("it offers %+v", st.Avail)
 		}
@@ -166,36 +167,36 @@
 }
 
 // A machine is kept no longer once the job's first task has room on another.
-func TestAMachineIsKeptNoLongerThanItIsNeeded(t *testing.T) {
-	r := newRig(t)
-	full := r.spec(1, model.Urgent, 8)
-	cells := map[model.MachineID][]model.AttemptStatus{}
+func TestReservationEndsOnceJobIsPlaced(t *testing.T) {
+	h := newHarness(t)
+	full := h.spec(1, model.Urgent, 8)
+	attempts := map[model.MachineID][]model.AttemptStatus{}
 	for id := range model.MachineID(2) {
-		r.own(id, 5, 8)
-		r.report(id, 5)
-		r.give(full, int32(id), 100)
-		for _, c := range r.report(id, 5) {
-			cells[id] = append(cells[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
+		h.ownMachine(id, 5, 8)
+		h.report(id, 5)
+		h.assign(full, int32(id), 100)
+		for _, c := range h.report(id, 5) {
+			attempts[id] = append(attempts[id], model.AttemptStatus{Task: c.Task, Attempt: c.Attempt, Stage: model.Running})
 		}
-		r.report(id, 5, cells[id]...)
+		h.report(id, 5, attempts[id]...)
 	}
-	r.give(r.spec(2, model.Idle, 8), 0, 1)
-	r.s.HandleOrder(r.now, model.Order{Kind: model.ExpediteJob, Job: 2})
-	r.now += time.Second
-	r.s.Tick(r.now)
-	kept, other := model.MachineID(0), model.MachineID(1)
-	if r.s.machines[other].kept(r.now, 1) {
-		kept, other = other, kept
+	h.assign(h.spec(2, model.Idle, 8), 0, 1)
+	h.shard.HandleOrder(h.now, model.Order{Kind: model.ExpediteJob, Job: 2})
+	h.now += time.Second
+	h.shard.Tick(h.now)
+	reserved, other := model.MachineID(0), model.MachineID(1)
+	if h.shard.machines[other].reservedForOther(h.now, 1) {
+		reserved, other = other, reserved
 	}
-	if !r.s.machines[kept].kept(r.now, 1) {
+	if !h.shard.machines[reserved].reservedForOther(h.now, 1) {
 		t.Fatal("none is kept: the test shows nothing")
 	}
-	cells[other][0].Stage, cells[other][0].Cause = model.Exited, model.CauseDone
-	r.report(other, 5, cells[other]...)
-	if on := r.s.tasks[model.Task{Job: 2}].on(); on == nil || on.ID != other {
+	attempts[other][0].Stage, attempts[other][0].Cause = model.Exited, model.CauseDone
+	h.report(other, 5, attempts[other]...)
+	if on := h.shard.tasks[model.Task{Job: 2}].machine(); on == nil || on.ID != other {
 		t.Fatal("it has not begun on the other machine: the test shows nothing")
 	}
-	if r.s.machines[kept].kept(r.now, 1) {
+	if h.shard.machines[reserved].reservedForOther(h.now, 1) {
 		t.Error("the machine is kept still")
 	}
 }
--- a/internal/core/shard/faults.go
+++ b/internal/core/shard/faults.go
@@ -14,11 +14,11 @@
 // machines, for minutes.
 
 const (
-	shunFor    = 30 * time.Second // a job keeps away from a machine that it failed on
-	faultyFor  = time.Minute      // less than a job may wait beside room
-	rememberIt = 5 * time.Minute
-	faultyJobs = 2 // jobs, not held to be broken, that failed on a machine
-	faultyRuns = 4 // errors of such jobs on a machine
+	avoidDuration   = 30 * time.Second // a job keeps away from a machine that it failed on
+	faultyDuration  = time.Minute      // less than a job may wait beside room
+	errorRetention  = 5 * time.Minute
+	minFaultyJobs   = 2 // jobs, not held to be broken, that failed on a machine
+	minFaultyErrors = 4 // errors of such jobs on a machine
 )
 
 type jobError struct {
@@ -26,74 +26,76 @@
 	at  time.Duration
 }
 
-// record is what this shard has seen of a job that has failed.
-type record struct {
-	on map[model.MachineID]time.Duration // it failed there last
-	ok bool                              // a task of it has completed since
+// jobFailures is what this shard has seen of a job that has failed.
+type jobFailures struct {
+	lastFailure  map[model.MachineID]time.Duration // it failed there last
+	hasSucceeded bool                              // a task of it has completed since
 }
 
 // broken tells whether the job, not the machines, is held to be at fault.
-func (r *record) broken() bool { return r != nil && !r.ok && len(r.on) >= model.BrokenJobMachines }
+func (f *jobFailures) broken() bool {
+	return f != nil && !f.hasSucceeded && len(f.lastFailure) >= model.BrokenJobMachines
+}
 
-// blame notes an error of a job's task on a machine.
-func (s *Shard) blame(now time.Duration, m *machine, job model.JobID) {
-	r := s.records[job]
-	if r == nil {
-		r = &record{on: map[model.MachineID]time.Duration{}}
-		s.records[job] = r
+// recordFailure notes an error of a job's task on a machine.
+func (s *Shard) recordFailure(now time.Duration, m *machine, job model.JobID) {
+	failures := s.failures[job]
+	if failures == nil {
+		failures = &jobFailures{lastFailure: map[model.MachineID]time.Duration{}}
+		s.failures[job] = failures
 	}
-	was := r.broken()
-	r.on[m.ID] = now
-	m.errors = slices.DeleteFunc(m.errors, func(e jobError) bool { return now-e.at > rememberIt })
+	wasBroken := failures.broken()
+	failures.lastFailure[m.ID] = now
+	m.errors = slices.DeleteFunc(m.errors, func(e jobError) bool { return now-e.at > errorRetention })
 	m.errors = append(m.errors, jobError{job, now})
-	if was != r.broken() {
-		s.rejudge(r)
+	if wasBroken != failures.broken() {
+		s.updateFaultyMachines(failures)
 	}
-	s.judge(m)
+	s.updateFaulty(m)
 }
 
-// succeeded notes that a task of the job has completed: its errors were the
+// recordSuccess notes that a task of the job has completed: its errors were the
 // machines'.
-func (s *Shard) succeeded(job model.JobID) {
-	if r := s.records[job]; r != nil && !r.ok {
-		r.ok = true
-		s.rejudge(r)
+func (s *Shard) recordSuccess(job model.JobID) {
+	if failures := s.failures[job]; failures != nil && !failures.hasSucceeded {
+		failures.hasSucceeded = true
+		s.updateFaultyMachines(failures)
 	}
 }
 
-func (s *Shard) rejudge(r *record) {
-	for id := range r.on {
+func (s *Shard) updateFaultyMachines(failures *jobFailures) {
+	for id := range failures.lastFailure {
 		if m := s.machines[id]; m != nil {
-			s.judge(m)
+			s.updateFaulty(m)
 		}
 	}
-	s.replan = true
+	s.replanAll = true
 }
 
-// judge holds a machine to be faulty, or no longer.
-func (s *Shard) judge(m *machine) {
+// updateFaulty holds a machine to be faulty, or no longer.
+func (s *Shard) updateFaulty(m *machine) {
 	m.faultyUntil = 0
 	jobs := map[model.JobID]bool{}
-	n := 0
+	count := 0
 	var last time.Duration
 	for _, e := range m.errors {
-		if !s.records[e.job].broken() {
+		if !s.failures[e.job].broken() {
 			jobs[e.job] = true
-			n++
+			count++
 			last = e.at
 		}
 	}
-	if len(jobs) >= faultyJobs || n >= faultyRuns {
-		m.faultyUntil = last + faultyFor
+	if len(jobs) >= minFaultyJobs || count >= minFaultyErrors {
+		m.faultyUntil = last + faultyDuration
 	}
 }
 
-// shuns tells whether a job failed on the machine a moment ago.
-func (s *Shard) shuns(now time.Duration, job model.JobID, m *machine) bool {
-	r := s.records[job]
-	if r == nil {
+// avoids tells whether a job failed on the machine a moment ago.
+func (s *Shard) avoids(now time.Duration, job model.JobID, m *machine) bool {
+	failures := s.failures[job]
+	if failures == nil {
 		return false
 	}
-	at, ok := r.on[m.ID]
-	return ok && now-at < shunFor
+	at, ok := failures.lastFailure[m.ID]
+	return ok && now-at < avoidDuration
 }
--- a/internal/core/shard/lease_expiry.go
+++ b/internal/core/shard/lease_expiry.go
@@ -20,23 +20,23 @@
 //
 // A message that does not pass is no sign of life, and nothing that it lists counts.
 
-// lapse takes the word that a machine's lease is surely over.
-func (s *Shard) lapse(now time.Duration, m *machine) {
-	s.loseAll(now, m)
+// confirmLeaseExpiry takes the word that a machine's lease is surely over.
+func (s *Shard) confirmLeaseExpiry(now time.Duration, m *machine) {
+	s.loseAllAttempts(now, m)
 	s.emit(model.Event{Kind: model.LeaseExpiryConfirmed, Machine: m.ID, Token: m.token})
 	switch {
 	case m.fenced:
 		m.endedSession = m.session
 	case m.tokenSent:
-		s.fenceAnew(m)
+		s.refence(m)
 	}
 }
 
-// fenceAnew has a worker show a token that nobody was given before, until which nothing that it
+// refence has a worker show a token that nobody was given before, until which nothing that it
 // lists or lacks counts.
-func (s *Shard) fenceAnew(m *machine) {
-	m.fenced, m.first, m.refence, m.endedSession = false, math.MaxUint64, true, 0
-	s.askToken(m)
+func (s *Shard) refence(m *machine) {
+	m.fenced, m.fencingToken, m.refence, m.endedSession = false, math.MaxUint64, true, 0
+	s.requestToken(m)
 }
 
 // ofEndedSession tells whether a message was written in a session that ended with a lapse.
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -22,8 +22,8 @@
 type reachability struct {
 	// leaseExpired: nobody here has answered the worker for its whole lease. The dispatcher was
 	// told, at expiryTold, and only its confirmation (Lapse) frees anything.
-	leaseExpired bool
-	expiryTold   time.Duration
+	leaseExpired     bool
+	expiryReportedAt time.Duration
 
 	// unreachable: its report is overdue and a direct command failed, while most of its zone
 	// reports. The dispatcher was told, and may return the machine to the cloud.
@@ -35,55 +35,55 @@
 	ignoredAnswers int    // answers in succession whose launches its next report did not show
 	ignoredSeq     uint64 // the report that showed the last of them
 
-	// unproven: owners before this one could not have it show a token, so it is answered only
+	// needsVerification: owners before this one could not have it show a token, so it is answered only
 	// once it is shown to receive.
-	unproven bool
-	// tokenOffered is when it was first answered with the token to be shown, 0: not yet;
+	needsVerification bool
+	// tokenOfferedAt is when it was first answered with the token to be shown, 0: not yet;
 	// questionFailed tells that a question failed since. Both make a worker that is not fenced
 	// unverified: its reports are answered no more.
-	tokenOffered   time.Duration
-	questionFailed bool
+	tokenOfferedAt time.Duration
+	probeFailed    bool
 
-	failedQuestions   int           // in succession
-	directAnswered    time.Duration // the last answer to a direct command came
-	nextStaleQuestion time.Duration // not to be asked before because of reports that are not new
+	failedProbes     int           // in succession
+	directAnsweredAt time.Duration // the last answer to a direct command came
+	nextStaleProbe   time.Duration // not to be asked before because of reports that are not new
 }
 
 const (
 	// A worker that gives up on a report after 4 s still gets the answer until then: a
 	// report that the answer to a direct command has overtaken is new for so long.
-	overtakenFor = 5 * time.Second
+	overtakenReportWindow = 5 * time.Second
 	// Answers in succession whose launches a worker must have ignored to be held to receive
 	// nothing: one answer may come too late.
-	ignoredEnough = 2
+	maxIgnoredAnswers = 2
 	// Questions in succession without an answer after which a worker may be given up.
-	questionsEnough = 3
-	// longestQuestionPause bounds the pause between two questions to a worker that receives
+	minFailedProbes = 3
+	// maxProbePause bounds the pause between two questions to a worker that receives
 	// nothing.
-	longestQuestionPause = 16 * time.Second
+	maxProbePause = 16 * time.Second
 	// Questions to such workers take at most this part of what may be under way, for
 	// each ends only when its time is over.
-	questionPart = 4
+	commandsPerProbe = 4
 )
 
-// fresh tells whether a report is newer than the last one: else it is a copy, or its
+// isNew tells whether a report is newer than the last one: else it is a copy, or its
 // worker has begun its numbers anew.
-func (s *Shard) fresh(now time.Duration, m *machine, r *model.Report) bool {
+func (s *Shard) isNew(now time.Duration, m *machine, r *model.Report) bool {
 	if !m.fenced {
-		return r.Newer(m.session, m.reported)
+		return r.Newer(m.session, m.reportSeq)
 	}
 	if r.Newer(m.session, m.seq) {
-		return r.Token >= m.first // a token never falls
+		return r.Token >= m.fencingToken // a token never falls
 	}
-	return r.Session == m.session && r.Seq > m.reported && now-m.directAnswered <= overtakenFor
+	return r.Session == m.session && r.Seq > m.reportSeq && now-m.directAnsweredAt <= overtakenReportWindow
 }
 
-// stale takes a report that is not new. It is a copy, or its worker has begun its
+// handleStaleReport takes a report that is not new. It is a copy, or its worker has begun its
 // numbers anew; an answer on a connection that is opened to it tells.
-func (s *Shard) stale(now time.Duration, m *machine) {
-	if now >= m.nextStaleQuestion {
-		m.nextStaleQuestion = now + max(s.p.ReportInterval, overtakenFor)
-		m.probe, m.wake = true, true
+func (s *Shard) handleStaleReport(now time.Duration, m *machine) {
+	if now >= m.nextStaleProbe {
+		m.nextStaleProbe = now + max(s.params.ReportInterval, overtakenReportWindow)
+		m.needsProbe, m.needsFlush = true, true
 	}
 }
 
@@ -92,80 +92,81 @@
 // and a question besides; or other owners have had no better luck. Answered on, its lease
 // would count as renewed for ever, and all that may be there would wait for that.
 func (s *Shard) unverified(now time.Duration, m *machine) bool {
-	return !m.fenced && (m.unproven || m.questionFailed && m.tokenOffered != 0 && now-m.tokenOffered > s.p.OverdueAfter())
+	return !m.fenced && (m.needsVerification || m.probeFailed && m.tokenOfferedAt != 0 &&
+		now-m.tokenOfferedAt > s.params.OverdueAfter())
 }
 
 // Verifying tells whether an unverified worker is being asked: its report
 // may wait a moment for that.
 func (s *Shard) Verifying(now time.Duration, id model.MachineID) bool {
 	m := s.machines[id]
-	return m != nil && s.unverified(now, m) && (m.inFlight > 0 || m.wake && now >= m.quietUntil)
+	return m != nil && s.unverified(now, m) && (m.commandsInFlight > 0 || m.needsFlush && now >= m.directRetryAt)
 }
 
-// questionUnverified has an unverified worker asked whether it receives.
-func (s *Shard) questionUnverified(m *machine, r *model.Report) {
+// probeUnverified has an unverified worker asked whether it receives.
+func (s *Shard) probeUnverified(m *machine, r *model.Report) {
 	if r.Newer(m.session, m.seq) { // to be addressed by
 		if r.Session != m.session {
-			m.reported = 0
+			m.reportSeq = 0
 		}
 		m.session, m.seq = r.Session, r.Seq
 	}
-	m.probe, m.wake = true, true
+	m.needsProbe, m.needsFlush = true, true
 }
 
-// receives takes a proof that a worker receives what it is sent.
-func (s *Shard) receives(m *machine) {
-	m.unproven, m.questionFailed, m.failedQuestions, m.ignoredAnswers = false, false, 0, 0
+// markReceiving takes a proof that a worker receives what it is sent.
+func (s *Shard) markReceiving(m *machine) {
+	m.needsVerification, m.probeFailed, m.failedProbes, m.ignoredAnswers = false, false, 0, 0
 	if m.inboundLost {
 		m.inboundLost = false
-		s.replan = true
+		s.replanAll = true
 	}
 }
 
-// launchIgnored takes a launch in an answer that the worker's next report does not show.
-func (s *Shard) launchIgnored(m *machine, r *model.Report) {
+// recordIgnoredLaunch takes a launch in an answer that the worker's next report does not show.
+func (s *Shard) recordIgnoredLaunch(m *machine, r *model.Report) {
 	if m.ignoredSeq == r.Seq {
 		return // counted with another launch of that answer
 	}
 	m.ignoredSeq = r.Seq
-	if m.ignoredAnswers++; m.ignoredAnswers >= ignoredEnough {
+	if m.ignoredAnswers++; m.ignoredAnswers >= maxIgnoredAnswers {
 		m.inboundLost = true
 	}
 }
 
-// mayLast takes a session that may have begun just now: its lease runs from its begin,
+// restartLease takes a session that may have begun just now: its lease runs from its begin,
 // whether a report of it has been answered or not. A launch that went straight to the
 // worker would else be taken for over while it ran, if no report came through.
-func (s *Shard) mayLast(now time.Duration, m *machine) {
-	m.answered = max(m.answered, now)
-	s.signOfLife(m)
+func (s *Shard) restartLease(now time.Duration, m *machine) {
+	m.answeredAt = max(m.answeredAt, now)
+	s.markAlive(m)
 }
 
-// endedDespiteAnswers takes a new session of a worker that was fenced. A session ends for want
+// checkAnswersArrived takes a new session of a worker that was fenced. A session ends for want
 // of answers: one that was given a moment ago has not arrived.
-func (s *Shard) endedDespiteAnswers(now time.Duration, m *machine) {
-	if m.spoke && now-m.answered < s.p.MaxLease/2 {
+func (s *Shard) checkAnswersArrived(now time.Duration, m *machine) {
+	if m.everAnswered && now-m.answeredAt < s.params.MaxLease/2 {
 		m.inboundLost = true
 	}
 }
 
-// pause is how long a worker that did not answer a question is left alone.
-func (s *Shard) pause(now time.Duration, m *machine) time.Duration {
+// directRetryPause is how long a worker that did not answer a question is left alone.
+func (s *Shard) directRetryPause(now time.Duration, m *machine) time.Duration {
 	if !m.inboundLost && !s.unverified(now, m) {
-		return s.p.DirectRetryDelay
+		return s.params.DirectRetryDelay
 	}
-	m.failedQuestions = min(m.failedQuestions+1, 8)
-	return min(s.p.DirectRetryDelay<<(m.failedQuestions-1), longestQuestionPause)
+	m.failedProbes = min(m.failedProbes+1, 8)
+	return min(s.params.DirectRetryDelay<<(m.failedProbes-1), maxProbePause)
 }
 
-// reborn has a worker that has begun its numbers anew fenced once more, under a token
+// restartSession has a worker that has begun its numbers anew fenced once more, under a token
 // that nobody had before: until it shows that, nothing that it does not list is free.
-func (s *Shard) reborn(m *machine, r *model.Report) {
-	for _, sl := range m.slots {
-		if sl.state == starting && sl.sent {
-			sl.doubt, sl.sentSeq = max(sl.doubt, m.token), 0
+func (s *Shard) restartSession(m *machine, r *model.Report) {
+	for _, a := range m.attempts {
+		if a.state == starting && a.launchSent {
+			a.directToken, a.launchSeq = max(a.directToken, m.token), 0
 		}
 	}
-	m.session, m.seq, m.reported = r.Session, r.Seq, 0
-	s.fenceAnew(m)
+	m.session, m.seq, m.reportSeq = r.Session, r.Seq, 0
+	s.refence(m)
 }
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -6,9 +6,9 @@
 	"honeylock/internal/core/model"
 )
 
-// tellsItself is how long a worker that has got a higher token may take to report
+// tokenReportTime is how long a worker that has got a higher token may take to report
 // it: it sends no more than a report each half second.
-const tellsItself = 700 * time.Millisecond
+const tokenReportTime = 700 * time.Millisecond
 
 // Answer to a report.
 type Answer struct {
@@ -25,7 +25,7 @@
 	}
 	m := s.machines[r.Machine.ID]
 	if m == nil {
-		if s.moved[r.Machine.ID] != "" {
+		if s.redirects[r.Machine.ID] != "" {
 			return false
 		}
 		s.emit(model.Event{Kind: model.UnownedWorker, Machine: r.Machine.ID, Report: r, MessageID: r.MessageID()})
@@ -38,22 +38,22 @@
 	}
 	if m.ofEndedSession(r) {
 		s.Stats.ExpiredSessionReports++
-		s.stale(now, m)
+		s.handleStaleReport(now, m)
 		return false
 	}
 	if s.unverified(now, m) {
-		s.questionUnverified(m, r)
+		s.probeUnverified(m, r)
 		return false
 	}
-	if !s.fresh(now, m, r) {
-		s.stale(now, m)
+	if !s.isNew(now, m, r) {
+		s.handleStaleReport(now, m)
 		return false
 	}
 	if r.Newer(m.session, m.seq) {
-		s.take(now, m, r, true)
+		s.applyMessage(now, m, r, true)
 	} else {
 		// Overtaken by the answer to a direct command; it still wants its own answer.
-		m.reported = r.Seq
+		m.reportSeq = r.Seq
 	}
 	return true
 }
@@ -65,280 +65,282 @@
 	if m == nil || !s.HasGrant(now) {
 		return Answer{}
 	}
-	m.answered, m.spoke, m.tokenSent = now, true, true
-	if !m.fenced && m.tokenOffered == 0 {
-		m.tokenOffered, m.questionFailed = now, false
+	m.answeredAt, m.everAnswered, m.tokenSent = now, true, true
+	if !m.fenced && m.tokenOfferedAt == 0 {
+		m.tokenOfferedAt, m.probeFailed = now, false
 	}
-	s.signOfLife(m)
-	cmds := append(s.vet(m, r), s.commands(now, m, r.Seq, false)...)
+	s.markAlive(m)
+	cmds := append(s.killNotOpen(m, r), s.commandsFor(now, m, r.Seq, false)...)
 	// A worker that is not fenced yet has the token with this answer, and mostly
 	// reports that by itself: only if it does not, it is told directly as well.
-	m.wake, m.patient = !m.fenced, now+tellsItself
+	m.needsFlush, m.directNotBefore = !m.fenced, now+tokenReportTime
 	return Answer{OK: true, Token: m.token, Commands: cmds}
 }
 
-// vet ends what a worker holds of jobs that are not open. This answer renews
+// killNotOpen ends what a worker holds of jobs that are not open. This answer renews
 // its lease, so it must not wait for the worker to be fenced, or for the dealer
 // to judge what was found: under load, owners that followed each other each
 // answered a worker before any of them got that far, and a cancelled task ran on.
-func (s *Shard) vet(m *machine, r *model.Report) []model.Command {
+func (s *Shard) killNotOpen(m *machine, r *model.Report) []model.Command {
 	var cmds []model.Command
-	if s.open == nil {
+	if s.openJobs == nil {
 		return nil
 	}
-	for _, c := range r.Attempts {
-		if c.Stage == model.Exited || s.open[c.Task.Job] {
+	for _, status := range r.Attempts {
+		if status.Stage == model.Exited || s.openJobs[status.Task.Job] {
 			continue
 		}
-		if sl := m.slots.get(key{c.Task, c.Attempt}); sl == nil || sl.t == nil && !sl.stop {
-			cmds = append(cmds, model.Command{Verb: model.Kill, Task: c.Task, Attempt: c.Attempt})
+		if a := m.attempts.get(attemptKey{status.Task, status.Attempt}); a == nil || a.assigned == nil && !a.stopping {
+			cmds = append(cmds, model.Command{Verb: model.Kill, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
 	return cmds
 }
 
-// take brings a machine's books in line with a newer message of its worker.
+// applyMessage brings a machine's books in line with a newer message of its worker.
 // isReport tells a report from the answer to a direct command: only a report
 // proves that the answer to the report before it has arrived or never will.
-func (s *Shard) take(now time.Duration, m *machine, r *model.Report, isReport bool) {
+func (s *Shard) applyMessage(now time.Duration, m *machine, r *model.Report, isReport bool) {
 	if r.Session > m.session && m.session != 0 && m.fenced {
 		// The worker has killed and forgotten all of its earlier session.
-		s.endedDespiteAnswers(now, m)
-		s.loseAll(now, m)
-		s.mayLast(now, m)
+		s.checkAnswersArrived(now, m)
+		s.loseAllAttempts(now, m)
+		s.restartLease(now, m)
 	}
 	if isReport {
-		m.reported = r.Seq
+		m.reportSeq = r.Seq
 	} else if r.Session != m.session {
-		m.reported = 0
+		m.reportSeq = 0
 	}
-	m.session, m.seq, m.shown = r.Session, r.Seq, r.Token
+	m.session, m.seq, m.shownToken = r.Session, r.Seq, r.Token
 	if m.Addr == "" && r.Machine.Addr != "" {
-		m.Addr, m.anew = r.Machine.Addr, true
+		m.Addr, m.summaryChanged = r.Machine.Addr, true
 	}
 	if r.PreemptionNotice >= 0 {
-		if m.noticeAt == 0 {
-			m.noticeAt = now + r.PreemptionNotice
+		if m.preemptionAt == 0 {
+			m.preemptionAt = now + r.PreemptionNotice
 		}
 	} else {
-		m.noticeAt = 0
+		m.preemptionAt = 0
 	}
-	if r.Token < m.first {
+	if r.Token < m.fencingToken {
 		// Not fenced: an earlier owner's commands may still take effect.
-		m.wake = true
+		m.needsFlush = true
 		return
 	}
-	s.takes++
-	for _, c := range r.Attempts {
-		s.cell(now, m, key{c.Task, c.Attempt}, c)
+	s.messagesApplied++
+	for _, status := range r.Attempts {
+		s.applyAttemptStatus(now, m, attemptKey{status.Task, status.Attempt}, status)
 	}
-	var unseen []*slot
-	for _, sl := range m.slots {
-		if sl.seen != s.takes {
-			unseen = append(unseen, sl)
+	var missing []*attempt
+	for _, a := range m.attempts {
+		if a.lastSeen != s.messagesApplied {
+			missing = append(missing, a)
 		}
 	}
-	for _, sl := range unseen {
-		s.absent(now, sl, r, isReport)
+	for _, a := range missing {
+		s.handleMissingAttempt(now, a, r, isReport)
 	}
 	if !m.fenced {
 		m.fenced = true
-		s.mayLast(now, m)
-		s.receives(m)
-		s.replan = true
+		s.restartLease(now, m)
+		s.markReceiving(m)
+		s.replanAll = true
 		s.emit(model.Event{Kind: model.WorkerFenced, Machine: m.ID})
 	}
 }
 
-func (s *Shard) cell(now time.Duration, m *machine, k key, c model.AttemptStatus) {
-	sl := m.slots.get(k)
-	if sl == nil {
-		sl = &slot{key: k, sent: true, state: live, stage: c.Stage, stray: true, seen: s.takes}
-		s.put(m, sl)
-		if c.Stage == model.Exited {
-			sl.state, sl.stray = exited, false
+func (s *Shard) applyAttemptStatus(now time.Duration, m *machine, k attemptKey, status model.AttemptStatus) {
+	a := m.attempts.get(k)
+	if a == nil {
+		a = &attempt{attemptKey: k, launchSent: true, state: live, stage: status.Stage, notAdopted: true,
+			lastSeen: s.messagesApplied}
+		s.addAttempt(m, a)
+		if status.Stage == model.Exited {
+			a.state, a.notAdopted = exited, false
 		}
-		s.emit(model.Event{Kind: model.AttemptFound, Machine: m.ID, Task: k.task, Attempt: k.attempt, Status: c})
+		s.emit(model.Event{Kind: model.AttemptFound, Machine: m.ID, Task: k.task, Attempt: k.number, Status: status})
 		return
 	}
-	sl.seen = s.takes
-	if sl.state == exited {
+	a.lastSeen = s.messagesApplied
+	if a.state == exited {
 		return
 	}
-	sl.stage = c.Stage
-	if sl.state == starting {
-		s.receives(m)
+	a.stage = status.Stage
+	if a.state == starting {
+		s.markReceiving(m)
 	}
-	if c.Stage != model.Exited {
-		sl.state = live
-		if c.Stage == model.Running && sl.runSince == 0 {
-			sl.runSince = now
-			if t := sl.t; t != nil && t.told {
-				t.told = false
+	if status.Stage != model.Exited {
+		a.state = live
+		if status.Stage == model.Running && a.runningSince == 0 {
+			a.runningSince = now
+			if t := a.assigned; t != nil && t.interruptionReported {
+				t.interruptionReported = false
 				s.emit(model.Event{Kind: model.TaskResumed, Machine: m.ID, Task: t.Task})
 			}
 		}
 		return
 	}
-	s.free(sl)
-	sl.state = exited
-	m.priced = false
-	t := sl.t
-	switch c.Cause {
+	s.freeResources(a)
+	a.state = exited
+	m.minPriceValid = false
+	t := a.assigned
+	switch status.Cause {
 	case model.CauseDone:
-		s.succeeded(k.task.Job)
-		held := t != nil && t.slot == sl
-		if held {
-			sl.t = nil
+		s.recordSuccess(k.task.Job)
+		assigned := t != nil && t.attempt == a
+		if assigned {
+			a.assigned = nil
 			delete(s.tasks, t.Task)
 		}
-		s.strayGone(sl)
+		s.reportRejectedGone(a)
 		// Cleared once its completion is stored.
-		s.emit(model.Event{Kind: model.TaskFinished, Machine: m.ID, Task: k.task, Attempt: k.attempt, Held: held,
-			RunTime: sl.ran(now)})
+		s.emit(model.Event{Kind: model.TaskFinished, Machine: m.ID, Task: k.task, Attempt: k.number, Held: assigned,
+			RunTime: a.ran(now)})
 		return
 	case model.CauseError:
 		s.Stats.Errors++
-		s.blame(now, m, k.task.Job)
+		s.recordFailure(now, m, k.task.Job)
 	case model.CauseNoCapacity, model.CauseBusy:
 		s.Stats.Refused++
 		// Our books were wrong about this machine: let reports catch up.
-		m.refusedUntil = now + s.p.ReportInterval
+		m.refusedUntil = now + s.params.ReportInterval
 	}
-	sl.clear = true
-	m.wake = true
-	s.landed(now, sl, c.Cause)
+	a.clearable = true
+	m.needsFlush = true
+	s.settleTask(now, a, status.Cause)
 }
 
-// absent settles a slot that a newer message does not show.
-func (s *Shard) absent(now time.Duration, sl *slot, r *model.Report, isReport bool) {
-	switch sl.state {
+// handleMissingAttempt settles a slot that a newer message does not show.
+func (s *Shard) handleMissingAttempt(now time.Duration, a *attempt, r *model.Report, isReport bool) {
+	switch a.state {
 	case exited: // cleared
-		s.drop(now, sl)
+		s.removeAttempt(now, a)
 	case live: // the worker knew it and knows it no more
-		if sl.doubt != 0 && r.Token <= sl.doubt {
-			s.wantToken(sl.m) // its launch, repeated, would begin it anew
+		if a.directToken != 0 && r.Token <= a.directToken {
+			s.requireHigherToken(a.m) // its launch, repeated, would begin it anew
 			return
 		}
-		s.drop(now, sl)
-		s.landed(now, sl, model.CauseStopped)
+		s.removeAttempt(now, a)
+		s.settleTask(now, a, model.CauseStopped)
 	case starting:
-		if !sl.sent {
+		if !a.launchSent {
 			return
 		}
 		// A direct launch may yet be executed, or once more, until the worker has
 		// seen a higher token than it bears. A launch in an answer is over once a
 		// later report was made.
-		later := isReport && r.Seq > sl.sentSeq
-		if later && sl.sentSeq != 0 {
-			s.launchIgnored(sl.m, r)
+		laterReport := isReport && r.Seq > a.launchSeq
+		if laterReport && a.launchSeq != 0 {
+			s.recordIgnoredLaunch(a.m, r)
 		}
-		over := sl.direct == 0 && (sl.doubt == 0 || r.Token > sl.doubt) && (sl.sentSeq == 0 || later)
-		if over && sl.stop {
-			s.drop(now, sl)
-			s.landed(now, sl, model.CauseStopped)
-		} else if over {
-			sl.sent, sl.doubt, sl.sentSeq, sl.unsure = false, 0, 0, false
+		launchOver := a.directLaunches == 0 && (a.directToken == 0 || r.Token > a.directToken) &&
+			(a.launchSeq == 0 || laterReport)
+		if launchOver && a.stopping {
+			s.removeAttempt(now, a)
+			s.settleTask(now, a, model.CauseStopped)
+		} else if launchOver {
+			a.launchSent, a.directToken, a.launchSeq, a.launchUnanswered = false, 0, 0, false
 		}
 	}
 }
 
-// commands returns what the worker must be told. They may be repeated until
+// commandsFor returns what the worker must be told. They may be repeated until
 // its reports show their effect.
-func (s *Shard) commands(now time.Duration, m *machine, seq uint64, direct bool) []model.Command {
+func (s *Shard) commandsFor(now time.Duration, m *machine, seq uint64, direct bool) []model.Command {
 	if !m.fenced {
 		return nil
 	}
 	var cmds []model.Command
-	kept := 0
-	room := m.Cap
-	for _, sl := range m.slots {
-		if sl.state != exited && sl.sent {
-			room = room.Sub(sl.each)
+	uncleared := 0
+	free := m.Cap
+	for _, a := range m.attempts {
+		if a.state != exited && a.launchSent {
+			free = free.Sub(a.resources)
 		}
 	}
-	for _, sl := range m.slots {
+	for _, a := range m.attempts {
 		switch {
-		case sl.state == exited:
+		case a.state == exited:
 			switch {
-			case !sl.clear:
-			case (sl.doubt == 0 || m.shown > sl.doubt) && sl.direct == 0:
-				cmds = append(cmds, model.Command{Verb: model.Clear, Task: sl.task, Attempt: sl.attempt})
-			case sl.unsure:
-				s.wantToken(m)
-			case sl.doubt != 0:
-				kept++
+			case !a.clearable:
+			case (a.directToken == 0 || m.shownToken > a.directToken) && a.directLaunches == 0:
+				cmds = append(cmds, model.Command{Verb: model.Clear, Task: a.task, Attempt: a.number})
+			case a.launchUnanswered:
+				s.requireHigherToken(m)
+			case a.directToken != 0:
+				uncleared++
 			}
-		case sl.stop:
-			g := sl.grace
-			if sl.stage == model.Saving && now < sl.hardAt && g > 0 {
+		case a.stopping:
+			grace := a.grace
+			if a.stage == model.Saving && now < a.killAt && grace > 0 {
 				continue
 			}
-			if now >= sl.hardAt {
-				g = 0
+			if now >= a.killAt {
+				grace = 0
 			}
-			if sl.state == starting && sl.doubt != 0 {
-				s.wantToken(m)
+			if a.state == starting && a.directToken != 0 {
+				s.requireHigherToken(m)
 			}
-			cmds = append(cmds, model.Command{Verb: model.Kill, Task: sl.task, Attempt: sl.attempt, Grace: g})
-		case sl.state == starting && sl.direct == 0:
-			if !sl.sent {
+			cmds = append(cmds, model.Command{Verb: model.Kill, Task: a.task, Attempt: a.number, Grace: grace})
+		case a.state == starting && a.directLaunches == 0:
+			if !a.launchSent {
 				// A reservation waits until its victims are gone.
-				if !sl.each.Fits(room) || !m.usable || m.inboundLost {
+				if !a.resources.Fits(free) || !m.usable || m.inboundLost {
 					continue
 				}
-				room = room.Sub(sl.each)
+				free = free.Sub(a.resources)
 			}
-			sl.sent = true
+			a.launchSent = true
 			if !direct {
-				sl.sentSeq = seq
+				a.launchSeq = seq
 			}
-			cmds = append(cmds, model.Command{Verb: model.Launch, Task: sl.task, Attempt: sl.attempt})
+			cmds = append(cmds, model.Command{Verb: model.Launch, Task: a.task, Attempt: a.number})
 		}
 	}
-	s.raise(now, m, kept)
+	s.raiseTokenToClear(now, m, uncleared)
 	return cmds
 }
 
 // Attempts that are kept though they could be cleared: until they are so many, or have
 // waited for so long. Each raised token costs a report of its own.
 const (
-	mostUncleared = 32
-	unclearedFor  = 3 * time.Minute
+	maxUncleared     = 32
+	maxUnclearedTime = 3 * time.Minute
 	// A report holds 64 KiB: where many short tasks end, that does not wait.
-	tooManyUncleared = 64
+	urgentUncleared = 64
 )
 
-// raise asks for a higher token, so that attempts which were launched directly can be
+// raiseTokenToClear asks for a higher token, so that attempts which were launched directly can be
 // cleared: a worker that knows an attempt no more begins it anew if the launch comes once
 // more under a token that still stands. What has exited takes no room meanwhile.
-func (s *Shard) raise(now time.Duration, m *machine, kept int) {
-	if kept == 0 {
+func (s *Shard) raiseTokenToClear(now time.Duration, m *machine, uncleared int) {
+	if uncleared == 0 {
 		m.unclearedSince = 0
 		return
 	}
 	if m.unclearedSince == 0 {
 		m.unclearedSince = now
 	}
-	due := (kept >= mostUncleared || now-m.unclearedSince >= unclearedFor) &&
-		(m.raised == 0 || now-m.raised >= s.p.MaxLease/2)
-	if m.token == m.shown && (due || kept >= tooManyUncleared) {
-		m.raised = now
+	due := (uncleared >= maxUncleared || now-m.unclearedSince >= maxUnclearedTime) &&
+		(m.tokenRaisedAt == 0 || now-m.tokenRaisedAt >= s.params.MaxLease/2)
+	if m.token == m.shownToken && (due || uncleared >= urgentUncleared) {
+		m.tokenRaisedAt = now
 		s.emit(model.Event{Kind: model.TokenNeeded, Machine: m.ID})
 	}
 }
 
-// wantToken asks for a higher token than the one that the worker has shown; until it is
+// requireHigherToken asks for a higher token than the one that the worker has shown; until it is
 // there the machine gets nothing new.
-func (s *Shard) wantToken(m *machine) {
-	if m.token == m.shown {
-		s.askToken(m)
+func (s *Shard) requireHigherToken(m *machine) {
+	if m.token == m.shownToken {
+		s.requestToken(m)
 	}
 }
 
-func (s *Shard) askToken(m *machine) {
-	if !m.needToken {
-		m.needToken = true
+func (s *Shard) requestToken(m *machine) {
+	if !m.tokenNeeded {
+		m.tokenNeeded = true
 		s.emit(model.Event{Kind: model.TokenNeeded, Machine: m.ID})
 	}
 }
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -25,31 +25,31 @@
 
 type task struct {
 	model.Assignment
-	price  float64 // after demotions
-	slot   *slot   // nil: it waits
-	queued time.Duration
+	price    float64  // after demotions
+	attempt  *attempt // nil: it waits
+	queuedAt time.Duration
 	// recalled: give it back instead of placing it again.
-	recalled bool
-	told     bool // the dealer was told that it is out of work
+	recalled             bool
+	interruptionReported bool // the dealer was told that it is out of work
 }
 
-// on is the machine that the task is on, or reserved for; nil: it waits.
-func (t *task) on() *machine {
-	if t.slot == nil {
+// machine is the machine that the task is on, or reserved for; nil: it waits.
+func (t *task) machine() *machine {
+	if t.attempt == nil {
 		return nil
 	}
-	return t.slot.m
+	return t.attempt.m
 }
 
-type group struct {
-	job       model.JobID
-	zone      model.Name
-	spec      *model.Spec
-	price     float64
-	worth     float64 // its score as groups were last ranked
-	since     time.Duration
-	tasks     []*task
-	nextEvict time.Duration
+type waitingGroup struct {
+	job          model.JobID
+	zone         model.Name
+	spec         *model.Spec
+	price        float64
+	rankedScore  float64 // its score as groups were last ranked
+	waitingSince time.Duration
+	tasks        []*task
+	nextEviction time.Duration
 }
 
 type groupKey struct {
@@ -59,59 +59,60 @@
 
 // Shard is the state machine.
 type Shard struct {
-	p        Params
-	rng      *rand.Rand
-	until    time.Duration
-	attempt  uint64
-	directID uint64
-	machines map[model.MachineID]*machine
-	order    []*machine // by id, so that decisions repeat under one seed
-	tasks    map[model.Task]*task
-	queue    map[groupKey]*group
-	pending  map[uint64]inFlight
-	firsts   map[model.JobID]time.Duration // jobs that should have begun, until when that holds
-	asking   int                           // of pending: questions whether a worker hears
-	open     map[model.JobID]bool          // the leader's picture of the open jobs, nil: not told yet
-	ranked   []*group                      // of queue, by score when all were last placed
-	replan   bool                          // more than machines' room has changed since
-	roomier  []*machine
-	round    uint64              // of placing, from 1
-	prey     []preyAt            // of the last round: its room is used again
-	running  map[model.JobID]int // as last counted
-	ofJob    map[model.JobID][]*slot
-	takes    uint64 // reports taken
-	counted  time.Duration
-	deals    uint64
-	moved    map[model.MachineID]string
-	images   map[model.MachineID]map[model.Name]bool // remembered
-	tells    bool                                    // the dealer wants to know what is out of work
-	records  map[model.JobID]*record                 // of jobs that have failed
-	events   []model.Event
-	directs  []DirectCommand
-	Stats    Stats
-	// rehearsal is told what is placed and stopped; nil where the shard acts.
-	rehearsal *Simulation
+	params               Params
+	rng                  *rand.Rand
+	grantedUntil         time.Duration
+	lastAttempt          uint64
+	lastDirectID         uint64
+	machines             map[model.MachineID]*machine
+	sortedMachines       []*machine // by id, so that decisions repeat under one seed
+	tasks                map[model.Task]*task
+	waiting              map[groupKey]*waitingGroup
+	pendingCommands      map[uint64]pendingCommand
+	expedited            map[model.JobID]time.Duration // jobs that should have begun, until when that holds
+	pendingProbes        int                           // of pending: questions whether a worker hears
+	openJobs             map[model.JobID]bool          // the leader's picture of the open jobs, nil: not told yet
+	rankedGroups         []*waitingGroup               // of queue, by score when all were last placed
+	replanAll            bool                          // more than machines' room has changed since
+	freedMachines        []*machine
+	round                uint64              // of placing, from 1
+	victimMachines       []victimMachine     // of the last round: its room is used again
+	runningCounts        map[model.JobID]int // as last counted
+	attemptsByJob        map[model.JobID][]*attempt
+	messagesApplied      uint64 // reports taken
+	runningCountedAt     time.Duration
+	assignmentsReceived  uint64
+	redirects            map[model.MachineID]string
+	rememberedImages     map[model.MachineID]map[model.Name]bool // remembered
+	reportsInterruptions bool                                    // the dealer wants to know what is out of work
+	failures             map[model.JobID]*jobFailures            // of jobs that have failed
+	events               []model.Event
+	directCommands       []DirectCommand
+	Stats                Stats
+	// simulation is told what is placed and stopped; nil where the shard acts.
+	simulation *Simulation
 }
 
 // New returns a shard without a grant. attempts is the first of a range of
 // attempt numbers that are this shard's alone.
-func New(p Params, attempts uint64, rng *rand.Rand) *Shard {
-	return &Shard{p: p, rng: rng, attempt: attempts, round: 1, machines: map[model.MachineID]*machine{},
-		tasks: map[model.Task]*task{}, queue: map[groupKey]*group{}, ofJob: map[model.JobID][]*slot{},
-		pending: map[uint64]inFlight{}, moved: map[model.MachineID]string{}, records: map[model.JobID]*record{}}
+func New(params Params, firstAttempt uint64, rng *rand.Rand) *Shard {
+	return &Shard{params: params, rng: rng, lastAttempt: firstAttempt, round: 1, machines: map[model.MachineID]*machine{},
+		tasks: map[model.Task]*task{}, waiting: map[groupKey]*waitingGroup{}, attemptsByJob: map[model.JobID][]*attempt{},
+		pendingCommands: map[uint64]pendingCommand{}, redirects: map[model.MachineID]string{},
+		failures: map[model.JobID]*jobFailures{}}
 }
 
 // ReportInterruptions has the dealer told of tasks that are out of work, and when they run again.
-func (s *Shard) ReportInterruptions(on bool) { s.tells = on }
+func (s *Shard) ReportInterruptions(on bool) { s.reportsInterruptions = on }
 
 // SetGrant lets the shard act until the given time.
-func (s *Shard) SetGrant(until time.Duration) { s.until = until }
+func (s *Shard) SetGrant(until time.Duration) { s.grantedUntil = until }
 
 // SetOpenJobs takes the leader's picture of the open jobs.
-func (s *Shard) SetOpenJobs(jobs map[model.JobID]bool) { s.open = jobs }
+func (s *Shard) SetOpenJobs(jobs map[model.JobID]bool) { s.openJobs = jobs }
 
 // HasGrant tells whether the shard may act.
-func (s *Shard) HasGrant(now time.Duration) bool { return now < s.until }
+func (s *Shard) HasGrant(now time.Duration) bool { return now < s.grantedUntil }
 
 // TakeEvents takes away what the dealer must be told.
 func (s *Shard) TakeEvents() []model.Event {
@@ -126,296 +127,297 @@
 func (s *Shard) HandleOrder(now time.Duration, o model.Order) {
 	switch o.Kind {
 	case model.OwnMachine:
-		s.own(now, o)
+		s.ownMachine(now, o)
 	case model.RemoveMachine:
 		if m := s.machines[o.ID]; m != nil {
-			s.loseAll(now, m)
-			s.remove(m)
+			s.loseAllAttempts(now, m)
+			s.removeMachine(m)
 		}
 	case model.SetUsable:
 		if m := s.machines[o.ID]; m != nil {
 			m.usable = o.Usable
-			s.replan = true
+			s.replanAll = true
 			if !o.Usable {
-				s.unreserve(now, m)
+				s.cancelUnsent(now, m)
 			}
 		}
 	case model.AssignTask:
-		s.give(now, o.Assignment)
+		s.acceptAssignment(now, o.Assignment)
 	case model.RecallTask:
-		if t := s.tasks[o.Task]; t != nil && (o.ID == 0 || t.on() != nil && t.on().ID == o.ID) {
-			s.recall(now, t)
+		if t := s.tasks[o.Task]; t != nil && (o.ID == 0 || t.machine() != nil && t.machine().ID == o.ID) {
+			s.recallTask(now, t)
 		}
 	case model.InspectMachine:
-		s.lookAt(now, o)
+		s.inspect(now, o)
 	case model.ClearAttempt:
 		if m := s.machines[o.ID]; m != nil {
-			if sl := m.slots.get(key{o.Task, o.Attempt}); sl != nil {
-				sl.clear = true
+			if a := m.attempts.get(attemptKey{o.Task, o.Attempt}); a != nil {
+				a.clearable = true
 			}
 		}
 	case model.KillAttempt:
 		if m := s.machines[o.ID]; m != nil {
-			if sl := m.slots.get(key{o.Task, o.Attempt}); sl != nil {
-				s.stop(now, sl, 0)
+			if a := m.attempts.get(attemptKey{o.Task, o.Attempt}); a != nil {
+				s.stopAttempt(now, a, 0)
 			}
 		}
 	case model.EndJob:
-		delete(s.open, o.Job)
-		delete(s.records, o.Job)
-		s.pressed(o.Job)
+		delete(s.openJobs, o.Job)
+		delete(s.failures, o.Job)
+		s.endExpedite(o.Job)
 		s.endJob(now, o.Job)
 	case model.RepriceJob:
-		s.reprice(o.Job, o.Price, o.Objective)
+		s.repriceJob(o.Job, o.Price, o.Objective)
 	case model.RecallWaitingTasks:
 		s.recallWaiting(o.Job, o.Count)
 	case model.ReleaseMachine:
 		if m := s.machines[o.ID]; m != nil && m.fenced && o.Session != 0 &&
-			(model.MessageID{Session: m.session, Seq: m.reported}).AtLeast(o.MessageID) {
+			(model.MessageID{Session: m.session, Seq: m.reportSeq}).AtLeast(o.MessageID) {
 			// What came in elsewhere was a copy: the worker reports here.
-			s.stale(now, m)
+			s.handleStaleReport(now, m)
 			s.emit(model.Event{Kind: model.MachineKept, Machine: o.ID})
 			return
 		}
-		s.letGo(o.ID, o.RedirectTo)
+		s.releaseMachine(o.ID, o.RedirectTo)
 	case model.ExpediteJob:
-		s.press(now, o.Job)
+		s.expedite(now, o.Job)
 	case model.RedirectWorker:
 		if s.machines[o.ID] == nil {
-			s.moved[o.ID] = o.RedirectTo
+			s.redirects[o.ID] = o.RedirectTo
 		}
 	case model.ConfirmLeaseExpiry:
 		// Only the dealer knows that nobody else has answered the worker; only
 		// this shard, that it has not answered it since it said so.
 		if m := s.machines[o.ID]; m != nil && m.leaseExpired {
-			s.lapse(now, m)
+			s.confirmLeaseExpiry(now, m)
 		}
 	}
 }
 
-// unreserve takes tasks back that are not on their way to a machine yet: nothing
+// cancelUnsent takes tasks back that are not on their way to a machine yet: nothing
 // is launched there any more.
-func (s *Shard) unreserve(now time.Duration, m *machine) {
-	for _, sl := range slices.Clone(m.slots) {
-		if !sl.sent {
-			s.stop(now, sl, 0)
+func (s *Shard) cancelUnsent(now time.Duration, m *machine) {
+	for _, a := range slices.Clone(m.attempts) {
+		if !a.launchSent {
+			s.stopAttempt(now, a, 0)
 		}
 	}
 }
 
-func (s *Shard) recallWaiting(job model.JobID, n int) {
-	for k, g := range s.queue {
+func (s *Shard) recallWaiting(job model.JobID, count int) {
+	for k, g := range s.waiting {
 		if k.job != job {
 			continue
 		}
 		for _, t := range slices.Clone(g.tasks) {
-			if n--; n < 0 {
+			if count--; count < 0 {
 				return
 			}
 			s.dequeue(t)
-			s.release(t, model.CauseStopped)
+			s.returnTask(t, model.CauseStopped)
 		}
 	}
 }
 
-// letGo drops a machine from the books. Its tasks are where they are: the
+// releaseMachine drops a machine from the books. Its tasks are where they are: the
 // dealer waits for the next owner to find them.
-func (s *Shard) letGo(id model.MachineID, keeper string) {
-	e := model.Event{Kind: model.MachineReleased, Machine: id}
-	if m := s.machines[id]; m != nil {
-		e.Held = !m.spoke && !m.fenced // it launched nothing either, and renewed nothing
-		for _, sl := range slices.Clone(m.slots) {
-			switch t := sl.t; {
-			case t == nil || t.slot != sl:
-			case !sl.sent:
-				sl.t = nil
-				s.release(t, model.CauseStopped)
+func (s *Shard) releaseMachine(machineID model.MachineID, redirectTo string) {
+	event := model.Event{Kind: model.MachineReleased, Machine: machineID}
+	if m := s.machines[machineID]; m != nil {
+		event.Held = !m.everAnswered && !m.fenced // it launched nothing either, and renewed nothing
+		for _, a := range slices.Clone(m.attempts) {
+			switch t := a.assigned; {
+			case t == nil || t.attempt != a:
+			case !a.launchSent:
+				a.assigned = nil
+				s.returnTask(t, model.CauseStopped)
 			default:
 				delete(s.tasks, t.Task)
-				e.Tasks = append(e.Tasks, t.Task)
+				event.Tasks = append(event.Tasks, t.Task)
 			}
 		}
-		s.remove(m)
-		if keeper != "" {
-			s.moved[id] = keeper
+		s.removeMachine(m)
+		if redirectTo != "" {
+			s.redirects[machineID] = redirectTo
 		}
 	}
-	s.emit(e)
+	s.emit(event)
 }
 
-func (s *Shard) remove(m *machine) {
+func (s *Shard) removeMachine(m *machine) {
 	delete(s.machines, m.ID)
-	for _, sl := range m.slots {
-		s.unlist(sl)
+	for _, a := range m.attempts {
+		s.removeFromJob(a)
 	}
-	m.slots = nil
-	s.order = slices.DeleteFunc(s.order, func(x *machine) bool { return x == m })
+	m.attempts = nil
+	s.sortedMachines = slices.DeleteFunc(s.sortedMachines, func(x *machine) bool { return x == m })
 }
 
 // TakeRedirect tells where a machine that was let go of should report instead.
 // It is told once: a worker that comes back could not go there, and is welcome.
 func (s *Shard) TakeRedirect(id model.MachineID) string {
-	k := s.moved[id]
-	delete(s.moved, id)
-	return k
+	target := s.redirects[id]
+	delete(s.redirects, id)
+	return target
 }
 
-func (s *Shard) own(now time.Duration, o model.Order) {
+func (s *Shard) ownMachine(now time.Duration, o model.Order) {
 	m := s.machines[o.Machine.ID]
-	delete(s.moved, o.Machine.ID)
+	delete(s.redirects, o.Machine.ID)
 	if m == nil {
-		m = &machine{Machine: o.Machine, first: o.Token, answered: now, idleSince: now,
-			images: s.images[o.Machine.ID], anew: true, reachability: reachability{unproven: o.VerifyFirst}}
+		m = &machine{Machine: o.Machine, fencingToken: o.Token, answeredAt: now, idleSince: now,
+			images: s.rememberedImages[o.Machine.ID], summaryChanged: true,
+			reachability: reachability{needsVerification: o.VerifyFirst}}
 		if o.VerifyFirst { // this shard does not answer it before it is shown to hear
-			m.answered = now - s.p.MaxLease
+			m.answeredAt = now - s.params.MaxLease
 		}
 		if m.images == nil {
 			m.images = map[model.Name]bool{}
 		}
 		s.machines[m.ID] = m
-		i, _ := slices.BinarySearchFunc(s.order, m, func(a, b *machine) int { return cmp.Compare(a.ID, b.ID) })
-		s.order = slices.Insert(s.order, i, m)
+		i, _ := slices.BinarySearchFunc(s.sortedMachines, m, func(a, b *machine) int { return cmp.Compare(a.ID, b.ID) })
+		s.sortedMachines = slices.Insert(s.sortedMachines, i, m)
 	}
-	s.replan = s.replan || !m.fenced || m.Machine != o.Machine || m.usable != o.Usable || m.needToken
-	m.anew = m.anew || m.Machine != o.Machine
+	s.replanAll = s.replanAll || !m.fenced || m.Machine != o.Machine || m.usable != o.Usable || m.tokenNeeded
+	m.summaryChanged = m.summaryChanged || m.Machine != o.Machine
 	m.Machine = o.Machine
 	if o.Token > m.token {
 		m.token, m.tokenSent = o.Token, false
 	}
-	m.needToken = false
+	m.tokenNeeded = false
 	if m.refence {
-		m.refence, m.first, m.tokenOffered = false, o.Token, 0
+		m.refence, m.fencingToken, m.tokenOfferedAt = false, o.Token, 0
 	}
 	m.usable = o.Usable
-	m.wake, m.patient = true, 0
+	m.needsFlush, m.directNotBefore = true, 0
 }
 
-func (s *Shard) give(now time.Duration, d model.Assignment) {
-	s.deals++
-	if s.tasks[d.Task] != nil {
+func (s *Shard) acceptAssignment(now time.Duration, assignment model.Assignment) {
+	s.assignmentsReceived++
+	if s.tasks[assignment.Task] != nil {
 		return
 	}
-	t := &task{Assignment: d, price: d.Price, told: d.Redispatched}
-	s.tasks[d.Task] = t
-	if d.Attempt != 0 {
-		m := s.machines[d.Machine]
+	t := &task{Assignment: assignment, price: assignment.Price, interruptionReported: assignment.Redispatched}
+	s.tasks[assignment.Task] = t
+	if assignment.Attempt != 0 {
+		m := s.machines[assignment.Machine]
 		if m == nil {
 			// The dealer asks no shard to adopt from a machine that it takes
 			// away. Placing the task anew could run it twice.
 			return
 		}
-		if sl := m.slots.get(key{d.Task, d.Attempt}); sl != nil && sl.state == live {
-			sl.t, t.slot, sl.stray = t, sl, false
-			m.priced = false
-			sl.adopted, sl.unchecked = true, !d.WithinLimits
-			if sl.stage == model.Running {
-				sl.runSince = now
+		if a := m.attempts.get(attemptKey{assignment.Task, assignment.Attempt}); a != nil && a.state == live {
+			a.assigned, t.attempt, a.notAdopted = t, a, false
+			m.minPriceValid = false
+			a.adopted, a.limitsUnchecked = true, !assignment.WithinLimits
+			if a.stage == model.Running {
+				a.runningSince = now
 			}
-			m.used = m.used.Sub(sl.each).Add(d.Spec.PerTask)
-			sl.each = d.Spec.PerTask
-			m.images[d.Spec.Image] = true
+			m.used = m.used.Sub(a.resources).Add(assignment.Spec.PerTask)
+			a.resources = assignment.Spec.PerTask
+			m.images[assignment.Spec.Image] = true
 			return
 		}
 		// It is nowhere since it was found. It was charged to be adopted, not to be started.
-		s.release(t, model.CauseStopped)
+		s.returnTask(t, model.CauseStopped)
 		return
 	}
 	s.enqueue(now, t)
 }
 
 func (s *Shard) enqueue(now time.Duration, t *task) {
-	t.slot, t.queued = nil, now
+	t.attempt, t.queuedAt = nil, now
 	k := groupKey{t.Task.Job, t.Zone}
-	g := s.queue[k]
+	g := s.waiting[k]
 	if g == nil {
-		g = &group{job: t.Task.Job, zone: t.Zone, spec: t.Spec, price: t.price, since: t.WaitingSince}
-		s.queue[k] = g
+		g = &waitingGroup{job: t.Task.Job, zone: t.Zone, spec: t.Spec, price: t.price, waitingSince: t.WaitingSince}
+		s.waiting[k] = g
 	}
-	g.since = min(g.since, t.WaitingSince)
+	g.waitingSince = min(g.waitingSince, t.WaitingSince)
 	g.tasks = append(g.tasks, t)
-	s.replan = true
+	s.replanAll = true
 }
 
 func (s *Shard) dequeue(t *task) {
 	k := groupKey{t.Task.Job, t.Zone}
-	if g := s.queue[k]; g != nil {
+	if g := s.waiting[k]; g != nil {
 		g.tasks = slices.DeleteFunc(g.tasks, func(x *task) bool { return x == t })
 		if len(g.tasks) == 0 {
-			delete(s.queue, k)
+			delete(s.waiting, k)
 		}
 	}
 }
 
-func (s *Shard) recall(now time.Duration, t *task) {
+func (s *Shard) recallTask(now time.Duration, t *task) {
 	t.recalled = true
-	if t.slot == nil {
+	if t.attempt == nil {
 		s.dequeue(t)
-		s.release(t, model.CauseStopped)
+		s.returnTask(t, model.CauseStopped)
 		return
 	}
-	s.stop(now, t.slot, graceOf(t.Spec))
+	s.stopAttempt(now, t.attempt, checkpointGrace(t.Spec))
 }
 
-// release gives a task that is nowhere back to the dealer.
-func (s *Shard) release(t *task, c model.Cause) {
+// returnTask gives a task that is nowhere back to the dealer.
+func (s *Shard) returnTask(t *task, cause model.Cause) {
 	delete(s.tasks, t.Task)
-	e := model.Event{Kind: model.TaskReturned, Task: t.Task, Cause: c}
-	if m := t.on(); m != nil {
-		e.Machine = m.ID
+	event := model.Event{Kind: model.TaskReturned, Task: t.Task, Cause: cause}
+	if m := t.machine(); m != nil {
+		event.Machine = m.ID
 	}
-	t.slot = nil
-	s.emit(e)
+	t.attempt = nil
+	s.emit(event)
 }
 
 func (s *Shard) endJob(now time.Duration, job model.JobID) {
-	for k, g := range s.queue {
+	for k, g := range s.waiting {
 		if k.job == job {
-			delete(s.queue, k)
+			delete(s.waiting, k)
 			for _, t := range g.tasks {
-				s.release(t, model.CauseStopped)
+				s.returnTask(t, model.CauseStopped)
 			}
 			g.tasks = nil
 		}
 	}
-	for _, sl := range s.attempts(job) {
-		if sl.t != nil {
-			sl.t.recalled = true
+	for _, a := range s.sortedAttempts(job) {
+		if a.assigned != nil {
+			a.assigned.recalled = true
 		}
-		if sl.state == exited {
-			sl.clear = true
+		if a.state == exited {
+			a.clearable = true
 		} else {
-			s.stop(now, sl, 0)
+			s.stopAttempt(now, a, 0)
 		}
 	}
 }
 
-// reprice changes the price of all of a job's tasks, waiting ones included: a
+// repriceJob changes the price of all of a job's tasks, waiting ones included: a
 // task that kept an older, lower price could fall victim to its own job.
-func (s *Shard) reprice(job model.JobID, price float64, aim model.Objective) {
-	var was, is *model.Spec
-	spec := func(sp *model.Spec) *model.Spec {
-		if aim == model.ObjectiveUnchanged || sp.BestEffort == (aim == model.NoObjective) {
-			return sp
+func (s *Shard) repriceJob(job model.JobID, price float64, objective model.Objective) {
+	var oldSpec, newSpec *model.Spec
+	withObjective := func(spec *model.Spec) *model.Spec {
+		if objective == model.ObjectiveUnchanged || spec.BestEffort == (objective == model.NoObjective) {
+			return spec
 		}
-		if sp != was { // others hold the one of before
-			c := *sp
-			c.BestEffort = !c.BestEffort
-			was, is = sp, &c
+		if spec != oldSpec { // others hold the one of before
+			changed := *spec
+			changed.BestEffort = !changed.BestEffort
+			oldSpec, newSpec = spec, &changed
 		}
-		return is
+		return newSpec
 	}
-	for k, g := range s.queue {
+	for k, g := range s.waiting {
 		if k.job == job {
-			g.price, g.spec = price, spec(g.spec)
+			g.price, g.spec = price, withObjective(g.spec)
 			for _, t := range g.tasks {
-				t.price, t.Spec = price, spec(t.Spec)
+				t.price, t.Spec = price, withObjective(t.Spec)
 			}
 		}
 	}
-	for _, sl := range s.ofJob[job] {
-		if sl.t != nil {
-			sl.t.price, sl.t.Spec = price, spec(sl.t.Spec)
-			sl.m.priced = false
+	for _, a := range s.attemptsByJob[job] {
+		if a.assigned != nil {
+			a.assigned.price, a.assigned.Spec = price, withObjective(a.assigned.Spec)
+			a.m.minPriceValid = false
 		}
 	}
 }
--- a/internal/core/shard/status.go
+++ b/internal/core/shard/status.go
@@ -17,63 +17,64 @@
 // asked for.
 func (s *Shard) TakeStatus(now time.Duration) []model.MachineStatus {
 	var out []model.MachineStatus
-	for _, m := range s.order {
-		if b := s.brief(now, m); m.anew || b != m.last {
-			m.last, m.anew = b, false
-			out = append(out, m.summary(b))
+	for _, m := range s.sortedMachines {
+		if summary := s.summarize(now, m); m.summaryChanged || summary != m.lastSummary {
+			m.lastSummary, m.summaryChanged = summary, false
+			out = append(out, m.status(summary))
 		}
 	}
 	return out
 }
 
-// brief is what often changes in a machine's summary.
-type brief struct {
+// machineSummary is what often changes in a machine's summary.
+type machineSummary struct {
 	avail                   model.Resources
 	ready, draining, faulty bool
-	slots                   int
+	attempts                int
 	idleSince               time.Duration
 }
 
-func (s *Shard) brief(now time.Duration, m *machine) brief {
-	n := m.inUseBy()
-	if n == 0 && m.inUse {
+func (s *Shard) summarize(now time.Duration, m *machine) machineSummary {
+	inUse := m.attemptsInUse()
+	if inUse == 0 && m.inUse {
 		m.idleSince = now
 	}
-	m.inUse = n > 0
+	m.inUse = inUse > 0
 	avail := m.Cap.Sub(m.used)
-	if now < m.keptUntil {
+	if now < m.reservedUntil {
 		avail = model.Resources{} // it is promised: whatever is dealt on the strength of it would wait
 	}
-	return brief{
+	return machineSummary{
 		avail:     avail,
 		ready:     s.ready(now, m),
-		draining:  m.noticeAt != 0 || m.inboundLost || s.unverified(now, m),
+		draining:  m.preemptionAt != 0 || m.inboundLost || s.unverified(now, m),
 		faulty:    now < m.faultyUntil,
-		slots:     n,
+		attempts:  inUse,
 		idleSince: m.idleSince,
 	}
 }
 
-// inUseBy counts the attempts that are on the machine, or that it is still to tell of:
+// attemptsInUse counts the attempts that are on the machine, or that it is still to tell of:
 // those that only wait to be cleared are neither.
-func (m *machine) inUseBy() (n int) {
-	for _, sl := range m.slots {
-		if sl.state != exited || !sl.clear {
+func (m *machine) attemptsInUse() (n int) {
+	for _, a := range m.attempts {
+		if a.state != exited || !a.clearable {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *machine) summary(b brief) model.MachineStatus {
-	return model.MachineStatus{Machine: m.Machine, Avail: b.avail, Ready: b.ready, Draining: b.draining, Slots: b.slots,
-		IdleSince: b.idleSince, Faulty: b.faulty}
+func (m *machine) status(summary machineSummary) model.MachineStatus {
+	return model.MachineStatus{Machine: m.Machine, Avail: summary.avail, Ready: summary.ready,
+		Draining: summary.draining, Slots: summary.attempts,
+		IdleSince: summary.idleSince, Faulty: summary.faulty}
 }
 
 // WaitingCount returns how many tasks wait.
 func (s *Shard) WaitingCount() int {
 	n := 0
-	for _, g := range s.queue {
+	for _, g := range s.waiting {
 		n += len(g.tasks)
 	}
 	return n
@@ -82,8 +83,8 @@
 // Images tells, for each of the shard's machines, the images that it has been
 // given tasks for.
 func (s *Shard) Images() map[model.MachineID]map[model.Name]bool {
-	out := make(map[model.MachineID]map[model.Name]bool, len(s.order))
-	for _, m := range s.order {
+	out := make(map[model.MachineID]map[model.Name]bool, len(s.sortedMachines))
+	for _, m := range s.sortedMachines {
 		out[m.ID] = m.images
 	}
 	return out
@@ -91,56 +92,58 @@
 
 // RestoreImages takes what the controller's shard of an earlier term knew of images:
 // a hint for placing, which the machines keep when a leader is lost.
-func (s *Shard) RestoreImages(images map[model.MachineID]map[model.Name]bool) { s.images = images }
+func (s *Shard) RestoreImages(images map[model.MachineID]map[model.Name]bool) {
+	s.rememberedImages = images
+}
 
 // Owns tells whether the machine is this shard's.
 func (s *Shard) Owns(id model.MachineID) bool { return s.machines[id] != nil }
 
 // AssignmentsReceived counts the deals received.
-func (s *Shard) AssignmentsReceived() uint64 { return s.deals }
+func (s *Shard) AssignmentsReceived() uint64 { return s.assignmentsReceived }
 
 // TaskCounts counts the waiting and the running tasks of each job. The running ones,
 // which are for display only, are counted once a second.
 func (s *Shard) TaskCounts(now time.Duration) map[model.JobID]model.TaskCounts {
-	if s.running == nil || now-s.counted >= time.Second {
-		s.running, s.counted = map[model.JobID]int{}, now
-		for job, l := range s.ofJob {
-			for _, sl := range l {
-				if sl.t != nil && sl.state == live && sl.stage == model.Running {
-					s.running[job]++
+	if s.runningCounts == nil || now-s.runningCountedAt >= time.Second {
+		s.runningCounts, s.runningCountedAt = map[model.JobID]int{}, now
+		for job, list := range s.attemptsByJob {
+			for _, a := range list {
+				if a.assigned != nil && a.state == live && a.stage == model.Running {
+					s.runningCounts[job]++
 				}
 			}
 		}
 	}
-	out := make(map[model.JobID]model.TaskCounts, len(s.running))
-	for id, n := range s.running {
+	out := make(map[model.JobID]model.TaskCounts, len(s.runningCounts))
+	for id, n := range s.runningCounts {
 		out[id] = model.TaskCounts{Running: n}
 	}
-	for k, g := range s.queue {
-		c := out[k.job]
-		c.Waiting += len(g.tasks)
-		out[k.job] = c
+	for k, g := range s.waiting {
+		counts := out[k.job]
+		counts.Waiting += len(g.tasks)
+		out[k.job] = counts
 	}
 	return out
 }
 
-// lookAt tells what runs on a machine. It goes out behind what was said of the
+// inspect tells what runs on a machine. It goes out behind what was said of the
 // machine before, so it holds for after every order that came first.
-func (s *Shard) lookAt(now time.Duration, o model.Order) {
+func (s *Shard) inspect(now time.Duration, o model.Order) {
 	m := s.machines[o.ID]
 	if m == nil {
 		return // the next owner is asked
 	}
-	s.emit(model.Event{Kind: model.MachineInspected, Machine: m.ID, Token: o.Token, Placed: m.on(now)})
+	s.emit(model.Event{Kind: model.MachineInspected, Machine: m.ID, Token: o.Token, Placed: m.placedTasks(now)})
 }
 
-// on is what is on the machine, or may be.
-func (m *machine) on(now time.Duration) []model.PlacedTask {
+// placedTasks is what is on the machine, or may be.
+func (m *machine) placedTasks(now time.Duration) []model.PlacedTask {
 	var out []model.PlacedTask
-	for _, sl := range m.slots {
-		if sl.state != exited {
-			out = append(out, model.PlacedTask{Task: sl.task, Stage: sl.stage, RunTime: max(0, sl.ran(now)), Stopping: sl.stop,
-				Adopted: sl.adopted})
+	for _, a := range m.attempts {
+		if a.state != exited {
+			out = append(out, model.PlacedTask{Task: a.task, Stage: a.stage, RunTime: max(0, a.ran(now)), Stopping: a.stopping,
+				Adopted: a.adopted})
 		}
 	}
 	return out
--- a/internal/core/shard/tick.go
+++ b/internal/core/shard/tick.go
@@ -9,67 +9,67 @@
 
 // Tick settles what time alone decides.
 func (s *Shard) Tick(now time.Duration) {
-	for _, m := range s.order {
-		if now-m.answered > s.p.MaxLease && (!m.leaseExpired || now-m.expiryTold > 5*time.Second) {
+	for _, m := range s.sortedMachines {
+		if now-m.answeredAt > s.params.MaxLease && (!m.leaseExpired || now-m.expiryReportedAt > 5*time.Second) {
 			// Its lease is over, unless another controller has answered it:
 			// the dealer knows.
-			m.leaseExpired, m.expiryTold = true, now
+			m.leaseExpired, m.expiryReportedAt = true, now
 			s.emit(model.Event{Kind: model.LeaseExpired, Machine: m.ID, Token: m.token})
 		}
-		s.probe(now, m)
-		if m.noticeAt != 0 {
+		s.probeOverdue(now, m)
+		if m.preemptionAt != 0 {
 			s.evacuate(now, m)
 		}
-		if s.quiet(now, m) || m.inboundLost {
-			s.unreserve(now, m)
+		if s.notReporting(now, m) || m.inboundLost {
+			s.cancelUnsent(now, m)
 		}
 	}
 	if s.HasGrant(now) {
-		s.replan = true // machines may have become ready, victims cheap
+		s.replanAll = true // machines may have become ready, victims cheap
 		s.Place(now)
 	}
 	// A task pinned to a zone without room goes back, to be pinned anew.
-	for _, g := range s.queue {
+	for _, g := range s.waiting {
 		if g.zone == model.None {
 			continue
 		}
 		for _, t := range slices.Clone(g.tasks) {
-			if now-t.queued > pinPatience && !s.first(now, g.job) {
+			if now-t.queuedAt > maxPinnedWait && !s.isExpedited(now, g.job) {
 				s.dequeue(t)
-				s.release(t, model.CauseStopped)
+				s.returnTask(t, model.CauseStopped)
 			}
 		}
 	}
 }
 
-const pinPatience = 15 * time.Second
+const maxPinnedWait = 15 * time.Second
 
-// quiet tells whether a worker's report is overdue: nothing new goes there.
-func (s *Shard) quiet(now time.Duration, m *machine) bool {
-	return now-m.answered > s.p.ReportInterval*5/2+500*time.Millisecond
+// notReporting tells whether a worker's report is overdue: nothing new goes there.
+func (s *Shard) notReporting(now time.Duration, m *machine) bool {
+	return now-m.answeredAt > s.params.ReportInterval*5/2+500*time.Millisecond
 }
 
 // evacuate moves tasks off a machine that will be taken: those that save, just
 // in time; those that would not finish, at once.
 func (s *Shard) evacuate(now time.Duration, m *machine) {
-	for _, sl := range slices.Clone(m.slots) {
-		if sl.t == nil || sl.state == exited || sl.stop {
+	for _, a := range slices.Clone(m.attempts) {
+		if a.assigned == nil || a.state == exited || a.stopping {
 			continue
 		}
-		sp := sl.t.Spec
-		if !sl.sent {
-			s.stop(now, sl, 0)
+		spec := a.assigned.Spec
+		if !a.launchSent {
+			s.stopAttempt(now, a, 0)
 			continue
 		}
-		left := m.noticeAt - now
+		left := m.preemptionAt - now
 		switch {
-		case sp.CheckpointInterval > 0 || sp.Daemon:
+		case spec.CheckpointInterval > 0 || spec.Daemon:
 			// The notice may be half its nominal value: do not cut it fine.
-			if left/2 < graceOf(sp)+s.p.ReportInterval {
-				s.stop(now, sl, graceOf(sp))
+			if left/2 < checkpointGrace(spec)+s.params.ReportInterval {
+				s.stopAttempt(now, a, checkpointGrace(spec))
 			}
-		case sl.stage == model.Fetching || sp.Estimate-sl.ran(now) > left:
-			s.stop(now, sl, 0)
+		case a.stage == model.Fetching || spec.Estimate-a.ran(now) > left:
+			s.stopAttempt(now, a, 0)
 		}
 	}
 }
--- a/internal/core/shard/unreachable_test.go
+++ b/internal/core/shard/unreachable_test.go
@@ -7,26 +7,26 @@
 	"honeylock/internal/core/model"
 )
 
-// zone has ten fenced machines report every second, all but those that are silent,
+// runZone has ten fenced machines report every second, all but those that are silent,
 // and has no direct command of theirs answered. It returns who is told to be unreachable.
-func (r *rig) zone(length time.Duration, silent func(model.MachineID) bool) map[model.MachineID]bool {
+func (h *harness) runZone(duration time.Duration, unresponsive func(model.MachineID) bool) map[model.MachineID]bool {
 	unreachable := map[model.MachineID]bool{}
-	for end := r.now + length; r.now < end; r.now += time.Second {
+	for end := h.now + duration; h.now < end; h.now += time.Second {
 		for id := range model.MachineID(10) {
-			if !silent(id) {
-				r.report(id, 5)
+			if !unresponsive(id) {
+				h.report(id, 5)
 			}
 		}
-		r.s.Tick(r.now)
-		r.s.Flush(r.now, 100)
-		for _, d := range r.s.TakeDirectCommands() {
-			if silent(d.Machine) {
-				r.s.DirectCommandDone(r.now, d, nil, false)
+		h.shard.Tick(h.now)
+		h.shard.Flush(h.now, 100)
+		for _, d := range h.shard.TakeDirectCommands() {
+			if unresponsive(d.Machine) {
+				h.shard.DirectCommandDone(h.now, d, nil, false)
 			} else {
-				r.t.Errorf("machine %d, which reports, is asked directly", d.Machine)
+				h.t.Errorf("machine %d, which reports, is asked directly", d.Machine)
 			}
 		}
-		for _, e := range r.s.TakeEvents() {
+		for _, e := range h.shard.TakeEvents() {
 			switch e.Kind {
 			case model.CommandUnanswered:
 				unreachable[e.Machine] = true
@@ -38,37 +38,37 @@
 	return unreachable
 }
 
-func ten(t *testing.T) *rig {
-	r := newRig(t)
+func newTenMachineHarness(t *testing.T) *harness {
+	h := newHarness(t)
 	for id := range model.MachineID(10) {
-		r.own(id, 5, 8)
-		r.report(id, 5)
+		h.ownMachine(id, 5, 8)
+		h.report(id, 5)
 	}
-	r.s.TakeEvents()
-	return r
+	h.shard.TakeEvents()
+	return h
 }
 
 // The tasks of a machine that had stopped or hung waited for its whole lease.
-func TestAMachineThatNeitherReportsNorAnswersIsTold(t *testing.T) {
-	r := ten(t)
+func TestUnresponsiveMachineIsReportedUnreachable(t *testing.T) {
+	h := newTenMachineHarness(t)
 	two := func(id model.MachineID) bool { return id < 2 }
-	if unreachable := r.zone(9*time.Second, two); len(unreachable) != 2 || !unreachable[0] || !unreachable[1] {
+	if unreachable := h.runZone(9*time.Second, two); len(unreachable) != 2 || !unreachable[0] || !unreachable[1] {
 		t.Fatalf("unreachable: %v, want machines 0 and 1 before their lease of 10 s is over", unreachable)
 	}
-	r.report(0, 5)
-	if e := r.events(model.WorkerBack); len(e) != 1 || e[0].Machine != 0 {
+	h.report(0, 5)
+	if e := h.takeEvents(model.WorkerBack); len(e) != 1 || e[0].Machine != 0 {
 		t.Errorf("events %+v, want machine 0 heard", e)
 	}
 }
 
 // A zone that is out of reach is no reason to give its machines up.
-func TestAZoneOutOfReachIsNotDeaf(t *testing.T) {
-	r := ten(t)
-	if unreachable := r.zone(9*time.Second, func(model.MachineID) bool { return true }); len(unreachable) != 0 {
+func TestUnreachableZoneMarksNoMachineUnreachable(t *testing.T) {
+	h := newTenMachineHarness(t)
+	if unreachable := h.runZone(9*time.Second, func(model.MachineID) bool { return true }); len(unreachable) != 0 {
 		t.Errorf("unreachable: %v", unreachable)
 	}
-	r = ten(t)
-	if unreachable := r.zone(9*time.Second, func(id model.MachineID) bool { return id > 4 }); len(unreachable) != 0 {
+	h = newTenMachineHarness(t)
+	if unreachable := h.runZone(9*time.Second, func(id model.MachineID) bool { return id > 4 }); len(unreachable) != 0 {
 		t.Errorf("half of the zone is silent, and unreachable: %v", unreachable)
 	}
 }
