--- a/internal/core/shard/attempt.go
+++ b/internal/core/shard/attempt.go
@@ -25,7 +25,7 @@
 // attempt is an attempt that is, or may be, on a machine.
 type attempt struct {
 	attemptKey
-	m                *machine
+	machine          *machine
 	jobIndex         int    // in its job's list
 	lastSeen         uint64 // the take that last showed it
 	assigned         *task  // nil: an attempt that nobody here holds
@@ -80,14 +80,14 @@
 		s.simulation.stopped = append(s.simulation.stopped, a)
 	}
 	a.stopping, a.grace = true, grace
-	a.m.minPriceValid = false
+	a.machine.minPriceValid = false
 	a.killAt = now + grace + s.params.ReportInterval + 2*time.Second
-	a.m.needsFlush = true
+	a.machine.needsFlush = true
 }
 
 // removeAttempt removes a slot from its machine's books.
 func (s *Shard) removeAttempt(now time.Duration, a *attempt) {
-	m := a.m
+	m := a.machine
 	if a.state != exited {
 		s.freeResources(a)
 	}
@@ -97,7 +97,7 @@
 
 // freeResources gives an attempt's room back to its machine.
 func (s *Shard) freeResources(a *attempt) {
-	m := a.m
+	m := a.machine
 	m.used = m.used.Sub(a.resources)
 	m.lowestRankRound = 0
 	if !m.capacityFreed {
@@ -117,7 +117,7 @@
 		s.reportInterrupted(now, a, cause)
 	}
 	a.assigned = nil
-	a.m.minPriceValid = false
+	a.machine.minPriceValid = false
 	// An unchecked task was charged where it ran, whatever its team's limit and its job's zones
 	// said. To start it again is for the dispatcher to allow, which checks both.
 	if t.recalled || a.limitsUnchecked || cause == model.CauseError || cause == model.CauseUnknown {
@@ -134,7 +134,7 @@
 		return
 	}
 	t.interruptionReported = true
-	s.emit(model.Event{Kind: model.TaskInterrupted, Machine: a.m.ID, Task: t.Task, Cause: cause, Held: t.recalled,
+	s.emit(model.Event{Kind: model.TaskInterrupted, Machine: a.machine.ID, Task: t.Task, Cause: cause, Held: t.recalled,
 		RunTime: lostWork(now, a)})
 }
 
--- a/internal/core/shard/attempt_list.go
+++ b/internal/core/shard/attempt_list.go
@@ -34,18 +34,18 @@
 	m.attempts = slices.Insert(m.attempts, i, a)
 	m.minPriceValid = false
 	job := a.task.Job
-	a.m, a.jobIndex = m, len(s.attemptsByJob[job])
+	a.machine, a.jobIndex = m, len(s.attemptsByJob[job])
 	s.attemptsByJob[job] = append(s.attemptsByJob[job], a)
 }
 
 // detachAttempt takes an attempt out of both.
 func (s *Shard) detachAttempt(a *attempt) {
-	i, ok := a.m.attempts.find(a.attemptKey)
+	i, ok := a.machine.attempts.find(a.attemptKey)
 	if !ok {
 		return
 	}
-	a.m.attempts = slices.Delete(a.m.attempts, i, i+1)
-	a.m.minPriceValid = false
+	a.machine.attempts = slices.Delete(a.machine.attempts, i, i+1)
+	a.machine.minPriceValid = false
 	s.removeFromJob(a)
 }
 
@@ -68,7 +68,7 @@
 func (s *Shard) sortedAttempts(job model.JobID) []*attempt {
 	list := slices.Clone(s.attemptsByJob[job])
 	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.m.ID, b.m.ID), a.attemptKey.compare(b.attemptKey))
+		return cmp.Or(cmp.Compare(a.machine.ID, b.machine.ID), a.attemptKey.compare(b.attemptKey))
 	})
 	return list
 }
--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -221,17 +221,17 @@
 
 // preferred breaks ties: a machine that has the image, then a cheaper (spot)
 // one, then the fuller.
-func preferred(spec *model.Spec, m, than *machine) bool {
-	if a, b := m.images[spec.Image], than.images[spec.Image]; a != b {
+func preferred(spec *model.Spec, m, other *machine) bool {
+	if a, b := m.images[spec.Image], other.images[spec.Image]; a != b {
 		return a
 	}
-	if m.Spot != than.Spot {
+	if m.Spot != other.Spot {
 		return m.Spot
 	}
-	if a, b := m.Cap.CPU-m.used.CPU, than.Cap.CPU-than.used.CPU; a != b {
+	if a, b := m.Cap.CPU-m.used.CPU, other.Cap.CPU-other.used.CPU; a != b {
 		return a < b
 	}
-	return m.ID < than.ID
+	return m.ID < other.ID
 }
 
 // lostWork is the work that a victim loses: all of its run time, or what it has
@@ -296,12 +296,12 @@
 	if v.minPrice >= g.price {
 		return nil
 	}
-	fits := func(i int) bool {
+	matches := func(i int) bool {
 		return v.machines[i].minPrice < g.price && v.shard.canPlace(v.now, g, v.machines[i].machine)
 	}
 	var picked []int
 	for range 8 * count {
-		if i := v.shard.rng.IntN(len(v.machines)); fits(i) && !slices.Contains(picked, i) {
+		if i := v.shard.rng.IntN(len(v.machines)); matches(i) && !slices.Contains(picked, i) {
 			if picked = append(picked, i); len(picked) == count {
 				return picked
 			}
@@ -309,7 +309,7 @@
 	}
 	var all []int
 	for i := range v.machines {
-		if fits(i) {
+		if matches(i) {
 			all = append(all, i)
 		}
 	}
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -218,7 +218,7 @@
 		s.removeAttempt(now, a)
 	case live: // the worker knew it and knows it no more
 		if a.directToken != 0 && r.Token <= a.directToken {
-			s.requireHigherToken(a.m) // its launch, repeated, would begin it anew
+			s.requireHigherToken(a.machine) // its launch, repeated, would begin it anew
 			return
 		}
 		s.removeAttempt(now, a)
@@ -232,7 +232,7 @@
 		// later report was made.
 		laterReport := isReport && r.Seq > a.launchSeq
 		if laterReport && a.launchSeq != 0 {
-			s.recordIgnoredLaunch(a.m, r)
+			s.recordIgnoredLaunch(a.machine, r)
 		}
 		launchOver := a.directLaunches == 0 && (a.directToken == 0 || r.Token > a.directToken) &&
 			(a.launchSeq == 0 || laterReport)
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -38,7 +38,7 @@
 	if t.attempt == nil {
 		return nil
 	}
-	return t.attempt.m
+	return t.attempt.machine
 }
 
 type waitingGroup struct {
@@ -417,7 +417,7 @@
 	for _, a := range s.attemptsByJob[job] {
 		if a.assigned != nil {
 			a.assigned.price, a.assigned.Spec = price, withObjective(a.assigned.Spec)
-			a.m.minPriceValid = false
+			a.machine.minPriceValid = false
 		}
 	}
 }
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -56,7 +56,7 @@
 		used := model.Resources{}
 		for i, a := range m.attempts {
 			ordered := i == 0 || m.attempts[i-1].attemptKey.compare(a.attemptKey) < 0
-			if l := h.shard.attemptsByJob[a.task.Job]; a.m != m || l[a.jobIndex] != a || !ordered {
+			if l := h.shard.attemptsByJob[a.task.Job]; a.machine != m || l[a.jobIndex] != a || !ordered {
 				h.t.Fatalf("machine %d, %v: not in its job's list, or out of order", m.ID, a.attemptKey)
 			}
 			if a.state != exited {
--- a/internal/core/shard/simulation.go
+++ b/internal/core/shard/simulation.go
@@ -83,7 +83,7 @@
 
 // Place places what waits, on whichever machine, and carries the evictions out.
 // Tasks that had to stop wait again.
-func (sim *Simulation) Place(now time.Duration) (begun []StartedTask, stopped []StoppedTask) {
+func (sim *Simulation) Place(now time.Duration) (started []StartedTask, stopped []StoppedTask) {
 	sim.shard.replanAll = true
 	sim.shard.Place(now)
 	for _, a := range sim.stopped {
@@ -99,15 +99,16 @@
 		}
 		fetch := time.Duration(0)
 		if a.fetchesImage {
-			fetch = a.m.pullTime(t.Spec)
+			fetch = a.machine.pullTime(t.Spec)
 		}
 		a.launchSent, a.state, a.stage, a.runningSince = true, live, model.Running, now+fetch
-		begun = append(begun, StartedTask{Task: a.task, Spec: t.Spec, Machine: a.m.ID, Attempt: a.number, FetchTime: fetch})
+		started = append(started, StartedTask{Task: a.task, Spec: t.Spec, Machine: a.machine.ID, Attempt: a.number,
+			FetchTime: fetch})
 	}
 	sim.started = sim.started[:0]
 	sim.shard.events = sim.shard.events[:0]
 	sim.shard.directCommands = nil
-	return begun, stopped
+	return started, stopped
 }
 
 // stopTask takes a task off its machine, and lets it wait again.
@@ -126,7 +127,7 @@
 	}
 	delete(sim.shard.tasks, t)
 	finished.attempt.assigned = nil
-	finished.attempt.m.minPriceValid = false
+	finished.attempt.machine.minPriceValid = false
 	sim.shard.removeAttempt(now, finished.attempt)
 	return true
 }
