--- a/internal/core/shard/machine.go
+++ b/internal/core/shard/machine.go
@@ -6,46 +6,46 @@
 	"honeylock/internal/core/model"
 )
 
-// machine is what the shard knows of a machine that it owns.
+// machine is the shard's state for a machine that it owns.
 type machine struct {
 	model.Machine
 	reachability
-	token, shownToken uint64
-	fencingToken      uint64 // the token whose showing fences the worker
-	fenced            bool
-	usable            bool
-	minPrice          float64 // the lowest price that runs here
-	minPriceValid     bool    // low holds: nothing has changed since
-	session, seq      uint64
-	endedSession      uint64        // of a fenced worker: it, and those before, ended with a lapse; 0: none has
-	tokenSent         bool          // the worker was sent its token
-	reportSeq         uint64        // of session: the newest report, answers to direct commands left out
-	everAnswered      bool          // this shard has answered it
-	refence           bool          // the token to come is the one to be shown
-	tokenRaisedAt     time.Duration // a higher token was last asked for to clear attempts
-	unclearedSince    time.Duration // attempts that could be cleared are kept since, 0: there are none
-	inUse             bool          // has attempts besides those that only wait to be cleared
-	answeredAt        time.Duration
-	attempts          attemptList
-	used              model.Resources // of all slots not exited, reservations included
-	images            map[model.Name]bool
-	preemptionAt      time.Duration // 0: none
-	commandsInFlight  int
-	directRetryAt     time.Duration
-	tokenNeeded       bool
-	idleSince         time.Duration
-	errors            []jobError
-	faultyUntil       time.Duration  // held to be faulty
-	refusedUntil      time.Duration  // it had less room than the books say
-	needsFlush        bool           // has commands that should go out directly
-	reservedFor       model.JobID    // no other job's tasks are placed here
-	reservedUntil     time.Duration  // ... until then
-	directNotBefore   time.Duration  // not directly before, while it is not fenced
-	needsProbe        bool           // its worker is to be asked, whether there are commands or not
-	capacityFreed     bool           // has had room freed since waiting tasks were placed
-	lastSummary       machineSummary // as last told to the dealer
-	summaryChanged    bool           // more has changed since than that
-	lowestRankRound   uint64         // round in which lowest and busy were looked up
-	lowestRank        model.Rank
-	hasTasks          bool
+	token, shownToken uint64              // the shard's newest token, and the one in the worker's newest message
+	fencingToken      uint64              // the worker is fenced once it shows this token or a higher one
+	fenced            bool                // the worker has shown fencingToken: it refuses earlier owners' commands
+	usable            bool                // the dispatcher allows tasks to be placed here
+	minPrice          float64             // cached result of computeMinTaskPrice
+	minPriceValid     bool                // minPrice is up to date
+	session, seq      uint64              // of the worker's newest message
+	endedSession      uint64              // sessions up to this one ended with a confirmed lease expiry; 0: none
+	tokenSent         bool                // the newest token was sent to the worker
+	reportSeq         uint64              // newest report of the session, not counting answers to direct commands
+	everAnswered      bool                // this shard has answered a report of the worker
+	refence           bool                // the next token that the dispatcher assigns becomes fencingToken
+	tokenRaisedAt     time.Duration       // when a higher token was last requested in order to clear attempts
+	unclearedSince    time.Duration       // since when clearable attempts wait for a higher token; 0: there are none
+	inUse             bool                // has attempts other than those that only wait to be cleared
+	answeredAt        time.Duration       // the worker's lease counts as renewed at this time
+	attempts          attemptList         // attempts that are, or may be, on the machine
+	used              model.Resources     // of all attempts that have not exited, unsent ones included
+	images            map[model.Name]bool // images that the machine is expected to have
+	preemptionAt      time.Duration       // when the cloud takes the machine; 0: no notice
+	commandsInFlight  int                 // direct commands without an outcome so far
+	directRetryAt     time.Duration       // no direct command before this time
+	tokenNeeded       bool                // a higher token was requested; no tasks are placed until it arrives
+	idleSince         time.Duration       // when the last attempt in use was gone
+	errors            []jobError          // recent task errors on this machine
+	faultyUntil       time.Duration       // the machine is considered faulty until then
+	refusedUntil      time.Duration       // the worker refused a launch for lack of capacity; no tasks until then
+	needsFlush        bool                // has commands that should be sent directly
+	reservedFor       model.JobID         // no other job's tasks are placed here before reservedUntil
+	reservedUntil     time.Duration       // end of the reservation
+	directNotBefore   time.Duration       // an unfenced worker gets no direct command before this time
+	needsProbe        bool                // send a direct command even if it is empty
+	capacityFreed     bool                // is in Shard.freedMachines
+	lastSummary       machineSummary      // as last returned by TakeStatus
+	summaryChanged    bool                // a part of the status outside lastSummary has changed since
+	lowestRankRound   uint64              // the placement round that lowestRank and hasTasks were computed in
+	lowestRank        model.Rank          // cached result of Shard.lowestRank
+	hasTasks          bool                // a task of this shard is on the machine
 }
--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -10,10 +10,12 @@
 	"honeylock/internal/core/model"
 )
 
-// maxAttemptsPerMachine is how many attempts a machine may have and still get more: a report holds
-// 64 KiB, and what has ended is told until it is stored, which may take a whole outage.
+// maxAttemptsPerMachine is the number of attempts from which on a machine gets no more tasks. A
+// report holds at most 64 KiB, and lists finished attempts until their completion is stored,
+// which may take as long as an outage of the state service.
 const maxAttemptsPerMachine = 400
 
+// ready reports whether new tasks may be placed on the machine now.
 func (s *Shard) ready(now time.Duration, m *machine) bool {
 	return m.fenced && m.usable && len(m.attempts) < maxAttemptsPerMachine && !m.leaseExpired && !m.inboundLost &&
 		m.preemptionAt == 0 &&
@@ -21,10 +23,10 @@
 		now >= m.refusedUntil && !m.tokenNeeded && !s.notReporting(now, m)
 }
 
-// lowestRank is the lowest priority that runs on the machine. A machine that runs
-// nothing counts as running the lowest there is. It is looked up once a round of
-// placing: with hundreds of groups and 1,636 machines of 24 tasks each a round
-// took 1.8 s otherwise.
+// lowestRank returns the lowest rank of the tasks on the machine. A machine without
+// tasks counts as having the lowest rank there is. The result is cached for one
+// placement round: without the cache, a round with hundreds of groups and 1,636
+// machines of 24 tasks each took 1.8 s.
 func (s *Shard) lowestRank(m *machine) model.Rank {
 	if m.lowestRankRound != s.round {
 		m.lowestRankRound, m.lowestRank, m.hasTasks = s.round, model.Idle, false
@@ -37,20 +39,21 @@
 	return m.lowestRank
 }
 
-// noteRank notes that a task of a rank is on the machine.
+// noteRank updates the cached lowest rank for a task that is on the machine.
 func (m *machine) noteRank(r model.Rank) {
 	if !m.hasTasks || r < m.lowestRank {
 		m.lowestRank, m.hasTasks = r, true
 	}
 }
 
+// score returns the group's place in the placement order: the highest score goes first.
 func (g *waitingGroup) score(now time.Duration) float64 {
 	return g.spec.Score(g.price, now-g.waitingSince)
 }
 
-// Place puts waiting tasks on machines, the highest price times wait first. As
-// long as only machines' room has changed, only those machines are looked at:
-// elsewhere there was no room for what waits.
+// Place assigns waiting tasks to machines, in order of their score. If only the free
+// capacity of some machines has changed since the last call, it examines only these:
+// no other machine had capacity for the waiting tasks.
 func (s *Shard) Place(now time.Duration) {
 	if !s.HasGrant(now) {
 		return
@@ -76,14 +79,16 @@
 	}
 }
 
-// PlaceOn puts waiting tasks on one machine, so that the answer to its report
-// can carry them.
+// PlaceOn assigns waiting tasks to one machine with freed capacity, so that the answer
+// to the report of its worker can carry their launches.
 func (s *Shard) PlaceOn(now time.Duration, id model.MachineID) {
 	if m := s.machines[id]; m != nil && m.capacityFreed && s.HasGrant(now) {
 		s.placeOn(now, m)
 	}
 }
 
+// placeOn fills a machine's free capacity with waiting tasks: expedited jobs first, then
+// the groups in their last ranking. It evicts nothing.
 func (s *Shard) placeOn(now time.Duration, m *machine) {
 	s.placeExpeditedOn(now, m)
 	for _, g := range s.rankedGroups {
@@ -97,13 +102,15 @@
 	}
 }
 
-// removeIfEmpty drops a group of which no task waits any more.
+// removeIfEmpty deletes a group without waiting tasks.
 func (s *Shard) removeIfEmpty(g *waitingGroup) {
 	if k := (groupKey{g.job, g.zone}); len(g.tasks) == 0 && s.waiting[k] == g {
 		delete(s.waiting, k)
 	}
 }
 
+// placeAll runs a full placement round: it ranks all waiting groups and places each on the
+// machines with free capacity, evicting cheaper tasks where there is none.
 func (s *Shard) placeAll(now time.Duration) {
 	s.round++
 	s.rankedGroups = s.rankedGroups[:0]
@@ -133,8 +140,9 @@
 	s.victimMachines = index.machines
 }
 
-// placeGroup puts up to n of a group's tasks on machines. Each is tried once a round,
-// whatever evictions put back.
+// placeGroup places up to count of a group's tasks: on candidate machines first, then by
+// eviction. The count bounds the attempts of one round, because an eviction may put a
+// task back into a waiting group.
 func (s *Shard) placeGroup(now time.Duration, g *waitingGroup, count int, machines *candidates, index *victimIndex) {
 	for ; count > 0 && len(g.tasks) > 0; count-- {
 		m := machines.best()
@@ -148,25 +156,30 @@
 	}
 }
 
+// canPlace reports whether the group's tasks may run on the machine. It does not consider
+// whether enough capacity is free there.
 func (s *Shard) canPlace(now time.Duration, g *waitingGroup, m *machine) bool {
 	s.Stats.MachinesExamined++
 	return s.ready(now, m) && !m.reservedForOther(now, g.job) && (g.zone == model.None || g.zone == m.Zone) &&
 		g.spec.Allows(&m.Machine) && g.spec.PerTask.Fits(m.Cap) && !s.avoids(now, g.job, m)
 }
 
-// candidates are the machines with a group's full request free, as a heap: the one
-// that runs the lowest priority first.
+// candidates is a heap of the machines on which a group's tasks fit into the free capacity.
+// The machine whose tasks have the lowest rank comes first, so that important tasks are
+// spread over machines with cheap victims.
 type candidates struct {
 	shard    *Shard
 	spec     *model.Spec
 	machines []candidate
 }
 
+// candidate is a machine in the heap, with its rank at the time that it was put in place.
 type candidate struct {
 	machine    *machine
 	lowestRank model.Rank
 }
 
+// candidates returns the machines among the available ones that can take a task of the group now.
 func (s *Shard) candidates(now time.Duration, g *waitingGroup, available []*machine) *candidates {
 	c := &candidates{shard: s, spec: g.spec}
 	if len(g.tasks) == 0 {
@@ -181,15 +194,24 @@
 	return c
 }
 
-func (c *candidates) Len() int      { return len(c.machines) }
+// Len implements heap.Interface.
+func (c *candidates) Len() int { return len(c.machines) }
+
+// Swap implements heap.Interface.
 func (c *candidates) Swap(i, j int) { c.machines[i], c.machines[j] = c.machines[j], c.machines[i] }
-func (c *candidates) Push(any)      { panic("rooms only shrink") }
+
+// Push is part of heap.Interface. The heap never grows after it was built.
+func (c *candidates) Push(any) { panic("candidates are never added after the heap is built") }
+
+// Pop implements heap.Interface.
 func (c *candidates) Pop() any {
 	n := len(c.machines) - 1
 	x := c.machines[n]
 	c.machines = c.machines[:n]
 	return x
 }
+
+// Less implements heap.Interface.
 func (c *candidates) Less(i, j int) bool {
 	a, b := c.machines[i], c.machines[j]
 	if a.lowestRank != b.lowestRank {
@@ -198,7 +220,7 @@
 	return preferred(c.spec, a.machine, b.machine)
 }
 
-// best is the machine for the next task, nil if there is none.
+// best returns the machine for the next task; nil if there is none.
 func (c *candidates) best() *machine {
 	if len(c.machines) == 0 {
 		return nil
@@ -206,7 +228,8 @@
 	return c.machines[0].machine
 }
 
-// placedOnBest puts the first machine, which has been given a task, in its new place.
+// placedOnBest restores the heap after a task was placed on the first machine. A machine that
+// has no capacity for another task is removed.
 func (c *candidates) placedOnBest() {
 	if len(c.machines) == 0 {
 		return
@@ -219,8 +242,9 @@
 	}
 }
 
-// preferred breaks ties: a machine that has the image, then a cheaper (spot)
-// one, then the fuller.
+// preferred reports whether machine m comes before another one of the same rank: a machine with
+// the image first, then a spot machine, which is cheaper, then the one with less CPU free, then
+// the one with the lower ID.
 func preferred(spec *model.Spec, m, other *machine) bool {
 	if a, b := m.images[spec.Image], other.images[spec.Image]; a != b {
 		return a
@@ -234,8 +258,8 @@
 	return m.ID < other.ID
 }
 
-// lostWork is the work that a victim loses: all of its run time, or what it has
-// done since it last saved by itself.
+// lostWork returns how much run time a task loses if it is stopped without saving: all of it, or
+// the part since its last periodic checkpoint.
 func lostWork(now time.Duration, a *attempt) time.Duration {
 	lost := a.ran(now)
 	if interval := a.assigned.Spec.CheckpointInterval; interval > 0 {
@@ -244,15 +268,16 @@
 	return lost
 }
 
-// paybackTime is the time until the new task's price has made up for the victim's
-// lost work.
+// paybackTime returns how long a new task at the given price must run until the price difference
+// to the victim makes up for the victim's lost work.
 func paybackTime(now time.Duration, a *attempt, price float64) time.Duration {
 	victimPrice := a.assigned.price
 	return time.Duration(float64(lostWork(now, a)) * victimPrice / (price - victimPrice))
 }
 
-// victimGrace is the time a victim gets to save: none where saving takes as long as
-// the work that it would save, nor for urgent work, which can't wait for it.
+// victimGrace returns how long a victim may take to save a checkpoint before it is killed. It is
+// zero if saving takes as long as the work that it would save, and if the new task is urgent,
+// because urgent work cannot wait for a checkpoint.
 func victimGrace(now time.Duration, a *attempt, rank model.Rank) time.Duration {
 	if rank >= model.Urgent || lostWork(now, a) <= a.assigned.Spec.CheckpointTime {
 		return 0
@@ -260,21 +285,23 @@
 	return checkpointGrace(a.assigned.Spec)
 }
 
-// victimIndex is what a round of placing knows of the machines with victims: the
-// lowest price that runs on each.
+// victimIndex lists the machines with possible victims and the lowest task price on each. It is
+// built when the first eviction of a placement round needs it.
 type victimIndex struct {
 	shard    *Shard
 	now      time.Duration
 	built    bool
 	machines []victimMachine
-	minPrice float64
+	minPrice float64 // of all machines
 }
 
+// victimMachine is a machine with possible victims.
 type victimMachine struct {
 	machine  *machine
-	minPrice float64
+	minPrice float64 // of the tasks on the machine
 }
 
+// build collects the ready machines that run a task which may be evicted.
 func (v *victimIndex) build() {
 	if v.built {
 		return
@@ -289,8 +316,9 @@
 	}
 }
 
-// sample picks up to k machines that allow the group and run something cheaper.
-// It draws, and looks through all of them only where luck is out.
+// sample picks up to count random machines on which the group may run and that have a
+// task with a lower price. It returns indexes into v.machines. It draws at random first,
+// and scans all machines only if that finds too few.
 func (v *victimIndex) sample(g *waitingGroup, count int) []int {
 	v.build()
 	if v.minPrice >= g.price {
@@ -317,8 +345,11 @@
 	return all[:min(count, len(all))]
 }
 
-// evict samples machines for the victims of shortest payback; without any
-// within the limit the group is requeued one step lower.
+// evict stops tasks with lower prices on one machine to make room for a task of the group,
+// and returns that machine. It picks the machine with the shortest payback and image
+// fetch time out of a random sample. It returns nil if there is none, or if it is too early
+// for the eviction to pay off. If all victims exceed the payback limit, the price of the
+// group is lowered by one step.
 func (s *Shard) evict(now time.Duration, g *waitingGroup, index *victimIndex) *machine {
 	if now < g.nextEviction {
 		return nil
@@ -338,9 +369,9 @@
 		}
 	}
 	if best == nil {
-		// Only victims that are too dear lower a price. Without any the task waits
-		// as it is: else what came to a shard whose victims were all being
-		// stopped sank to the lowest price within seconds, and stayed there.
+		// The price is lowered only if there are victims and all cost too much. Otherwise a
+		// group at a shard whose victims are all being stopped already would fall to the
+		// lowest price within seconds, and stay there.
 		g.nextEviction = now + time.Second/4
 		if overLimit && g.price > 1 {
 			g.nextEviction = now + time.Second
@@ -349,8 +380,8 @@
 		}
 		return nil
 	}
-	// Room comes free by itself all the time: an eviction must pay back sooner
-	// than the task has waited for it.
+	// Tasks end all the time and free capacity without an eviction. So a task must have
+	// waited for at least the payback time before it may evict others.
 	if remaining := bestCost - (now - g.tasks[0].queuedAt); remaining > 0 {
 		g.nextEviction = now + min(remaining, time.Second)
 		return nil
@@ -363,8 +394,9 @@
 	return best
 }
 
-// minTaskPrice is the lowest price that runs on the machine. Where all are full and much waits,
-// looking it up anew took half of a round of placing.
+// minTaskPrice returns the lowest price of the tasks on the machine that may be evicted; infinity
+// if there is none. It is cached: computing it each time took half of a placement round when all
+// machines were full and many tasks waited.
 func (m *machine) minTaskPrice() float64 {
 	if !m.minPriceValid {
 		m.minPrice, m.minPriceValid = m.computeMinTaskPrice(), true
@@ -372,6 +404,7 @@
 	return m.minPrice
 }
 
+// computeMinTaskPrice returns what minTaskPrice caches.
 func (m *machine) computeMinTaskPrice() float64 {
 	lowest := math.Inf(1)
 	for _, a := range m.attempts {
@@ -382,7 +415,9 @@
 	return lowest
 }
 
-// victims picks lower-priced tasks whose stop frees the room, cheapest first.
+// victims picks tasks on a machine, shortest payback time first, that have a lower price than the
+// group and whose end frees enough capacity for one of its tasks. It returns them with the sum of
+// their payback times, and whether they free enough.
 func (s *Shard) victims(now time.Duration, m *machine, g *waitingGroup) ([]*attempt, time.Duration, bool) {
 	var candidates []*attempt
 	for _, a := range m.attempts {
@@ -394,8 +429,8 @@
 	slices.SortStableFunc(candidates, func(a, b *attempt) int {
 		return int(paybackTime(now, a, g.price) - paybackTime(now, b, g.price))
 	})
-	// What is being stopped already is spoken for by the reservations it was
-	// stopped for, so only room beyond them counts.
+	// m.used includes both the tasks being stopped and the unsent ones they are stopped for.
+	// Adding the former back leaves the capacity that no unsent task is going to use.
 	free := m.Cap.Sub(m.used)
 	for _, a := range m.attempts {
 		if a.stopping && a.state != exited {
@@ -415,8 +450,8 @@
 	return picked, cost, g.spec.PerTask.Fits(free)
 }
 
-// fetchTime is how long the machine takes to get a task's image, if it is not known
-// to have it.
+// fetchTime returns how long the machine takes to pull a task's image: 0 if it is expected to
+// have the image.
 func (m *machine) fetchTime(spec *model.Spec) time.Duration {
 	if m.images[spec.Image] {
 		return 0
@@ -424,7 +459,7 @@
 	return m.pullTime(spec)
 }
 
-// pullTime is how long the machine takes to get a task's image.
+// pullTime returns how long the machine takes to pull a task's image; 0 if its rate is unknown.
 func (m *machine) pullTime(spec *model.Spec) time.Duration {
 	if m.FetchRate <= 0 {
 		return 0
@@ -432,7 +467,8 @@
 	return time.Duration(spec.ImageGB / m.FetchRate * float64(time.Second))
 }
 
-// placeNext puts the next of a group's tasks on a machine.
+// placeNext creates an attempt for the next task of a group on a machine. The launch is sent with
+// the next commands to the worker, once victims have made room.
 func (s *Shard) placeNext(m *machine, g *waitingGroup) {
 	t := g.tasks[0]
 	g.tasks = g.tasks[1:]
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -6,19 +6,20 @@
 	"honeylock/internal/core/model"
 )
 
-// tokenReportTime is how long a worker that has got a higher token may take to report
-// it: it sends no more than a report each half second.
+// tokenReportTime is how long a worker may take to report a higher token that it received: it
+// sends at most one report per half second.
 const tokenReportTime = 700 * time.Millisecond
 
-// Answer to a report.
+// Answer is the answer to a worker's report.
 type Answer struct {
-	OK       bool // false: not entitled
+	OK       bool // false: this shard is not entitled to answer the worker
 	Token    uint64
 	Commands []model.Command
 }
 
-// HandleReport takes a worker's report and tells whether this shard is entitled to
-// answer it.
+// HandleReport applies a worker's report and returns whether this shard is entitled to answer
+// it. It refuses reports of machines that it does not own, of workers that have seen a higher
+// token, of sessions whose lease has expired, of unverified workers, and copies of older reports.
 func (s *Shard) HandleReport(now time.Duration, r *model.Report) bool {
 	if !s.HasGrant(now) {
 		return false
@@ -32,7 +33,7 @@
 		return false
 	}
 	if r.Token > m.token {
-		// Somebody has been entitled after us: an answer would be dropped.
+		// A later owner has a higher token, so the worker would drop an answer from here.
 		s.emit(model.Event{Kind: model.TokenSuperseded, Machine: m.ID, Token: r.Token})
 		return false
 	}
@@ -52,14 +53,15 @@
 	if r.Newer(m.session, m.seq) {
 		s.applyMessage(now, m, r, true)
 	} else {
-		// Overtaken by the answer to a direct command; it still wants its own answer.
+		// The answer to a direct command has overtaken this report, so its contents are out of
+		// date. The worker still waits for the answer to it.
 		m.reportSeq = r.Seq
 	}
 	return true
 }
 
-// Answer returns what a report that was taken is answered with. From here the
-// worker's lease counts as renewed.
+// Answer returns the answer to a report that HandleReport accepted. The worker's lease
+// counts as renewed from now on.
 func (s *Shard) Answer(now time.Duration, r *model.Report) Answer {
 	m := s.machines[r.Machine.ID]
 	if m == nil || !s.HasGrant(now) {
@@ -71,16 +73,16 @@
 	}
 	s.markAlive(m)
 	cmds := append(s.killNotOpen(m, r), s.commandsFor(now, m, r.Seq, false)...)
-	// A worker that is not fenced yet has the token with this answer, and mostly
-	// reports that by itself: only if it does not, it is told directly as well.
+	// The answer carries the token to a worker that is not fenced yet. The worker usually reports
+	// it soon; if it does not, the token is also sent with a direct command.
 	m.needsFlush, m.directNotBefore = !m.fenced, now+tokenReportTime
 	return Answer{OK: true, Token: m.token, Commands: cmds}
 }
 
-// killNotOpen ends what a worker holds of jobs that are not open. This answer renews
-// its lease, so it must not wait for the worker to be fenced, or for the dealer
-// to judge what was found: under load, owners that followed each other each
-// answered a worker before any of them got that far, and a cancelled task ran on.
+// killNotOpen returns kill commands for reported attempts of jobs that are not open and whose
+// tasks are not assigned here. It does not wait until the worker is fenced or until the dispatcher
+// has decided on the found attempts, because each answer renews the worker's lease: with owners
+// that change quickly under load, none may get that far, and a cancelled task would run on.
 func (s *Shard) killNotOpen(m *machine, r *model.Report) []model.Command {
 	var cmds []model.Command
 	if s.openJobs == nil {
@@ -97,12 +99,12 @@
 	return cmds
 }
 
-// applyMessage brings a machine's books in line with a newer message of its worker.
-// isReport tells a report from the answer to a direct command: only a report
-// proves that the answer to the report before it has arrived or never will.
+// applyMessage updates a machine's state from a newer message of its worker. isReport is false for
+// the answer to a direct command. Only a report proves that the answer to the previous report has
+// either arrived or never will.
 func (s *Shard) applyMessage(now time.Duration, m *machine, r *model.Report, isReport bool) {
 	if r.Session > m.session && m.session != 0 && m.fenced {
-		// The worker has killed and forgotten all of its earlier session.
+		// The worker has killed and forgotten all attempts of its earlier session.
 		s.checkAnswersArrived(now, m)
 		s.loseAllAttempts(now, m)
 		s.restartLease(now, m)
@@ -124,7 +126,8 @@
 		m.preemptionAt = 0
 	}
 	if r.Token < m.fencingToken {
-		// Not fenced: an earlier owner's commands may still take effect.
+		// The worker is not fenced: commands of an earlier owner may still take effect, so its
+		// attempts are not recorded yet.
 		m.needsFlush = true
 		return
 	}
@@ -150,6 +153,9 @@
 	}
 }
 
+// applyAttemptStatus updates an attempt from its status in a worker's message. An unknown attempt
+// is recorded and reported to the dispatcher as found. The task of an exited attempt is finished,
+// returned or queued again, depending on the cause of the exit.
 func (s *Shard) applyAttemptStatus(now time.Duration, m *machine, k attemptKey, status model.AttemptStatus) {
 	a := m.attempts.get(k)
 	if a == nil {
@@ -194,7 +200,7 @@
 			delete(s.tasks, t.Task)
 		}
 		s.reportRejectedGone(a)
-		// Cleared once its completion is stored.
+		// The attempt becomes clearable with the ClearAttempt order, once its completion is stored.
 		s.emit(model.Event{Kind: model.TaskFinished, Machine: m.ID, Task: k.task, Attempt: k.number, Held: assigned,
 			RunTime: a.ran(now)})
 		return
@@ -203,7 +209,7 @@
 		s.recordFailure(now, m, k.task.Job)
 	case model.CauseNoCapacity, model.CauseBusy:
 		s.Stats.Refused++
-		// Our books were wrong about this machine: let reports catch up.
+		// The machine had less capacity than recorded here: wait until reports show its attempts.
 		m.refusedUntil = now + s.params.ReportInterval
 	}
 	a.clearable = true
@@ -211,14 +217,15 @@
 	s.settleTask(now, a, status.Cause)
 }
 
-// handleMissingAttempt settles a slot that a newer message does not show.
+// handleMissingAttempt updates an attempt that a newer message of the worker does not list. It
+// removes the attempt, or allows another launch, once no launch in flight can still start it.
 func (s *Shard) handleMissingAttempt(now time.Duration, a *attempt, r *model.Report, isReport bool) {
 	switch a.state {
-	case exited: // cleared
+	case exited: // the worker has cleared it
 		s.removeAttempt(now, a)
-	case live: // the worker knew it and knows it no more
+	case live: // the worker has lost it
 		if a.directToken != 0 && r.Token <= a.directToken {
-			s.requireHigherToken(a.machine) // its launch, repeated, would begin it anew
+			s.requireHigherToken(a.machine) // a repeated delivery of its direct launch would start it again
 			return
 		}
 		s.removeAttempt(now, a)
@@ -227,9 +234,9 @@
 		if !a.launchSent {
 			return
 		}
-		// A direct launch may yet be executed, or once more, until the worker has
-		// seen a higher token than it bears. A launch in an answer is over once a
-		// later report was made.
+		// A direct launch may still be executed, also a second time, until the worker has seen a
+		// higher token than the launch carries. A launch in the answer to a report can no longer be
+		// executed once the worker has made a later report.
 		laterReport := isReport && r.Seq > a.launchSeq
 		if laterReport && a.launchSeq != 0 {
 			s.recordIgnoredLaunch(a.machine, r)
@@ -245,8 +252,9 @@
 	}
 }
 
-// commandsFor returns what the worker must be told. They may be repeated until
-// its reports show their effect.
+// commandsFor returns the commands for a fenced worker. They are repeated until the worker's
+// messages show their effect. seq is the number of the report that they answer. direct is true if
+// they are sent in a direct command instead.
 func (s *Shard) commandsFor(now time.Duration, m *machine, seq uint64, direct bool) []model.Command {
 	if !m.fenced {
 		return nil
@@ -285,7 +293,7 @@
 			cmds = append(cmds, model.Command{Verb: model.Kill, Task: a.task, Attempt: a.number, Grace: grace})
 		case a.state == starting && a.directLaunches == 0:
 			if !a.launchSent {
-				// A reservation waits until its victims are gone.
+				// The launch waits until the victims have gone.
 				if !a.resources.Fits(free) || !m.usable || m.inboundLost {
 					continue
 				}
@@ -302,18 +310,20 @@
 	return cmds
 }
 
-// Attempts that are kept though they could be cleared: until they are so many, or have
-// waited for so long. Each raised token costs a report of its own.
+// Limits for exited attempts that can be cleared only after the token was raised. They are not
+// cleared one by one, because each raised token costs an extra report.
 const (
-	maxUncleared     = 32
-	maxUnclearedTime = 3 * time.Minute
-	// A report holds 64 KiB: where many short tasks end, that does not wait.
+	maxUncleared     = 32              // attempts
+	maxUnclearedTime = 3 * time.Minute // since the first of them
+	// urgentUncleared attempts do not wait for the minimum time between two raises: a report holds
+	// 64 KiB, which many short tasks would fill.
 	urgentUncleared = 64
 )
 
-// raiseTokenToClear asks for a higher token, so that attempts which were launched directly can be
-// cleared: a worker that knows an attempt no more begins it anew if the launch comes once
-// more under a token that still stands. What has exited takes no room meanwhile.
+// raiseTokenToClear requests a higher token once one of the limits for uncleared attempts is
+// reached. An attempt that was launched directly may be cleared only under a higher token: a worker
+// that has forgotten the attempt would start it again if the launch were delivered a second time
+// under a token that is still valid. Until then exited attempts use no resources.
 func (s *Shard) raiseTokenToClear(now time.Duration, m *machine, uncleared int) {
 	if uncleared == 0 {
 		m.unclearedSince = 0
@@ -330,14 +340,16 @@
 	}
 }
 
-// requireHigherToken asks for a higher token than the one that the worker has shown; until it is
-// there the machine gets nothing new.
+// requireHigherToken requests a token above the one that the worker has shown, unless the shard
+// already has one.
 func (s *Shard) requireHigherToken(m *machine) {
 	if m.token == m.shownToken {
 		s.requestToken(m)
 	}
 }
 
+// requestToken asks the dispatcher for a higher token. The machine gets no new tasks until the
+// token arrives.
 func (s *Shard) requestToken(m *machine) {
 	if !m.tokenNeeded {
 		m.tokenNeeded = true
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,7 +1,8 @@
-// Package shard places tasks on the machines that one controller owns:
-// placement where there is room, payback eviction, demotion, and the commands
-// that carry it out. It is a state machine: every input comes with the steady
-// clock's time, outputs are collected and taken away.
+// Package shard places tasks on the machines that one controller owns. It
+// decides on placement, eviction and demotion, and issues the commands to the
+// workers that carry these out. It is a deterministic state machine: each input
+// comes with the time of a monotonic clock, and outputs are collected until the
+// caller takes them.
 package shard
 
 import (
@@ -13,27 +14,29 @@
 	"honeylock/internal/core/model"
 )
 
-// Params of a shard.
+// Params are a shard's settings.
 type Params struct {
-	MaxLease         time.Duration // a worker not answered for so long holds nothing
-	ReportInterval   time.Duration
-	VictimSample     int           // machines sampled for a victim
-	PaybackLimit     time.Duration // no eviction pays back later than this
-	DemotionStep     float64       // a task that found no victim has its price divided by this
-	DirectRetryDelay time.Duration // no direct commands for so long after one went unanswered
+	MaxLease         time.Duration // a worker that got no answer for this long has stopped all its tasks
+	ReportInterval   time.Duration // between two reports of a worker
+	VictimSample     int           // machines examined per eviction
+	PaybackLimit     time.Duration // evictions with a longer payback time are not made
+	DemotionStep     float64       // divides the price of a group whose victims all exceed PaybackLimit
+	DirectRetryDelay time.Duration // pause after a direct command that was not answered
 }
 
+// task is a task that is assigned to this shard.
 type task struct {
 	model.Assignment
-	price    float64  // after demotions
-	attempt  *attempt // nil: it waits
-	queuedAt time.Duration
-	// recalled: give it back instead of placing it again.
-	recalled             bool
-	interruptionReported bool // the dealer was told that it is out of work
+	price    float64       // the price that the task was assigned at, or was last repriced to
+	attempt  *attempt      // its current attempt; nil: the task waits for a machine
+	queuedAt time.Duration // when it last began to wait at this shard
+	// recalled tasks are returned to the dispatcher instead of being placed again.
+	recalled bool
+	// interruptionReported is true from a TaskInterrupted event until the task runs again.
+	interruptionReported bool
 }
 
-// machine is the machine that the task is on, or reserved for; nil: it waits.
+// machine returns the machine that the task is on or is to be launched on; nil if the task waits.
 func (t *task) machine() *machine {
 	if t.attempt == nil {
 		return nil
@@ -41,60 +44,62 @@
 	return t.attempt.machine
 }
 
+// waitingGroup holds the waiting tasks of one job that are pinned to the same zone, or to none.
 type waitingGroup struct {
 	job          model.JobID
-	zone         model.Name
+	zone         model.Name // pinned zone, or None
 	spec         *model.Spec
-	price        float64
-	rankedScore  float64 // its score as groups were last ranked
-	waitingSince time.Duration
+	price        float64       // after demotions
+	rankedScore  float64       // score at the last ranking
+	waitingSince time.Duration // of the task that has waited longest
 	tasks        []*task
-	nextEviction time.Duration
+	nextEviction time.Duration // no eviction is tried before this time
 }
 
+// groupKey identifies a waitingGroup.
 type groupKey struct {
 	job  model.JobID
 	zone model.Name
 }
 
-// Shard is the state machine.
+// Shard is the state machine that schedules the machines of one controller.
 type Shard struct {
 	params               Params
 	rng                  *rand.Rand
-	grantedUntil         time.Duration
-	lastAttempt          uint64
-	lastDirectID         uint64
+	grantedUntil         time.Duration // end of the leader's grant
+	lastAttempt          uint64        // number of the newest attempt
+	lastDirectID         uint64        // ID of the newest direct command
 	machines             map[model.MachineID]*machine
-	sortedMachines       []*machine // by id, so that decisions repeat under one seed
+	sortedMachines       []*machine // sorted by ID, so that decisions are reproducible under one seed
 	tasks                map[model.Task]*task
 	waiting              map[groupKey]*waitingGroup
-	pendingCommands      map[uint64]pendingCommand
-	expedited            map[model.JobID]time.Duration // jobs that should have begun, until when that holds
-	pendingProbes        int                           // of pending: questions whether a worker hears
-	openJobs             map[model.JobID]bool          // the leader's picture of the open jobs, nil: not told yet
-	rankedGroups         []*waitingGroup               // of queue, by score when all were last placed
-	replanAll            bool                          // more than machines' room has changed since
-	freedMachines        []*machine
-	round                uint64              // of placing, from 1
-	victimMachines       []victimMachine     // of the last round: its room is used again
-	runningCounts        map[model.JobID]int // as last counted
+	pendingCommands      map[uint64]pendingCommand     // direct commands without an outcome, by ID
+	expedited            map[model.JobID]time.Duration // jobs to start first, and the time until which this holds
+	pendingProbes        int                           // number of pendingCommands that are probes
+	openJobs             map[model.JobID]bool          // the open jobs according to the leader; nil: not known yet
+	rankedGroups         []*waitingGroup               // the waiting groups by score, as of the last placeAll
+	replanAll            bool                          // something other than free capacity changed since placeAll
+	freedMachines        []*machine                    // machines with capacity freed since the last Place
+	round                uint64                        // number of the placement round, from 1
+	victimMachines       []victimMachine               // buffer of victimIndex, reused in each round
+	runningCounts        map[model.JobID]int           // running tasks per job, as of runningCountedAt
 	attemptsByJob        map[model.JobID][]*attempt
-	messagesApplied      uint64 // reports taken
+	messagesApplied      uint64 // number of messages of fenced workers that were applied
 	runningCountedAt     time.Duration
 	assignmentsReceived  uint64
-	redirects            map[model.MachineID]string
-	rememberedImages     map[model.MachineID]map[model.Name]bool // remembered
-	reportsInterruptions bool                                    // the dealer wants to know what is out of work
-	failures             map[model.JobID]*jobFailures            // of jobs that have failed
-	events               []model.Event
-	directCommands       []DirectCommand
+	redirects            map[model.MachineID]string              // where workers of other shards' machines should report
+	rememberedImages     map[model.MachineID]map[model.Name]bool // from an earlier term, see RestoreImages
+	reportsInterruptions bool                                    // the dispatcher wants TaskInterrupted events
+	failures             map[model.JobID]*jobFailures            // of jobs with failed tasks
+	events               []model.Event                           // for the dispatcher, until TakeEvents
+	directCommands       []DirectCommand                         // to be sent, until TakeDirectCommands
 	Stats                Stats
-	// simulation is told what is placed and stopped; nil where the shard acts.
+	// simulation records what is placed and stopped; nil for a shard with real workers.
 	simulation *Simulation
 }
 
-// New returns a shard without a grant. attempts is the first of a range of
-// attempt numbers that are this shard's alone.
+// New returns a shard without a grant. Attempt numbers are unique across
+// shards: this shard may use a range of its own, which begins after firstAttempt.
 func New(params Params, firstAttempt uint64, rng *rand.Rand) *Shard {
 	return &Shard{params: params, rng: rng, lastAttempt: firstAttempt, round: 1, machines: map[model.MachineID]*machine{},
 		tasks: map[model.Task]*task{}, waiting: map[groupKey]*waitingGroup{}, attemptsByJob: map[model.JobID][]*attempt{},
@@ -102,19 +107,20 @@
 		failures: map[model.JobID]*jobFailures{}}
 }
 
-// ReportInterruptions has the dealer told of tasks that are out of work, and when they run again.
+// ReportInterruptions sets whether the shard emits an event when a running task is interrupted.
 func (s *Shard) ReportInterruptions(on bool) { s.reportsInterruptions = on }
 
-// SetGrant lets the shard act until the given time.
+// SetGrant permits the shard to answer workers and to place tasks until the given time.
 func (s *Shard) SetGrant(until time.Duration) { s.grantedUntil = until }
 
-// SetOpenJobs takes the leader's picture of the open jobs.
+// SetOpenJobs sets the open jobs as the leader knows them. A worker's attempts of other jobs are
+// killed unless their tasks are assigned to this shard.
 func (s *Shard) SetOpenJobs(jobs map[model.JobID]bool) { s.openJobs = jobs }
 
-// HasGrant tells whether the shard may act.
+// HasGrant reports whether the shard may act.
 func (s *Shard) HasGrant(now time.Duration) bool { return now < s.grantedUntil }
 
-// TakeEvents takes away what the dealer must be told.
+// TakeEvents returns the collected events for the dispatcher and empties the list.
 func (s *Shard) TakeEvents() []model.Event {
 	e := s.events
 	s.events = nil
@@ -123,7 +129,7 @@
 
 func (s *Shard) emit(e model.Event) { s.events = append(s.events, e) }
 
-// HandleOrder takes an order of the dealer.
+// HandleOrder carries out an order of the dispatcher.
 func (s *Shard) HandleOrder(now time.Duration, o model.Order) {
 	switch o.Kind {
 	case model.OwnMachine:
@@ -173,7 +179,8 @@
 	case model.ReleaseMachine:
 		if m := s.machines[o.ID]; m != nil && m.fenced && o.Session != 0 &&
 			(model.MessageID{Session: m.session, Seq: m.reportSeq}).AtLeast(o.MessageID) {
-			// What came in elsewhere was a copy: the worker reports here.
+			// The report that reached another controller is no newer than the newest one here, so
+			// it was a replayed copy: the worker still reports to this shard.
 			s.handleStaleReport(now, m)
 			s.emit(model.Event{Kind: model.MachineKept, Machine: o.ID})
 			return
@@ -186,16 +193,16 @@
 			s.redirects[o.ID] = o.RedirectTo
 		}
 	case model.ConfirmLeaseExpiry:
-		// Only the dealer knows that nobody else has answered the worker; only
-		// this shard, that it has not answered it since it said so.
+		// Only the dispatcher knows that no other controller has answered the worker. Only this
+		// shard knows that it has not answered the worker since it emitted LeaseExpired.
 		if m := s.machines[o.ID]; m != nil && m.leaseExpired {
 			s.confirmLeaseExpiry(now, m)
 		}
 	}
 }
 
-// cancelUnsent takes tasks back that are not on their way to a machine yet: nothing
-// is launched there any more.
+// cancelUnsent ends the attempts on a machine whose launch has not been sent, because nothing is
+// to be launched there any more. Their tasks wait for another machine.
 func (s *Shard) cancelUnsent(now time.Duration, m *machine) {
 	for _, a := range slices.Clone(m.attempts) {
 		if !a.launchSent {
@@ -204,6 +211,7 @@
 	}
 }
 
+// recallWaiting returns up to count waiting tasks of a job to the dispatcher.
 func (s *Shard) recallWaiting(job model.JobID, count int) {
 	for k, g := range s.waiting {
 		if k.job != job {
@@ -219,12 +227,13 @@
 	}
 }
 
-// releaseMachine drops a machine from the books. Its tasks are where they are: the
-// dealer waits for the next owner to find them.
+// releaseMachine stops managing a machine because another shard is to own it. Tasks on the
+// machine keep running, and the dispatcher waits for the next owner to find them. Tasks whose
+// launch was not sent are returned. The worker is redirected to redirectTo if that is not empty.
 func (s *Shard) releaseMachine(machineID model.MachineID, redirectTo string) {
 	event := model.Event{Kind: model.MachineReleased, Machine: machineID}
 	if m := s.machines[machineID]; m != nil {
-		event.Held = !m.everAnswered && !m.fenced // it launched nothing either, and renewed nothing
+		event.Held = !m.everAnswered && !m.fenced // so this shard neither launched a task there nor renewed the lease
 		for _, a := range slices.Clone(m.attempts) {
 			switch t := a.assigned; {
 			case t == nil || t.attempt != a:
@@ -244,6 +253,7 @@
 	s.emit(event)
 }
 
+// removeMachine deletes a machine and its attempts from the shard's state.
 func (s *Shard) removeMachine(m *machine) {
 	delete(s.machines, m.ID)
 	for _, a := range m.attempts {
@@ -253,14 +263,17 @@
 	s.sortedMachines = slices.DeleteFunc(s.sortedMachines, func(x *machine) bool { return x == m })
 }
 
-// TakeRedirect tells where a machine that was let go of should report instead.
-// It is told once: a worker that comes back could not go there, and is welcome.
+// TakeRedirect returns where the worker of a released machine should report instead, or "".
+// It returns each redirect only once: a worker that reports here again could not reach the
+// target, and is then accepted.
 func (s *Shard) TakeRedirect(id model.MachineID) string {
 	target := s.redirects[id]
 	delete(s.redirects, id)
 	return target
 }
 
+// ownMachine adds a machine to the shard, or updates its description, token and usability if the
+// shard owns it already.
 func (s *Shard) ownMachine(now time.Duration, o model.Order) {
 	m := s.machines[o.Machine.ID]
 	delete(s.redirects, o.Machine.ID)
@@ -268,7 +281,7 @@
 		m = &machine{Machine: o.Machine, fencingToken: o.Token, answeredAt: now, idleSince: now,
 			images: s.rememberedImages[o.Machine.ID], summaryChanged: true,
 			reachability: reachability{needsVerification: o.VerifyFirst}}
-		if o.VerifyFirst { // this shard does not answer it before it is shown to hear
+		if o.VerifyFirst { // the shard does not answer it yet, and so has not renewed its lease
 			m.answeredAt = now - s.params.MaxLease
 		}
 		if m.images == nil {
@@ -292,6 +305,9 @@
 	m.needsFlush, m.directNotBefore = true, 0
 }
 
+// acceptAssignment takes over a task that the dispatcher assigned. A task without an attempt
+// waits to be placed. A task with an attempt was found on one of the shard's machines and is
+// adopted there.
 func (s *Shard) acceptAssignment(now time.Duration, assignment model.Assignment) {
 	s.assignmentsReceived++
 	if s.tasks[assignment.Task] != nil {
@@ -302,8 +318,8 @@
 	if assignment.Attempt != 0 {
 		m := s.machines[assignment.Machine]
 		if m == nil {
-			// The dealer asks no shard to adopt from a machine that it takes
-			// away. Placing the task anew could run it twice.
+			// The dispatcher sends no adoption for a machine that it takes away from the shard.
+			// The task is not placed again, because it could then run twice.
 			return
 		}
 		if a := m.attempts.get(attemptKey{assignment.Task, assignment.Attempt}); a != nil && a.state == live {
@@ -318,13 +334,15 @@
 			m.images[assignment.Spec.Image] = true
 			return
 		}
-		// It is nowhere since it was found. It was charged to be adopted, not to be started.
+		// The attempt has ended since it was found. The task was charged to its team in order to
+		// be adopted, not to be started again, so the dispatcher decides.
 		s.returnTask(t, model.CauseStopped)
 		return
 	}
 	s.enqueue(now, t)
 }
 
+// enqueue adds a task to the waiting group of its job and zone.
 func (s *Shard) enqueue(now time.Duration, t *task) {
 	t.attempt, t.queuedAt = nil, now
 	k := groupKey{t.Task.Job, t.Zone}
@@ -338,6 +356,7 @@
 	s.replanAll = true
 }
 
+// dequeue removes a task from its waiting group.
 func (s *Shard) dequeue(t *task) {
 	k := groupKey{t.Task.Job, t.Zone}
 	if g := s.waiting[k]; g != nil {
@@ -348,6 +367,8 @@
 	}
 }
 
+// recallTask returns a waiting task to the dispatcher at once. A task on a machine is stopped
+// first, with time to save a checkpoint.
 func (s *Shard) recallTask(now time.Duration, t *task) {
 	t.recalled = true
 	if t.attempt == nil {
@@ -358,7 +379,7 @@
 	s.stopAttempt(now, t.attempt, checkpointGrace(t.Spec))
 }
 
-// returnTask gives a task that is nowhere back to the dealer.
+// returnTask gives a task that is on no machine back to the dispatcher.
 func (s *Shard) returnTask(t *task, cause model.Cause) {
 	delete(s.tasks, t.Task)
 	event := model.Event{Kind: model.TaskReturned, Task: t.Task, Cause: cause}
@@ -369,6 +390,8 @@
 	s.emit(event)
 }
 
+// endJob returns a job's waiting tasks, stops its attempts without a grace period and has
+// exited ones cleared.
 func (s *Shard) endJob(now time.Duration, job model.JobID) {
 	for k, g := range s.waiting {
 		if k.job == job {
@@ -391,15 +414,15 @@
 	}
 }
 
-// repriceJob changes the price of all of a job's tasks, waiting ones included: a
-// task that kept an older, lower price could fall victim to its own job.
+// repriceJob changes the price and the objective of all tasks of a job. Running tasks are
+// included, because a task with an older, lower price could be evicted for its own job.
 func (s *Shard) repriceJob(job model.JobID, price float64, objective model.Objective) {
 	var oldSpec, newSpec *model.Spec
 	withObjective := func(spec *model.Spec) *model.Spec {
 		if objective == model.ObjectiveUnchanged || spec.BestEffort == (objective == model.NoObjective) {
 			return spec
 		}
-		if spec != oldSpec { // others hold the one of before
+		if spec != oldSpec { // copied, because others share the old one
 			changed := *spec
 			changed.BestEffort = !changed.BestEffort
 			oldSpec, newSpec = spec, &changed
