--- a/internal/core/shard/attempt.go
+++ b/internal/core/shard/attempt.go
@@ -7,48 +7,48 @@
 	"honeylock/internal/core/model"
 )
 
-// attemptKey names an attempt to run a task.
+// attemptKey identifies an attempt to run a task.
 type attemptKey struct {
 	task   model.Task
 	number uint64
 }
 
-// attemptState is how far an attempt has come.
+// attemptState is the progress of an attempt as seen by the shard.
 type attemptState uint8
 
 const (
-	starting attemptState = iota // not seen on the worker yet
-	live
-	exited // seen exited, not cleared yet
+	starting attemptState = iota // the worker has not reported it yet
+	live                         // the worker has reported it, and it has not exited
+	exited                       // it has exited, and the worker has not cleared it yet
 )
 
-// attempt is an attempt that is, or may be, on a machine.
+// attempt is an attempt to run a task that is, or may be, on a machine, or is to be launched there.
 type attempt struct {
 	attemptKey
 	machine          *machine
-	jobIndex         int    // in its job's list
-	lastSeen         uint64 // the take that last showed it
-	assigned         *task  // nil: an attempt that nobody here holds
-	resources        model.Resources
+	jobIndex         int             // index in Shard.attemptsByJob of its job
+	lastSeen         uint64          // value of Shard.messagesApplied for the last message that listed it
+	assigned         *task           // the task that it runs for this shard; nil: none was assigned, or it is settled
+	resources        model.Resources // reserved on the machine until the attempt exits
 	state            attemptState
 	stage            model.Stage
-	launchSent       bool
-	launchSeq        uint64 // the report in whose answer the launch last went out
-	directLaunches   int    // direct commands in flight that carry the launch
-	directToken      uint64 // token of the newest direct launch: it may arrive once more
-	launchUnanswered bool   // one went unanswered
-	stopping         bool
-	grace            time.Duration
-	killAt           time.Duration // a saving task is ended then
-	clearable        bool
-	notAdopted       bool          // found, and not adopted
-	adopted          bool          // it ran before this shard saw it
-	limitsUnchecked  bool          // ... and dispatching it would have been refused
-	fetchesImage     bool          // of a rehearsal: its machine had not its image
-	runningSince     time.Duration // first seen running
+	launchSent       bool          // the launch was sent, so it may be executed
+	launchSeq        uint64        // number of the report whose answer last carried the launch
+	directLaunches   int           // direct commands in flight that carry the launch
+	directToken      uint64        // token of the newest direct launch, which may be delivered again
+	launchUnanswered bool          // a direct launch was not answered
+	stopping         bool          // it is to be killed
+	grace            time.Duration // time to save a checkpoint before the kill
+	killAt           time.Duration // from then on it is killed without grace
+	clearable        bool          // the worker may forget it once it has exited
+	notAdopted       bool          // found on the worker, and not adopted
+	adopted          bool          // it ran before this shard owned the machine
+	limitsUnchecked  bool          // adopted although its team's limit or its job's zones would forbid an assignment
+	fetchesImage     bool          // in a simulation: its machine must pull the image first
+	runningSince     time.Duration // when it was first seen running; 0: not yet
 }
 
-// ran is how long the attempt has been seen running.
+// ran returns how long the attempt has been seen running.
 func (a *attempt) ran(now time.Duration) time.Duration {
 	if a.runningSince == 0 {
 		return 0
@@ -56,7 +56,8 @@
 	return now - a.runningSince
 }
 
-// checkpointGrace is the time that a task gets to save, with some room for timers.
+// checkpointGrace returns how long a task gets to save a checkpoint, with a margin for timers. It
+// is 0 for a task without checkpoints.
 func checkpointGrace(spec *model.Spec) time.Duration {
 	if spec == nil || spec.CheckpointInterval == 0 {
 		return 0
@@ -64,14 +65,14 @@
 	return spec.CheckpointTime + spec.CheckpointTime/10 + 100*time.Millisecond
 }
 
-// stopAttempt has an attempt end, with a time to save. One that was never sent to its machine is free at
-// once.
+// stopAttempt has an attempt killed after a grace period for its checkpoint. A later call may only
+// shorten the grace period. An attempt whose launch was never sent is removed at once.
 func (s *Shard) stopAttempt(now time.Duration, a *attempt, grace time.Duration) {
 	if a.state == exited || a.stopping && grace >= a.grace {
 		return
 	}
 	if !a.launchSent {
-		// Never on its way: it is nowhere.
+		// It cannot be on the machine.
 		s.removeAttempt(now, a)
 		s.settleTask(now, a, model.CauseStopped)
 		return
@@ -85,7 +86,7 @@
 	a.machine.needsFlush = true
 }
 
-// removeAttempt removes a slot from its machine's books.
+// removeAttempt removes an attempt from its machine and frees its resources.
 func (s *Shard) removeAttempt(now time.Duration, a *attempt) {
 	m := a.machine
 	if a.state != exited {
@@ -95,7 +96,7 @@
 	m.lowestRankRound = 0
 }
 
-// freeResources gives an attempt's room back to its machine.
+// freeResources makes an attempt's resources available on its machine again.
 func (s *Shard) freeResources(a *attempt) {
 	m := a.machine
 	m.used = m.used.Sub(a.resources)
@@ -106,7 +107,8 @@
 	}
 }
 
-// settleTask settles the task of an attempt that is surely not on a machine.
+// settleTask decides on the task of an attempt that is certainly not running any more. The task is
+// queued again, or returned to the dispatcher if it was recalled, failed, or needs a check there.
 func (s *Shard) settleTask(now time.Duration, a *attempt, cause model.Cause) {
 	t := a.assigned
 	if t == nil || t.attempt != a {
@@ -118,16 +120,17 @@
 	}
 	a.assigned = nil
 	a.machine.minPriceValid = false
-	// An unchecked task was charged where it ran, whatever its team's limit and its job's zones
-	// said. To start it again is for the dispatcher to allow, which checks both.
+	// An adopted task with limitsUnchecked was charged although its team's limit or its job's zones
+	// may forbid it. Only the dispatcher, which checks both, may start it again.
 	if t.recalled || a.limitsUnchecked || cause == model.CauseError || cause == model.CauseUnknown {
-		s.returnTask(t, cause) // it still tells where it was
+		s.returnTask(t, cause) // before t.attempt is reset, so that the event names the machine
 		return
 	}
 	s.enqueue(now, t)
 }
 
-// reportInterrupted tells the dealer that a task which ran is out of work.
+// reportInterrupted emits an event for a task that was seen running and has been interrupted. It
+// does so once per interruption, and only if the dispatcher wants these events.
 func (s *Shard) reportInterrupted(now time.Duration, a *attempt, cause model.Cause) {
 	t := a.assigned
 	if !s.reportsInterruptions || t == nil || t.interruptionReported || a.runningSince == 0 {
@@ -138,7 +141,8 @@
 		RunTime: lostWork(now, a)})
 }
 
-// reportRejectedGone tells that a found attempt which was not adopted is gone.
+// reportRejectedGone emits an event if the attempt was found on a worker and not adopted, and is
+// gone now.
 func (s *Shard) reportRejectedGone(a *attempt) {
 	if a.notAdopted {
 		a.notAdopted = false
@@ -146,7 +150,8 @@
 	}
 }
 
-// loseAllAttempts settles all attempts of a machine that surely holds none of them any more.
+// loseAllAttempts removes all attempts of a machine that certainly runs none of them any more, and
+// settles their tasks.
 func (s *Shard) loseAllAttempts(now time.Duration, m *machine) {
 	for _, a := range slices.Clone(m.attempts) {
 		s.removeAttempt(now, a)
--- a/internal/core/shard/attempt_list.go
+++ b/internal/core/shard/attempt_list.go
@@ -7,20 +7,22 @@
 	"honeylock/internal/core/model"
 )
 
-// attemptList are a machine's attempts, by task and attempt. There are a few tens at
-// most, which are all looked at with every report: a map of them, sorted each
-// time, took a third of a shard's time where machines hold 24 tasks.
+// attemptList holds a machine's attempts, sorted by task and attempt number. Each report
+// iterates over all of them in order, usually a few tens. With a map that was sorted for
+// each report, this took a third of a shard's CPU time with 24 tasks per machine.
 type attemptList []*attempt
 
+// compare orders keys by task, then by attempt number.
 func (k attemptKey) compare(o attemptKey) int {
 	return cmp.Or(k.task.Compare(o.task), cmp.Compare(k.number, o.number))
 }
 
+// find returns the index of an attempt, or where to insert it, and whether it is in the list.
 func (list attemptList) find(key attemptKey) (int, bool) {
 	return slices.BinarySearchFunc(list, key, func(a *attempt, key attemptKey) int { return a.attemptKey.compare(key) })
 }
 
-// get returns an attempt, nil if it is not there.
+// get returns an attempt; nil if it is not in the list.
 func (list attemptList) get(key attemptKey) *attempt {
 	if i, ok := list.find(key); ok {
 		return list[i]
@@ -28,7 +30,7 @@
 	return nil
 }
 
-// addAttempt adds an attempt to its machine's books and to its job's.
+// addAttempt adds an attempt to the lists of its machine and its job.
 func (s *Shard) addAttempt(m *machine, a *attempt) {
 	i, _ := m.attempts.find(a.attemptKey)
 	m.attempts = slices.Insert(m.attempts, i, a)
@@ -38,7 +40,7 @@
 	s.attemptsByJob[job] = append(s.attemptsByJob[job], a)
 }
 
-// detachAttempt takes an attempt out of both.
+// detachAttempt removes an attempt from the lists of its machine and its job.
 func (s *Shard) detachAttempt(a *attempt) {
 	i, ok := a.machine.attempts.find(a.attemptKey)
 	if !ok {
@@ -49,7 +51,7 @@
 	s.removeFromJob(a)
 }
 
-// removeFromJob takes an attempt out of its job's books.
+// removeFromJob removes an attempt from the list of its job.
 func (s *Shard) removeFromJob(a *attempt) {
 	job := a.task.Job
 	list := s.attemptsByJob[job]
@@ -63,8 +65,8 @@
 	}
 }
 
-// sortedAttempts are all of a job's, by machine. Looking for them on every machine, at
-// the end of each job, once took a fifth of a shard's time.
+// sortedAttempts returns all attempts of a job, sorted by machine. It uses a list per job,
+// because a search of all machines at the end of each job took a fifth of a shard's CPU time.
 func (s *Shard) sortedAttempts(job model.JobID) []*attempt {
 	list := slices.Clone(s.attemptsByJob[job])
 	slices.SortFunc(list, func(a, b *attempt) int {
--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -6,8 +6,8 @@
 	"honeylock/internal/core/model"
 )
 
-// DirectCommand is a command to be sent straight to a worker. Its outcome comes back
-// through DirectDone.
+// DirectCommand is a batch of commands that is sent to a worker on a new connection, instead of in
+// the answer to a report. Its outcome is passed to DirectCommandDone.
 type DirectCommand struct {
 	ID       uint64
 	Machine  model.MachineID
@@ -15,33 +15,33 @@
 	Token    uint64
 	Session  uint64
 	Commands []model.Command
-	NotAfter time.Duration // the shard's authority ends: not to be sent after
+	NotAfter time.Duration // the end of the shard's grant: it must not be sent later
 }
 
-// pendingCommand is a direct command under way, with the launches it carries.
+// pendingCommand is a direct command without an outcome so far.
 type pendingCommand struct {
 	machine       *machine
-	launches      []*attempt
-	isProbe       bool            // to learn whether its worker hears
-	newestMessage model.MessageID // the newest message of its worker when it was sent
+	launches      []*attempt      // attempts that it launches
+	isProbe       bool            // sent to learn whether the worker receives messages
+	newestMessage model.MessageID // newest message of the worker when the command was sent
 }
 
-// TakeDirectCommands takes away the commands to send.
+// TakeDirectCommands returns the collected direct commands and empties the list.
 func (s *Shard) TakeDirectCommands() []DirectCommand {
 	d := s.directCommands
 	s.directCommands = nil
 	return d
 }
 
-// Flush sends commands that should not wait for the next report, while fewer than
-// most are under way.
+// Flush collects direct commands for workers whose commands should not wait for the next report.
+// At most maxInFlight direct commands are in flight at a time, and at most one per machine.
 func (s *Shard) Flush(now time.Duration, maxInFlight int) {
 	if !s.HasGrant(now) {
 		return
 	}
 	for _, m := range s.sortedMachines {
 		if len(s.pendingCommands) >= maxInFlight {
-			return // a thousand at once would all be late
+			return // with a thousand at once, all would be late
 		}
 		if !m.needsFlush || m.commandsInFlight > 0 || m.Addr == "" || now < m.directRetryAt ||
 			m.leaseExpired && !m.needsProbe ||
@@ -78,8 +78,9 @@
 	}
 }
 
-// DirectCommandDone takes the outcome of a direct command: the worker's report after
-// it (nil: no answer) and whether it was executed.
+// DirectCommandDone handles the outcome of a direct command. r is the worker's answer, a report
+// made after the command; it is nil if there was no answer. executed is false if the worker
+// refused the command.
 func (s *Shard) DirectCommandDone(now time.Duration, d DirectCommand, r *model.Report, executed bool) {
 	pending := s.pendingCommands[d.ID]
 	delete(s.pendingCommands, d.ID)
@@ -88,13 +89,14 @@
 	}
 	for _, a := range pending.launches {
 		a.directLaunches--
-		// It may be executed minutes later, or once more, as long as token and session match.
+		// The network may deliver the launch minutes later, or a second time, and the worker
+		// executes it as long as the token and the session match.
 		a.directToken = max(a.directToken, d.Token)
 		a.launchUnanswered = a.launchUnanswered || r == nil
 	}
 	m := s.machines[d.Machine]
 	if m == nil || m != pending.machine {
-		return // let go of meanwhile
+		return // the machine was released in the meantime
 	}
 	m.commandsInFlight--
 	if r == nil {
@@ -104,7 +106,7 @@
 		return
 	}
 	if !executed && r.Token <= m.token && !m.fenced {
-		m.needsFlush = true // the session was unknown: once more, with it
+		m.needsFlush = true // the command named a wrong session: send it again with the one in the answer
 	}
 	if r.Machine.ID != m.ID {
 		return
@@ -121,7 +123,8 @@
 	switch {
 	case !s.HasGrant(now):
 	case !m.fenced:
-		// Said on a connection that was opened to it, so it holds, whatever copies told.
+		// The answer came on a connection that was opened to the worker, so it is no replayed
+		// copy, whatever the numbers of earlier messages were.
 		s.applyMessage(now, m, r, false)
 	case r.Token < m.fencingToken || pending.newestMessage.AtLeast(r.MessageID()):
 		s.restartSession(m, r)
--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -165,8 +165,7 @@
 }
 
 // candidates is a heap of the machines on which a group's tasks fit into the free capacity.
-// The machine whose tasks have the lowest rank comes first, so that important tasks are
-// spread over machines with cheap victims.
+// The machine whose tasks have the lowest rank comes first.
 type candidates struct {
 	shard    *Shard
 	spec     *model.Spec
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -6,80 +6,80 @@
 	"honeylock/internal/core/model"
 )
 
-// reachability is what the shard knows of the way to a worker and of the way back. A report that
-// arrives shows neither that the worker receives what it is sent, nor that it is new: a network
-// may fail in one direction, and deliver what it held back.
+// reachability is what the shard knows about the network in both directions between it and a
+// worker. A report that arrives proves neither that the worker receives messages nor that the
+// report is new: a network may fail in one direction only, and may deliver old messages late.
 //
-// A report counts only if it is newer than the last one of this worker. Anything else is a copy,
-// which changes nothing, is no sign of life and is answered with no command. A fenced worker
-// bears a token that nobody had before this shard owned it, so no copy of earlier times passes
-// for a fenced worker's.
+// A report counts only if it is newer than the worker's last one. Any other report is a replayed
+// copy. It changes nothing, does not show that the worker is alive, and is answered without
+// commands. A fenced worker reports a token that nobody had before this shard owned the machine, so
+// a copy from before that time cannot look like a report of the fenced worker.
 //
-// That a worker receives is shown only by what it could not say otherwise: the token that it was
-// given, the effect of a command, or an answer on a connection that was opened to it.
+// Only three things prove that a worker receives messages: it reports the token that it was sent, it
+// reports the effect of a command, or it answers on a connection that was opened to it.
 //
-// The states below are independent of each other; a worker that is in none of them is reachable.
+// The states below are independent of each other. A worker in none of them is reachable.
 type reachability struct {
-	// leaseExpired: nobody here has answered the worker for its whole lease. The dispatcher was
-	// told, at expiryTold, and only its confirmation (Lapse) frees anything.
+	// leaseExpired: this shard has not answered the worker for a whole lease. The dispatcher was
+	// informed at expiryReportedAt, and only its ConfirmLeaseExpiry order frees the machine's tasks.
 	leaseExpired     bool
 	expiryReportedAt time.Duration
 
-	// unreachable: its report is overdue and a direct command failed, while most of its zone
-	// reports. The dispatcher was told, and may return the machine to the cloud.
+	// unreachable: the worker's report is overdue and a direct command failed, while most workers of
+	// its zone report. The dispatcher was informed, and may return the machine to the cloud.
 	unreachable bool
 
-	// inboundLost: it reports, and was fenced, but does not receive what it is sent. It gets
-	// nothing new, and is asked directly once in a while.
+	// inboundLost: the worker reports and is fenced, but does not receive messages. It gets no new
+	// tasks, and is probed from time to time.
 	inboundLost    bool
-	ignoredAnswers int    // answers in succession whose launches its next report did not show
-	ignoredSeq     uint64 // the report that showed the last of them
+	ignoredAnswers int    // consecutive answers whose launches the next report did not show
+	ignoredSeq     uint64 // number of the report that showed the latest of these
 
-	// needsVerification: owners before this one could not have it show a token, so it is answered only
-	// once it is shown to receive.
+	// needsVerification: earlier owners could not get the worker to report a token, so it is not
+	// answered before it is shown to receive messages.
 	needsVerification bool
-	// tokenOfferedAt is when it was first answered with the token to be shown, 0: not yet;
-	// questionFailed tells that a question failed since. Both make a worker that is not fenced
-	// unverified: its reports are answered no more.
+	// tokenOfferedAt is when the worker was first answered with the fencing token; 0: not yet.
+	// probeFailed is true if a direct command has failed since. Together they make an unfenced
+	// worker unverified, see Shard.unverified.
 	tokenOfferedAt time.Duration
 	probeFailed    bool
 
-	failedProbes     int           // in succession
-	directAnsweredAt time.Duration // the last answer to a direct command came
-	nextStaleProbe   time.Duration // not to be asked before because of reports that are not new
+	failedProbes     int           // consecutive probes without an answer
+	directAnsweredAt time.Duration // when the last direct command was answered
+	nextStaleProbe   time.Duration // reports that are not new cause no probe before this time
 }
 
 const (
-	// A worker that gives up on a report after 4 s still gets the answer until then: a
-	// report that the answer to a direct command has overtaken is new for so long.
+	// overtakenReportWindow is how long a report counts as new after the answer to a direct command
+	// overtook it: a worker waits up to 4 s for the answer to a report.
 	overtakenReportWindow = 5 * time.Second
-	// Answers in succession whose launches a worker must have ignored to be held to receive
-	// nothing: one answer may come too late.
+	// maxIgnoredAnswers is the number of consecutive answers with ignored launches after which a
+	// worker is considered not to receive messages. It exceeds 1 because one answer may be late.
 	maxIgnoredAnswers = 2
-	// Questions in succession without an answer after which a worker may be given up.
+	// minFailedProbes is the number of consecutive failed probes after which a worker that does not
+	// receive messages may be reported as unreachable.
 	minFailedProbes = 3
-	// maxProbePause bounds the pause between two questions to a worker that receives
-	// nothing.
+	// maxProbePause bounds the pause between two probes of a worker that does not receive messages.
 	maxProbePause = 16 * time.Second
-	// Questions to such workers take at most this part of what may be under way, for
-	// each ends only when its time is over.
+	// commandsPerProbe limits probes to one in this many direct commands in flight, because most
+	// probes end only with their timeout.
 	commandsPerProbe = 4
 )
 
-// isNew tells whether a report is newer than the last one: else it is a copy, or its
-// worker has begun its numbers anew.
+// isNew reports whether a report is newer than the last one. If it is not, it is a replayed copy or
+// the worker has restarted its numbering.
 func (s *Shard) isNew(now time.Duration, m *machine, r *model.Report) bool {
 	if !m.fenced {
 		return r.Newer(m.session, m.reportSeq)
 	}
 	if r.Newer(m.session, m.seq) {
-		return r.Token >= m.fencingToken // a token never falls
+		return r.Token >= m.fencingToken // a worker's token never decreases
 	}
 	return r.Session == m.session && r.Seq > m.reportSeq && now-m.directAnsweredAt <= overtakenReportWindow
 }
 
-// handleStaleReport takes a report that is not new. It is a copy, or its worker has begun its
-// numbers anew; an answer on a connection that is opened to it tells.
+// handleStaleReport schedules a probe after a report that is not new. The answer to the probe shows
+// whether the report was a replayed copy or the worker has restarted its numbering.
 func (s *Shard) handleStaleReport(now time.Duration, m *machine) {
 	if now >= m.nextStaleProbe {
 		m.nextStaleProbe = now + max(s.params.ReportInterval, overtakenReportWindow)
@@ -87,25 +87,27 @@
 	}
 }
 
-// unverified tells that a worker's reports are not to be answered, for nothing shows that it
-// receives: it has ignored the token that it was offered for longer than a report takes,
-// and a question besides; or other owners have had no better luck. Answered on, its lease
-// would count as renewed for ever, and all that may be there would wait for that.
+// unverified reports whether an unfenced worker's reports must not be answered, because nothing
+// shows that it receives messages. Either it has not reported the offered token for longer than a
+// report takes and has not answered a direct command, or earlier owners had the same result. If it
+// were still answered, its lease would count as renewed forever, and its tasks could never be
+// started elsewhere.
 func (s *Shard) unverified(now time.Duration, m *machine) bool {
 	return !m.fenced && (m.needsVerification || m.probeFailed && m.tokenOfferedAt != 0 &&
 		now-m.tokenOfferedAt > s.params.OverdueAfter())
 }
 
-// Verifying tells whether an unverified worker is being asked: its report
-// may wait a moment for that.
+// Verifying reports whether an unverified worker is being probed. The caller may
+// delay the refusal of its report until the probe has ended.
 func (s *Shard) Verifying(now time.Duration, id model.MachineID) bool {
 	m := s.machines[id]
 	return m != nil && s.unverified(now, m) && (m.commandsInFlight > 0 || m.needsFlush && now >= m.directRetryAt)
 }
 
-// probeUnverified has an unverified worker asked whether it receives.
+// probeUnverified schedules a probe of an unverified worker. It records the session of the report,
+// because a direct command must name the worker's session.
 func (s *Shard) probeUnverified(m *machine, r *model.Report) {
-	if r.Newer(m.session, m.seq) { // to be addressed by
+	if r.Newer(m.session, m.seq) {
 		if r.Session != m.session {
 			m.reportSeq = 0
 		}
@@ -114,7 +116,7 @@
 	m.needsProbe, m.needsFlush = true, true
 }
 
-// markReceiving takes a proof that a worker receives what it is sent.
+// markReceiving records a proof that a worker receives messages.
 func (s *Shard) markReceiving(m *machine) {
 	m.needsVerification, m.probeFailed, m.failedProbes, m.ignoredAnswers = false, false, 0, 0
 	if m.inboundLost {
@@ -123,7 +125,8 @@
 	}
 }
 
-// recordIgnoredLaunch takes a launch in an answer that the worker's next report does not show.
+// recordIgnoredLaunch counts an answer whose launch the worker's next report does not show. After
+// maxIgnoredAnswers of them the worker is considered not to receive messages.
 func (s *Shard) recordIgnoredLaunch(m *machine, r *model.Report) {
 	if m.ignoredSeq == r.Seq {
 		return // counted with another launch of that answer
@@ -134,23 +137,24 @@
 	}
 }
 
-// restartLease takes a session that may have begun just now: its lease runs from its begin,
-// whether a report of it has been answered or not. A launch that went straight to the
-// worker would else be taken for over while it ran, if no report came through.
+// restartLease is called for a worker's session that may just have started. Its lease runs from the
+// start of the session, whether or not a report of it was answered. Otherwise a task that was
+// launched directly would be considered lost while it runs, if no report gets through.
 func (s *Shard) restartLease(now time.Duration, m *machine) {
 	m.answeredAt = max(m.answeredAt, now)
 	s.markAlive(m)
 }
 
-// checkAnswersArrived takes a new session of a worker that was fenced. A session ends for want
-// of answers: one that was given a moment ago has not arrived.
+// checkAnswersArrived is called when a fenced worker starts a new session. A session ends if the
+// worker gets no answers, so a recent answer of this shard cannot have arrived.
 func (s *Shard) checkAnswersArrived(now time.Duration, m *machine) {
 	if m.everAnswered && now-m.answeredAt < s.params.MaxLease/2 {
 		m.inboundLost = true
 	}
 }
 
-// directRetryPause is how long a worker that did not answer a question is left alone.
+// directRetryPause returns the pause after a direct command that was not answered. For probes of
+// workers that may not receive messages it doubles with each failure, up to maxProbePause.
 func (s *Shard) directRetryPause(now time.Duration, m *machine) time.Duration {
 	if !m.inboundLost && !s.unverified(now, m) {
 		return s.params.DirectRetryDelay
@@ -159,8 +163,8 @@
 	return min(s.params.DirectRetryDelay<<(m.failedProbes-1), maxProbePause)
 }
 
-// restartSession has a worker that has begun its numbers anew fenced once more, under a token
-// that nobody had before: until it shows that, nothing that it does not list is free.
+// restartSession handles a worker that has restarted its session numbers. The worker is fenced again
+// under a new token. Until it reports that token, attempts that it does not list are kept.
 func (s *Shard) restartSession(m *machine, r *model.Report) {
 	for _, a := range m.attempts {
 		if a.state == starting && a.launchSent {
--- a/internal/core/shard/status.go
+++ b/internal/core/shard/status.go
@@ -6,15 +6,14 @@
 	"honeylock/internal/core/model"
 )
 
-// Stats count what the shard has done.
+// Stats counts what the shard has done since it was created.
 type Stats struct {
 	Placed, Evicted, Demoted, Lost, Refused, Errors uint64
-	MachinesExamined                                uint64 // machines looked at for waiting tasks
-	ExpiredSessionReports                           uint64 // reports refused: their session's lease is over
+	MachinesExamined                                uint64 // how often a machine was examined for a waiting task
+	ExpiredSessionReports                           uint64 // reports refused because their session's lease had expired
 }
 
-// TakeStatus summarises the machines whose summary has changed since it was last
-// asked for.
+// TakeStatus returns the status of each machine whose status has changed since the last call.
 func (s *Shard) TakeStatus(now time.Duration) []model.MachineStatus {
 	var out []model.MachineStatus
 	for _, m := range s.sortedMachines {
@@ -26,14 +25,16 @@
 	return out
 }
 
-// machineSummary is what often changes in a machine's summary.
+// machineSummary is the part of a machine's status that changes often.
 type machineSummary struct {
 	avail                   model.Resources
 	ready, draining, faulty bool
-	attempts                int
+	attempts                int // in use
 	idleSince               time.Duration
 }
 
+// summarize returns a machine's current summary. It also updates the time since which the machine
+// is idle.
 func (s *Shard) summarize(now time.Duration, m *machine) machineSummary {
 	inUse := m.attemptsInUse()
 	if inUse == 0 && m.inUse {
@@ -42,7 +43,7 @@
 	m.inUse = inUse > 0
 	avail := m.Cap.Sub(m.used)
 	if now < m.reservedUntil {
-		avail = model.Resources{} // it is promised: whatever is dealt on the strength of it would wait
+		avail = model.Resources{} // other tasks assigned for this capacity would only wait
 	}
 	return machineSummary{
 		avail:     avail,
@@ -54,8 +55,8 @@
 	}
 }
 
-// attemptsInUse counts the attempts that are on the machine, or that it is still to tell of:
-// those that only wait to be cleared are neither.
+// attemptsInUse counts the machine's attempts, without those that have exited and only wait to
+// be cleared.
 func (m *machine) attemptsInUse() (n int) {
 	for _, a := range m.attempts {
 		if a.state != exited || !a.clearable {
@@ -65,13 +66,14 @@
 	return n
 }
 
+// status returns the machine's status for the dispatcher.
 func (m *machine) status(summary machineSummary) model.MachineStatus {
 	return model.MachineStatus{Machine: m.Machine, Avail: summary.avail, Ready: summary.ready,
 		Draining: summary.draining, Slots: summary.attempts,
 		IdleSince: summary.idleSince, Faulty: summary.faulty}
 }
 
-// WaitingCount returns how many tasks wait.
+// WaitingCount returns how many tasks wait for a machine.
 func (s *Shard) WaitingCount() int {
 	n := 0
 	for _, g := range s.waiting {
@@ -80,8 +82,8 @@
 	return n
 }
 
-// Images tells, for each of the shard's machines, the images that it has been
-// given tasks for.
+// Images returns the images that each of the shard's machines is expected to have, because a
+// task with that image was placed there.
 func (s *Shard) Images() map[model.MachineID]map[model.Name]bool {
 	out := make(map[model.MachineID]map[model.Name]bool, len(s.sortedMachines))
 	for _, m := range s.sortedMachines {
@@ -90,20 +92,20 @@
 	return out
 }
 
-// RestoreImages takes what the controller's shard of an earlier term knew of images:
-// a hint for placing, which the machines keep when a leader is lost.
+// RestoreImages sets the images that the controller's shard of an earlier term knew of. They are
+// a hint for placement and stay valid after a change of leader, because the machines keep them.
 func (s *Shard) RestoreImages(images map[model.MachineID]map[model.Name]bool) {
 	s.rememberedImages = images
 }
 
-// Owns tells whether the machine is this shard's.
+// Owns reports whether this shard owns the machine.
 func (s *Shard) Owns(id model.MachineID) bool { return s.machines[id] != nil }
 
-// AssignmentsReceived counts the deals received.
+// AssignmentsReceived returns how many assignments the shard has received.
 func (s *Shard) AssignmentsReceived() uint64 { return s.assignmentsReceived }
 
-// TaskCounts counts the waiting and the running tasks of each job. The running ones,
-// which are for display only, are counted once a second.
+// TaskCounts returns the number of waiting and running tasks of each job. Running tasks are
+// counted at most once per second, because their number is for display only.
 func (s *Shard) TaskCounts(now time.Duration) map[model.JobID]model.TaskCounts {
 	if s.runningCounts == nil || now-s.runningCountedAt >= time.Second {
 		s.runningCounts, s.runningCountedAt = map[model.JobID]int{}, now
@@ -127,17 +129,17 @@
 	return out
 }
 
-// inspect tells what runs on a machine. It goes out behind what was said of the
-// machine before, so it holds for after every order that came first.
+// inspect emits an event that lists the tasks on a machine. Events keep their order, so the list
+// reflects all orders before this one.
 func (s *Shard) inspect(now time.Duration, o model.Order) {
 	m := s.machines[o.ID]
 	if m == nil {
-		return // the next owner is asked
+		return // the dispatcher asks the next owner
 	}
 	s.emit(model.Event{Kind: model.MachineInspected, Machine: m.ID, Token: o.Token, Placed: m.placedTasks(now)})
 }
 
-// placedTasks is what is on the machine, or may be.
+// placedTasks returns the tasks that are, or may be, on the machine.
 func (m *machine) placedTasks(now time.Duration) []model.PlacedTask {
 	var out []model.PlacedTask
 	for _, a := range m.attempts {
