--- a/internal/core/shard/attempt.go
+++ b/internal/core/shard/attempt.go
@@ -42,7 +42,7 @@
 	killAt           time.Duration // from then on it is killed without grace
 	clearable        bool          // the worker may forget it once it has exited
 	notAdopted       bool          // found on the worker, and not adopted
-	adopted          bool          // it ran before this shard owned the machine
+	adopted          bool          // it ran before this shard first saw it
 	limitsUnchecked  bool          // adopted although its team's limit or its job's zones would forbid an assignment
 	fetchesImage     bool          // in a simulation: its machine must pull the image first
 	runningSince     time.Duration // when it was first seen running; 0: not yet
--- a/internal/core/shard/expedite.go
+++ b/internal/core/shard/expedite.go
@@ -8,17 +8,20 @@
 	"honeylock/internal/core/model"
 )
 
-// A job that should have begun: its next task comes before all else, once. Where no
-// machine has room for it, one is kept free of other work until it has.
+// The dispatcher expedites a job that should have started by now. One task of the job is placed
+// before all other tasks. If no machine has capacity for it, one machine is reserved: it gets no
+// tasks of other jobs until the task fits.
 
 const (
-	expediteDuration       = 20 * time.Second // the dealer says it again while it holds
-	machinesPerReservation = 50               // of the machines that may be kept at a time, but one in any case
+	expediteDuration       = 20 * time.Second // the dispatcher repeats the order while it applies
+	machinesPerReservation = 50               // one machine in this many may be reserved, but at least one
 )
 
+// isExpedited reports whether a task of the job is to be placed before all others.
 func (s *Shard) isExpedited(now time.Duration, job model.JobID) bool { return now < s.expedited[job] }
 
-// placeExpedited puts one task of each such job on a machine, or keeps one for it.
+// placeExpedited places one task of each expedited job, the longest waiting first, or reserves a
+// machine for it.
 func (s *Shard) placeExpedited(now time.Duration, available []*machine, index *victimIndex) {
 	if len(s.expedited) == 0 {
 		return
@@ -32,7 +35,7 @@
 	slices.SortStableFunc(expedited, func(a, b *waitingGroup) int { return cmp.Compare(a.waitingSince, b.waitingSince) })
 	for _, g := range expedited {
 		if !s.isExpedited(now, g.job) {
-			continue // it had one in another zone
+			continue // a task of it was placed in another zone
 		}
 		s.placeGroup(now, g, 1, s.candidates(now, g, available), index)
 		if s.isExpedited(now, g.job) {
@@ -41,8 +44,8 @@
 	}
 }
 
-// placeExpeditedOn gives the room that came free on a machine to such jobs before all others:
-// the first task of each.
+// placeExpeditedOn places one task of each expedited job on a machine with freed capacity, as far
+// as they fit.
 func (s *Shard) placeExpeditedOn(now time.Duration, m *machine) {
 	if len(s.expedited) == 0 {
 		return
@@ -55,7 +58,7 @@
 	}
 }
 
-// expedite takes the dealer's word that a job should have begun.
+// expedite has the next task of a job placed before all others.
 func (s *Shard) expedite(now time.Duration, job model.JobID) {
 	if s.expedited == nil {
 		s.expedited = map[model.JobID]time.Duration{}
@@ -64,8 +67,8 @@
 	s.replanAll = true
 }
 
-// endExpedite notes that a task of such a job is placed, or that it is over: no machine is kept
-// for it any more.
+// endExpedite is called once a task of a job is placed or the job has ended. It cancels the job's
+// reservations.
 func (s *Shard) endExpedite(job model.JobID) {
 	if _, ok := s.expedited[job]; !ok {
 		return
@@ -78,13 +81,13 @@
 	}
 }
 
-// reservedForOther tells whether a machine is kept for another job.
+// reservedForOther reports whether the machine is reserved for a job other than the given one.
 func (m *machine) reservedForOther(now time.Duration, job model.JobID) bool {
 	return now < m.reservedUntil && m.reservedFor != job
 }
 
-// reserve has a machine get no other work until a job's first task has room there: the one
-// that lacks least.
+// reserve reserves the machine with the most free CPU on which the group may run, or extends the
+// job's reservation. The number of reserved machines is limited.
 func (s *Shard) reserve(now time.Duration, g *waitingGroup) {
 	reserved := 0
 	var best *machine
--- a/internal/core/shard/faults.go
+++ b/internal/core/shard/faults.go
@@ -7,37 +7,37 @@
 	"honeylock/internal/core/model"
 )
 
-// Errors tell of a faulty machine or of a broken job, and the two are told
-// apart by evidence: a job that fails on several machines, and has not been seen
-// to succeed, is broken; a machine where several other jobs fail is faulty. A
-// broken array once marked every machine that it touched as faulty, half of all
-// machines, for minutes.
+// Task errors may be caused by a faulty machine or by a broken job. A job that has failed on
+// several machines and of which no task has completed is considered broken. A machine on which
+// several other jobs have failed is considered faulty. Without this distinction, one broken job
+// with many tasks marked all machines that it ran on as faulty: half of a cluster, for minutes.
 
 const (
-	avoidDuration   = 30 * time.Second // a job keeps away from a machine that it failed on
-	faultyDuration  = time.Minute      // less than a job may wait beside room
-	errorRetention  = 5 * time.Minute
-	minFaultyJobs   = 2 // jobs, not held to be broken, that failed on a machine
-	minFaultyErrors = 4 // errors of such jobs on a machine
+	avoidDuration   = 30 * time.Second // a job is not placed on a machine for so long after it failed there
+	faultyDuration  = time.Minute      // below the 90 s that a job may wait while a machine has capacity for it
+	errorRetention  = 5 * time.Minute  // older errors do not count
+	minFaultyJobs   = 2                // a machine is faulty once this many jobs that are not broken failed on it
+	minFaultyErrors = 4                // or once such jobs had this many errors on it
 )
 
+// jobError is an error of a job's task on a machine.
 type jobError struct {
 	job model.JobID
 	at  time.Duration
 }
 
-// jobFailures is what this shard has seen of a job that has failed.
+// jobFailures is the shard's record of a job whose tasks have failed.
 type jobFailures struct {
-	lastFailure  map[model.MachineID]time.Duration // it failed there last
-	hasSucceeded bool                              // a task of it has completed since
+	lastFailure  map[model.MachineID]time.Duration // when the job last failed on each machine
+	hasSucceeded bool                              // a task has completed after the first failure
 }
 
-// broken tells whether the job, not the machines, is held to be at fault.
+// broken reports whether the job is considered to be at fault, and not the machines.
 func (f *jobFailures) broken() bool {
 	return f != nil && !f.hasSucceeded && len(f.lastFailure) >= model.BrokenJobMachines
 }
 
-// recordFailure notes an error of a job's task on a machine.
+// recordFailure records an error of a job's task on a machine.
 func (s *Shard) recordFailure(now time.Duration, m *machine, job model.JobID) {
 	failures := s.failures[job]
 	if failures == nil {
@@ -54,8 +54,8 @@
 	s.updateFaulty(m)
 }
 
-// recordSuccess notes that a task of the job has completed: its errors were the
-// machines'.
+// recordSuccess records that a task of the job has completed. The job's earlier errors
+// then count against the machines.
 func (s *Shard) recordSuccess(job model.JobID) {
 	if failures := s.failures[job]; failures != nil && !failures.hasSucceeded {
 		failures.hasSucceeded = true
@@ -63,6 +63,7 @@
 	}
 }
 
+// updateFaultyMachines runs updateFaulty for each machine that the job has failed on.
 func (s *Shard) updateFaultyMachines(failures *jobFailures) {
 	for id := range failures.lastFailure {
 		if m := s.machines[id]; m != nil {
@@ -72,7 +73,8 @@
 	s.replanAll = true
 }
 
-// updateFaulty holds a machine to be faulty, or no longer.
+// updateFaulty recomputes until when a machine is considered faulty. Errors of broken jobs do not
+// count.
 func (s *Shard) updateFaulty(m *machine) {
 	m.faultyUntil = 0
 	jobs := map[model.JobID]bool{}
@@ -90,7 +92,7 @@
 	}
 }
 
-// avoids tells whether a job failed on the machine a moment ago.
+// avoids reports whether a job failed on the machine within avoidDuration.
 func (s *Shard) avoids(now time.Duration, job model.JobID, m *machine) bool {
 	failures := s.failures[job]
 	if failures == nil {
--- a/internal/core/shard/lease_expiry.go
+++ b/internal/core/shard/lease_expiry.go
@@ -7,20 +7,22 @@
 	"honeylock/internal/core/model"
 )
 
-// A lapse is the dispatcher's word that a worker's lease is surely over: what ran there is lost,
-// and may be started elsewhere from then on. The network may deliver, half a minute later, what
-// the worker had sent before. Its numbers are the next ones, so order does not tell that it is
-// old. One of two things does:
+// When the dispatcher confirms that a worker's lease has expired, the worker's tasks are lost, and
+// may be started elsewhere from then on. The network may still deliver messages that the worker
+// sent before, up to half a minute late. Their sequence numbers follow those of the last message
+// received, so the numbers do not show that these messages are old. One of two things does:
 //
-//   - The session, where the worker was fenced. It showed this shard's token in that session or
-//     an earlier one, has refused all lower tokens since, and was launched nothing in a later one,
-//     which this shard has not heard of. So whatever ran there ran in that session or before.
-//   - The token, where it was not fenced and its sessions are not known. It is to be fenced under
-//     a token that was not given out before the lapse.
+//   - If the worker was fenced: the session. The worker has reported this shard's token in the known
+//     session or an earlier one, and has refused lower tokens since. Nothing was launched in a later
+//     session, because this shard knows of none. So all tasks on the worker ran in the known session
+//     or an earlier one, and messages of these sessions are refused.
+//   - If the worker was not fenced: the token, because its sessions are not known. The worker must
+//     be fenced under a token that was not sent before the confirmation.
 //
-// A message that does not pass is no sign of life, and nothing that it lists counts.
+// A message that fails this check does not show that the worker is alive, and its attempts are
+// ignored.
 
-// confirmLeaseExpiry takes the word that a machine's lease is surely over.
+// confirmLeaseExpiry handles the dispatcher's confirmation that a worker's lease has expired.
 func (s *Shard) confirmLeaseExpiry(now time.Duration, m *machine) {
 	s.loseAllAttempts(now, m)
 	s.emit(model.Event{Kind: model.LeaseExpiryConfirmed, Machine: m.ID, Token: m.token})
@@ -32,12 +34,13 @@
 	}
 }
 
-// refence has a worker show a token that nobody was given before, until which nothing that it
-// lists or lacks counts.
+// refence requests a new token, which the worker must report to be fenced again. Until then no
+// attempt is recorded or removed because of what the worker's messages list.
 func (s *Shard) refence(m *machine) {
 	m.fenced, m.fencingToken, m.refence, m.endedSession = false, math.MaxUint64, true, 0
 	s.requestToken(m)
 }
 
-// ofEndedSession tells whether a message was written in a session that ended with a lapse.
+// ofEndedSession reports whether a message belongs to a session that ended with a confirmed lease
+// expiry.
 func (m *machine) ofEndedSession(r *model.Report) bool { return r.Session <= m.endedSession }
--- a/internal/core/shard/simulation.go
+++ b/internal/core/shard/simulation.go
@@ -8,32 +8,32 @@
 	"honeylock/internal/core/model"
 )
 
-// Simulation is a shard of make-believe, which owns all machines of a snapshot and
-// whose workers obey at once. It places, evicts and demotes with the same code as
-// a shard that acts, so that what would happen can be told beforehand.
+// Simulation is a shard without real workers. It owns all machines of a snapshot, and its
+// commands take effect at once. It places, evicts and demotes with the same code as a real
+// shard, so that the effect of a change can be forecast.
 type Simulation struct {
 	shard   *Shard
-	started []*attempt // reserved since the last Place
-	stopped []*attempt // told to stop since
+	started []*attempt // created since the last Place
+	stopped []*attempt // stopped since the last Place
 }
 
-// StartedTask is a task that a rehearsal has put on a machine.
+// StartedTask is a task that a simulation has started on a machine.
 type StartedTask struct {
 	Task      model.Task
 	Spec      *model.Spec
 	Machine   model.MachineID
 	Attempt   uint64
-	FetchTime time.Duration // until its image is there
+	FetchTime time.Duration // time to pull the image before the task runs
 }
 
-// StoppedTask is a task that had to leave its machine.
+// StoppedTask is a task that a simulation has stopped on its machine.
 type StoppedTask struct {
 	Task    model.Task
 	Attempt uint64
-	RunTime time.Duration
+	RunTime time.Duration // of the stopped attempt
 }
 
-// NewSimulation returns a rehearsal without machines.
+// NewSimulation returns a simulation without machines.
 func NewSimulation(params Params, rng *rand.Rand) *Simulation {
 	sim := &Simulation{shard: New(params, 0, rng)}
 	sim.shard.grantedUntil = math.MaxInt64
@@ -41,20 +41,20 @@
 	return sim
 }
 
-// AddMachine adds one, ready from the start.
+// AddMachine adds a machine, which is ready for tasks at once.
 func (sim *Simulation) AddMachine(now time.Duration, m model.Machine, usable bool) {
 	sim.shard.ownMachine(now, model.Order{Machine: m, Usable: usable})
 	added := sim.shard.machines[m.ID]
 	added.fenced = true
-	added.answeredAt = math.MaxInt64 / 2 // it is never overdue
+	added.answeredAt = math.MaxInt64 / 2 // its reports are never overdue
 }
 
-// SetUsable lets a machine have tasks, or not.
+// SetUsable sets whether tasks may be placed on a machine.
 func (sim *Simulation) SetUsable(now time.Duration, id model.MachineID, usable bool) {
 	sim.shard.HandleOrder(now, model.Order{Kind: model.SetUsable, ID: id, Usable: usable})
 }
 
-// AddRunning adds a task that is on a machine.
+// AddRunning adds a task that has been running on a machine for the given time.
 func (sim *Simulation) AddRunning(now time.Duration, id model.MachineID, assignment model.Assignment,
 	ran time.Duration) StartedTask {
 	m := sim.shard.machines[id]
@@ -71,18 +71,18 @@
 	return StartedTask{Task: assignment.Task, Spec: assignment.Spec, Machine: id, Attempt: a.number}
 }
 
-// AddWaiting adds a task that waits.
+// AddWaiting adds a task that waits for a machine.
 func (sim *Simulation) AddWaiting(now time.Duration, assignment model.Assignment) {
 	sim.shard.acceptAssignment(now, assignment)
 }
 
-// RepriceJob changes the price of a job's tasks.
+// RepriceJob changes the price of all tasks of a job.
 func (sim *Simulation) RepriceJob(job model.JobID, price float64) {
 	sim.shard.repriceJob(job, price, model.ObjectiveUnchanged)
 }
 
-// Place places what waits, on whichever machine, and carries the evictions out.
-// Tasks that had to stop wait again.
+// Place runs a full placement round and carries out its evictions. It returns the tasks
+// that were started and those that were stopped. Stopped tasks wait again.
 func (sim *Simulation) Place(now time.Duration) (started []StartedTask, stopped []StoppedTask) {
 	sim.shard.replanAll = true
 	sim.shard.Place(now)
@@ -95,7 +95,7 @@
 	for _, a := range sim.started {
 		t := a.assigned
 		if t == nil || t.attempt != a {
-			continue // it was taken back
+			continue // it was cancelled before its launch
 		}
 		fetch := time.Duration(0)
 		if a.fetchesImage {
@@ -111,7 +111,7 @@
 	return started, stopped
 }
 
-// stopTask takes a task off its machine, and lets it wait again.
+// stopTask removes a task from its machine and queues it again.
 func (sim *Simulation) stopTask(now time.Duration, a *attempt) StoppedTask {
 	stopped := StoppedTask{a.task, a.number, a.ran(now)}
 	sim.shard.removeAttempt(now, a)
@@ -119,7 +119,7 @@
 	return stopped
 }
 
-// FinishTask ends a task on its machine; false tells that it is not there any more.
+// FinishTask completes a task on its machine. It returns false if that attempt is not there any more.
 func (sim *Simulation) FinishTask(now time.Duration, t model.Task, attempt uint64) bool {
 	finished := sim.shard.tasks[t]
 	if finished == nil || finished.attempt == nil || finished.attempt.number != attempt {
@@ -132,7 +132,8 @@
 	return true
 }
 
-// Recall stops a task on a machine and lets it wait again.
+// Recall stops a task on the given machine and queues it again. It returns false if the task is not
+// on that machine.
 func (sim *Simulation) Recall(now time.Duration, id model.MachineID, t model.Task) (StoppedTask, bool) {
 	recalled := sim.shard.tasks[t]
 	if recalled == nil || recalled.machine() == nil || recalled.machine().ID != id {
@@ -141,14 +142,14 @@
 	return sim.stopTask(now, recalled.attempt), true
 }
 
-// RemoveMachine takes an empty machine away.
+// RemoveMachine removes a machine if it has no attempts.
 func (sim *Simulation) RemoveMachine(id model.MachineID) {
 	if m := sim.shard.machines[id]; m != nil && len(m.attempts) == 0 {
 		sim.shard.removeMachine(m)
 	}
 }
 
-// TasksOn tells what is on a machine.
+// TasksOn returns the tasks on a machine.
 func (sim *Simulation) TasksOn(now time.Duration, id model.MachineID) []model.PlacedTask {
 	if m := sim.shard.machines[id]; m != nil {
 		return m.placedTasks(now)
@@ -156,14 +157,14 @@
 	return nil
 }
 
-// ForEachMachine calls f for every machine, in order.
+// ForEachMachine calls f with the status of each machine, in order of their IDs.
 func (sim *Simulation) ForEachMachine(now time.Duration, f func(st model.MachineStatus)) {
 	for _, m := range sim.shard.sortedMachines {
 		f(m.status(sim.shard.summarize(now, m)))
 	}
 }
 
-// WaitingJobs are the jobs with tasks that wait.
+// WaitingJobs returns the jobs with waiting tasks.
 func (sim *Simulation) WaitingJobs() map[model.JobID]bool {
 	out := map[model.JobID]bool{}
 	for k, g := range sim.shard.waiting {
--- a/internal/core/shard/tasks.go
+++ b/internal/core/shard/tasks.go
@@ -2,8 +2,8 @@
 
 import "honeylock/internal/core/model"
 
-// ForEachTask calls f for each task that the shard holds: those that wait for a machine, and those
-// on one. Each of them is charged to this shard in the dispatcher's books.
+// ForEachTask calls f for each task that is assigned to the shard, whether it waits for a machine or
+// is on one. The dispatcher records each of them as assigned to this shard.
 func (s *Shard) ForEachTask(f func(model.Task)) {
 	for t := range s.tasks {
 		f(t)
--- a/internal/core/shard/tick.go
+++ b/internal/core/shard/tick.go
@@ -7,12 +7,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Tick settles what time alone decides.
+// Tick handles everything that depends on time alone: expired leases, overdue reports, preemption
+// notices, a new placement round, and pinned tasks that have waited too long.
 func (s *Shard) Tick(now time.Duration) {
 	for _, m := range s.sortedMachines {
 		if now-m.answeredAt > s.params.MaxLease && (!m.leaseExpired || now-m.expiryReportedAt > 5*time.Second) {
-			// Its lease is over, unless another controller has answered it:
-			// the dealer knows.
+			// The lease has expired unless another controller has answered the worker. Only the
+			// dispatcher knows that. The event is repeated until it decides.
 			m.leaseExpired, m.expiryReportedAt = true, now
 			s.emit(model.Event{Kind: model.LeaseExpired, Machine: m.ID, Token: m.token})
 		}
@@ -25,10 +26,11 @@
 		}
 	}
 	if s.HasGrant(now) {
-		s.replanAll = true // machines may have become ready, victims cheap
+		s.replanAll = true // machines may have become ready, and evictions may pay off by now
 		s.Place(now)
 	}
-	// A task pinned to a zone without room goes back, to be pinned anew.
+	// A task pinned to a zone without capacity is returned, so that the dispatcher can pin it to
+	// another zone.
 	for _, g := range s.waiting {
 		if g.zone == model.None {
 			continue
@@ -42,15 +44,17 @@
 	}
 }
 
+// maxPinnedWait is how long a task pinned to a zone may wait before it is returned.
 const maxPinnedWait = 15 * time.Second
 
-// notReporting tells whether a worker's report is overdue: nothing new goes there.
+// notReporting reports whether a worker's report is so late that it gets no new tasks.
 func (s *Shard) notReporting(now time.Duration, m *machine) bool {
 	return now-m.answeredAt > s.params.ReportInterval*5/2+500*time.Millisecond
 }
 
-// evacuate moves tasks off a machine that will be taken: those that save, just
-// in time; those that would not finish, at once.
+// evacuate stops tasks on a machine that the cloud is going to take. Daemons and tasks with
+// checkpoints are stopped just in time to save. Other tasks are stopped at once if they would
+// not finish in time, and run on if they would.
 func (s *Shard) evacuate(now time.Duration, m *machine) {
 	for _, a := range slices.Clone(m.attempts) {
 		if a.assigned == nil || a.state == exited || a.stopping {
@@ -64,7 +68,7 @@
 		left := m.preemptionAt - now
 		switch {
 		case spec.CheckpointInterval > 0 || spec.Daemon:
-			// The notice may be half its nominal value: do not cut it fine.
+			// The cloud may take the machine after half of the announced time.
 			if left/2 < checkpointGrace(spec)+s.params.ReportInterval {
 				s.stopAttempt(now, a, checkpointGrace(spec))
 			}
--- a/internal/core/shard/unreachable.go
+++ b/internal/core/shard/unreachable.go
@@ -6,25 +6,28 @@
 	"honeylock/internal/core/model"
 )
 
-// A machine that stops, or hangs, takes its tasks' whole lease with it, unless it is
-// given back to the cloud: then it is surely gone. So a worker whose report is overdue
-// is asked directly; if it does not answer that either, while most workers of its zone
-// report, the dealer is told. Where a zone is out of reach that says nothing about a
-// machine of it.
+// The tasks of a machine that stops or hangs can be started elsewhere only after its lease has
+// expired, or once the machine is returned to the cloud, because it is certainly gone then. So a
+// worker whose report is overdue is probed with a direct command. If it does not answer while most
+// workers of its zone report, the dispatcher is informed that it is unreachable. If a whole zone is
+// unreachable, that says nothing about its individual machines.
 const (
-	// A report that went unanswered is tried again elsewhere 4 s and 1 s later.
+	// reportRetryTime is how long a worker takes to try another controller: a report without an
+	// answer times out after 4 s, and is repeated elsewhere 1 s later.
 	reportRetryTime   = 5 * time.Second
-	minReportingShare = 0.6 // of the zone's other machines that must have reported in time
+	minReportingShare = 0.6 // fraction of the zone's other machines that must have reported in time
 )
 
-// OverdueAfter is after how long without a report a worker should have reported.
+// OverdueAfter returns how long after its last report a worker's report is overdue.
 func (p *Params) OverdueAfter() time.Duration { return p.ReportInterval*5/4 + reportRetryTime }
 
+// reportOverdue reports whether the worker's report is overdue.
 func (s *Shard) reportOverdue(now time.Duration, m *machine) bool {
 	return now-m.answeredAt > s.params.OverdueAfter()
 }
 
-// probeOverdue asks an overdue worker directly, once in a while.
+// probeOverdue schedules a probe of a fenced worker whose report is overdue or that does not receive
+// messages. directRetryAt limits how often that happens.
 func (s *Shard) probeOverdue(now time.Duration, m *machine) {
 	if m.fenced && !m.leaseExpired && now >= m.directRetryAt && m.commandsInFlight == 0 &&
 		(m.inboundLost || s.reportOverdue(now, m)) {
@@ -32,8 +35,9 @@
 	}
 }
 
-// handleDirectFailure takes a direct command without an answer. One to a worker that is not fenced
-// yet says little: it may have come to a socket that was just closed.
+// handleDirectFailure handles a direct command that was not answered. It informs the dispatcher if
+// the worker is not fenced, or is unreachable. For a worker that is not fenced yet, the failure says
+// little about the machine: the command may have reached a socket that was just closed.
 func (s *Shard) handleDirectFailure(now time.Duration, m *machine) {
 	probed := m.inboundLost && m.failedProbes >= minFailedProbes
 	unreachable := m.fenced && (s.reportOverdue(now, m) || probed) && s.zoneReporting(now, m)
@@ -43,7 +47,8 @@
 	}
 }
 
-// markAlive takes an answer that was given to the worker, or one of its own.
+// markAlive is called when this shard answers the worker or gets an answer from it. It ends the
+// states leaseExpired and unreachable.
 func (s *Shard) markAlive(m *machine) {
 	if m.leaseExpired || m.unreachable {
 		m.leaseExpired, m.unreachable = false, false
@@ -51,7 +56,7 @@
 	}
 }
 
-// zoneReporting tells whether most machines of a machine's zone report in time.
+// zoneReporting reports whether most other machines in a machine's zone report in time.
 func (s *Shard) zoneReporting(now time.Duration, m *machine) bool {
 	total, reporting := 0, 0
 	for _, other := range s.sortedMachines {
