--- a/internal/core/shard/attempt_list.go
+++ b/internal/core/shard/attempt_list.go
@@ -13,8 +13,8 @@
 type attemptList []*attempt
 
 // compare orders keys by task, then by attempt number.
-func (k attemptKey) compare(o attemptKey) int {
-	return cmp.Or(k.task.Compare(o.task), cmp.Compare(k.number, o.number))
+func (key attemptKey) compare(other attemptKey) int {
+	return cmp.Or(key.task.Compare(other.task), cmp.Compare(key.number, other.number))
 }
 
 // find returns the index of an attempt, or where to insert it, and whether it is in the list.
--- a/internal/core/shard/drain_test.go
+++ b/internal/core/shard/drain_test.go
@@ -9,8 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// A machine that gets no more tasks gives back what is not on its way there: a
-// task reserved for it waited for ever, and the machine was never empty.
+// A machine that becomes unusable gives up tasks whose launch was not sent. Otherwise such a task
+// waits forever, and the machine never becomes empty.
 func TestUnusableMachineReturnsUnsentTasks(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -21,19 +21,19 @@
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0))
 	h.now += 20 * time.Second
 	h.assign(high, 0, 1000)
-	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0)) // the victim stops, its room is spoken for
+	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0)) // the victim is being stopped for the urgent task
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.SetUsable, ID: 1})
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Exited, model.CauseStopped))
 	h.report(1, 5)
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.InspectMachine, ID: 1, Token: 77})
 	e := h.takeEvents(model.MachineInspected)
 	if len(e) != 1 || e[0].Token != 77 || len(e[0].Placed) != 0 || h.shard.WaitingCount() != 2 {
-		t.Errorf("%+v is on a machine that gets no tasks, %d wait", e, h.shard.WaitingCount())
+		t.Errorf("%+v: tasks on an unusable machine; %d tasks wait, want 2", e, h.shard.WaitingCount())
 	}
 }
 
-// A task is recalled from the machine that was meant, and from no other: the order
-// may be older than where the task is.
+// A recall names a machine and does not apply to a task on another one, because the task may have
+// moved since the order was sent.
 func TestRecallAppliesToNamedMachineOnly(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -57,15 +57,15 @@
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.RecallTask, ID: 1, Task: task})
 	got := h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0))
 	if len(got) != 1 || got[0].Verb != model.Kill || got[0].Grace < spec.CheckpointTime {
-		t.Errorf("%+v, want it to save and stop", got)
+		t.Errorf("%+v, want it stopped with time to save", got)
 	}
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Exited, model.CauseStopped))
 	if e := h.takeEvents(model.TaskReturned); len(e) != 1 || e[0].Task != task {
-		t.Errorf("%+v, want it given back", e)
+		t.Errorf("%+v, want the task returned", e)
 	}
 }
 
-// A rehearsal chooses as the shard that acts does: same machines, same victims.
+// A simulation makes the same placements as a real shard.
 func TestSimulationPlacesLikeShard(t *testing.T) {
 	actual := newHarness(t)
 	sim := NewSimulation(actual.shard.params, actual.shard.rng)
@@ -86,15 +86,15 @@
 	actual.shard.Place(actual.now)
 	started, stopped := sim.Place(actual.now)
 	if len(started) < 20 || len(stopped) != 0 {
-		t.Fatalf("%d begun, %d stopped", len(started), len(stopped))
+		t.Fatalf("%d started, %d stopped", len(started), len(stopped))
 	}
 	for _, b := range started {
 		if on := actual.shard.tasks[b.Task].machine(); on == nil || on.ID != b.Machine {
-			t.Errorf("%v goes to %d, and to %v where it counts", b.Task, b.Machine, on)
+			t.Errorf("%v is placed on machine %d by the simulation, on %v by the shard", b.Task, b.Machine, on)
 		}
 	}
 	if !sim.FinishTask(actual.now, started[0].Task, started[0].Attempt) ||
 		sim.FinishTask(actual.now, started[0].Task, started[0].Attempt) {
-		t.Error("a task that ends does not end once")
+		t.Error("FinishTask must succeed exactly once per attempt")
 	}
 }
--- a/internal/core/shard/expedite_test.go
+++ b/internal/core/shard/expedite_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// fillWithSmallTasks keeps machines full of small tasks, of which there are always more, until a job
-// begins or the time is over. It returns how long that took.
+// fillWithSmallTasks keeps the machines full of small tasks until a task of the job starts, or for
+// three minutes. If expedite is true, the job is expedited. It returns how long that took.
 func (h *harness) fillWithSmallTasks(machines int, job model.JobID, expedite bool) time.Duration {
 	type runningTask struct {
 		c   model.AttemptStatus
@@ -65,6 +65,7 @@
 	return h.now - start
 }
 
+// waitingTasks returns the group's tasks; nil if there is no such group.
 func (g *waitingGroup) waitingTasks() []*task {
 	if g == nil {
 		return nil
@@ -72,8 +73,8 @@
 	return g.tasks
 }
 
-// A task that needs a whole machine never found one, for each hole went to the small ones
-// that waited beside it.
+// A task that needs a whole machine starts only if one is reserved for it: freed capacity goes to
+// small waiting tasks otherwise.
 func TestMachineIsReservedForExpeditedJob(t *testing.T) {
 	run := func(expedite bool) time.Duration {
 		h := newHarness(t)
@@ -84,23 +85,23 @@
 		h.shard.TakeEvents()
 		spec := h.spec(2, model.Idle, 8)
 		h.assign(spec, 0, 1)
-		// The machines are full before the large one is looked at.
+		// Small tasks with a higher score fill the machines before the large one is considered.
 		for index := range int32(40) {
 			h.assign(h.spec(1, model.Urgent, 1), 1000+index, 100)
 		}
 		return h.fillWithSmallTasks(4, 2, expedite)
 	}
 	if d := run(false); d < 3*time.Minute {
-		t.Fatalf("it began after %v by itself: the test shows nothing", d)
+		t.Fatalf("it started after %v without being expedited: the test shows nothing", d)
 	}
 	if d := run(true); d > 20*time.Second {
-		t.Errorf("it began after %v", d)
+		t.Errorf("it started after %v", d)
 	}
 }
 
-// A job that should have begun gets the first room that comes free on any machine, not only
-// on one that is kept for such jobs: where all are full of long tasks, a hundred jobs waited
-// for three machines.
+// An expedited job gets the first suitable capacity that is freed on any machine, not only on one
+// that is reserved. Otherwise, with machines full of long tasks, a hundred expedited jobs would wait
+// for three reserved machines.
 func TestFreedCapacityGoesToExpeditedJob(t *testing.T) {
 	h := newHarness(t)
 	full := h.spec(1, model.Urgent, 4)
@@ -121,7 +122,7 @@
 	h.assign(h.spec(2, model.Idle, 4), 0, 1)
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ExpediteJob, Job: 2})
 	h.now += time.Second
-	h.shard.Tick(h.now) // one machine is kept for it
+	h.shard.Tick(h.now) // reserves one machine for job 2
 	free := model.MachineID(0)
 	if h.shard.machines[0].reservedFor == 2 {
 		free = 1
@@ -132,11 +133,11 @@
 			return
 		}
 	}
-	t.Error("the room went to another job")
+	t.Error("the freed capacity went to another job")
 }
 
-// The room of a machine that is kept for one job is no room for others: told of it, the dealer
-// dealt thousands of tasks to the shard, which could place none, and charged their teams.
+// Free capacity of a reserved machine is not reported as available. Otherwise the dispatcher assigns
+// thousands of tasks to the shard and charges their teams, and the shard can place none of them.
 func TestReservedCapacityIsNotReportedAvailable(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(0, 5, 8)
@@ -157,16 +158,16 @@
 	attempts[0].Stage, attempts[0].Cause = model.Exited, model.CauseDone
 	h.report(0, 5, attempts...)
 	if m := h.shard.machines[0]; !m.reservedForOther(h.now, 1) || m.Cap.CPU-m.used.CPU < 4000 {
-		t.Fatal("half of the machine is not free and kept: the test shows nothing")
+		t.Fatal("half of the machine is not free and reserved: the test shows nothing")
 	}
 	for _, st := range h.shard.TakeStatus(h.now) {
 		if st.Avail.CPU > 0 {
-			t.Errorf("it offers %+v", st.Avail)
+			t.Errorf("available capacity is reported as %+v", st.Avail)
 		}
 	}
 }
 
-// A machine is kept no longer once the job's first task has room on another.
+// A reservation ends once the job's first task is placed on another machine.
 func TestReservationEndsOnceJobIsPlaced(t *testing.T) {
 	h := newHarness(t)
 	full := h.spec(1, model.Urgent, 8)
@@ -189,14 +190,14 @@
 		reserved, other = other, reserved
 	}
 	if !h.shard.machines[reserved].reservedForOther(h.now, 1) {
-		t.Fatal("none is kept: the test shows nothing")
+		t.Fatal("no machine is reserved: the test shows nothing")
 	}
 	attempts[other][0].Stage, attempts[other][0].Cause = model.Exited, model.CauseDone
 	h.report(other, 5, attempts[other]...)
 	if on := h.shard.tasks[model.Task{Job: 2}].machine(); on == nil || on.ID != other {
-		t.Fatal("it has not begun on the other machine: the test shows nothing")
+		t.Fatal("it is not placed on the other machine: the test shows nothing")
 	}
 	if h.shard.machines[reserved].reservedForOther(h.now, 1) {
-		t.Error("the machine is kept still")
+		t.Error("the machine is still reserved")
 	}
 }
--- a/internal/core/shard/faults_test.go
+++ b/internal/core/shard/faults_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// A job submitted with a mistake fails wherever it runs. Its errors once marked
-// every machine that it touched as faulty, and half of all stood idle.
+// A job submitted with a mistake fails on each machine. Its errors must not mark these machines as
+// faulty: half of a cluster could then stand idle.
 func TestBrokenJobDoesNotMarkMachinesFaulty(t *testing.T) {
 	h := newHarness(t)
 	faulty := func() (n int) {
@@ -43,18 +43,18 @@
 		h.report(id, 5, attempts[id]...)
 	}
 	if n := faulty(); n != 0 {
-		t.Errorf("%d machines are held to be faulty for one broken job", n)
+		t.Errorf("%d machines are considered faulty because of one broken job", n)
 	}
-	// It keeps away from where it failed a moment ago, and nobody else does.
+	// The job is not placed again soon on machines where it failed. Other jobs are.
 	again, other := h.spec(1, model.Standard, 2), h.spec(2, model.Standard, 2)
 	h.assign(again, 0, 10)
 	h.assign(other, 0, 10)
 	h.shard.Place(h.now)
 	if on := h.shard.tasks[model.Task{Job: 1}].machine(); on != nil {
-		t.Errorf("tried again at once on machine %d, where it failed", on.ID)
+		t.Errorf("placed again at once on machine %d, where it failed", on.ID)
 	}
 	if h.shard.tasks[model.Task{Job: 2}].machine() == nil {
-		t.Error("another job was kept away, too")
+		t.Error("another job was not placed either")
 	}
 	h.now += avoidDuration
 	h.shard.SetGrant(h.now + time.Hour)
@@ -63,11 +63,11 @@
 	}
 	h.shard.Tick(h.now)
 	if h.shard.tasks[model.Task{Job: 1}].machine() == nil {
-		t.Error("never tried again")
+		t.Error("the job is not placed again after avoidDuration")
 	}
 }
 
-// What a job's success proves: its errors were the machines' after all.
+// A completed task of a job shows that the machines caused the job's earlier errors.
 func TestJobSuccessMarksFailingMachinesFaulty(t *testing.T) {
 	h := newHarness(t)
 	for id := range model.MachineID(3) {
@@ -81,17 +81,17 @@
 		}
 	}
 	if h.shard.machines[0].faultyUntil != 0 {
-		t.Error("condemned on a broken job's word")
+		t.Error("machine considered faulty because of a broken job")
 	}
 	h.shard.recordSuccess(1)
 	if h.shard.machines[0].faultyUntil == 0 || h.shard.machines[1].faultyUntil == 0 ||
 		h.shard.machines[2].faultyUntil != 0 {
-		t.Error("want machines 0 and 1 condemned, and not machine 2")
+		t.Error("want machines 0 and 1 considered faulty, and not machine 2")
 	}
 }
 
-// No job may wait for 90 s while a machine that fits has room, one that is held to be faulty
-// included: it is tried again in time.
+// No job may wait for 90 s while a suitable machine has capacity. This includes faulty machines, so
+// they must be tried again in time.
 func TestFaultyMachineIsRetriedInTime(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -102,7 +102,7 @@
 	h.assign(h.spec(1, model.Standard, 2), 0, 10)
 	h.shard.Place(h.now)
 	if h.shard.tasks[model.Task{Job: 1}].machine() != nil {
-		t.Fatal("the machine is not held to be faulty: the test shows nothing")
+		t.Fatal("the machine is not considered faulty: the test shows nothing")
 	}
 	start := h.now
 	for h.now-start < 90*time.Second && h.shard.tasks[model.Task{Job: 1}].machine() == nil {
@@ -112,6 +112,6 @@
 		h.shard.Tick(h.now)
 	}
 	if waited := h.now - start; waited > 75*time.Second {
-		t.Errorf("waited for %v beside its room", waited)
+		t.Errorf("waited for %v while a machine had capacity", waited)
 	}
 }
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -53,9 +53,9 @@
 	// overtakenReportWindow is how long a report counts as new after the answer to a direct command
 	// overtook it: a worker waits up to 4 s for the answer to a report.
 	overtakenReportWindow = 5 * time.Second
-	// maxIgnoredAnswers is the number of consecutive answers with ignored launches after which a
+	// ignoredAnswersLimit is the number of consecutive answers with ignored launches after which a
 	// worker is considered not to receive messages. It exceeds 1 because one answer may be late.
-	maxIgnoredAnswers = 2
+	ignoredAnswersLimit = 2
 	// minFailedProbes is the number of consecutive failed probes after which a worker that does not
 	// receive messages may be reported as unreachable.
 	minFailedProbes = 3
@@ -126,13 +126,13 @@
 }
 
 // recordIgnoredLaunch counts an answer whose launch the worker's next report does not show. After
-// maxIgnoredAnswers of them the worker is considered not to receive messages.
+// ignoredAnswersLimit of them the worker is considered not to receive messages.
 func (s *Shard) recordIgnoredLaunch(m *machine, r *model.Report) {
 	if m.ignoredSeq == r.Seq {
 		return // counted with another launch of that answer
 	}
 	m.ignoredSeq = r.Seq
-	if m.ignoredAnswers++; m.ignoredAnswers >= maxIgnoredAnswers {
+	if m.ignoredAnswers++; m.ignoredAnswers >= ignoredAnswersLimit {
 		m.inboundLost = true
 	}
 }
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -10,8 +10,10 @@
 	"honeylock/internal/core/model"
 )
 
+// maxLease is the MaxLease of the harness's shard.
 const maxLease = 10 * time.Second
 
+// harness drives a shard with orders and with the reports of its workers.
 type harness struct {
 	t     testing.TB
 	shard *Shard
@@ -22,18 +24,19 @@
 func newHarness(t testing.TB) *harness {
 	h := &harness{t: t, now: time.Second}
 	h.shard = New(Params{MaxLease: maxLease, ReportInterval: time.Second, VictimSample: 2, PaybackLimit: time.Minute,
-		DemotionStep:     2,
-		DirectRetryDelay: time.Second}, 1000, rand.New(rand.NewPCG(1, 1)))
+		DemotionStep: 2, DirectRetryDelay: time.Second}, 1000, rand.New(rand.NewPCG(1, 1)))
 	h.shard.SetGrant(time.Hour)
 	return h
 }
 
+// ownMachine makes the shard own a machine under a token.
 func (h *harness) ownMachine(id model.MachineID, token uint64, cpus float64) {
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.OwnMachine, Usable: true, Token: token,
 		Machine: model.Machine{ID: id, Addr: "x", Cap: model.Capacity(cpus, 0, 64)}})
 }
 
-// report reports at a token and returns the commands.
+// report sends the next report of a machine's worker, which shows the given token and attempts,
+// and returns the commands in the answer.
 func (h *harness) report(id model.MachineID, token uint64, attempts ...model.AttemptStatus) []model.Command {
 	h.t.Helper()
 	h.seq++
@@ -47,8 +50,8 @@
 	return cmds
 }
 
-// checkAccounting checks that each job's list holds exactly what the machines do, in order
-// there, and that the machines' room is what their attempts leave.
+// checkAccounting checks that the jobs' lists hold exactly the machines' attempts, that the
+// machines' lists are sorted, and that used resources and cached prices match the attempts.
 func (h *harness) checkAccounting() {
 	h.t.Helper()
 	remaining := 0
@@ -57,7 +60,7 @@
 		for i, a := range m.attempts {
 			ordered := i == 0 || m.attempts[i-1].attemptKey.compare(a.attemptKey) < 0
 			if l := h.shard.attemptsByJob[a.task.Job]; a.machine != m || l[a.jobIndex] != a || !ordered {
-				h.t.Fatalf("machine %d, %v: not in its job's list, or out of order", m.ID, a.attemptKey)
+				h.t.Fatalf("machine %d, %v: not in its job's list, or not in order", m.ID, a.attemptKey)
 			}
 			if a.state != exited {
 				used = used.Add(a.resources)
@@ -65,9 +68,9 @@
 			remaining++
 		}
 		if m.minPriceValid && m.minPrice != m.computeMinTaskPrice() {
-			h.t.Fatalf("machine %d: its lowest price is %v, in the books %v", m.ID, m.computeMinTaskPrice(), m.minPrice)
+			h.t.Fatalf("machine %d: its lowest task price is %v, the cached one %v", m.ID, m.computeMinTaskPrice(), m.minPrice)
 		}
-		m.minTaskPrice() // so that the next look finds what has not been noted
+		m.minTaskPrice() // fills the cache, so that the next call finds a missing invalidation
 		if used != m.used {
 			h.t.Fatalf("machine %d: %v used, its attempts take %v", m.ID, m.used, used)
 		}
@@ -78,20 +81,23 @@
 		}
 	}
 	if remaining != 0 {
-		h.t.Fatalf("the jobs' lists lack %d attempts", remaining)
+		h.t.Fatalf("%d attempts on machines are not in the jobs' lists", remaining)
 	}
 }
 
+// spec returns a job of ten tasks that need the given CPUs each.
 func (h *harness) spec(job model.JobID, rank model.Rank, cpus float64) *model.Spec {
 	return &model.Spec{ID: job, Rank: rank, Tasks: 10, PerTask: model.Request(cpus, 0, 1), Zone: model.None, Spot: true}
 }
 
+// assign assigns a task to the shard. It has waited for a second.
 func (h *harness) assign(spec *model.Spec, index int32, price float64) {
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.AssignTask,
 		Assignment: model.Assignment{Task: model.Task{Job: spec.ID, Index: index}, Spec: spec, Price: price,
 			Zone: model.None, WaitingSince: h.now - time.Second}})
 }
 
+// takeEvents takes all events from the shard and returns those of one kind.
 func (h *harness) takeEvents(kind model.EventKind) []model.Event {
 	var out []model.Event
 	for _, e := range h.shard.TakeEvents() {
@@ -118,9 +124,9 @@
 	spec := h.spec(1, model.Standard, 2)
 	h.assign(spec, 0, 10)
 	if got := h.report(1, 0); len(got) != 0 {
-		t.Fatalf("commands %v to a worker that may still obey another", got)
+		t.Fatalf("commands %v to a worker that may still obey another owner", got)
 	}
-	// It has shown the token now.
+	// The second report shows the token.
 	if diff := cmp.Diff([]model.Command{launchCommand(1, 0, 1001)}, h.report(1, 5)); diff != "" {
 		t.Fatal(diff)
 	}
@@ -140,25 +146,25 @@
 	}
 }
 
-// A launch in an answer is repeated, as the same attempt, until a report shows it.
+// A launch in an answer is repeated with the same attempt number until a report lists the attempt.
 func TestLaunchIsRepeatedUntilReported(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
 	h.report(1, 5)
 	h.assign(h.spec(1, model.Standard, 2), 0, 10)
 	want := []model.Command{launchCommand(1, 0, 1001)}
-	for range 2 { // once more, and its worker counts as one that does not hear
+	for range 2 { // after a third one the worker would be considered not to receive messages
 		if diff := cmp.Diff(want, h.report(1, 5)); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 	if got := h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0)); len(got) != 0 {
-		t.Fatalf("commands %v for a task that runs", got)
+		t.Fatalf("commands %v for a running task", got)
 	}
 }
 
-// A direct launch without an answer may be executed minutes later. Absence from
-// reports proves nothing until the worker has shown a higher token.
+// A direct launch without an answer may be executed minutes later. That reports do not list the
+// attempt proves nothing until the worker has shown a higher token.
 func TestUnansweredDirectLaunchNeedsHigherToken(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -168,7 +174,7 @@
 	h.shard.Flush(h.now, 8)
 	d := h.shard.TakeDirectCommands()
 	if len(d) != 1 || len(d[0].Commands) != 1 {
-		t.Fatalf("directs %v, want one launch", d)
+		t.Fatalf("direct commands %v, want one launch", d)
 	}
 	h.shard.DirectCommandDone(h.now, d[0], nil, false)
 	h.shard.TakeEvents()
@@ -179,26 +185,26 @@
 	requested := false
 	for _, e := range evs {
 		if e.Kind == model.TaskReturned {
-			t.Fatal("taken for gone while the launch may yet be executed")
+			t.Fatal("task returned while its launch may still be executed")
 		}
 		requested = requested || e.Kind == model.TokenNeeded
 	}
 	if !requested {
-		t.Fatal("no higher token was asked for")
+		t.Fatal("no higher token was requested")
 	}
 	h.ownMachine(1, 6, 8)
 	h.report(1, 5)
 	if e := h.takeEvents(model.TaskReturned); len(e) != 0 {
-		t.Fatal("the worker has not shown the new token yet")
+		t.Fatal("task returned before the worker has shown the new token")
 	}
 	h.report(1, 6)
 	if e := h.takeEvents(model.TaskReturned); len(e) != 1 {
-		t.Fatalf("gone %v, want the task back", e)
+		t.Fatalf("events %v, want the task returned", e)
 	}
 }
 
-// The answer to a direct command may overtake a launch that is still under way
-// in the answer to a report; only a later report proves that it is not.
+// The answer to a direct command may overtake a launch that is still in flight in the answer to a
+// report. Only a later report proves that the launch is not executed any more.
 func TestDirectAnswerDoesNotProveLaunchIsOver(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -209,17 +215,17 @@
 	h.shard.Flush(h.now, 8)
 	d := h.shard.TakeDirectCommands()
 	if len(d) != 1 {
-		t.Fatalf("directs %v, want the kill", d)
+		t.Fatalf("direct commands %v, want the kill", d)
 	}
 	h.seq++
 	h.shard.DirectCommandDone(h.now, d[0], &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: h.seq, Token: 5,
 		PreemptionNotice: -1}, true)
 	if e := h.takeEvents(model.TaskReturned); len(e) != 0 {
-		t.Fatal("the launch may still arrive with the report's answer")
+		t.Fatal("task returned while its launch may still arrive in the answer to a report")
 	}
 	h.report(1, 5)
 	if e := h.takeEvents(model.TaskReturned); len(e) != 1 {
-		t.Fatal("a later report proves it")
+		t.Fatal("task not returned although a later report does not list it")
 	}
 }
 
@@ -229,12 +235,13 @@
 	old := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: 1, Token: 5, PreemptionNotice: -1}
 	h.shard.HandleReport(h.now, old)
 	if got := h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0)); len(got) != 0 {
-		t.Fatalf("a late report without the task made %v", got)
+		t.Fatalf("commands %v after an outdated report without the task", got)
 	}
 }
 
-// Silence alone settles nothing: another controller may have answered the
-// worker. Only the dealer's word does, and not if the worker is back by then.
+// A lease that has expired at this shard frees no tasks, because another controller may have
+// answered the worker. Only the dispatcher's confirmation does, unless the worker has reported again
+// in the meantime.
 func TestOnlyDispatcherConfirmsLeaseExpiry(t *testing.T) {
 	h := newHarness(t)
 	h.runOneTask()
@@ -242,21 +249,21 @@
 	h.now += maxLease + time.Second
 	h.shard.Tick(h.now)
 	if n := len(h.shard.TaskCounts(h.now)); n != 1 {
-		t.Fatal("lost on the shard's own judgement")
+		t.Fatal("task lost without the dispatcher's confirmation")
 	}
 	if e := h.takeEvents(model.LeaseExpired); len(e) != 1 {
-		t.Fatalf("events %v, want silence told", e)
+		t.Fatalf("events %v, want one LeaseExpired", e)
 	}
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0))
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := h.takeEvents(model.LeaseExpiryConfirmed); len(e) != 0 {
-		t.Fatal("the worker is back")
+		t.Fatal("lease expiry confirmed although the worker has reported again")
 	}
 	h.now += maxLease + time.Second
 	h.shard.Tick(h.now)
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := h.takeEvents(model.LeaseExpiryConfirmed); len(e) != 1 {
-		t.Fatal("the dealer's word was not taken")
+		t.Fatal("the dispatcher's confirmation was ignored")
 	}
 }
 
@@ -286,7 +293,7 @@
 	running := attemptStatus(1, 0, 1001, model.Running, 0)
 	h.assign(same, 0, 1)
 	if got := h.report(1, 5, running); len(got) != 0 {
-		t.Fatalf("equal price evicted: %v", got)
+		t.Fatalf("task of equal price evicted: %v", got)
 	}
 	h.assign(high, 0, 100)
 	got := h.report(1, 5, running)
@@ -295,12 +302,12 @@
 	}
 	got = h.report(1, 5, attemptStatus(1, 0, 1001, model.Exited, model.CauseStopped))
 	if len(got) < 1 || got[len(got)-1].Verb != model.Launch || got[len(got)-1].Task.Job != 3 {
-		t.Fatalf("commands %v, want the dearer task launched once the stop is confirmed", got)
+		t.Fatalf("commands %v, want the higher-priced task launched once the victim has exited", got)
 	}
 }
 
-// A job whose price rose while tasks waited must not evict its own tasks: a
-// placement round once never ended over that.
+// A job whose price rises while tasks of it wait must not evict its own tasks. Otherwise a
+// placement round may never end.
 func TestRepricedJobDoesNotEvictItself(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 4)
@@ -347,7 +354,7 @@
 		attemptStatus(2, 0, 1002, model.Exited, model.CauseError))
 	gone := h.takeEvents(model.TaskReturned)
 	if !h.shard.TakeStatus(h.now)[0].Faulty || len(gone) != 2 {
-		t.Fatalf("gone %v: want the machine condemned and both tasks back", gone)
+		t.Fatalf("events %v: want the machine faulty and both tasks returned", gone)
 	}
 }
 
@@ -375,12 +382,12 @@
 	h.shard.HandleReport(h.now, rep)
 	got := h.shard.Answer(h.now, rep).Commands
 	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < saver.CheckpointTime {
-		t.Fatalf("commands %v, want only the saving task stopped, with time to save", got)
+		t.Fatalf("commands %v, want only the task with checkpoints stopped, with time to save", got)
 	}
 }
 
-// Urgent work is wanted within seconds; a victim that saves would take longer,
-// and has saved by itself not long ago.
+// Urgent tasks must start within seconds. A victim that saves a checkpoint would take longer, and
+// it has saved a periodic one not long ago.
 func TestUrgentTaskDoesNotWaitForCheckpoint(t *testing.T) {
 	for rank, grace := range map[model.Rank]bool{model.Urgent: false, model.Standard: true} {
 		h := newHarness(t)
@@ -404,9 +411,9 @@
 	}
 }
 
-// An answer renews the worker's lease. What the worker holds of a job that is
-// not open must end with it, fenced or not: a cancelled job's task ran on for
-// longer than the rules allow while owners changed under load.
+// Each answer renews the worker's lease, so it must also kill attempts of jobs that are not open,
+// whether the worker is fenced or not. Otherwise a cancelled job's task runs on for too long while
+// owners change under load.
 func TestFirstAnswerKillsTasksOfJobsNotOpen(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -418,12 +425,12 @@
 	}
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.EndJob, Job: 2})
 	if got := h.report(1, 3, running...); len(got) != 2 {
-		t.Fatalf("commands %v, want the other ended too once its job is over", got)
+		t.Fatalf("commands %v, want the other attempt killed too after its job has ended", got)
 	}
 }
 
-// Room comes free by itself: what an eviction loses must pay back sooner than
-// the task has waited.
+// Capacity becomes free without evictions too, so a task may evict others only after it has waited
+// for the payback time.
 func TestEvictionWaitsForPayback(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 4)
@@ -449,9 +456,8 @@
 	}
 }
 
-// Only victims that are too dear lower a price. A task that came to a shard
-// without any sank to the lowest price within seconds, and could evict nothing
-// once there were some.
+// A price is lowered only because of victims that cost too much. Otherwise a task at a shard without
+// victims would fall to the lowest price within seconds, and could evict nothing later.
 func TestNoDemotionWithoutVictims(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 4)
@@ -467,12 +473,12 @@
 		h.shard.Tick(h.now)
 	}
 	if h.shard.Stats.Demoted != 0 {
-		t.Errorf("demoted %d times beside equals", h.shard.Stats.Demoted)
+		t.Errorf("demoted %d times although all tasks have the same price", h.shard.Stats.Demoted)
 	}
 }
 
-// A process may stand still between deciding and sending: a direct command says
-// until when it may go out.
+// A process may be suspended between a decision and the sending of its command, so a direct command
+// carries the time until which it may be sent.
 func TestDirectCommandsExpireWithGrant(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -483,6 +489,6 @@
 	h.shard.Flush(h.now, 8)
 	d := h.shard.TakeDirectCommands()
 	if len(d) != 1 || d[0].NotAfter != h.now+3*time.Second {
-		t.Fatalf("commands %+v, want one to be sent within the grant", d)
+		t.Fatalf("commands %+v, want one that may be sent until the grant ends", d)
 	}
 }
--- a/internal/core/shard/simulation.go
+++ b/internal/core/shard/simulation.go
@@ -158,7 +158,7 @@
 }
 
 // ForEachMachine calls f with the status of each machine, in order of their IDs.
-func (sim *Simulation) ForEachMachine(now time.Duration, f func(st model.MachineStatus)) {
+func (sim *Simulation) ForEachMachine(now time.Duration, f func(status model.MachineStatus)) {
 	for _, m := range sim.shard.sortedMachines {
 		f(m.status(sim.shard.summarize(now, m)))
 	}
--- a/internal/core/shard/unreachable.go
+++ b/internal/core/shard/unreachable.go
@@ -18,7 +18,7 @@
 	minReportingShare = 0.6 // fraction of the zone's other machines that must have reported in time
 )
 
-// OverdueAfter returns how long after its last report a worker's report is overdue.
+// OverdueAfter returns how long after the last answered report a worker's next report is overdue.
 func (p *Params) OverdueAfter() time.Duration { return p.ReportInterval*5/4 + reportRetryTime }
 
 // reportOverdue reports whether the worker's report is overdue.
--- a/internal/core/shard/unreachable_test.go
+++ b/internal/core/shard/unreachable_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// runZone has ten fenced machines report every second, all but those that are silent,
-// and has no direct command of theirs answered. It returns who is told to be unreachable.
+// runZone lets ten fenced machines report every second, except for unresponsive ones, whose direct
+// commands are not answered either. It returns the machines that the shard reports as unreachable.
 func (h *harness) runZone(duration time.Duration, unresponsive func(model.MachineID) bool) map[model.MachineID]bool {
 	unreachable := map[model.MachineID]bool{}
 	for end := h.now + duration; h.now < end; h.now += time.Second {
@@ -23,7 +23,7 @@
 			if unresponsive(d.Machine) {
 				h.shard.DirectCommandDone(h.now, d, nil, false)
 			} else {
-				h.t.Errorf("machine %d, which reports, is asked directly", d.Machine)
+				h.t.Errorf("machine %d gets a direct command although it reports", d.Machine)
 			}
 		}
 		for _, e := range h.shard.TakeEvents() {
@@ -38,6 +38,7 @@
 	return unreachable
 }
 
+// newTenMachineHarness returns a harness with ten fenced machines.
 func newTenMachineHarness(t *testing.T) *harness {
 	h := newHarness(t)
 	for id := range model.MachineID(10) {
@@ -48,7 +49,8 @@
 	return h
 }
 
-// The tasks of a machine that had stopped or hung waited for its whole lease.
+// A machine that stops or hangs must be reported as unreachable before its lease expires, or its
+// tasks wait for the whole lease.
 func TestUnresponsiveMachineIsReportedUnreachable(t *testing.T) {
 	h := newTenMachineHarness(t)
 	two := func(id model.MachineID) bool { return id < 2 }
@@ -57,11 +59,11 @@
 	}
 	h.report(0, 5)
 	if e := h.takeEvents(model.WorkerBack); len(e) != 1 || e[0].Machine != 0 {
-		t.Errorf("events %+v, want machine 0 heard", e)
+		t.Errorf("events %+v, want WorkerBack for machine 0", e)
 	}
 }
 
-// A zone that is out of reach is no reason to give its machines up.
+// If a whole zone or half of it cannot be reached, its machines are not reported as unreachable.
 func TestUnreachableZoneMarksNoMachineUnreachable(t *testing.T) {
 	h := newTenMachineHarness(t)
 	if unreachable := h.runZone(9*time.Second, func(model.MachineID) bool { return true }); len(unreachable) != 0 {
@@ -69,6 +71,6 @@
 	}
 	h = newTenMachineHarness(t)
 	if unreachable := h.runZone(9*time.Second, func(id model.MachineID) bool { return id > 4 }); len(unreachable) != 0 {
-		t.Errorf("half of the zone is silent, and unreachable: %v", unreachable)
+		t.Errorf("half of the zone is unresponsive, and unreachable: %v", unreachable)
 	}
 }
