--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -344,7 +344,7 @@
 	return all[:min(count, len(all))]
 }
 
-// evict stops tasks with lower prices on one machine to make room for a task of the group,
+// evict stops tasks with lower prices on one machine to free capacity for a task of the group,
 // and returns that machine. It picks the machine with the shortest payback and image
 // fetch time out of a random sample. It returns nil if there is none, or if it is too early
 // for the eviction to pay off. If all victims exceed the payback limit, the price of the
@@ -467,7 +467,7 @@
 }
 
 // placeNext creates an attempt for the next task of a group on a machine. The launch is sent with
-// the next commands to the worker, once victims have made room.
+// the next commands to the worker, once its victims have gone.
 func (s *Shard) placeNext(m *machine, g *waitingGroup) {
 	t := g.tasks[0]
 	g.tasks = g.tasks[1:]
--- a/internal/core/shard/reachability_test.go
+++ b/internal/core/shard/reachability_test.go
@@ -9,14 +9,15 @@
 	"honeylock/internal/core/model"
 )
 
-// message is a message of the worker's, not necessarily a new one.
+// message returns a message of a machine's worker, which need not be newer than earlier ones.
 func (h *harness) message(id model.MachineID, session, seq, token uint64,
 	attempts ...model.AttemptStatus) *model.Report {
 	return &model.Report{Machine: model.Machine{ID: id}, Session: session, Seq: seq, Token: token, PreemptionNotice: -1,
 		Attempts: attempts}
 }
 
-// answerDirectCommands lets the shard send its direct commands and answers each with f.
+// answerDirectCommands lets the shard send its direct commands and passes the result of f as the
+// outcome of each. It returns their number.
 func (h *harness) answerDirectCommands(f func(d DirectCommand) (*model.Report, bool)) (n int) {
 	h.shard.Tick(h.now)
 	h.shard.Flush(h.now, 100)
@@ -28,55 +29,57 @@
 	return n
 }
 
+// noAnswer is the outcome of a direct command that was not answered.
 func noAnswer(DirectCommand) (*model.Report, bool) { return nil, false }
 
-// A copy of a report kept a machine that had died alive, and was answered with launches
-// under its old number, which the next genuine report seemed to disprove.
+// A replayed copy of a report does not keep a dead machine's lease alive and is not answered. An
+// answer could carry launches under the old sequence number, and the next real report would seem to
+// prove that they were not executed.
 func TestReplayedReportIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
 	h.report(1, 5)
 	h.report(1, 5)
-	for i := range 12 { // the machine is dead; copies of its reports go on
+	for i := range 12 { // the machine is dead, and copies of its reports arrive
 		h.now += time.Second
 		if i == 5 {
 			h.assign(h.spec(1, model.Standard, 2), 0, 10)
 		}
 		for seq := range uint64(3) {
 			if h.shard.HandleReport(h.now, h.message(1, 1, seq, 5)) {
-				t.Fatal("a copy was answered")
+				t.Fatal("a replayed copy was answered")
 			}
 		}
 		h.answerDirectCommands(noAnswer)
 	}
 	if e := h.takeEvents(model.LeaseExpired); len(e) == 0 {
-		t.Fatal("the machine counts as alive after its lease")
+		t.Fatal("the machine's lease has not expired")
 	}
 	if a := h.shard.attemptsByJob[1]; len(a) != 0 {
-		t.Errorf("%d tasks went to a machine that only copies speak of", len(a))
+		t.Errorf("%d tasks were placed on a machine of which only copies arrive", len(a))
 	}
 }
 
-// A report that the answer to a direct command has overtaken is new, once.
+// A report that the answer to a direct command has overtaken is accepted once, and only for a while.
 func TestOvertakenReportIsAcceptedOnce(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
 	h.answerDirectCommands(func(DirectCommand) (*model.Report, bool) { return h.message(1, 1, 7, 5), true })
 	late := h.message(1, 1, 6, 0)
 	if !h.shard.HandleReport(h.now, late) {
-		t.Fatal("refused, though its worker waits for the answer")
+		t.Fatal("refused although its worker waits for the answer")
 	}
 	if h.shard.HandleReport(h.now, late) {
-		t.Error("its copy was answered as well")
+		t.Error("its replayed copy was answered as well")
 	}
 	h.now += time.Minute
 	if h.shard.HandleReport(h.now, h.message(1, 1, 6, 0)) {
-		t.Error("a copy was answered after a minute")
+		t.Error("a replayed copy was answered after a minute")
 	}
 }
 
-// What comes in elsewhere takes a machine from its owner only if it is newer than what
-// the owner has.
+// A report that reaches another controller makes the owner release the machine only if it is newer
+// than the owner's newest report.
 func TestReplayedReportElsewhereReleasesNoMachine(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -88,16 +91,16 @@
 	}
 	release(2)
 	if !h.shard.Owns(1) || len(h.takeEvents(model.MachineKept)) != 1 {
-		t.Fatal("a copy took the machine")
+		t.Fatal("the machine was released because of a replayed copy")
 	}
 	release(3)
 	if e := h.takeEvents(model.MachineReleased); h.shard.Owns(1) || len(e) != 1 || e[0].Held {
-		t.Fatalf("%+v, want it let go of, and as answered", e)
+		t.Fatalf("%+v, want it released, with Held false", e)
 	}
 }
 
-// A worker that takes no answer is not answered for ever: its lease runs out from the
-// last one that it may have heard.
+// A worker that does not receive answers is not answered forever. Its lease expires after the last
+// answer that it may have received.
 func TestUnreachableWorkerIsNotAnsweredForever(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -117,23 +120,23 @@
 		t.Fatalf("answered for %v", last-start)
 	}
 	if len(h.takeEvents(model.LeaseExpired)) == 0 {
-		t.Fatal("not told to be silent")
+		t.Fatal("no LeaseExpired event")
 	}
-	// It hears again: a question is answered, and so are its reports.
+	// The worker receives messages again: it answers a probe, and its reports are answered.
 	h.now += maxProbePause
 	h.shard.HandleReport(h.now, h.message(1, 7, 1000, 0))
 	if n := h.answerDirectCommands(func(d DirectCommand) (*model.Report, bool) {
 		return h.message(1, 7, 1001, d.Token),
 			true
 	}); n != 1 {
-		t.Fatalf("%d questions, want one", n)
+		t.Fatalf("%d probes, want one", n)
 	}
 	if !h.shard.HandleReport(h.now, h.message(1, 7, 1002, 5)) || h.shard.machines[1].leaseExpired {
-		t.Fatal("not taken again on proof")
+		t.Fatal("not answered again after a successful probe")
 	}
 }
 
-// A fenced worker that passes launches over gets nothing more until it is shown to hear.
+// A fenced worker that ignores launches gets no more tasks until it is shown to receive messages.
 func TestIgnoredLaunchesStopFurtherLaunches(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -146,10 +149,10 @@
 		h.answerDirectCommands(noAnswer)
 	}
 	if launches != 2 {
-		t.Fatalf("%d launches went to a worker that hears nothing", launches)
+		t.Fatalf("%d launches sent to a worker that receives nothing", launches)
 	}
 	if b := h.shard.TakeStatus(h.now); len(b) != 1 || b[0].Ready || !b[0].Draining {
-		t.Fatalf("%+v, want it to count as no room", b)
+		t.Fatalf("%+v, want it draining and not ready", b)
 	}
 	h.now += maxProbePause
 	h.report(1, 5)
@@ -160,11 +163,11 @@
 	})
 	h.shard.Tick(h.now)
 	if cmds := h.report(1, 5); len(cmds) != 1 {
-		t.Fatalf("%v, want the task launched once it hears", cmds)
+		t.Fatalf("%v, want the task launched once the worker receives messages", cmds)
 	}
 }
 
-// A session that ends although its reports were answered shows that they were not heard.
+// A session that ends although its reports were answered shows that the answers did not arrive.
 func TestSessionEndDespiteAnswersMarksInboundLost(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -172,12 +175,12 @@
 	h.now += time.Second
 	h.report(1, 5)
 	if !h.shard.HandleReport(h.now+time.Second, h.message(1, 2, 1, 5)) || !h.shard.machines[1].inboundLost {
-		t.Fatal("its next session counts as if it heard")
+		t.Fatal("its next session is refused, or the worker is considered to receive messages")
 	}
 }
 
-// A worker whose numbers begin anew is neither taken for a copy for ever, nor are its
-// tasks free before it has shown a new token; copies of its earlier life change nothing.
+// A worker that restarts its session numbers is not refused forever as a replayed copy. Its attempts
+// are kept until it has shown a new token. Copies of reports from before the restart change nothing.
 func TestSessionRestart(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -187,41 +190,41 @@
 	h.report(1, 5)
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0))
 	if h.shard.HandleReport(h.now, h.message(1, 1, 3, 0)) {
-		t.Fatal("answered before it is known to be no copy")
+		t.Fatal("answered although it may be a replayed copy")
 	}
 	h.answerDirectCommands(func(DirectCommand) (*model.Report, bool) { return h.message(1, 1, 4, 0), false })
 	if e := h.takeEvents(model.TokenNeeded); len(e) != 1 {
-		t.Fatalf("%+v, want a new token asked for", e)
+		t.Fatalf("%+v, want a new token requested", e)
 	}
 	if len(h.shard.attemptsByJob[1]) != 1 {
-		t.Fatal("its task is free before the new token was shown")
+		t.Fatal("its attempt was removed before the new token was shown")
 	}
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.OwnMachine,
 		Machine: model.Machine{ID: 1, Addr: "x", Cap: model.Capacity(8, 0, 64)},
 		Token:   9, Usable: true})
 	h.shard.HandleReport(h.now, h.message(1, 1, 43, 5,
-		attemptStatus(1, 0, 1001, model.Running, 0))) // a copy of its earlier life
+		attemptStatus(1, 0, 1001, model.Running, 0))) // a copy from before the restart
 	if h.shard.machines[1].fenced {
-		t.Fatal("fenced by a copy")
+		t.Fatal("fenced by a replayed copy")
 	}
 	h.answerDirectCommands(func(d DirectCommand) (*model.Report, bool) { return h.message(1, 1, 6, d.Token), true })
 	if !h.shard.machines[1].fenced || h.shard.tasks[model.Task{Job: 1}].attempt != nil &&
 		h.shard.attemptsByJob[1][0].number == 1001 {
-		t.Fatal("the task that is gone is not placed anew")
+		t.Fatal("not fenced, or the lost task is not placed again")
 	}
-	h.shard.HandleReport(h.now, h.message(1, 2, 90, 5)) // a copy once more, of a later session even
+	h.shard.HandleReport(h.now, h.message(1, 2, 90, 5)) // another copy, of a higher session
 	if m := h.shard.machines[1]; m.session != 1 {
-		t.Fatalf("session %d, from a copy", m.session)
+		t.Fatalf("session %d, taken from a replayed copy", m.session)
 	}
 }
 
-// A session's lease runs from its begin. A launch went straight to a worker in its new
-// session, and no report came through: it counted as over while it ran.
+// The lease of a session runs from its start. Otherwise a task that is launched directly in a new
+// session is considered lost while it runs, if no report gets through.
 func TestLeaseOfNewSessionRunsFromItsStart(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
 	h.report(1, 5)
-	h.now += maxLease // its lease is over, and it has begun a session
+	h.now += maxLease // the lease has expired, and the worker has started a new session
 	h.assign(h.spec(1, model.Standard, 2), 0, 10)
 	h.shard.machines[1].needsProbe, h.shard.machines[1].needsFlush = true, true
 	h.answerDirectCommands(func(DirectCommand) (*model.Report, bool) { return h.message(1, 2, 50, 5), false })
@@ -229,9 +232,9 @@
 	h.answerDirectCommands(func(d DirectCommand) (*model.Report, bool) { return h.message(1, 2, 51, d.Token), true })
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ConfirmLeaseExpiry, ID: 1})
 	if e := h.takeEvents(model.LeaseExpiryConfirmed); len(e) != 0 {
-		t.Fatal("its lease counts as over half a lease after its session began")
+		t.Fatal("lease expiry confirmed half a lease after the session started")
 	}
-	// So does that of a worker which an owner fenced without ever answering it.
+	// The same holds for a worker that was fenced without ever being answered.
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.OwnMachine, Machine: model.Machine{ID: 2, Addr: "x"}, Token: 9,
 		VerifyFirst: true})
 	h.shard.HandleReport(h.now, h.message(2, 3, 1, 0))
@@ -245,13 +248,13 @@
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ReleaseMachine, ID: 2})
 	for _, e := range h.shard.TakeEvents() {
 		if e.Machine == 2 && (e.Kind == model.LeaseExpiryConfirmed || e.Kind == model.MachineReleased && e.Held) {
-			t.Fatalf("event %d: what was launched there may run", e.Kind)
+			t.Fatalf("event %d although a task launched there may run", e.Kind)
 		}
 	}
 }
 
-// A launch that was carried out may come once more. An attempt that its worker has been told
-// to forget would begin anew by it, so it is cleared only once the worker refuses the launch.
+// A direct launch may be delivered a second time and would then start an attempt again that its
+// worker has cleared. So the attempt is cleared only once the worker refuses the launch.
 func TestAttemptIsClearedOnceItsLaunchIsRefused(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -265,27 +268,27 @@
 	h.report(1, 5, done)
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.ClearAttempt, ID: 1, Task: done.Task, Attempt: 1001})
 	if c := h.report(1, 5, done); len(c) != 0 {
-		t.Fatalf("%v, though the launch may come once more", c)
+		t.Fatalf("%v although the launch may be delivered again", c)
 	}
 	if e := h.takeEvents(model.TokenNeeded); len(e) != 0 {
-		t.Fatal("a higher token is asked for at once, for one attempt")
+		t.Fatal("a higher token was requested at once for a single attempt")
 	}
 	if b := h.shard.summarize(h.now, h.shard.machines[1]); b.attempts != 0 {
-		t.Fatal("the machine counts as in use")
+		t.Fatal("the machine is considered in use")
 	}
 	h.now += maxUnclearedTime
 	h.report(1, 5, done)
 	if e := h.takeEvents(model.TokenNeeded); len(e) != 1 {
-		t.Fatalf("%+v, want a higher token asked for, once", e)
+		t.Fatalf("%+v, want a higher token requested once", e)
 	}
 	h.ownMachine(1, 6, 8)
 	if c := h.report(1, 5, done); len(c) != 0 {
-		t.Fatalf("%v before the token is shown", c)
+		t.Fatalf("%v before the new token is shown", c)
 	}
 	if c := h.report(1, 6, done); len(c) != 1 || c[0].Verb != model.Clear {
 		t.Fatalf("%v, want it cleared", c)
 	}
-	// One that a machine has lost, without a new session, is not placed anew before that.
+	// A task whose attempt the worker lost without a new session is not placed again before either.
 	h.assign(h.spec(1, model.Standard, 2), 1, 10)
 	h.answerDirectCommands(func(d DirectCommand) (*model.Report, bool) {
 		h.seq++
@@ -293,12 +296,12 @@
 	})
 	h.report(1, 6)
 	if len(h.shard.attemptsByJob[1]) != 1 || h.shard.attemptsByJob[1][0].number != 1002 {
-		t.Fatal("placed anew while its launch may begin it")
+		t.Fatal("placed again while its launch may be delivered again")
 	}
 	h.ownMachine(1, 7, 8)
 	h.report(1, 7)
 	if len(h.shard.attemptsByJob[1]) != 1 || h.shard.attemptsByJob[1][0].number == 1002 {
-		t.Fatal("not placed anew")
+		t.Fatal("not placed again")
 	}
 }
 
@@ -307,7 +310,7 @@
 	h.runOneTask()
 	h.now += maxLease
 	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, PreemptionNotice: -1}
-	for range 2 { // the first is the first sign of life for a lease
+	for range 2 { // the first report starts the new session's lease
 		rep.Seq++
 		h.shard.HandleReport(h.now, rep)
 		h.shard.Answer(h.now, rep)
--- a/internal/core/shard/scale_test.go
+++ b/internal/core/shard/scale_test.go
@@ -9,7 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// newFullHarness returns a shard whose machines are all full, with groups that wait.
+// newFullHarness returns a harness whose machines are all full, with the given number of waiting
+// groups.
 func newFullHarness(t testing.TB, machines, groups int) *harness {
 	h := newHarness(t)
 	for id := range model.MachineID(machines) {
@@ -31,8 +32,8 @@
 	return h
 }
 
-// What a report costs must not grow with the number of machines: a scan of all
-// of them for each report once kept every controller minutes behind.
+// The cost of a report must not grow with the number of machines. With a scan of all machines for
+// each report, controllers of a large cluster fall behind by minutes.
 func TestReportCostIsIndependentOfClusterSize(t *testing.T) {
 	cost := func(machines int) (examined uint64, allocs float64) {
 		h := newFullHarness(t, machines, 100)
@@ -45,7 +46,7 @@
 		got := h.report(m.ID, 5, model.AttemptStatus{Task: running.task, Attempt: running.number, Stage: model.Exited,
 			Cause: model.CauseDone})
 		if len(got) != 1 || got[0].Verb != model.Launch {
-			t.Fatalf("commands %v, want the room filled in the answer", got)
+			t.Fatalf("commands %v, want a launch for the freed capacity in the answer", got)
 		}
 		examined = h.shard.Stats.MachinesExamined - before
 		return examined, testing.AllocsPerRun(20, func() { h.report(m.ID, 5) })
@@ -53,14 +54,14 @@
 	smallExamined, smallAllocs := cost(20)
 	largeExamined, largeAllocs := cost(2000)
 	if largeExamined > smallExamined || largeExamined > 300 {
-		t.Errorf("a report looks at machines %d times among 2000, %d times among 20", largeExamined, smallExamined)
+		t.Errorf("a report examines machines %d times with 2000 machines, %d times with 20", largeExamined, smallExamined)
 	}
 	if largeAllocs > smallAllocs+2 {
-		t.Errorf("a report allocates %v times among 2000 machines, %v among 20", largeAllocs, smallAllocs)
+		t.Errorf("a report allocates %v times with 2000 machines, %v with 20", largeAllocs, smallAllocs)
 	}
 }
 
-// The heap of rooms must choose as a plain look at all machines does.
+// The heap of candidates must choose the same machine as a scan of all machines.
 func TestCandidateHeapChoosesLikeScan(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -71,7 +72,7 @@
 					Spot: rng.IntN(2) == 0, Cap: model.Capacity(float64(4+4*rng.IntN(3)), 0, 64)}})
 			h.report(id, 5)
 		}
-		for i := range 60 { // some load, then the same choice both ways
+		for i := range 60 { // each task adds load before the next comparison
 			spec := h.spec(model.JobID(1+i), model.Rank(rng.IntN(3)), float64(1+rng.IntN(4)))
 			spec.Image = model.Name(rng.IntN(4))
 			g := &waitingGroup{job: spec.ID, zone: model.None, spec: spec, price: 1, tasks: []*task{{}}}
@@ -86,7 +87,7 @@
 				}
 			}
 			if got := h.shard.candidates(h.now, g, h.shard.sortedMachines).best(); got != plain {
-				t.Fatalf("seed %d, task %d: %v chosen, %v by a plain scan", seed, i, got, plain)
+				t.Fatalf("seed %d, task %d: %v chosen, %v by a scan", seed, i, got, plain)
 			}
 			h.assign(spec, 0, 1)
 			h.shard.Place(h.now)
@@ -95,7 +96,7 @@
 	}
 }
 
-// scanLowestRank is the lowest rank that runs on the machine, looked up plainly.
+// scanLowestRank returns the lowest rank of the tasks on the machine, without the cache.
 func scanLowestRank(m *machine) model.Rank {
 	low, any := model.Idle, false
 	for _, a := range m.attempts {
@@ -106,7 +107,8 @@
 	return low
 }
 
-// BenchmarkPlaceFull places once more where all machines are full of small tasks, and many jobs wait.
+// BenchmarkPlaceFull runs full placement rounds with all machines full of small tasks and many
+// waiting jobs.
 func BenchmarkPlaceFull(b *testing.B) {
 	h := newHarness(b)
 	const machines, groups = 545, 150
@@ -137,8 +139,7 @@
 	}
 }
 
-// A machine's lowest price is known without looking at what runs there, and follows all that
-// changes it.
+// The cached lowest task price of a machine is updated by everything that changes it.
 func TestMinTaskPriceIsNeverStale(t *testing.T) {
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
@@ -151,17 +152,17 @@
 		}
 		h.checkAccounting()
 	}
-	low(math.Inf(1), "with nothing of its own")
+	low(math.Inf(1), "with no task of this shard")
 	adopted := h.spec(9, model.Idle, 2)
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.AssignTask,
 		Assignment: model.Assignment{Task: running.Task, Spec: adopted, Price: 7,
 			Zone: model.None, Machine: 1, Attempt: 77}})
-	low(7, "with one that was adopted")
+	low(7, "with an adopted task")
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.RepriceJob, Job: 9, Price: 3})
-	low(3, "at its new price")
+	low(3, "after a price change")
 	h.assign(h.spec(10, model.Idle, 2), 0, 1)
 	h.shard.Place(h.now)
-	low(1, "with a cheaper one that is placed")
+	low(1, "with a cheaper task placed")
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.EndJob, Job: 10})
-	low(3, "once that is taken back")
+	low(3, "after the cheaper task has ended")
 }
