--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -44,8 +44,7 @@
 			return // with a thousand at once, all would be late
 		}
 		if !m.needsFlush || m.commandsInFlight > 0 || m.Addr == "" || now < m.directRetryAt ||
-			m.leaseExpired && !m.needsProbe ||
-			!m.fenced && now < m.directNotBefore {
+			m.leaseExpired && !m.needsProbe || !m.fenced && now < m.directNotBefore {
 			continue
 		}
 		isProbe := m.inboundLost || s.unverified(now, m)
--- a/internal/core/shard/place.go
+++ b/internal/core/shard/place.go
@@ -17,10 +17,9 @@
 
 // ready reports whether new tasks may be placed on the machine now.
 func (s *Shard) ready(now time.Duration, m *machine) bool {
-	return m.fenced && m.usable && len(m.attempts) < maxAttemptsPerMachine && !m.leaseExpired && !m.inboundLost &&
-		m.preemptionAt == 0 &&
-		now >= m.faultyUntil &&
-		now >= m.refusedUntil && !m.tokenNeeded && !s.notReporting(now, m)
+	return m.fenced && m.usable && len(m.attempts) < maxAttemptsPerMachine &&
+		!m.leaseExpired && !m.inboundLost && m.preemptionAt == 0 &&
+		now >= m.faultyUntil && now >= m.refusedUntil && !m.tokenNeeded && !s.notReporting(now, m)
 }
 
 // lowestRank returns the lowest rank of the tasks on the machine. A machine without
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -32,7 +32,8 @@
 	queuedAt time.Duration // when it last began to wait at this shard
 	// recalled tasks are returned to the dispatcher instead of being placed again.
 	recalled bool
-	// interruptionReported is true from a TaskInterrupted event until the task runs again.
+	// interruptionReported is true from a TaskInterrupted event until the task runs again. A task
+	// that is dispatched again after an interruption starts with true.
 	interruptionReported bool
 }
 
@@ -127,6 +128,7 @@
 	return e
 }
 
+// emit adds an event for the dispatcher.
 func (s *Shard) emit(e model.Event) { s.events = append(s.events, e) }
 
 // HandleOrder carries out an order of the dispatcher.
