--- a/internal/core/shard/direct.go
+++ b/internal/core/shard/direct.go
@@ -6,8 +6,8 @@
 	"honeylock/internal/core/model"
 )
 
-// DirectCommand is a command to be sent straight to a worker. Its outcome comes back
-// through DirectDone.
+// DirectCommand is a batch of commands that is sent to a worker on a new connection, instead of in
+// the answer to a report. Its outcome is passed to DirectCommandDone.
 type DirectCommand struct {
 	ID       uint64
 	Machine  model.MachineID
@@ -15,94 +15,97 @@
 	Token    uint64
 	Session  uint64
 	Commands []model.Command
-	NotAfter time.Duration // the shard's authority ends: not to be sent after
+	NotAfter time.Duration // the end of the shard's grant: it must not be sent later
 }
 
-// inFlight is a direct command under way, with the launches it carries.
-type inFlight struct {
-	m        *machine
-	launched []*slot
-	asks     bool            // to learn whether its worker hears
-	seen     model.MessageID // the newest message of its worker when it was sent
+// pendingCommand is a direct command without an outcome so far.
+type pendingCommand struct {
+	machine       *machine
+	launches      []*attempt      // attempts that it launches
+	isProbe       bool            // sent to learn whether the worker receives messages
+	newestMessage model.MessageID // newest message of the worker when the command was sent
 }
 
-// TakeDirectCommands takes away the commands to send.
+// TakeDirectCommands returns the collected direct commands and empties the list.
 func (s *Shard) TakeDirectCommands() []DirectCommand {
-	d := s.directs
-	s.directs = nil
+	d := s.directCommands
+	s.directCommands = nil
 	return d
 }
 
-// Flush sends commands that should not wait for the next report, while fewer than
-// most are under way.
-func (s *Shard) Flush(now time.Duration, most int) {
+// Flush collects direct commands for workers whose commands should not wait for the next report.
+// At most maxInFlight direct commands are in flight at a time, and at most one per machine.
+func (s *Shard) Flush(now time.Duration, maxInFlight int) {
 	if !s.HasGrant(now) {
 		return
 	}
-	for _, m := range s.order {
-		if len(s.pending) >= most {
-			return // a thousand at once would all be late
+	for _, m := range s.sortedMachines {
+		if len(s.pendingCommands) >= maxInFlight {
+			return // with a thousand at once, all would be late
 		}
-		if !m.wake || m.inFlight > 0 || m.Addr == "" || now < m.quietUntil || m.leaseExpired && !m.probe ||
-			!m.fenced && now < m.patient {
+		if !m.needsFlush || m.commandsInFlight > 0 || m.Addr == "" || now < m.directRetryAt ||
+			m.leaseExpired && !m.needsProbe || !m.fenced && now < m.directNotBefore {
 			continue
 		}
-		asks := m.inboundLost || s.unverified(now, m)
-		if asks && s.asking >= max(1, most/questionPart) {
+		isProbe := m.inboundLost || s.unverified(now, m)
+		if isProbe && s.pendingProbes >= max(1, maxInFlight/commandsPerProbe) {
 			continue
 		}
-		m.wake = false
-		cmds := s.commands(now, m, 0, true)
-		if len(cmds) == 0 && m.fenced && !m.probe {
+		m.needsFlush = false
+		cmds := s.commandsFor(now, m, 0, true)
+		if len(cmds) == 0 && m.fenced && !m.needsProbe {
 			continue
 		}
-		m.probe, m.tokenSent = false, true
-		s.directID++
-		d := DirectCommand{ID: s.directID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session), Commands: cmds, NotAfter: s.until}
-		var launched []*slot
+		m.needsProbe, m.tokenSent = false, true
+		s.lastDirectID++
+		d := DirectCommand{ID: s.lastDirectID, Machine: m.ID, Addr: m.Addr, Token: m.token, Session: max(1, m.session),
+			Commands: cmds, NotAfter: s.grantedUntil}
+		var launches []*attempt
 		for _, c := range cmds {
 			if c.Verb == model.Launch {
-				sl := m.slots.get(key{c.Task, c.Attempt})
-				sl.direct++
-				launched = append(launched, sl)
+				a := m.attempts.get(attemptKey{c.Task, c.Attempt})
+				a.directLaunches++
+				launches = append(launches, a)
 			}
 		}
-		s.pending[d.ID] = inFlight{m, launched, asks, model.MessageID{Session: m.session, Seq: m.seq}}
-		if asks {
-			s.asking++
+		s.pendingCommands[d.ID] = pendingCommand{m, launches, isProbe, model.MessageID{Session: m.session, Seq: m.seq}}
+		if isProbe {
+			s.pendingProbes++
 		}
-		m.inFlight++
-		s.directs = append(s.directs, d)
+		m.commandsInFlight++
+		s.directCommands = append(s.directCommands, d)
 	}
 }
 
-// DirectCommandDone takes the outcome of a direct command: the worker's report after
-// it (nil: no answer) and whether it was executed.
+// DirectCommandDone handles the outcome of a direct command. r is the worker's answer, a report
+// made after the command; it is nil if there was no answer. executed is false if the worker
+// refused the command.
 func (s *Shard) DirectCommandDone(now time.Duration, d DirectCommand, r *model.Report, executed bool) {
-	sent := s.pending[d.ID]
-	delete(s.pending, d.ID)
-	if sent.asks {
-		s.asking--
+	pending := s.pendingCommands[d.ID]
+	delete(s.pendingCommands, d.ID)
+	if pending.isProbe {
+		s.pendingProbes--
 	}
-	for _, sl := range sent.launched {
-		sl.direct--
-		// It may be executed minutes later, or once more, as long as token and session match.
-		sl.doubt = max(sl.doubt, d.Token)
-		sl.unsure = sl.unsure || r == nil
+	for _, a := range pending.launches {
+		a.directLaunches--
+		// The network may deliver the launch minutes later, or a second time, and the worker
+		// executes it as long as the token and the session match.
+		a.directToken = max(a.directToken, d.Token)
+		a.launchUnanswered = a.launchUnanswered || r == nil
 	}
 	m := s.machines[d.Machine]
-	if m == nil || m != sent.m {
-		return // let go of meanwhile
+	if m == nil || m != pending.machine {
+		return // the machine was released in the meantime
 	}
-	m.inFlight--
+	m.commandsInFlight--
 	if r == nil {
-		m.quietUntil = now + s.pause(now, m)
-		m.questionFailed = m.questionFailed || m.tokenOffered != 0
-		s.directFailed(now, m)
+		m.directRetryAt = now + s.directRetryPause(now, m)
+		m.probeFailed = m.probeFailed || m.tokenOfferedAt != 0
+		s.handleDirectFailure(now, m)
 		return
 	}
 	if !executed && r.Token <= m.token && !m.fenced {
-		m.wake = true // the session was unknown: once more, with it
+		m.needsFlush = true // the command named a wrong session: send it again with the one in the answer
 	}
 	if r.Machine.ID != m.ID {
 		return
@@ -112,18 +115,19 @@
 		return
 	}
 	if m.unreachable || m.leaseExpired && s.unverified(now, m) {
-		s.signOfLife(m)
+		s.markAlive(m)
 	}
-	s.receives(m)
-	m.directAnswered = now
+	s.markReceiving(m)
+	m.directAnsweredAt = now
 	switch {
 	case !s.HasGrant(now):
 	case !m.fenced:
-		// Said on a connection that was opened to it, so it holds, whatever copies told.
-		s.take(now, m, r, false)
-	case r.Token < m.first || sent.seen.AtLeast(r.MessageID()):
-		s.reborn(m, r)
+		// The answer came on a connection that was opened to the worker, so it is no replayed
+		// copy, whatever the numbers of earlier messages were.
+		s.applyMessage(now, m, r, false)
+	case r.Token < m.fencingToken || pending.newestMessage.AtLeast(r.MessageID()):
+		s.restartSession(m, r)
 	case r.Newer(m.session, m.seq) && !m.ofEndedSession(r):
-		s.take(now, m, r, false)
+		s.applyMessage(now, m, r, false)
 	}
 }
--- a/internal/core/shard/expedite.go
+++ b/internal/core/shard/expedite.go
@@ -8,100 +8,103 @@
 	"honeylock/internal/core/model"
 )
 
-// A job that should have begun: its next task comes before all else, once. Where no
-// machine has room for it, one is kept free of other work until it has.
+// The dispatcher expedites a job that should have started by now. One task of the job is placed
+// before all other tasks. If no machine has capacity for it, one machine is reserved: it gets no
+// tasks of other jobs until the task fits.
 
 const (
-	firstFor = 20 * time.Second // the dealer says it again while it holds
-	keepPart = 50               // of the machines that may be kept at a time, but one in any case
+	expediteDuration       = 20 * time.Second // the dispatcher repeats the order while it applies
+	machinesPerReservation = 50               // one machine in this many may be reserved, but at least one
 )
 
-func (s *Shard) first(now time.Duration, job model.JobID) bool { return now < s.firsts[job] }
+// isExpedited reports whether a task of the job is to be placed before all others.
+func (s *Shard) isExpedited(now time.Duration, job model.JobID) bool { return now < s.expedited[job] }
 
-// placeFirsts puts one task of each such job on a machine, or keeps one for it.
-func (s *Shard) placeFirsts(now time.Duration, open []*machine, v *prey) {
-	if len(s.firsts) == 0 {
+// placeExpedited places one task of each expedited job, the longest waiting first, or reserves a
+// machine for it.
+func (s *Shard) placeExpedited(now time.Duration, available []*machine, index *victimIndex) {
+	if len(s.expedited) == 0 {
 		return
 	}
-	var late []*group
-	for _, g := range s.ranked {
-		if s.first(now, g.job) {
-			late = append(late, g)
+	var expedited []*waitingGroup
+	for _, g := range s.rankedGroups {
+		if s.isExpedited(now, g.job) {
+			expedited = append(expedited, g)
 		}
 	}
-	slices.SortStableFunc(late, func(a, b *group) int { return cmp.Compare(a.since, b.since) })
-	for _, g := range late {
-		if !s.first(now, g.job) {
-			continue // it had one in another zone
+	slices.SortStableFunc(expedited, func(a, b *waitingGroup) int { return cmp.Compare(a.waitingSince, b.waitingSince) })
+	for _, g := range expedited {
+		if !s.isExpedited(now, g.job) {
+			continue // a task of it was placed in another zone
 		}
-		s.placeGroup(now, g, 1, s.rooms(now, g, open), v)
-		if s.first(now, g.job) {
-			s.keep(now, g)
+		s.placeGroup(now, g, 1, s.candidates(now, g, available), index)
+		if s.isExpedited(now, g.job) {
+			s.reserve(now, g)
 		}
 	}
 }
 
-// placeFirstsOn gives the room that came free on a machine to such jobs before all others:
-// the first task of each.
-func (s *Shard) placeFirstsOn(now time.Duration, m *machine) {
-	if len(s.firsts) == 0 {
+// placeExpeditedOn places one task of each expedited job on a machine with freed capacity, as far
+// as they fit.
+func (s *Shard) placeExpeditedOn(now time.Duration, m *machine) {
+	if len(s.expedited) == 0 {
 		return
 	}
-	for _, g := range s.ranked {
-		if len(g.tasks) > 0 && s.first(now, g.job) && g.spec.PerTask.Fits(m.Cap.Sub(m.used)) && s.allows(now, g, m) {
-			s.putNext(m, g)
-			s.leave(g)
+	for _, g := range s.rankedGroups {
+		if len(g.tasks) > 0 && s.isExpedited(now, g.job) && g.spec.PerTask.Fits(m.Cap.Sub(m.used)) && s.canPlace(now, g, m) {
+			s.placeNext(m, g)
+			s.removeIfEmpty(g)
 		}
 	}
 }
 
-// press takes the dealer's word that a job should have begun.
-func (s *Shard) press(now time.Duration, job model.JobID) {
-	if s.firsts == nil {
-		s.firsts = map[model.JobID]time.Duration{}
+// expedite has the next task of a job placed before all others.
+func (s *Shard) expedite(now time.Duration, job model.JobID) {
+	if s.expedited == nil {
+		s.expedited = map[model.JobID]time.Duration{}
 	}
-	s.firsts[job] = now + firstFor
-	s.replan = true
+	s.expedited[job] = now + expediteDuration
+	s.replanAll = true
 }
 
-// pressed notes that a task of such a job is placed, or that it is over: no machine is kept
-// for it any more.
-func (s *Shard) pressed(job model.JobID) {
-	if _, ok := s.firsts[job]; !ok {
+// endExpedite is called once a task of a job is placed or the job has ended. It cancels the job's
+// reservations.
+func (s *Shard) endExpedite(job model.JobID) {
+	if _, ok := s.expedited[job]; !ok {
 		return
 	}
-	delete(s.firsts, job)
-	for _, m := range s.order {
-		if m.keptFor == job && m.keptUntil > 0 {
-			m.keptUntil, s.replan = 0, true
+	delete(s.expedited, job)
+	for _, m := range s.sortedMachines {
+		if m.reservedFor == job && m.reservedUntil > 0 {
+			m.reservedUntil, s.replanAll = 0, true
 		}
 	}
 }
 
-// kept tells whether a machine is kept for another job.
-func (m *machine) kept(now time.Duration, job model.JobID) bool {
-	return now < m.keptUntil && m.keptFor != job
+// reservedForOther reports whether the machine is reserved for a job other than the given one.
+func (m *machine) reservedForOther(now time.Duration, job model.JobID) bool {
+	return now < m.reservedUntil && m.reservedFor != job
 }
 
-// keep has a machine get no other work until a job's first task has room there: the one
-// that lacks least.
-func (s *Shard) keep(now time.Duration, g *group) {
-	kept := 0
+// reserve reserves the machine with the most free CPU on which the group may run, or extends the
+// job's reservation. The number of reserved machines is limited.
+func (s *Shard) reserve(now time.Duration, g *waitingGroup) {
+	reserved := 0
 	var best *machine
-	for _, m := range s.order {
-		if now < m.keptUntil {
-			if m.keptFor == g.job && s.allows(now, g, m) {
-				m.keptUntil = now + firstFor
+	for _, m := range s.sortedMachines {
+		if now < m.reservedUntil {
+			if m.reservedFor == g.job && s.canPlace(now, g, m) {
+				m.reservedUntil = now + expediteDuration
 				return
 			}
-			kept++
+			reserved++
 			continue
 		}
-		if s.allows(now, g, m) && (best == nil || m.Cap.CPU-m.used.CPU > best.Cap.CPU-best.used.CPU) {
+		if s.canPlace(now, g, m) && (best == nil || m.Cap.CPU-m.used.CPU > best.Cap.CPU-best.used.CPU) {
 			best = m
 		}
 	}
-	if best != nil && kept < max(1, len(s.order)/keepPart) {
-		best.keptFor, best.keptUntil = g.job, now+firstFor
+	if best != nil && reserved < max(1, len(s.sortedMachines)/machinesPerReservation) {
+		best.reservedFor, best.reservedUntil = g.job, now+expediteDuration
 	}
 }
