--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -105,10 +105,10 @@
 // logGrant tells when this controller's shard may act no more, and when it may again.
 func (n *Node) logGrant(now time.Duration, local *localShard) {
 	granted := local.shard.HasGrant(now)
-	if granted == local.granted {
+	if granted == local.loggedGrant {
 		return
 	}
-	local.granted = granted
+	local.loggedGrant = granted
 	if granted {
 		n.log.Info("grant begins: this controller's shard may act", "leader", n.leader)
 	} else {
--- a/internal/node/dispatchloop.go
+++ b/internal/node/dispatchloop.go
@@ -121,10 +121,10 @@
 
 // broadcastProgress tells all controllers how far the open jobs are.
 func (dl *dispatchLoop) broadcastProgress() {
-	m := dl.collectProgress()
-	for _, k := range dl.lead.links {
-		k.queue.Send(m)
-		k.progressAsOf = dl.progressAsOf
+	message := dl.collectProgress()
+	for _, memberLink := range dl.lead.links {
+		memberLink.queue.Send(message)
+		memberLink.progressAsOf = dl.progressAsOf
 	}
 }
 
@@ -132,7 +132,7 @@
 func (dl *dispatchLoop) collectProgress() *peerpb.Down {
 	dl.lead.node.progress = map[model.JobID]jobProgress{}
 	open := map[model.JobID]bool{}
-	m := &peerpb.Progress{StateAgeUs: dl.lead.node.health.sinceServed(dl.lead.node.now()).Microseconds()}
+	progress := &peerpb.Progress{StateAgeUs: dl.lead.node.health.sinceServed(dl.lead.node.now()).Microseconds()}
 	dl.progressAsOf = dl.openJobsAsOf
 	dl.lead.node.statusFreshness.SetInDoubtKnown(dl.progressAsOf)
 	inDoubt := dl.lead.dependencies.inDoubt.Update(dl.lead.node.now(), dl.lead.dependencies.graph)
@@ -140,23 +140,23 @@
 		onHold := dl.dispatcher.OnHold(id)
 		dl.lead.node.progress[id] = jobProgress{done, running, version, onHold, inDoubt[id]}
 		open[id] = true
-		m.Jobs = append(m.Jobs, &peerpb.JobProgress{Job: uint64(id), Done: int32(done), Running: int32(running),
+		progress.Jobs = append(progress.Jobs, &peerpb.JobProgress{Job: uint64(id), Done: int32(done), Running: int32(running),
 			Version: version, Waits: onHold, Doubt: inDoubt[id]})
 	})
 	dl.lead.node.local.shard.SetOpenJobs(open)
-	return &peerpb.Down{Msg: &peerpb.Down_Progress{Progress: m}}
+	return &peerpb.Down{Msg: &peerpb.Down_Progress{Progress: progress}}
 }
 
 // writes are the ends of jobs and the machines' records, then progress.
-func (dl *dispatchLoop) writes(now time.Duration, c writequota.Class, n int) []storeWrite {
+func (dl *dispatchLoop) writes(now time.Duration, class writequota.Class, limit int) []storeWrite {
 	var out []storeWrite
-	switch c {
+	switch class {
 	case writequota.FinalRecords:
-		for _, w := range dl.dispatcher.UrgentWrites(n) {
+		for _, w := range dl.dispatcher.UrgentWrites(limit) {
 			out = append(out, dl.encodeWrite(w))
 		}
 	case writequota.Progress:
-		for _, w := range dl.dispatcher.ProgressWrites(now, n) {
+		for _, w := range dl.dispatcher.ProgressWrites(now, limit) {
 			out = append(out, dl.encodeWrite(w))
 		}
 	}
@@ -194,26 +194,26 @@
 		out.guards = []wire.Guard{{Key: key, Version: w.Version}}
 		out.ops = []wire.Op{{Delete: key}}
 	case dispatcher.PutChunk:
-		ch := wire.Chunk{Part: w.Bits, From: w.FirstTask}
+		chunk := wire.Chunk{Part: w.Bits, From: w.FirstTask}
 		if w.Chunk.OldLayout {
-			ch = wire.Chunk{Bits: w.Bits}
+			chunk = wire.Chunk{Bits: w.Bits}
 		}
 		// Its version, as above, and the job's: applied after the job's end, this must not
 		// bring back what that dropped.
 		key := chunkKey(w.Job, w.Chunk)
 		out.guards = []wire.Guard{{Key: key, Version: w.Version},
 			{Key: openPrefix + wire.JobName(w.Job), Version: w.JobVersion}}
-		out.ops = []wire.Op{{Put: key, Value: mustEncode(ch)}}
+		out.ops = []wire.Op{{Put: key, Value: mustEncode(chunk)}}
 		out.batchable = true
 	case dispatcher.FinishJob:
 		out.guards = []wire.Guard{{Key: openPrefix + wire.JobName(w.Job), Version: w.Version}}
 		out.ops = finalOps(w.Job, jobs.Done)
-		free := max(0, dl.lead.node.cfg.Cluster.TxnOps()-len(out.ops))
-		for _, c := range w.StoredChunks[:min(free, len(w.StoredChunks))] {
+		freeOps := max(0, dl.lead.node.cfg.Cluster.TxnOps()-len(out.ops))
+		for _, c := range w.StoredChunks[:min(freeOps, len(w.StoredChunks))] {
 			out.ops = append(out.ops, wire.Op{Delete: chunkKey(w.Job, c)})
 		}
-		if rest := w.StoredChunks[min(free, len(w.StoredChunks)):]; len(rest) > 0 {
-			dl.deleteChunksAfter(&out, w.Job, rest)
+		if remaining := w.StoredChunks[min(freeOps, len(w.StoredChunks)):]; len(remaining) > 0 {
+			dl.deleteChunksAfter(&out, w.Job, remaining)
 		}
 	}
 	return out
@@ -222,9 +222,9 @@
 // deleteChunksAfter drops the chunks that a final's transaction has no room for, once it is
 // stored. What is left of them if this leader ends, the next one drops.
 func (dl *dispatchLoop) deleteChunksAfter(w *storeWrite, id model.JobID, chunks []dispatcher.ChunkID) {
-	done := w.onDone
+	previous := w.onDone
 	w.onDone = func(now time.Duration, o writeOutcome) {
-		done(now, o)
+		previous(now, o)
 		if o.err != nil {
 			return
 		}
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -31,10 +31,10 @@
 func newLeaderHarness(t *testing.T) *leaderHarness {
 	t.Helper()
 	cfg := &config.Platform{HostName: "hive-0", Siblings: []config.Sibling{{HostName: "hive-1"}}}
-	c := &cfg.Cluster
-	c.Teams = []config.Team{{Name: "vision"}}
-	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS = 8, 42, 67
-	c.State.RPS, c.State.WriteRPS, c.State.ValueKB, c.State.TxnOps = 100, 100, 16, 16
+	cluster := &cfg.Cluster
+	cluster.Teams = []config.Team{{Name: "vision"}}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = 8, 42, 67
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = 100, 100, 16, 16
 	n := New(cfg, config.DefaultSettings(), slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
 	n.startedAt = n.startedAt.Add(-time.Hour)
 	n.election.ClearPriorPromise(0)
@@ -58,73 +58,73 @@
 	n.lead = n.newLeadership(ctx, now)
 	l := n.lead
 	l.loaded = true
-	k := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSent: map[uint64]time.Duration{}}
-	r := &leaderHarness{t: t, node: n, lead: l, link: k}
-	r.shardID = l.acceptMember(now, r.link, &peerpb.Hello{Host: "hive-1", Release: release})
-	r.takeSent(t)
-	return r
+	memberLink := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSentAt: map[uint64]time.Duration{}}
+	h := &leaderHarness{t: t, node: n, lead: l, link: memberLink}
+	h.shardID = l.acceptMember(now, h.link, &peerpb.Hello{Host: "hive-1", Release: release})
+	h.takeSent(t)
+	return h
 }
 
 // takeSent takes away what the leader has takeSent to its member.
-func (r *leaderHarness) takeSent(t *testing.T) (out []*peerpb.Down) {
+func (h *leaderHarness) takeSent(t *testing.T) (out []*peerpb.Down) {
 	t.Helper()
-	r.link.queue.Send(&peerpb.Down{}) // the last
+	h.link.queue.Send(&peerpb.Down{}) // the last
 	ctx, cancel := context.WithCancel(t.Context())
 	var buf bytes.Buffer
-	_ = r.link.queue.Run(ctx, &buf, func() error { cancel(); return nil })
-	for in := peer.NewReader(&buf); ; {
-		m := &peerpb.Down{}
-		if err := in.Next(m); err != nil {
+	_ = h.link.queue.Run(ctx, &buf, func() error { cancel(); return nil })
+	for reader := peer.NewReader(&buf); ; {
+		message := &peerpb.Down{}
+		if err := reader.Next(message); err != nil {
 			t.Fatal(err)
 		}
-		if m.Msg == nil {
+		if message.Msg == nil {
 			return out
 		}
-		out = append(out, m)
+		out = append(out, message)
 	}
 }
 
 // setOpenJobsAsOf sets back what is known of the open jobs.
-func (r *leaderHarness) setOpenJobsAsOf(at time.Duration) {
-	r.lead.dispatchLoop.openJobsAsOf, r.lead.dispatchLoop.openJobsView = at, cancellog.OpenJobsView{}
-	r.lead.dispatchLoop.openJobsView.Read(at)
-	r.takeSent(r.t)
+func (h *leaderHarness) setOpenJobsAsOf(at time.Duration) {
+	h.lead.dispatchLoop.openJobsAsOf, h.lead.dispatchLoop.openJobsView = at, cancellog.OpenJobsView{}
+	h.lead.dispatchLoop.openJobsView.Read(at)
+	h.takeSent(h.t)
 }
 
-func (r *leaderHarness) sendAsk(now time.Duration, a *peerpb.Ask) {
-	r.lead.handleMessage(now, r.shardID, r.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: a}})
+func (h *leaderHarness) sendAsk(now time.Duration, ask *peerpb.Ask) {
+	h.lead.handleMessage(now, h.shardID, h.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: ask}})
 }
 
 // reportCancellations has the member say that it reportCancellations users of these cancellations, and all that it reportCancellations in
 // the last minute, once it has had a grant.
-func (r *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
-	r.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
+func (h *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
+	h.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
 }
 
-func (r *leaderHarness) addOpenJob(job model.JobID) {
-	r.node.names.Images.ID("img")
-	r.lead.dispatcher.AddJob(r.node.now(), &model.Spec{ID: job, Tasks: 2, Zone: model.None}, 3, 0, false)
+func (h *leaderHarness) addOpenJob(job model.JobID) {
+	h.node.names.Images.ID("img")
+	h.lead.dispatcher.AddJob(h.node.now(), &model.Spec{ID: job, Tasks: 2, Zone: model.None}, 3, 0, false)
 }
 
 // A new leader gives no grant, and its own shard acts on none, before it has read what is open.
 func TestNoGrantBeforeOpenJobsAreRead(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	r.sendAsk(now, &peerpb.Ask{})
-	for _, m := range r.takeSent(t) {
-		if g := m.GetGrant(); g.GetForUs() > 0 {
-			t.Errorf("a grant for %d us", g.GetForUs())
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	h.sendAsk(now, &peerpb.Ask{})
+	for _, message := range h.takeSent(t) {
+		if grant := message.GetGrant(); grant.GetForUs() > 0 {
+			t.Errorf("a grant for %d us", grant.GetForUs())
 		}
 	}
-	r.lead.tick(now)
-	if r.node.local.shard.HasGrant(now) {
+	h.lead.tick(now)
+	if h.node.local.shard.HasGrant(now) {
 		t.Error("its own shard acts")
 	}
-	r.lead.dispatchLoop.markOpenJobsRead(now, now-time.Second)
-	r.lead.tick(now)
-	if !r.node.local.shard.HasGrant(now) {
+	h.lead.dispatchLoop.markOpenJobsRead(now, now-time.Second)
+	h.lead.tick(now)
+	if !h.node.local.shard.HasGrant(now) {
 		t.Error("its own shard does not act on a picture of a second ago")
 	}
 }
@@ -133,38 +133,38 @@
 // cancellation, and loses its leader then, would else act on without having heard of it, from
 // a picture that was asked for well after users were told.
 func TestCancellationsPrecedeGrants(t *testing.T) {
-	for name, learn := range map[string]func(r *leaderHarness, now time.Duration){
-		"by the watch": func(r *leaderHarness, now time.Duration) {
-			r.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
+	for name, applyCancellation := range map[string]func(h *leaderHarness, now time.Duration){
+		"by the watch": func(h *leaderHarness, now time.Duration) {
+			h.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
 		},
-		"by another controller": func(r *leaderHarness, now time.Duration) {
-			r.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // gets grant 1
-			r.takeSent(r.t)
-			r.reportCancellations(now, 1, 7)
+		"by another controller": func(h *leaderHarness, now time.Duration) {
+			h.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // gets grant 1
+			h.takeSent(h.t)
+			h.reportCancellations(now, 1, 7)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			r.addOpenJob(7)
-			now := r.node.now()
-			r.setOpenJobsAsOf(now - 20*time.Second)
-			was := r.lead.authorityEnd()
-			learn(r, now)
-			r.sendAsk(now, &peerpb.Ask{})
-			if r.lead.authorityEnd() <= was {
+			h := newLeaderHarness(t)
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			h.addOpenJob(7)
+			now := h.node.now()
+			h.setOpenJobsAsOf(now - 20*time.Second)
+			authorityBefore := h.lead.authorityEnd()
+			applyCancellation(h, now)
+			h.sendAsk(now, &peerpb.Ask{})
+			if h.lead.authorityEnd() <= authorityBefore {
 				t.Fatal("nothing was gained: the test shows nothing")
 			}
-			ended := false
-			for _, m := range r.takeSent(t) {
-				o := m.GetOrder()
-				ended = ended || o != nil && model.OrderKind(o.GetKind()) == model.EndJob && o.GetJob() == 7
-				if m.GetGrant() != nil && !ended {
+			endSent := false
+			for _, message := range h.takeSent(t) {
+				order := message.GetOrder()
+				endSent = endSent || order != nil && model.OrderKind(order.GetKind()) == model.EndJob && order.GetJob() == 7
+				if message.GetGrant() != nil && !endSent {
 					t.Fatal("the grant went out before the job's end")
 				}
 			}
-			if !ended {
+			if !endSent {
 				t.Fatal("the member was not told")
 			}
 		})
@@ -175,37 +175,37 @@
 // member's word: counted from the grant that its word answers, and only if it has told all
 // since before the picture.
 func TestAuthorityFollowsMembersAcknowledgements(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	viewAge := func() time.Duration { return now - r.lead.dispatchLoop.openJobsView.ValidUntil(0) }
-	r.setOpenJobsAsOf(now - 20*time.Second)
-	r.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
-	r.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	viewAge := func() time.Duration { return now - h.lead.dispatchLoop.openJobsView.ValidUntil(0) }
+	h.setOpenJobsAsOf(now - 20*time.Second)
+	h.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
+	h.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
 	if viewAge() != 20*time.Second {
 		t.Errorf("a member that says nothing of what it told makes the picture %v old", viewAge())
 	}
-	r.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
+	h.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
 	if viewAge() != 20*time.Second {
 		t.Errorf("one that began since makes it %v old", viewAge())
 	}
-	r.reportCancellations(now, 2)
+	h.reportCancellations(now, 2)
 	if viewAge() != 2*time.Second {
 		t.Errorf("one that has told all makes it %v old, want the age of the grant that it answers", viewAge())
 	}
 	// A job that it told of is over, even if what was asked for before still shows it.
-	r.addOpenJob(7)
-	r.reportCancellations(now, 2, 7, 8)
+	h.addOpenJob(7)
+	h.reportCancellations(now, 2, 7, 8)
 	sub, err := wire.ParseSubmission([]byte(`{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch",
 		"Rank":"standard","Cells":2,"Cpus":1,"Accelerators":0,"MemGb":1,"Wax":"img","ImageGb":1,"Together":false,
 		"Spread":false,"SwarmBoxes":false,"ForageS":1,"CapIntervalS":0,"CapS":0}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.lead.dispatchLoop.addJob(now, storedJob{sub, 9}, now)
+	h.lead.dispatchLoop.addJob(now, storedJob{sub, 9}, now)
 	for _, id := range []model.JobID{7, 8} {
-		if r.lead.dispatcher.JobVersion(id) != 0 {
+		if h.lead.dispatcher.JobVersion(id) != 0 {
 			t.Errorf("job %d is open", id)
 		}
 	}
@@ -214,30 +214,30 @@
 // A leader that the state service answers, but not about the open jobs, lets another one try,
 // however young its picture is by what controllers tell: it would never learn of a new job.
 func TestLeaderResignsWhenOpenWatchFails(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	r.setOpenJobsAsOf(now)
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	h.setOpenJobsAsOf(now)
 	for d := time.Duration(0); d < 2*time.Minute; d += time.Second {
-		if r.lead.dispatchLoop.openWatchFailing(now + d) {
+		if h.lead.dispatchLoop.openWatchFailing(now + d) {
 			t.Fatalf("blind in an outage, after %v", d)
 		}
 	}
-	back := now + 2*time.Minute
+	outageEnd := now + 2*time.Minute
 	for d := time.Duration(0); d < openWatchFailureLimit; d += time.Second {
-		r.node.health.recordRequest(back+d, storehealth.Served)
-		if r.lead.dispatchLoop.openWatchFailing(back + d) {
+		h.node.health.recordRequest(outageEnd+d, storehealth.Served)
+		if h.lead.dispatchLoop.openWatchFailing(outageEnd + d) {
 			t.Fatalf("blind %v after the outage", d)
 		}
 	}
-	r.node.health.recordRequest(back+openWatchFailureLimit+time.Second, storehealth.Served)
-	if !r.lead.dispatchLoop.openWatchFailing(back + openWatchFailureLimit + time.Second) {
+	h.node.health.recordRequest(outageEnd+openWatchFailureLimit+time.Second, storehealth.Served)
+	if !h.lead.dispatchLoop.openWatchFailing(outageEnd + openWatchFailureLimit + time.Second) {
 		t.Error("goes on without news")
 	}
-	r.lead.dispatchLoop.markOpenJobsRead(back+15*time.Second, back+14*time.Second)
-	r.node.health.recordRequest(back+15*time.Second, storehealth.Served)
-	if r.lead.dispatchLoop.openWatchFailing(back + 15*time.Second) {
+	h.lead.dispatchLoop.markOpenJobsRead(outageEnd+15*time.Second, outageEnd+14*time.Second)
+	h.node.health.recordRequest(outageEnd+15*time.Second, storehealth.Served)
+	if h.lead.dispatchLoop.openWatchFailing(outageEnd + 15*time.Second) {
 		t.Error("gives way though it has news")
 	}
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -20,11 +20,11 @@
 }
 
 // recordDelay takes how recordDelay a tick came.
-func (h *processHealth) recordDelay(now, by time.Duration) {
+func (h *processHealth) recordDelay(now, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.overload.RecordDelay(now, max(0, by))
-	h.store.RecordDelay(now, by)
+	h.overload.RecordDelay(now, max(0, delay))
+	h.store.RecordDelay(now, delay)
 }
 
 // recordRequest takes what became of a request to the state service.
@@ -36,10 +36,10 @@
 
 // admit tells whether a user's request should be begun at all, or when its user
 // should ask again.
-func (h *processHealth) admit(now time.Duration, k overload.Kind) (ok bool, retryAfter time.Duration) {
+func (h *processHealth) admit(now time.Duration, kind overload.Kind) (ok bool, retryAfter time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.overload.Admits(now, k), h.overload.RetryAfter(now, h.jitter.Float64())
+	return h.overload.Admits(now, kind), h.overload.RetryAfter(now, h.jitter.Float64())
 }
 
 // scaleConcurrency is how many of up to most things this process should do at a time of its
@@ -63,16 +63,16 @@
 	return h.store.Unreachable(now)
 }
 
-func (h *processHealth) refusedAlone(now, sibling time.Duration) bool {
+func (h *processHealth) refusedAlone(now, siblingServedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.store.RefusedAlone(now, sibling)
+	return h.store.RefusedAlone(now, siblingServedAt)
 }
 
-func (h *processHealth) shouldYield(now, sibling time.Duration) (yes, ask bool) {
+func (h *processHealth) shouldYield(now, siblingServedAt time.Duration) (yield, confirm bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.store.YieldNow(now, sibling)
+	return h.store.YieldNow(now, siblingServedAt)
 }
 
 func (h *processHealth) yieldConfirmed(now time.Duration) {
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -86,19 +86,19 @@
 }
 
 func (n *Node) newLeadership(ctx context.Context, now time.Duration) *leadership {
-	lctx, cancel := context.WithCancel(ctx)
-	c := &n.cfg.Cluster
-	l := &leadership{node: n, ctx: lctx, cancel: cancel, term: n.election.Term(),
+	termCtx, cancel := context.WithCancel(ctx)
+	cluster := &n.cfg.Cluster
+	l := &leadership{node: n, ctx: termCtx, cancel: cancel, term: n.election.Term(),
 		guard:        wire.Guard{Key: keyLeader, Version: n.election.Version()},
 		loadedSignal: make(chan struct{}), startedAt: now, links: map[model.ShardID]*link{},
 		siblingReleases: map[string]uint32{},
-		writeQuota:      writequota.New(c.State.WriteRPS*leaderWriteShare, max(8, int(c.State.WriteRPS*leaderWriteShare/2)))}
+		writeQuota:      writequota.New(cluster.State.WriteRPS*leaderWriteShare, max(8, int(cluster.State.WriteRPS*leaderWriteShare/2)))}
 	// Shards of the term before may act on grants that reach to the end of
 	// their leader's authority, even if its lease was ended early: up to one
 	// whole length of it from now, unless they are heard to have stopped.
-	l.dispatcher = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teamLimits(), ChunkSize: chunkSize(c.ValueKB()),
-		BlockSize: legacyBlockSize(c.State.ValueKB), ProgressInterval: 2 * time.Second,
-		DispatchAhead: n.settings.DealAhead, MaxLease: c.SureLease(), MinOverloadMachines: minMachinesToSpread(c),
+	l.dispatcher = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teamLimits(), ChunkSize: chunkSize(cluster.ValueKB()),
+		BlockSize: legacyBlockSize(cluster.State.ValueKB), ProgressInterval: 2 * time.Second,
+		DispatchAhead: n.settings.DealAhead, MaxLease: cluster.SureLease(), MinOverloadMachines: minMachinesToSpread(cluster),
 		StartWithin:         n.settings.BeginWithin,
 		ReportInterruptions: len(n.settings.Budgets) > 0}, now+max(n.leaseTTL, config.Promise)+time.Second)
 	l.logCharges()
@@ -109,7 +109,7 @@
 	n.dropLocalShard()
 	n.installLocalShard(n.newLocalShard(l.dispatcher.FirstAttempt(l.localID)))
 	n.local.shard.ReportInterruptions(len(n.settings.Budgets) > 0)
-	f := fleet.New(fleet.Params{Term: l.term, TermStart: now, ListLag: config.Seconds(c.Cloud.ListLagS),
+	f := fleet.New(fleet.Params{Term: l.term, TermStart: now, ListLag: config.Seconds(cluster.Cloud.ListLagS),
 		IdleReturn: n.settings.IdleReturn,
 		Horizon:    n.settings.RentHorizon, RetryRefusedAfter: rentRetryInterval,
 		BestEffortWait: 10 * n.settings.RentHorizon})
@@ -134,12 +134,12 @@
 
 // minMachinesToSpread is how many machines take about a third of a controller's processor with
 // their reports: fewer are sent nowhere else. Without a stated processor it has a core.
-func minMachinesToSpread(c *config.Cluster) int {
-	cpu := c.Resources.CPU
+func minMachinesToSpread(cluster *config.Cluster) int {
+	cpu := cluster.Resources.CPU
 	if cpu <= 0 {
 		cpu = 1
 	}
-	return int(0.3 * reportsPerCPU * cpu * c.Workers.ReportS)
+	return int(0.3 * reportsPerCPU * cpu * cluster.Workers.ReportS)
 }
 
 // chunkSize is how many tasks' bits fit into a value, as base64 in JSON.
@@ -155,12 +155,12 @@
 // types and zones. Should they not, the block's write is refused, and it is halved.
 func blockSize(valueKB float64) uint64 { return uint64(max(1, min((valueKB*1024-400)/80, 128))) }
 
-func (l *leadership) setTypes(t []model.MachineType) {
-	if len(t) == 0 {
+func (l *leadership) setTypes(types []model.MachineType) {
+	if len(types) == 0 {
 		return
 	}
-	l.dispatcher.SetTypes(t)
-	l.rentals.fleet.SetTypes(t)
+	l.dispatcher.SetTypes(types)
+	l.rentals.fleet.SetTypes(types)
 }
 
 // load reads the store, then lets every part follow the world.
@@ -168,8 +168,8 @@
 	for l.ctx.Err() == nil {
 		err := l.readStore()
 		if err == nil {
-			for _, p := range l.components {
-				go p.run()
+			for _, comp := range l.components {
+				go comp.run()
 			}
 			return
 		}
@@ -180,8 +180,8 @@
 
 func (l *leadership) readStore() error {
 	var appliers []func(time.Duration) error
-	for _, p := range l.components {
-		apply, err := p.read(state.As(l.ctx, ratelimit.Leader))
+	for _, comp := range l.components {
+		apply, err := comp.read(state.As(l.ctx, ratelimit.Leader))
 		if err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 func (l *leadership) isolated(now time.Duration) bool {
 	timeout := max(3*time.Second, config.Seconds(2.5*l.node.cfg.Cluster.Workers.ReportS))
 	return len(l.node.cfg.Siblings) > 0 && len(l.links) == 0 &&
-		now-max(l.node.lastReport, l.startedAt, l.memberLostAt) > timeout && l.dispatcher.HasMachines()
+		now-max(l.node.lastReportAt, l.startedAt, l.memberLostAt) > timeout && l.dispatcher.HasMachines()
 }
 
 // refusedByState tells that the state service serves siblings, and refuses this leader; one of them
@@ -219,17 +219,17 @@
 func (l *leadership) refusedByState(now time.Duration) bool {
 	var newest time.Duration
 	var host string
-	for _, k := range l.links {
-		if k.stateServedAt > newest {
-			newest, host = k.stateServedAt, k.host
+	for _, memberLink := range l.links {
+		if memberLink.stateServedAt > newest {
+			newest, host = memberLink.stateServedAt, memberLink.host
 		}
 	}
-	yes, ask := l.node.health.shouldYield(now, newest)
-	if ask && !l.confirming {
+	yield, confirm := l.node.health.shouldYield(now, newest)
+	if confirm && !l.confirming {
 		l.confirming = true
 		go l.confirmRefusal(l.node.siblingAddr(host))
 	}
-	return yes
+	return yield
 }
 
 // confirmRefusal has a sibling ask the state service, as it does for a user whose request is passed on
@@ -238,21 +238,21 @@
 func (l *leadership) confirmRefusal(addr string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
-	var r Reply
-	err := l.node.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: jobs.Poll, Job: unusedJobID}, &r)
+	var reply Reply
+	err := l.node.dialer.Forward(ctx, addr, peer.UserPath, forwardedRequest{Kind: jobs.Poll, Job: unusedJobID}, &reply)
 	l.node.mu.Lock()
 	defer l.node.mu.Unlock()
 	l.confirming = false
-	if err == nil && (r.Status == http.StatusOK || r.Status == http.StatusNotFound) {
+	if err == nil && (reply.Status == http.StatusOK || reply.Status == http.StatusNotFound) {
 		l.node.health.yieldConfirmed(l.node.now())
 	}
 }
 
 // linkTo is the link of a controller, nil if there is none.
 func (l *leadership) linkTo(host string) *link {
-	for _, k := range l.links {
-		if k.host == host {
-			return k
+	for _, memberLink := range l.links {
+		if memberLink.host == host {
+			return memberLink
 		}
 	}
 	return nil
@@ -292,8 +292,8 @@
 	}
 	writes, _ := l.node.state.Writes()
 	l.writeQuota.SetRate(now, writes*leaderWriteShare)
-	for _, p := range l.components {
-		p.tick(now)
+	for _, comp := range l.components {
+		comp.tick(now)
 	}
 	if now-l.lastFlush >= 100*time.Millisecond {
 		l.lastFlush = now
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -24,8 +24,8 @@
 	codec    *peer.Codec
 	grantEnd time.Duration // of the longest grant given
 
-	lastGrant            uint64
-	grantsSent           map[uint64]time.Duration // grants, by number
+	lastGrantNumber      uint64
+	grantsSentAt         map[uint64]time.Duration // grants, by number
 	promisedUntil        time.Duration            // the member does not take over before
 	stateServedAt        time.Duration            // the state service last answered it
 	reportsCancellations bool                     // the member says of which cancellations it told users
@@ -72,51 +72,51 @@
 	if err := rc.Flush(); err != nil {
 		return
 	}
-	k := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSent: map[uint64]time.Duration{}}
-	written := make(chan struct{})
+	memberLink := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSentAt: map[uint64]time.Duration{}}
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(written)
-		cancel(k.queue.Run(ctx, w, rc.Flush))
+		defer close(writerDone)
+		cancel(memberLink.queue.Run(ctx, w, rc.Flush))
 	}()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
 	// Reading and writing end when the context does.
-	broken := make(chan struct{})
-	stopBreak := context.AfterFunc(ctx, func() {
-		defer close(broken)
+	deadlinesSet := make(chan struct{})
+	cancelDeadlines := context.AfterFunc(ctx, func() {
+		defer close(deadlinesSet)
 		_ = rc.SetReadDeadline(time.Unix(1, 0))
 		_ = rc.SetWriteDeadline(time.Unix(1, 0))
 	})
 	defer func() {
-		if !stopBreak() { // it must not touch the stream after the handler
-			<-broken
+		if !cancelDeadlines() { // it must not touch the stream after the handler
+			<-deadlinesSet
 		}
 	}()
-	id, err := n.readMemberMessages(l, k, r.Body, watchdog)
+	id, err := n.readMemberMessages(l, memberLink, r.Body, watchdog)
 	if c := context.Cause(ctx); c != nil {
 		err = c
 	}
 	n.mu.Lock()
 	if id != 0 && n.lead == l {
 		now := n.now()
-		n.log.Info("member lost", "host", k.host, "shard", id, "err", err, "authority_left", k.grantEnd-now)
+		n.log.Info("member lost", "host", memberLink.host, "shard", id, "err", err, "authority_left", memberLink.grantEnd-now)
 		delete(l.links, id)
 		l.memberLostAt = now
-		l.dispatcher.ShardLost(id, max(now, k.grantEnd))
+		l.dispatcher.ShardLost(id, max(now, memberLink.grantEnd))
 		n.requestCycle()
 	}
 	n.mu.Unlock()
 	cancel(err)
-	<-written
+	<-writerDone
 }
 
 // readMemberMessages takes a member's messages until the stream ends.
-func (n *Node) readMemberMessages(l *leadership, k *link, body io.Reader,
+func (n *Node) readMemberMessages(l *leadership, memberLink *link, body io.Reader,
 	watchdog *time.Timer) (id model.ShardID, err error) {
-	in := peer.NewReader(body)
+	reader := peer.NewReader(body)
 	for {
-		var m peerpb.Up
-		if err := in.Next(&m); err != nil {
+		var message peerpb.Up
+		if err := reader.Next(&message); err != nil {
 			return id, err
 		}
 		watchdog.Reset(linkTimeout)
@@ -127,10 +127,10 @@
 		}
 		now := n.now()
 		n.siblingSeenAt = now
-		if h := m.GetHello(); h != nil && id == 0 {
-			id = l.acceptMember(now, k, h)
-		} else if id != 0 && l.links[id] == k {
-			l.handleMessage(now, id, k, &m)
+		if hello := message.GetHello(); hello != nil && id == 0 {
+			id = l.acceptMember(now, memberLink, hello)
+		} else if id != 0 && l.links[id] == memberLink {
+			l.handleMessage(now, id, memberLink, &message)
 		} else {
 			n.mu.Unlock()
 			return 0, errors.New("replaced")
@@ -139,31 +139,31 @@
 	}
 }
 
-func (l *leadership) acceptMember(now time.Duration, k *link, hello *peerpb.Hello) model.ShardID {
+func (l *leadership) acceptMember(now time.Duration, memberLink *link, hello *peerpb.Hello) model.ShardID {
 	host := hello.GetHost()
-	k.host = host
-	for id, o := range l.links {
-		if o.host == host {
+	memberLink.host = host
+	for id, other := range l.links {
+		if other.host == host {
 			// Its Hello says that the shard before acts no more.
 			delete(l.links, id)
 			l.dispatcher.ShardLost(id, now)
 		}
 	}
 	id := l.dispatcher.AddShard(now, host)
-	l.links[id] = k
-	k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term,
+	l.links[id] = memberLink
+	memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term,
 		Attempts: l.dispatcher.FirstAttempt(id),
 		Tell:     l.drains.disruptions.Enabled(), Compares: true}}})
-	k.queue.Send(l.dispatchLoop.collectProgress())
-	k.progressAsOf = l.dispatchLoop.progressAsOf
+	memberLink.queue.Send(l.dispatchLoop.collectProgress())
+	memberLink.progressAsOf = l.dispatchLoop.progressAsOf
 	l.node.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
 	l.siblingReleases[host] = hello.GetRelease()
-	all, oldest := true, uint32(release)
+	allJoined, oldest := true, uint32(release)
 	for _, s := range l.node.cfg.Siblings {
-		r, joined := l.siblingReleases[s.HostName]
-		all, oldest = all && joined, min(oldest, r)
+		siblingRelease, joined := l.siblingReleases[s.HostName]
+		allJoined, oldest = allJoined && joined, min(oldest, siblingRelease)
 	}
-	if all {
+	if allJoined {
 		l.dispatcher.AllControllersJoined(now)
 		l.applyOldestRelease(oldest)
 	}
@@ -171,52 +171,52 @@
 	return id
 }
 
-func (l *leadership) handleMessage(now time.Duration, id model.ShardID, k *link, m *peerpb.Up) {
-	switch msg := m.Msg.(type) {
+func (l *leadership) handleMessage(now time.Duration, id model.ShardID, memberLink *link, message *peerpb.Up) {
+	switch msg := message.Msg.(type) {
 	case *peerpb.Up_Ask:
 		if !l.node.election.Leading(now) {
 			return
 		}
 		if age := msg.Ask.GetStateAgeUs(); age >= 0 {
-			k.stateServedAt = now - time.Duration(age)*time.Microsecond
+			memberLink.stateServedAt = now - time.Duration(age)*time.Microsecond
 		}
 		for _, id := range msg.Ask.GetTold() {
 			l.dispatchLoop.applyCancellation(now, model.JobID(id))
 		}
-		if d := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; d > 0 {
-			k.reportsCancellations, k.coverage.Since = true, now-(d-d/500) // its clock may be the faster one
+		if coverageDuration := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; coverageDuration > 0 {
+			memberLink.reportsCancellations, memberLink.coverage.Since = true, now-(coverageDuration-coverageDuration/500) // its clock may be the faster one
 		}
 		// The member promised when it received that grant, so after it was
 		// sent: from then on by this clock, less drift.
-		if at, ok := k.grantsSent[msg.Ask.GetPromised()]; ok {
-			k.promisedUntil = max(k.promisedUntil, at+config.Promise-config.Promise/200-50*time.Millisecond)
+		if sentAt, ok := memberLink.grantsSentAt[msg.Ask.GetPromised()]; ok {
+			memberLink.promisedUntil = max(memberLink.promisedUntil, sentAt+config.Promise-config.Promise/200-50*time.Millisecond)
 			// ... and what it told users before that came in no later than this.
-			k.coverage.Until = max(k.coverage.Until, at)
-			for no := range k.grantsSent {
-				if no < msg.Ask.GetPromised() {
-					delete(k.grantsSent, no)
+			memberLink.coverage.Until = max(memberLink.coverage.Until, sentAt)
+			for number := range memberLink.grantsSentAt {
+				if number < msg.Ask.GetPromised() {
+					delete(memberLink.grantsSentAt, number)
 				}
 			}
 		}
-		k.demand = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
+		memberLink.demand = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
 		l.extendAuthority()
 		l.dispatchLoop.updateOpenJobsView(now)
-		k.grantEnd = max(k.grantEnd, l.authorityEnd())
-		k.lastGrant++
-		k.grantsSent[k.lastGrant] = now
-		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
-			ForUs: max(0, l.authorityEnd()-now).Microseconds(), Number: k.lastGrant,
+		memberLink.grantEnd = max(memberLink.grantEnd, l.authorityEnd())
+		memberLink.lastGrantNumber++
+		memberLink.grantsSentAt[memberLink.lastGrantNumber] = now
+		memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
+			ForUs: max(0, l.authorityEnd()-now).Microseconds(), Number: memberLink.lastGrantNumber,
 			SettledAgeUs:  max(1, (now - l.dependencies.propagatedUntil(now)).Microseconds()),
-			ToldAgeUs:     max(1, (now - k.progressAsOf).Microseconds()),
-			RequestsShare: k.allocation.Requests, WritesShare: k.allocation.Writes}}})
+			ToldAgeUs:     max(1, (now - memberLink.progressAsOf).Microseconds()),
+			RequestsShare: memberLink.allocation.Requests, WritesShare: memberLink.allocation.Writes}}})
 	case *peerpb.Up_Questions:
-		l.handleQuestions(k, msg.Questions.GetQuestions())
+		l.handleQuestions(memberLink, msg.Questions.GetQuestions())
 	case *peerpb.Up_Event:
-		l.handleEvent(now, id, k.codec.FromEvent(msg.Event))
+		l.handleEvent(now, id, memberLink.codec.FromEvent(msg.Event))
 		l.node.requestCycle()
 	case *peerpb.Up_Status:
-		ms, jobs := k.codec.FromStatus(now, msg.Status)
-		l.dispatcher.UpdateStatus(now, id, ms, jobs, msg.Status.GetDeals())
+		machines, taskCounts := memberLink.codec.FromStatus(now, msg.Status)
+		l.dispatcher.UpdateStatus(now, id, machines, taskCounts, msg.Status.GetDeals())
 		l.dispatchLoop.dispatchDue = true
 		l.node.requestCycle()
 	}
@@ -225,8 +225,8 @@
 // extendAuthority extends this leader's authority to where every sibling's promise lasts.
 func (l *leadership) extendAuthority() {
 	promisedUntil := map[string]time.Duration{}
-	for _, k := range l.links {
-		promisedUntil[k.host] = max(promisedUntil[k.host], k.promisedUntil)
+	for _, memberLink := range l.links {
+		promisedUntil[memberLink.host] = max(promisedUntil[memberLink.host], memberLink.promisedUntil)
 	}
 	earliest := time.Duration(1<<63 - 1)
 	for _, s := range l.node.cfg.Siblings {
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -24,19 +24,19 @@
 		return
 	}
 	classes := map[model.Name]*classLoad{}
-	for _, need := range dl.dispatcher.Demand() {
-		c := classes[need.Spec.Class]
+	for _, demand := range dl.dispatcher.Demand() {
+		c := classes[demand.Spec.Class]
 		if c == nil {
 			c = &classLoad{}
-			classes[need.Spec.Class] = c
+			classes[demand.Spec.Class] = c
 		}
 		c.jobs++
-		if need.Unfinished == 0 { // its final is not stored yet
+		if demand.Unfinished == 0 { // its final is not stored yet
 			c.ending++
 		}
-		c.unfinished += int(need.Unfinished)
-		c.assigned += int(need.Assigned)
-		c.running += dl.dispatcher.TaskCounts(need.Spec.ID).Running
+		c.unfinished += int(demand.Unfinished)
+		c.assigned += int(demand.Assigned)
+		c.running += dl.dispatcher.TaskCounts(demand.Spec.ID).Running
 	}
 	var machines, ready, spot, faulty int
 	var cpus, free int64
@@ -59,10 +59,10 @@
 		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", dl.dispatcher.UnverifiedCount(),
 		"cpus", cpus/1000,
 		"free", free/1000)
-	for _, s := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
-		dl.lead.node.log.Warn("jobs wait for too long to begin", "of", dl.lead.node.groupName(s.Group), "begun", s.Begun,
-			"late", s.Overdue,
-			"longest", s.LongestWait)
+	for _, group := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
+		dl.lead.node.log.Warn("jobs wait for too long to begin", "of", dl.lead.node.groupName(group.Group), "begun", group.Begun,
+			"late", group.Overdue,
+			"longest", group.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	grantAskInterval = 400 * time.Millisecond
-	linkTimeout      = 2500 * time.Millisecond // nothing heard for so long: the link is dead
-	statusInterval   = 100 * time.Millisecond
-	maxDirectSends   = 48
-	directTimeout    = 2 * time.Second
-	cycleDelay       = 5 * time.Millisecond // what arrives within so long is dealt with together
+	grantRequestInterval = 400 * time.Millisecond
+	linkTimeout          = 2500 * time.Millisecond // nothing heard for so long: the link is dead
+	statusInterval       = 100 * time.Millisecond
+	maxDirectSends       = 48
+	directTimeout        = 2 * time.Second
+	cycleDelay           = 5 * time.Millisecond // what arrives within so long is dealt with together
 )
 
 // localShard is this controller's shard. A member's localShard outlives its link until its
 // grant ends: its workers go on being answered.
 type localShard struct {
-	shard       *shard.Shard
-	leaderQueue *peer.Queue // nil: the leader's own, or the link is lost
-	codec       *peer.Codec
-	lastTick    time.Duration
-	statusDue   bool
-	asksSent    map[uint64]time.Duration
-	// granted: the shard may act, as last told in the log.
-	granted     bool
-	askSeq      uint64
-	lastAsk     time.Duration
-	lastGrant   uint64 // of the newest grant
-	cancelsSent int    // of the cancellations that users were told of here: what the leader has
+	shard             *shard.Shard
+	leaderQueue       *peer.Queue // nil: the leader's own, or the link is lost
+	codec             *peer.Codec
+	lastTick          time.Duration
+	statusDue         bool
+	grantRequestsSent map[uint64]time.Duration
+	// loggedGrant: the shard may act, as last told in the log.
+	loggedGrant        bool
+	grantRequestSeq    uint64
+	lastGrantRequestAt time.Duration
+	lastGrantNumber    uint64 // of the newest grant
+	cancelsSent        int    // of the cancellations that users were told of here: what the leader has
 }
 
 func (n *Node) newLocalShard(attempts uint64) *localShard {
-	local := &localShard{asksSent: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
+	local := &localShard{grantRequestsSent: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
 		shard: shard.New(n.shardParams(), attempts, n.rng)}
 	local.shard.RestoreImages(n.previousMachines)
 	return local
@@ -54,8 +54,8 @@
 func (n *Node) dropLocalShard() {
 	if n.local != nil {
 		n.localReady, n.localDroppedAt = make(chan struct{}), n.now()
-		if ms := n.local.shard.Images(); len(ms) > 0 {
-			n.previousMachines = ms
+		if images := n.local.shard.Images(); len(images) > 0 {
+			n.previousMachines = images
 		}
 	}
 	n.local = nil
@@ -132,17 +132,17 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	var rep *model.Report
+	var report *model.Report
 	if err == nil {
-		rep, err = raw.Report(n.names)
+		report, err = raw.Report(n.names)
 	}
 	if err != nil {
 		n.log.Debug("direct command unanswered", "machine", wire.MachineName(d.Machine), "err", err)
-		rep = nil
+		report = nil
 	}
-	local.shard.DirectCommandDone(now, d, rep, executed)
+	local.shard.DirectCommandDone(now, d, report, executed)
 	if n.local == local {
-		if rep != nil {
+		if report != nil {
 			n.wakeReports(d.Machine)
 		}
 		n.requestCycle()
@@ -163,19 +163,19 @@
 	if local.leaderQueue == nil {
 		return
 	}
-	if now-local.lastAsk >= grantAskInterval {
+	if now-local.lastGrantRequestAt >= grantRequestInterval {
 		// The grant counts from here, however late the answer comes.
-		local.askSeq++
-		local.asksSent[local.askSeq] = now
-		local.lastAsk = now
-		needs := n.state.Needs()
+		local.grantRequestSeq++
+		local.grantRequestsSent[local.grantRequestSeq] = now
+		local.lastGrantRequestAt = now
+		demand := n.state.Needs()
 		ask := &peerpb.Ask{
-			Seq:            local.askSeq,
-			Promised:       local.lastGrant,
+			Seq:            local.grantRequestSeq,
+			Promised:       local.lastGrantNumber,
 			StateAgeUs:     n.health.sinceServed(now).Microseconds(),
 			ToldForUs:      max(1, (now - n.cancelLog.CompleteSince()).Microseconds()),
-			RequestsNeeded: needs.Requests,
-			WritesNeeded:   needs.Writes,
+			RequestsNeeded: demand.Requests,
+			WritesNeeded:   demand.Writes,
 		}
 		var cancelled []model.JobID
 		cancelled, local.cancelsSent = n.cancelLog.EntriesFrom(local.cancelsSent)
@@ -193,12 +193,12 @@
 }
 
 // wakeOwned wakes reports that wait for their machine's owner.
-func (n *Node) wakeOwned(o *model.Order) {
-	id := o.Machine.ID
-	switch o.Kind {
+func (n *Node) wakeOwned(order *model.Order) {
+	id := order.Machine.ID
+	switch order.Kind {
 	case model.OwnMachine:
 	case model.RedirectWorker:
-		id = o.ID
+		id = order.ID
 	default:
 		return
 	}
@@ -227,17 +227,17 @@
 // promise of its last life.
 func (n *Node) checkSiblings(ctx context.Context) {
 	dialer := peer.NewDialer()
-	free := map[string]bool{}
+	notLeading := map[string]bool{}
 	for ctx.Err() == nil && n.now() < config.Promise {
-		all := true
+		noneLeads := true
 		for _, s := range n.cfg.Siblings {
-			if !free[s.HostName] {
+			if !notLeading[s.HostName] {
 				leads, known := dialer.Leading(ctx, s.Address)
-				free[s.HostName] = known && !leads
+				notLeading[s.HostName] = known && !leads
 			}
-			all = all && free[s.HostName]
+			noneLeads = noneLeads && notLeading[s.HostName]
 		}
-		if all {
+		if noneLeads {
 			n.mu.Lock()
 			n.election.ClearPriorPromise(n.now())
 			n.mu.Unlock()
@@ -299,14 +299,14 @@
 func (n *Node) followLeader(ctx context.Context, dialer *peer.Dialer, host, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	pw, body, err := dialer.Open(ctx, addr)
+	requestWriter, body, err := dialer.Open(ctx, addr)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	defer pw.Close()
-	out := peer.NewQueue()
-	go func() { cancel(out.Run(ctx, pw, nil)) }()
+	defer requestWriter.Close()
+	sendQueue := peer.NewQueue()
+	go func() { cancel(sendQueue.Run(ctx, requestWriter, nil)) }()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
 	// From here the shard of before acts no more: that is what Hello says.
@@ -317,9 +317,9 @@
 	}
 	n.dropLocalShard()
 	n.mu.Unlock()
-	out.Send(&peerpb.Up{Msg: &peerpb.Up_Hello{Hello: &peerpb.Hello{Host: n.cfg.HostName,
+	sendQueue.Send(&peerpb.Up{Msg: &peerpb.Up_Hello{Hello: &peerpb.Hello{Host: n.cfg.HostName,
 		Release: release}}})
-	in := peer.NewReader(body)
+	reader := peer.NewReader(body)
 	var local *localShard
 	defer func() {
 		n.mu.Lock()
@@ -331,10 +331,10 @@
 		}
 	}()
 	for {
-		var m peerpb.Down
-		if err := in.Next(&m); err != nil {
-			if c := context.Cause(ctx); c != nil {
-				return c
+		var message peerpb.Down
+		if err := reader.Next(&message); err != nil {
+			if cause := context.Cause(ctx); cause != nil {
+				return cause
 			}
 			return err
 		}
@@ -346,27 +346,27 @@
 			n.mu.Unlock()
 			return errors.New("another shard took over")
 		}
-		switch msg := m.Msg.(type) {
+		switch msg := message.Msg.(type) {
 		case *peerpb.Down_Welcome:
 			if n.lead != nil || local != nil {
 				n.mu.Unlock()
 				return errors.New("unexpected welcome")
 			}
 			local = n.newLocalShard(msg.Welcome.GetAttempts())
-			local.leaderQueue = out
+			local.leaderQueue = sendQueue
 			local.shard.ReportInterruptions(msg.Welcome.GetTell())
 			n.leader = host
 			n.installLocalShard(local)
 			if msg.Welcome.GetCompares() {
-				n.openChecker.setLeader(out)
+				n.openChecker.setLeader(sendQueue)
 			}
 			n.log.Info("joined", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.previousMachines))
 			for id := range n.previousMachines {
-				out.Send(local.codec.Event(&model.Event{Kind: model.MachineRemembered, Machine: id}))
+				sendQueue.Send(local.codec.Event(&model.Event{Kind: model.MachineRemembered, Machine: id}))
 			}
 		case *peerpb.Down_Progress:
 			n.leaderStateServedAt = now - time.Duration(msg.Progress.GetStateAgeUs())*time.Microsecond
-			before := n.progress
+			previousProgress := n.progress
 			n.progress = make(map[model.JobID]jobProgress, len(msg.Progress.GetJobs()))
 			open := make(map[model.JobID]bool, len(msg.Progress.GetJobs()))
 			if local != nil {
@@ -377,7 +377,7 @@
 				n.progress[model.JobID(j.GetJob())] = jobProgress{int(j.GetDone()), int(j.GetRunning()), j.GetVersion(),
 					j.GetWaits(), j.GetDoubt()}
 			}
-			n.cacheRemovedRecords(before)
+			n.cacheRemovedRecords(previousProgress)
 		case *peerpb.Down_Answers:
 			n.openChecker.handleAnswers(msg.Answers.GetAnswers())
 		case *peerpb.Down_Grant:
@@ -387,31 +387,31 @@
 			if share := msg.Grant.GetRequestsShare(); share > 0 {
 				n.state.SetPart(ratelimit.Allocation{Requests: share, Writes: msg.Grant.GetWritesShare()}, rateshare.AllocationTTL)
 			}
-			if at, ok := local.asksSent[msg.Grant.GetSeq()]; ok {
-				delete(local.asksSent, msg.Grant.GetSeq())
-				local.lastGrant = msg.Grant.GetNumber()
+			if sentAt, ok := local.grantRequestsSent[msg.Grant.GetSeq()]; ok {
+				delete(local.grantRequestsSent, msg.Grant.GetSeq())
+				local.lastGrantNumber = msg.Grant.GetNumber()
 				if age := msg.Grant.GetSettledAgeUs(); age > 0 { // as old as its asking
-					n.statusFreshness.SetPropagated(at - time.Duration(age)*time.Microsecond)
+					n.statusFreshness.SetPropagated(sentAt - time.Duration(age)*time.Microsecond)
 				}
 				if age := msg.Grant.GetToldAgeUs(); age > 0 {
-					n.statusFreshness.SetInDoubtKnown(at - time.Duration(age)*time.Microsecond)
+					n.statusFreshness.SetInDoubtKnown(sentAt - time.Duration(age)*time.Microsecond)
 				}
 				n.election.Promise(now + config.Promise)
-				d := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
+				grantDuration := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
 				// Both clocks may drift, and timers are late.
-				local.shard.SetGrant(at + d - d/500 - 50*time.Millisecond)
+				local.shard.SetGrant(sentAt + grantDuration - grantDuration/500 - 50*time.Millisecond)
 			}
 		case *peerpb.Down_Order:
 			if local == nil {
 				break
 			}
-			o, err := local.codec.FromOrder(now, msg.Order)
+			order, err := local.codec.FromOrder(now, msg.Order)
 			if err != nil {
 				n.mu.Unlock()
 				return err
 			}
-			local.shard.HandleOrder(now, o)
-			n.wakeOwned(&o)
+			local.shard.HandleOrder(now, order)
+			n.wakeOwned(&order)
 			n.requestCycle()
 		}
 		n.mu.Unlock()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -28,13 +28,13 @@
 		Machines:  owned[l.localID],
 		StateAgeS: l.node.health.sinceServed(now).Seconds()}}
 	for _, s := range l.node.cfg.Siblings {
-		r := MemberReply{Host: s.HostName, Release: l.siblingReleases[s.HostName], StateAgeS: -1}
-		for id, k := range l.links {
-			if k.host == s.HostName {
-				r.Connected, r.Machines, r.StateAgeS = true, owned[id], (now - k.stateServedAt).Seconds()
+		reply := MemberReply{Host: s.HostName, Release: l.siblingReleases[s.HostName], StateAgeS: -1}
+		for id, memberLink := range l.links {
+			if memberLink.host == s.HostName {
+				reply.Connected, reply.Machines, reply.StateAgeS = true, owned[id], (now - memberLink.stateServedAt).Seconds()
 			}
 		}
-		out = append(out, r)
+		out = append(out, reply)
 	}
 	slices.SortFunc(out, func(a, b MemberReply) int { return cmp.Compare(a.Host, b.Host) })
 	return out
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -118,7 +118,7 @@
 		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().UnexpectedAttempts }))
 	counter("dispatch_limited", "Times that a team's limit kept a job's tasks waiting, in this controller's present term.",
 		whileLeading(n, func(l *leadership) uint64 { return l.dispatcher.Stats().LimitedRounds }))
-	stat := func(f func() uint64) func() uint64 {
+	shardCount := func(f func() uint64) func() uint64 {
 		return func() uint64 {
 			if n.local == nil {
 				return 0
@@ -127,19 +127,19 @@
 		}
 	}
 	counter("reports_lapsed", "Reports refused by this controller's present shard because their session's lease is over.",
-		stat(func() uint64 { return n.local.shard.Stats.ExpiredSessionReports }))
+		shardCount(func() uint64 { return n.local.shard.Stats.ExpiredSessionReports }))
 	counter("tasks_placed", "Tasks placed on machines by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.Placed }))
+		shardCount(func() uint64 { return n.local.shard.Stats.Placed }))
 	counter("tasks_evicted", "Tasks evicted for higher-priced ones by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.Evicted }))
+		shardCount(func() uint64 { return n.local.shard.Stats.Evicted }))
 	counter("tasks_demoted", "Demotions by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.Demoted }))
+		shardCount(func() uint64 { return n.local.shard.Stats.Demoted }))
 	counter("tasks_lost", "Tasks lost with their machines by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.Lost }))
+		shardCount(func() uint64 { return n.local.shard.Stats.Lost }))
 	counter("machines_looked_at", "Machines looked at for waiting tasks by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.MachinesExamined }))
+		shardCount(func() uint64 { return n.local.shard.Stats.MachinesExamined }))
 	counter("task_errors", "Tasks that ended with an error by this controller's present shard.",
-		stat(func() uint64 { return n.local.shard.Stats.Errors }))
+		shardCount(func() uint64 { return n.local.shard.Stats.Errors }))
 }
 
 // whileLeading is f's figure while this controller leads, else 0.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	progress            map[model.JobID]jobProgress // of open jobs, as last told by the leader
 	leader              string                      // the leader that this controller is linked to
 	leaderStateServedAt time.Duration               // the state service last served the leader
-	lastReport          time.Duration               // the last worker's report
+	lastReportAt        time.Duration               // the last worker's report
 	lastLinkHost        string                      // the last host whose link ended
 	reportWaiters       map[model.MachineID][]chan struct{}
 	types               []model.MachineType
@@ -106,13 +106,13 @@
 
 // New builds a controller. The random numbers' seed is injected, so that a
 // test can repeat a run.
-func New(cfg *config.Platform, set *config.Settings, log *slog.Logger, rng *rand.Rand) *Node {
+func New(cfg *config.Platform, settings *config.Settings, log *slog.Logger, rng *rand.Rand) *Node {
 	teams := make([]string, len(cfg.Cluster.Teams))
 	for i, t := range cfg.Cluster.Teams {
 		teams[i] = t.Name
 	}
 	n := &Node{
-		cfg: cfg, settings: set, log: log, rng: rng, startedAt: time.Now(), leaseTTL: cfg.Cluster.LeaderTTL(),
+		cfg: cfg, settings: settings, log: log, rng: rng, startedAt: time.Now(), leaseTTL: cfg.Cluster.LeaderTTL(),
 		health:  processHealth{jitter: rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))},
 		cloud:   cloud.New(cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.7, 5*time.Second),
 		workers: worker.New(directTimeout, maxIdleDirectConns(cfg.Cluster.Resources.FDLimit)), dialer: peer.NewDialer(),
@@ -201,8 +201,8 @@
 
 // Admit tells whether a user's request should be begun at all, or when its user
 // should ask again.
-func (n *Node) Admit(k overload.Kind) (ok bool, retryAfter time.Duration) {
-	return n.health.admit(n.now(), k)
+func (n *Node) Admit(kind overload.Kind) (ok bool, retryAfter time.Duration) {
+	return n.health.admit(n.now(), kind)
 }
 
 func (n *Node) tick(ctx context.Context) {
@@ -260,12 +260,12 @@
 			return res
 		}
 		if it != nil {
-			var t wire.Term
-			if err := json.Unmarshal(it.Value, &t); err != nil {
+			var term wire.Term
+			if err := json.Unmarshal(it.Value, &term); err != nil {
 				n.log.Error("stored term is unreadable", "err", err)
 				return res
 			}
-			res.Term, res.TermVersion = t.Term, it.Version
+			res.Term, res.TermVersion = term.Term, it.Version
 		}
 		res.OK = true
 	case election.Grant:
@@ -326,12 +326,12 @@
 		ev, err := n.state.Watch(ctx, keyLeader, rev, wait)
 		if errors.Is(err, state.ErrCompacted) || rev == 0 && err == nil {
 			// Start from now; the election's own reading covers what was before.
-			it, gerr := n.state.List(ctx, keyTerm, func(*wire.Item) error { return nil })
-			if gerr == nil {
-				rev = max(1, it)
+			currentRevision, listErr := n.state.List(ctx, keyTerm, func(*wire.Item) error { return nil })
+			if listErr == nil {
+				rev = max(1, currentRevision)
 				continue
 			}
-			err = gerr
+			err = listErr
 		}
 		if err != nil {
 			sleep(ctx, 500*time.Millisecond)
@@ -339,16 +339,16 @@
 		}
 		rev = ev.Revision
 		for _, e := range ev.Events {
-			rec := election.LeaderRecord{Version: e.Version}
+			record := election.LeaderRecord{Version: e.Version}
 			if e.Put == keyLeader {
-				if rec, err = leaderRecord(e.Value, e.Version); err != nil {
+				if record, err = leaderRecord(e.Value, e.Version); err != nil {
 					continue
 				}
 			} else if e.Delete != keyLeader {
 				continue
 			}
 			n.mu.Lock()
-			n.election.Observe(n.now(), rec)
+			n.election.Observe(n.now(), record)
 			n.mu.Unlock()
 		}
 	}
@@ -359,7 +359,7 @@
 func (n *Node) fetchCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := n.catalogInterval()
-		cat, err := n.cloud.Catalog(ctx)
+		catalog, err := n.cloud.Catalog(ctx)
 		fresh := err == nil
 		n.failures.record("catalog not read", err)
 		if err != nil {
@@ -368,20 +368,20 @@
 			known := len(n.types) > 0
 			n.mu.Unlock()
 			if !known { // the last one that a leader read serves meanwhile
-				cat, err = n.storedCatalog(ctx)
+				catalog, err = n.storedCatalog(ctx)
 			}
 		}
-		if err == nil && cat != nil {
+		if err == nil && catalog != nil {
 			n.mu.Lock()
-			n.types = cat.MachineTypes(n.names)
+			n.types = catalog.MachineTypes(n.names)
 			l := n.lead
 			if l != nil {
 				l.setTypes(n.types)
 			}
 			n.mu.Unlock()
-			if l != nil && fresh && len(mustEncode(cat)) <= int(n.cfg.Cluster.ValueKB()*1024) {
-				t := wire.Txn{Guards: []wire.Guard{l.guard}, Then: []wire.Op{{Put: keyCatalog, Value: mustEncode(cat)}}}
-				if _, err := n.state.Txn(ctx, t); err != nil {
+			if l != nil && fresh && len(mustEncode(catalog)) <= int(n.cfg.Cluster.ValueKB()*1024) {
+				txn := wire.Txn{Guards: []wire.Guard{l.guard}, Then: []wire.Op{{Put: keyCatalog, Value: mustEncode(catalog)}}}
+				if _, err := n.state.Txn(ctx, txn); err != nil {
 					n.log.Debug("catalog not stored", "err", err)
 				}
 			}
@@ -407,11 +407,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var cat wire.Catalog
-	if err := json.Unmarshal(it.Value, &cat); err != nil {
+	var catalog wire.Catalog
+	if err := json.Unmarshal(it.Value, &catalog); err != nil {
 		return nil, fmt.Errorf("stored catalog: %w", err)
 	}
-	return &cat, nil
+	return &catalog, nil
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -22,8 +22,8 @@
 )
 
 type storedJob struct {
-	sub     *wire.Submission
-	version uint64
+	submission *wire.Submission
+	version    uint64
 }
 
 // listOpen lists the open jobs.
@@ -124,15 +124,15 @@
 func (dl *dispatchLoop) readBlocks(ctx context.Context) ([]storedBlock, error) {
 	var blocks []storedBlock
 	_, err := dl.lead.node.state.List(ctx, machinePrefix, func(it *wire.Item) error {
-		r := storedBlock{version: it.Version}
+		block := storedBlock{version: it.Version}
 		var err error
-		if r.id, err = parseBlockKey(it.Key); err != nil {
+		if block.id, err = parseBlockKey(it.Key); err != nil {
 			return err
 		}
-		if err := json.Unmarshal(it.Value, &r.MachineBlock); err != nil {
+		if err := json.Unmarshal(it.Value, &block.MachineBlock); err != nil {
 			return fmt.Errorf("machine records %s: %w", it.Key, err)
 		}
-		blocks = append(blocks, r)
+		blocks = append(blocks, block)
 		return nil
 	})
 	// The newest layout first: a machine that stands in two counts as recorded there.
@@ -165,7 +165,7 @@
 	open map[model.JobID]storedJob) (chunks []storedChunk, orphans []string,
 	err error) {
 	_, err = dl.lead.node.state.List(ctx, donePrefix, func(it *wire.Item) error {
-		id, c, err := parseChunkKey(it.Key)
+		id, chunkID, err := parseChunkKey(it.Key)
 		if err != nil {
 			return fmt.Errorf("done record %s: %w", it.Key, err)
 		}
@@ -173,15 +173,15 @@
 			orphans = append(orphans, it.Key)
 			return nil
 		}
-		var ch wire.Chunk
-		if err := json.Unmarshal(it.Value, &ch); err != nil {
+		var chunk wire.Chunk
+		if err := json.Unmarshal(it.Value, &chunk); err != nil {
 			return fmt.Errorf("done record %s: %w", it.Key, err)
 		}
-		if c.OldLayout {
-			chunks = append(chunks, storedChunk{id, c, c.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB), ch.Bits,
+		if chunkID.OldLayout {
+			chunks = append(chunks, storedChunk{id, chunkID, chunkID.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB), chunk.Bits,
 				it.Version})
 		} else {
-			chunks = append(chunks, storedChunk{id, c, ch.From, ch.Part, it.Version})
+			chunks = append(chunks, storedChunk{id, chunkID, chunk.From, chunk.Part, it.Version})
 		}
 		return nil
 	})
@@ -209,13 +209,13 @@
 // tasks on machines.
 // An end of a job that it awaits may have been told since.
 func (dl *dispatchLoop) addJob(now time.Duration, stored storedJob, since time.Duration) {
-	waited := time.Duration(max(0, time.Now().UnixMilli()-stored.sub.SubmittedMS)) * time.Millisecond
-	spec := stored.sub.Spec(dl.lead.node.names)
+	waited := time.Duration(max(0, time.Now().UnixMilli()-stored.submission.SubmittedMS)) * time.Millisecond
+	spec := stored.submission.Spec(dl.lead.node.names)
 	if dl.openJobsView.IsCancelled(spec.ID) {
 		return
 	}
 	dl.dispatcher.AddJob(now, spec, stored.version, min(waited, time.Hour), stored.version <= dl.lead.guard.Version)
-	dl.lead.dependencies.addJob(spec, stored.sub.Needs(), since)
+	dl.lead.dependencies.addJob(spec, stored.submission.Needs(), since)
 }
 
 // watchOpen watches the open jobs.
@@ -225,15 +225,15 @@
 		askedAt := n.now()
 		ev, err := n.state.Watch(dl.lead.ctx, openPrefix, rev, 2*time.Second)
 		if errors.Is(err, state.ErrCompacted) {
-			r, termOver, lerr := dl.relist()
+			relistedRevision, termOver, listErr := dl.relist()
 			if termOver {
 				return
 			}
-			if lerr == nil {
-				rev = r
+			if listErr == nil {
+				rev = relistedRevision
 				continue
 			}
-			err = lerr
+			err = listErr
 		}
 		if dl.lead.ctx.Err() == nil {
 			n.failures.record("open jobs not followed", err)
@@ -319,11 +319,11 @@
 func (dl *dispatchLoop) updateOpenJobsView(now time.Duration) {
 	var coverages []cancellog.Coverage
 	for _, s := range dl.lead.node.cfg.Siblings {
-		k := dl.lead.linkTo(s.HostName)
-		if k == nil || !k.reportsCancellations {
+		memberLink := dl.lead.linkTo(s.HostName)
+		if memberLink == nil || !memberLink.reportsCancellations {
 			return
 		}
-		coverages = append(coverages, k.coverage)
+		coverages = append(coverages, memberLink.coverage)
 	}
 	dl.exchangeMessages(now) // as for what was seen
 	dl.openJobsView.ApplyCoverage(now, coverages)
@@ -344,12 +344,12 @@
 		return 0, true, nil
 	}
 	now := n.now()
-	known := map[model.JobID]bool{}
+	stillOpen := map[model.JobID]bool{}
 	for id, stored := range open {
-		known[id] = true
+		stillOpen[id] = true
 		dl.addJob(now, stored, dl.openJobsAsOf)
 	}
-	for _, id := range dl.dispatcher.SyncOpenJobs(known, rev) {
+	for _, id := range dl.dispatcher.SyncOpenJobs(stillOpen, rev) {
 		dl.lead.dependencies.jobEnded(now, id, pipeline.Unknown)
 	}
 	dl.lead.dependencies.applyDecisions(now)
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -20,24 +20,24 @@
 	l.ratesDividedAt = now
 	n := l.node
 	siblings := n.cfg.Siblings
-	equal := rateshare.TotalShare / float64(1+len(siblings))
+	equalShare := rateshare.TotalShare / float64(1+len(siblings))
 	links := make([]*link, len(siblings)) // nil: not linked
 	requests, writes := make([]float64, len(siblings)), make([]float64, len(siblings))
 	for i, s := range siblings {
 		links[i] = l.linkTo(s.HostName)
-		requests[i], writes[i] = equal, equal
-		if k := links[i]; k != nil && k.demand.Requests > 0 {
-			requests[i], writes[i] = k.demand.Requests, k.demand.Writes
+		requests[i], writes[i] = equalShare, equalShare
+		if memberLink := links[i]; memberLink != nil && memberLink.demand.Requests > 0 {
+			requests[i], writes[i] = memberLink.demand.Requests, memberLink.demand.Writes
 		}
 	}
-	own := n.state.Needs()
+	ownDemand := n.state.Needs()
 	var allocation ratelimit.Allocation
-	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, own.Requests, requests)
-	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, own.Writes, writes)
+	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, ownDemand.Requests, requests)
+	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, ownDemand.Writes, writes)
 	n.state.SetPart(allocation, rateshare.AllocationTTL)
-	for i, k := range links {
-		if k != nil {
-			k.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
+	for i, memberLink := range links {
+		if memberLink != nil {
+			memberLink.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
 		}
 	}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -29,43 +29,43 @@
 }
 
 func parseBlockKey(key string) (id dispatcher.BlockID, err error) {
-	no := strings.TrimPrefix(key, machinePrefix)
-	if size, rest, sized := strings.Cut(no, "/"); sized {
+	number := strings.TrimPrefix(key, machinePrefix)
+	if size, rest, sized := strings.Cut(number, "/"); sized {
 		if id.Size, err = strconv.ParseUint(strings.TrimPrefix(size, "s"), 10, 32); err != nil || id.Size == 0 {
 			return id, fmt.Errorf("machine records %s: its layout is not known", key)
 		}
-		no = rest
+		number = rest
 	}
-	if id.Index, err = strconv.ParseUint(no, 10, 64); err != nil {
+	if id.Index, err = strconv.ParseUint(number, 10, 64); err != nil {
 		return id, fmt.Errorf("machine records %s: %w", key, err)
 	}
 	return id, nil
 }
 
 func chunkKey(id model.JobID, c dispatcher.ChunkID) string {
-	sub := ""
+	layoutPrefix := ""
 	if !c.OldLayout {
-		sub = "0."
+		layoutPrefix = "0."
 	}
-	return fmt.Sprintf("%s%s/%s%d", donePrefix, wire.JobName(id), sub, c.Index)
+	return fmt.Sprintf("%s%s/%s%d", donePrefix, wire.JobName(id), layoutPrefix, c.Index)
 }
 
 func parseChunkKey(key string) (id model.JobID, c dispatcher.ChunkID, err error) {
-	name, no, _ := strings.Cut(strings.TrimPrefix(key, donePrefix), "/")
+	name, suffix, _ := strings.Cut(strings.TrimPrefix(key, donePrefix), "/")
 	if id, err = wire.ParseJob(name); err != nil {
 		return id, c, err
 	}
-	sub, later := strings.CutPrefix(no, "0.")
-	n, err := strconv.ParseInt(sub, 10, 32)
-	return id, dispatcher.ChunkID{OldLayout: !later, Index: int32(n)}, err
+	number, currentLayout := strings.CutPrefix(suffix, "0.")
+	n, err := strconv.ParseInt(number, 10, 32)
+	return id, dispatcher.ChunkID{OldLayout: !currentLayout, Index: int32(n)}, err
 }
 
 // applyOldestRelease takes the oldest release among all controllers, now that all have joined
 // this term: once none is of 0.4, records are written that fit the limits to come.
 func (l *leadership) applyOldestRelease(oldest uint32) {
-	c := &l.node.cfg.Cluster
-	if oldest >= 1 && l.dispatcher.Layout() == 0 && c.ValueKB() < c.State.ValueKB {
-		size := blockSize(c.ValueKB())
+	cluster := &l.node.cfg.Cluster
+	if oldest >= 1 && l.dispatcher.Layout() == 0 && cluster.ValueKB() < cluster.State.ValueKB {
+		size := blockSize(cluster.ValueKB())
 		l.node.log.Info("all controllers are of this release: machines' records get smaller", "machines", size)
 		l.changeLayout(size)
 	}
@@ -78,12 +78,12 @@
 	if id.Size != l.dispatcher.Layout() || id.Size == 1 {
 		return // the layout has changed since
 	}
-	c := &l.node.cfg.Cluster
+	cluster := &l.node.cfg.Cluster
 	size := id.Size
 	if size == 0 {
-		size = legacyBlockSize(c.State.ValueKB)
+		size = legacyBlockSize(cluster.State.ValueKB)
 	}
-	size = min(blockSize(c.ValueKB()), max(1, size/2))
+	size = min(blockSize(cluster.ValueKB()), max(1, size/2))
 	l.node.log.Info("a block of machines' records is too large for the state service: smaller ones", "machines", size)
 	l.changeLayout(size)
 }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -15,15 +15,15 @@
 )
 
 // Report answers a worker: its commands, or (not ok) where to report instead.
-func (n *Node) Report(ctx context.Context, raw *wire.RawReport) (a shard.Answer, redirectTo string, err error) {
+func (n *Node) Report(ctx context.Context, raw *wire.RawReport) (answer shard.Answer, redirectTo string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, err := raw.Report(n.names)
+	report, err := raw.Report(n.names)
 	if err != nil {
-		return a, "", err
+		return answer, "", err
 	}
 	n.stats.Reports++
-	n.lastReport = n.now()
+	n.lastReportAt = n.now()
 	if n.local == nil && n.now()-n.localDroppedAt < rejoinGrace {
 		// This controller has just started, or its leader is gone: it will have a
 		// shard within moments. Sent to the leader at once, the workers of all
@@ -35,17 +35,17 @@
 		// only send the worker back here.
 		n.waitUnlocked(ctx, l.loadedSignal, 2*time.Second)
 	}
-	a, redirectTo, unowned := n.handleReport(r)
-	if !a.OK && unowned && (n.lead != nil || n.local.leaderQueue != nil) {
+	answer, redirectTo, unowned := n.handleReport(report)
+	if !answer.OK && unowned && (n.lead != nil || n.local.leaderQueue != nil) {
 		// The leader is asked whose machine it is; that takes a moment.
-		a, redirectTo = n.handleReportLater(ctx, r)
+		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
-	if !a.OK && n.local != nil && n.local.shard.Verifying(n.now(), r.Machine.ID) {
+	if !answer.OK && n.local != nil && n.local.shard.Verifying(n.now(), report.Machine.ID) {
 		// Nothing shows that it hears; it is being asked, and mostly answers at once.
-		a, redirectTo = n.handleReportLater(ctx, r)
+		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
-	if a.OK {
-		return a, "", nil
+	if answer.OK {
+		return answer, "", nil
 	}
 	n.stats.Redirected++
 	if redirectTo == "" && n.local == nil && n.lead == nil && n.now()-n.localDroppedAt >= rejoinGrace {
@@ -56,57 +56,57 @@
 			redirectTo = ""
 		}
 	}
-	return a, redirectTo, nil
+	return answer, redirectTo, nil
 }
 
 // handleReportLater waits for news of a report's machine, then answers it as answer does.
-func (n *Node) handleReportLater(ctx context.Context, r *model.Report) (a shard.Answer, redirectTo string) {
-	c := make(chan struct{})
-	n.reportWaiters[r.Machine.ID] = append(n.reportWaiters[r.Machine.ID], c)
-	n.waitUnlocked(ctx, c, time.Second)
-	delete(n.reportWaiters, r.Machine.ID)
-	a, redirectTo, _ = n.handleReport(r)
-	return a, redirectTo
+func (n *Node) handleReportLater(ctx context.Context, report *model.Report) (answer shard.Answer, redirectTo string) {
+	notified := make(chan struct{})
+	n.reportWaiters[report.Machine.ID] = append(n.reportWaiters[report.Machine.ID], notified)
+	n.waitUnlocked(ctx, notified, time.Second)
+	delete(n.reportWaiters, report.Machine.ID)
+	answer, redirectTo, _ = n.handleReport(report)
+	return answer, redirectTo
 }
 
 // waitUnlocked lets go of the lock until c is closed or the time is over.
-func (n *Node) waitUnlocked(ctx context.Context, c <-chan struct{}, d time.Duration) {
+func (n *Node) waitUnlocked(ctx context.Context, done <-chan struct{}, timeout time.Duration) {
 	n.mu.Unlock()
 	defer n.mu.Lock()
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-c:
-	case <-t.C:
+	case <-done:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
 // handleReport takes a report to this controller's shard. unowned tells that the
 // shard may act, but does not own the machine.
-func (n *Node) handleReport(r *model.Report) (a shard.Answer, redirectTo string, unowned bool) {
+func (n *Node) handleReport(report *model.Report) (answer shard.Answer, redirectTo string, unowned bool) {
 	now := n.now()
 	if n.local == nil || !n.local.shard.HasGrant(now) {
-		return a, "", false
+		return answer, "", false
 	}
 	s := n.local.shard
-	refused := s.Stats.ExpiredSessionReports
-	ok := s.HandleReport(now, r)
+	refusedBefore := s.Stats.ExpiredSessionReports
+	ok := s.HandleReport(now, report)
 	if !ok && n.lead != nil { // the dealer is at hand: it may be ours by now
 		n.lead.dispatchLoop.exchangeMessages(now)
-		ok = s.HandleReport(now, r)
+		ok = s.HandleReport(now, report)
 	}
 	if ok {
-		s.PlaceOn(now, r.Machine.ID)
-		a = s.Answer(now, r)
-		n.logStarts(r.Machine.ID, a.Token, r.Session, a.Commands, false)
+		s.PlaceOn(now, report.Machine.ID)
+		answer = s.Answer(now, report)
+		n.logStarts(report.Machine.ID, answer.Token, report.Session, answer.Commands, false)
 	} else {
-		if s.Stats.ExpiredSessionReports > refused {
-			n.logRefused(r)
+		if s.Stats.ExpiredSessionReports > refusedBefore {
+			n.logRefused(report)
 		}
-		redirectTo = s.TakeRedirect(r.Machine.ID)
+		redirectTo = s.TakeRedirect(report.Machine.ID)
 		n.sendEvents(now) // at once: the worker waits for its owner
 	}
 	n.requestCycle()
-	return a, redirectTo, !ok && redirectTo == "" && !s.Owns(r.Machine.ID)
+	return answer, redirectTo, !ok && redirectTo == "" && !s.Owns(report.Machine.ID)
 }
--- a/internal/node/storewrites.go
+++ b/internal/node/storewrites.go
@@ -50,36 +50,36 @@
 
 // flushWrites writes what must last, the most urgent first.
 func (l *leadership) flushWrites(now time.Duration) {
-	for c := writequota.FinalRecords; c <= writequota.OperatorRecords; c++ {
-		for _, p := range l.components {
-			n := min(l.writeQuota.Available(now, c), maxWritesPerFlush)
-			if n < 1 {
-				if c == writequota.OperatorRecords && p == component(l.drains) && l.drains.hasUnstored() {
-					l.writeQuota.MarkBlocked(now, c)
+	for class := writequota.FinalRecords; class <= writequota.OperatorRecords; class++ {
+		for _, comp := range l.components {
+			limit := min(l.writeQuota.Available(now, class), maxWritesPerFlush)
+			if limit < 1 {
+				if class == writequota.OperatorRecords && comp == component(l.drains) && l.drains.hasUnstored() {
+					l.writeQuota.MarkBlocked(now, class)
 				}
 				continue
 			}
-			l.sendWrites(now, c, p.writes(now, c, n))
+			l.sendWrites(now, class, comp.writes(now, class, limit))
 		}
 	}
 }
 
 // sendWrites carries writes out, those that join in one transaction.
-func (l *leadership) sendWrites(now time.Duration, c writequota.Class, ws []storeWrite) {
+func (l *leadership) sendWrites(now time.Duration, class writequota.Class, writes []storeWrite) {
 	var batch []storeWrite
 	flush := func() {
 		if len(batch) > 0 {
-			go l.commitWrites(batch, c)
+			go l.commitWrites(batch, class)
 			batch = nil
 		}
 	}
-	for _, w := range ws {
-		l.writeQuota.Spend(now, c, len(w.ops))
-		if !w.batchable {
-			go l.commitWrites([]storeWrite{w}, c)
+	for _, write := range writes {
+		l.writeQuota.Spend(now, class, len(write.ops))
+		if !write.batchable {
+			go l.commitWrites([]storeWrite{write}, class)
 			continue
 		}
-		if batch = append(batch, w); len(batch) >= min(l.node.cfg.Cluster.TxnOps(), 4) {
+		if batch = append(batch, write); len(batch) >= min(l.node.cfg.Cluster.TxnOps(), 4) {
 			flush()
 		}
 	}
@@ -89,8 +89,8 @@
 // requestClass is how urgent a write is among this controller's requests: progress once
 // went as finals do, and where changes were scarce 170 jobs that had ended waited
 // behind it. For an operator's change somebody waits, as for a user's.
-func requestClass(c writequota.Class) ratelimit.Class {
-	switch c {
+func requestClass(class writequota.Class) ratelimit.Class {
+	switch class {
 	case writequota.FinalRecords:
 		return ratelimit.Leader
 	case writequota.OperatorRecords:
@@ -110,30 +110,30 @@
 	return true, it.Version
 }
 
-func (l *leadership) commitWrites(batch []storeWrite, c writequota.Class) {
+func (l *leadership) commitWrites(batch []storeWrite, class writequota.Class) {
 	n := l.node
-	t := wire.Txn{Guards: []wire.Guard{l.guard}}
-	for _, w := range batch {
-		t.Guards = append(t.Guards, w.guards...)
-		t.Then = append(t.Then, w.ops...)
+	txn := wire.Txn{Guards: []wire.Guard{l.guard}}
+	for _, write := range batch {
+		txn.Guards = append(txn.Guards, write.guards...)
+		txn.Then = append(txn.Then, write.ops...)
 	}
-	ctx := state.As(l.ctx, requestClass(c))
-	rev, err := n.state.Txn(ctx, t)
+	ctx := state.As(l.ctx, requestClass(class))
+	rev, err := n.state.Txn(ctx, txn)
 	if err != nil {
 		n.log.Debug("not stored", "writes", len(batch), "err", err)
 	}
 	outcomes := make([]writeOutcome, len(batch))
-	for i, w := range batch {
+	for i, write := range batch {
 		outcomes[i] = writeOutcome{revision: rev, err: err}
-		if errors.Is(err, state.ErrConflict) && len(w.guards) > 0 {
-			outcomes[i].conflict, outcomes[i].foundVersion = l.readVersion(ctx, w.guards[0].Key)
+		if errors.Is(err, state.ErrConflict) && len(write.guards) > 0 {
+			outcomes[i].conflict, outcomes[i].foundVersion = l.readVersion(ctx, write.guards[0].Key)
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	for i, w := range batch {
-		w.onDone(now, outcomes[i])
+	for i, write := range batch {
+		write.onDone(now, outcomes[i])
 	}
 	if n.lead == l {
 		n.requestCycle()
