--- a/internal/node/dispatchloop.go
+++ b/internal/node/dispatchloop.go
@@ -15,32 +15,36 @@
 	"honeylock/internal/wire"
 )
 
-// dispatchLoop is the leader's part that deals tasks to the shards.
+// dispatchLoop is the leader's component that dispatches tasks to the shards, follows the open jobs and
+// stores jobs' ends, progress and machines' records.
 type dispatchLoop struct {
 	lead       *leadership
 	dispatcher *dispatcher.Dispatcher
-	// openJobsAsOf is when the last question about open jobs that was answered was
-	// asked: a leader that hears of no cancellations must not go on.
+	// openJobsAsOf is when the last answered request about open jobs was sent. A leader that
+	// learns of no cancellations must not go on.
 	openJobsAsOf time.Duration
-	// openJobsView is up to when every cancellation that a user was told of is known: fresh, or
-	// later by what all controllers tell. Authority goes by it.
+	// openJobsView says until when every cancellation that was acknowledged to a user is known:
+	// openJobsAsOf, or later if all controllers report their acknowledgements. It bounds this
+	// leader's authority.
 	openJobsView cancellog.OpenJobsView
-	// openWatchFailingSince: since then the state service has answered all but questions about the open
-	// jobs; 0: it has not.
+	// openWatchFailingSince is since when the state service has served this leader, but not its
+	// requests about open jobs; 0 if it serves both or neither.
 	openWatchFailingSince time.Duration
-	progressAsOf          time.Duration // fresh when progress was last gathered
-	openRevision          uint64        // the open jobs were listed at
-	orphanedKeys          []string      // keys of jobs that have ended
+	progressAsOf          time.Duration // openJobsAsOf when progress was last collected
+	openRevision          uint64        // revision at which the open jobs were listed
+	orphanedKeys          []string      // stored progress of jobs that have ended
 	lastTick              time.Duration
-	dispatchDue           bool // to deal
+	dispatchDue           bool // there may be tasks to dispatch
 	lastDispatch          time.Duration
-	// dispatchDuration is what dealing took the last time.
+	// dispatchDuration is how long the last dispatch took.
 	dispatchDuration time.Duration
 	lastBroadcast    time.Duration
 	lastLoadLog      time.Duration
 	recovered        bool
 }
 
+// tick advances the dispatcher and the leader's own shard, and sends progress and logs the load at their
+// intervals.
 func (dl *dispatchLoop) tick(now time.Duration) {
 	l := dl.lead
 	if !dl.recovered && dl.dispatcher.Recovered() {
@@ -54,8 +58,8 @@
 		dl.dispatchDue = true
 		dl.runCycle(now)
 		for _, id := range dl.dispatcher.TakeBrokenJobs() {
-			l.node.log.Info("job held to be broken: it fails on several machines, and is tried with one task at a time", "job",
-				wire.JobName(id))
+			l.node.log.Info("job considered broken: it fails on several machines, so it runs one task at a time",
+				"job", wire.JobName(id))
 		}
 	}
 	if now-dl.lastBroadcast >= time.Second {
@@ -68,8 +72,8 @@
 	}
 }
 
-// dispatch deals tasks with what the shards have told of their room, once their
-// events have been exchanged.
+// dispatch assigns waiting tasks to shards by the free capacity that they last reported. The shards'
+// events must have been exchanged before.
 func (dl *dispatchLoop) dispatch(now time.Duration) {
 	began := dl.lead.node.now()
 	dl.dispatchDue, dl.lastDispatch = false, now
@@ -80,7 +84,8 @@
 	dl.dispatchDuration = dl.lead.node.now() - began
 }
 
-// exchangeMessages carries orders and events between the dealer and the shards.
+// exchangeMessages passes the dispatcher's orders to the shards, and the own shard's events to the
+// dispatcher, until there are no more.
 func (dl *dispatchLoop) exchangeMessages(now time.Duration) {
 	s := dl.lead.node.local.shard
 	for {
@@ -103,8 +108,8 @@
 	}
 }
 
-// runCycle lets dealer and shards settle, and sends the direct commands. Dealing
-// looks at all that is open, so it is done less often the longer it takes.
+// runCycle exchanges messages, dispatches and places tasks, and sends the direct commands. Dispatching
+// inspects all open jobs, so the longer it takes, the less often it is done.
 func (dl *dispatchLoop) runCycle(now time.Duration) {
 	if !dl.lead.loaded {
 		return
@@ -119,7 +124,7 @@
 	dl.lead.node.sendDirects(now)
 }
 
-// broadcastProgress tells all controllers how far the open jobs are.
+// broadcastProgress sends the open jobs' progress to all members.
 func (dl *dispatchLoop) broadcastProgress() {
 	message := dl.collectProgress()
 	for _, memberLink := range dl.lead.links {
@@ -128,7 +133,8 @@
 	}
 }
 
-// collectProgress gathers how far the open jobs are, for this controller and others.
+// collectProgress collects the open jobs' progress. It keeps it for this controller's own users and
+// returns it as a message for the members.
 func (dl *dispatchLoop) collectProgress() *peerpb.Down {
 	dl.lead.node.progress = map[model.JobID]jobProgress{}
 	open := map[model.JobID]bool{}
@@ -147,7 +153,8 @@
 	return &peerpb.Down{Msg: &peerpb.Down_Progress{Progress: progress}}
 }
 
-// writes are the ends of jobs and the machines' records, then progress.
+// writes returns jobs' ends and machines' records among the most urgent writes, and jobs' progress among
+// the later ones.
 func (dl *dispatchLoop) writes(now time.Duration, class writequota.Class, limit int) []storeWrite {
 	var out []storeWrite
 	switch class {
@@ -163,10 +170,11 @@
 	return out
 }
 
+// encodeWrite turns a write of the dispatcher into a transaction and handles its outcome.
 func (dl *dispatchLoop) encodeWrite(w dispatcher.Write) storeWrite {
 	out := storeWrite{onDone: func(now time.Duration, o writeOutcome) {
-		// A Finish is lost once the job's record is gone, a block's or a chunk's write
-		// once that is at another version.
+		// A FinishJob write is lost once the job's open record is gone, a write of a block or
+		// a chunk once its record is at another version.
 		block := w.Kind == dispatcher.PutBlock || w.Kind == dispatcher.DropBlock
 		lost := o.conflict && (block || w.Kind == dispatcher.PutChunk || o.foundVersion == 0)
 		if o.conflict {
@@ -185,7 +193,7 @@
 	}}
 	switch w.Kind {
 	case dispatcher.PutBlock:
-		// Its version: applied late, this must not undo a later record.
+		// The guard on its version keeps a delayed write from undoing a later one.
 		key := blockKey(w.Block)
 		out.guards = []wire.Guard{{Key: key, Version: w.Version}}
 		out.ops = []wire.Op{{Put: key, Value: mustEncode(wire.EncodeMachines(w.Machines, dl.lead.node.names))}}
@@ -198,8 +206,8 @@
 		if w.Chunk.OldLayout {
 			chunk = wire.Chunk{Bits: w.Bits}
 		}
-		// Its version, as above, and the job's: applied after the job's end, this must not
-		// bring back what that dropped.
+		// The guard on the chunk's version is as above. The guard on the job's version keeps a
+		// delayed write from restoring a chunk that was deleted with the job's end.
 		key := chunkKey(w.Job, w.Chunk)
 		out.guards = []wire.Guard{{Key: key, Version: w.Version},
 			{Key: openPrefix + wire.JobName(w.Job), Version: w.JobVersion}}
@@ -219,8 +227,8 @@
 	return out
 }
 
-// deleteChunksAfter drops the chunks that a final's transaction has no room for, once it is
-// stored. What is left of them if this leader ends, the next one drops.
+// deleteChunksAfter deletes the chunks that don't fit into the transaction that ends their job, once
+// that is stored. If this leader ends before, the next one deletes them as orphans.
 func (dl *dispatchLoop) deleteChunksAfter(w *storeWrite, id model.JobID, chunks []dispatcher.ChunkID) {
 	previous := w.onDone
 	w.onDone = func(now time.Duration, o writeOutcome) {
@@ -236,7 +244,7 @@
 	}
 }
 
-// finalOps ends a job: from its open record to its final one.
+// finalOps returns the operations that end a job: its final record replaces its open record.
 func finalOps(id model.JobID, stage jobs.Stage) []wire.Op {
 	name := wire.JobName(id)
 	end := wire.Final{Stage: string(stage), AtMS: time.Now().UnixMilli()}
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -19,21 +19,20 @@
 	"honeylock/internal/wire"
 )
 
-// rentRetryInterval is when what the cloud refused is asked for again.
+// rentRetryInterval is how long to wait before asking the cloud again for what it refused.
 const rentRetryInterval = 15 * time.Second
 
-// leaderWriteShare is the leader's part of the changes that the state service takes; the
-// rest is for users' jobs.
+// leaderWriteShare is the leader's share of the state service's write rate. The rest is for users'
+// submissions and cancellations.
 const leaderWriteShare = 0.8
 
-// unusedJobID is a job that no user can have named.
+// unusedJobID is a job ID that no submission can have.
 const unusedJobID = model.JobID(1) << 62
 
-var errTermOver = errors.New("the term is over")
+var errTermOver = errors.New("the term has ended")
 
-// leadership is all that a controller keeps while it leads one term: its
-// authority, its links, and the parts that use them. It is dropped whole when the
-// term ends.
+// leadership is all state that a controller keeps while it leads one term: its authority, its links
+// to the members, and the components that use them. It is dropped as a whole when the term ends.
 type leadership struct {
 	node            *Node
 	ctx             context.Context
@@ -43,12 +42,12 @@
 	dispatcher      *dispatcher.Dispatcher
 	localID         model.ShardID
 	links           map[model.ShardID]*link
-	siblingReleases map[string]uint32 // siblings that have joined this term, with their releases
-	loadedSignal    chan struct{}     // closed once the store has been read
+	siblingReleases map[string]uint32 // releases of the siblings that have joined in this term, by host
+	loadedSignal    chan struct{}     // closed once the stored state has been read
 	loaded          bool
 	loadedAt        time.Duration
 	startedAt       time.Duration
-	memberLostAt    time.Duration // the last member
+	memberLostAt    time.Duration // when the last link to a member was lost
 	dispatchLoop    *dispatchLoop
 	dependencies    *dependencyTracker
 	rentals         *rentalManager
@@ -56,16 +55,16 @@
 	components      []component
 	writeQuota      *writequota.Quota
 	lastFlush       time.Duration
-	ratesDividedAt  time.Duration // the state service's rate
-	// confirming: a sibling is being asked whether the state service serves it.
+	ratesDividedAt  time.Duration // when the state service's rate was last divided
+	// confirming is whether a sibling is being asked if the state service serves it.
 	confirming bool
 }
 
-// syncLeadership starts and drops the leader's part as the election says.
+// syncLeadership starts or ends this controller's leadership to match the election's state.
 func (n *Node) syncLeadership(ctx context.Context, now time.Duration) {
 	leading := n.election.Leading(now)
 	if n.lead != nil && (!leading || n.lead.term != n.election.Term()) {
-		n.log.Info("leadership over", "term", n.lead.term)
+		n.log.Info("leadership ended", "term", n.lead.term)
 		n.lead.cancel()
 		n.lead = nil
 		n.openChecker.setLeading(false)
@@ -73,8 +72,8 @@
 	}
 	if leading && n.lead == nil {
 		if n.election.Term() == n.lastLedTerm {
-			// Dropped once, a term is over for good: a second dealer would give its
-			// tokens and attempts out again, and take its jobs for new ones.
+			// A term that was dropped is never resumed: a second dispatcher would issue
+			// the same tokens and attempt numbers again, and treat the term's jobs as new.
 			n.election.Resign(now, 0)
 			return
 		}
@@ -85,6 +84,7 @@
 	}
 }
 
+// newLeadership builds the leader's components and the leader's own shard for a new term.
 func (n *Node) newLeadership(ctx context.Context, now time.Duration) *leadership {
 	termCtx, cancel := context.WithCancel(ctx)
 	cluster := &n.cfg.Cluster
@@ -92,13 +92,15 @@
 		guard:        wire.Guard{Key: keyLeader, Version: n.election.Version()},
 		loadedSignal: make(chan struct{}), startedAt: now, links: map[model.ShardID]*link{},
 		siblingReleases: map[string]uint32{},
-		writeQuota:      writequota.New(cluster.State.WriteRPS*leaderWriteShare, max(8, int(cluster.State.WriteRPS*leaderWriteShare/2)))}
-	// Shards of the term before may act on grants that reach to the end of
-	// their leader's authority, even if its lease was ended early: up to one
-	// whole length of it from now, unless they are heard to have stopped.
-	l.dispatcher = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teamLimits(), ChunkSize: chunkSize(cluster.ValueKB()),
+		writeQuota:      writequota.New(cluster.State.WriteRPS*leaderWriteShare,
+			max(8, int(cluster.State.WriteRPS*leaderWriteShare/2)))}
+	// Shards of the previous term may act on grants until their leader's authority would
+	// have ended, even if its lease was revoked early: for up to one lease or promise from
+	// now, unless they report earlier that they have stopped.
+	l.dispatcher = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teamLimits(),
+		ChunkSize: chunkSize(cluster.ValueKB()),
 		BlockSize: legacyBlockSize(cluster.State.ValueKB), ProgressInterval: 2 * time.Second,
-		DispatchAhead: n.settings.DealAhead, MaxLease: cluster.SureLease(), MinOverloadMachines: minMachinesToSpread(cluster),
+		DispatchAhead: n.settings.DealAhead, MaxLease: cluster.SureLease(), MinOverloadMachines: minOverloadMachines(cluster),
 		StartWithin:         n.settings.BeginWithin,
 		ReportInterruptions: len(n.settings.Budgets) > 0}, now+max(n.leaseTTL, config.Promise)+time.Second)
 	l.logCharges()
@@ -123,18 +125,19 @@
 	l.components = []component{l.dependencies, l.dispatchLoop, l.rentals, l.drains}
 	l.setTypes(n.types)
 	l.ratesDividedAt = -rateDivisionInterval
-	l.divideRate(now) // the store is read with the leader's part
+	l.divideRate(now) // the stored state is read with the leader's share
 	n.log.Info("leading", "term", l.term, "until", n.election.Deadline()-now)
 	return l
 }
 
-// reportsPerCPU is about how many reports a second take a whole core, with all that
-// follows from them.
+// reportsPerCPU is about how many worker reports per second use one core, with all work that they
+// cause.
 const reportsPerCPU = 2000
 
-// minMachinesToSpread is how many machines take about a third of a controller's processor with
-// their reports: fewer are sent nowhere else. Without a stated processor it has a core.
-func minMachinesToSpread(cluster *config.Cluster) int {
+// minOverloadMachines returns how many machines use about a third of a controller's CPU with their
+// reports. Workers of a shard with fewer machines are not redirected because of load. Without a
+// configured CPU limit one core is assumed.
+func minOverloadMachines(cluster *config.Cluster) int {
 	cpu := cluster.Resources.CPU
 	if cpu <= 0 {
 		cpu = 1
@@ -142,19 +145,21 @@
 	return int(0.3 * reportsPerCPU * cpu * cluster.Workers.ReportS)
 }
 
-// chunkSize is how many tasks' bits fit into a value, as base64 in JSON.
+// chunkSize returns how many tasks' done bits fit into one stored value, as base64 in JSON.
 func chunkSize(valueKB float64) int32 {
 	bytes := (valueKB*1024 - 64) * 3 / 4
 	return int32(max(64, min(bytes, 8192))) * 8
 }
 
-// legacyBlockSize is how many machines 0.4 and before put into a block.
+// legacyBlockSize returns how many machines releases up to 0.4 store in one block.
 func legacyBlockSize(valueKB float64) uint64 { return uint64(max(1, min(valueKB*1024/256, 256))) }
 
-// blockSize is how many machines' records fit into a value, beside the names of a few
-// types and zones. Should they not, the block's write is refused, and it is halved.
+// blockSize returns how many machines' records fit into one stored value, besides the names of a few
+// types and zones. If they don't fit, the state service refuses the block and shrinkBlocks halves the
+// size.
 func blockSize(valueKB float64) uint64 { return uint64(max(1, min((valueKB*1024-400)/80, 128))) }
 
+// setTypes passes the catalog's machine types to the dispatcher and the fleet, once any are known.
 func (l *leadership) setTypes(types []model.MachineType) {
 	if len(types) == 0 {
 		return
@@ -163,7 +168,7 @@
 	l.rentals.fleet.SetTypes(types)
 }
 
-// load reads the store, then lets every part follow the world.
+// load reads the stored state, retrying until it succeeds, then starts every component.
 func (l *leadership) load() {
 	for l.ctx.Err() == nil {
 		err := l.readStore()
@@ -173,11 +178,12 @@
 			}
 			return
 		}
-		l.node.log.Info("store not read", "term", l.term, "err", err)
+		l.node.log.Info("failed to read the stored state", "term", l.term, "err", err)
 		sleep(l.ctx, 200*time.Millisecond)
 	}
 }
 
+// readStore lets every component read its records without the lock, then applies all of them under it.
 func (l *leadership) readStore() error {
 	var appliers []func(time.Duration) error
 	for _, comp := range l.components {
@@ -206,16 +212,17 @@
 	return nil
 }
 
-// isolated tells that this leader still reaches the state service, but hears
-// neither workers nor siblings: another would serve better.
+// isolated reports whether this leader has no link to any sibling and has received no worker report
+// for a while. Since it still leads it reaches the state service, but another controller would serve
+// the workers better.
 func (l *leadership) isolated(now time.Duration) bool {
 	timeout := max(3*time.Second, config.Seconds(2.5*l.node.cfg.Cluster.Workers.ReportS))
 	return len(l.node.cfg.Siblings) > 0 && len(l.links) == 0 &&
 		now-max(l.node.lastReportAt, l.startedAt, l.memberLostAt) > timeout && l.dispatcher.HasMachines()
 }
 
-// refusedByState tells that the state service serves siblings, and refuses this leader; one of them
-// has asked it just now.
+// refusedByState reports whether the state service refuses this leader while it serves siblings. A
+// sibling is asked to confirm that first, since links only tell when the service last answered it.
 func (l *leadership) refusedByState(now time.Duration) bool {
 	var newest time.Duration
 	var host string
@@ -232,9 +239,9 @@
 	return yield
 }
 
-// confirmRefusal has a sibling ask the state service, as it does for a user whose request is passed on
-// to it. That there is no such job is an answer; a job that existed might be answered about
-// without asking.
+// confirmRefusal makes a sibling send a request to the state service, by forwarding it a user's poll.
+// The poll names a job that can't exist, because for a known job the sibling might answer without
+// the state service. Not found is therefore a valid confirmation.
 func (l *leadership) confirmRefusal(addr string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
@@ -248,7 +255,7 @@
 	}
 }
 
-// linkTo is the link of a controller, nil if there is none.
+// linkTo returns the link to a host, nil if it is not connected.
 func (l *leadership) linkTo(host string) *link {
 	for _, memberLink := range l.links {
 		if memberLink.host == host {
@@ -258,12 +265,14 @@
 	return nil
 }
 
-// authorityEnd is when this leader's authority ends unless it is renewed.
+// authorityEnd returns when this leader's authority ends unless it is extended: with its lease and its
+// siblings' promises, or earlier when its view of the open jobs is too old.
 func (l *leadership) authorityEnd() time.Duration {
 	return min(l.node.election.Deadline(), l.dispatchLoop.openJobsView.ValidUntil(l.node.cfg.Cluster.StalenessBound()))
 }
 
-// tick is called a few times a second.
+// tick is called a few times a second. It resigns leadership if another controller would serve better,
+// extends the own shard's grant, and ticks the components.
 func (l *leadership) tick(now time.Duration) {
 	if l.loaded {
 		l.dispatchLoop.updateOpenJobsView(now)
@@ -271,17 +280,18 @@
 	bound := l.node.cfg.Cluster.StalenessBound()
 	if now > max(l.dispatchLoop.openJobsView.ValidUntil(bound), l.startedAt+bound) ||
 		l.dispatchLoop.openWatchFailing(now) {
-		l.node.log.Error("no news of open jobs: giving leadership up", "term", l.term)
+		l.node.log.Error("open jobs not read for too long: resigning leadership", "term", l.term)
 		l.node.election.Resign(now, time.Second)
 		return
 	}
 	if l.isolated(now) {
-		l.node.log.Error("no worker and no sibling heard: giving leadership up", "term", l.term)
+		l.node.log.Error("no worker reports and no sibling is connected: resigning leadership", "term", l.term)
 		l.node.election.Resign(now, 4*time.Second)
 		return
 	}
 	if l.refusedByState(now) {
-		l.node.log.Error("the state service answers a sibling, but not this controller: giving leadership up", "term", l.term)
+		l.node.log.Error("the state service serves a sibling, but not this controller: resigning leadership",
+			"term", l.term)
 		l.node.election.Resign(now, 4*time.Second)
 		return
 	}
@@ -301,14 +311,14 @@
 	}
 }
 
-// stillLeading tells whether this term's authority still stands, right now.
+// stillLeading reports whether this controller still has this term's authority at this moment.
 func (l *leadership) stillLeading() bool {
 	l.node.mu.Lock()
 	defer l.node.mu.Unlock()
 	return l.node.lead == l && l.node.election.Leading(l.node.now())
 }
 
-// handleEvent takes an event of a shard.
+// handleEvent logs a shard's event and passes it to the drain manager and the dispatcher.
 func (l *leadership) handleEvent(now time.Duration, from model.ShardID, e model.Event) {
 	l.logEvent(from, &e)
 	l.drains.handleEvent(now, &e)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -17,25 +17,25 @@
 	"honeylock/internal/peer/peerpb"
 )
 
-// link is the leader's end of a member's stream.
+// link is the leader's end of the connection to a member.
 type link struct {
 	host     string
 	queue    *peer.Queue
 	codec    *peer.Codec
-	grantEnd time.Duration // of the longest grant given
+	grantEnd time.Duration // latest end of any grant sent on this link
 
 	lastGrantNumber      uint64
-	grantsSentAt         map[uint64]time.Duration // grants, by number
-	promisedUntil        time.Duration            // the member does not take over before
-	stateServedAt        time.Duration            // the state service last answered it
-	reportsCancellations bool                     // the member says of which cancellations it told users
-	coverage             cancellog.Coverage       // how far that is known
-	progressAsOf         time.Duration            // the picture that its last progress was of was made
-	demand               ratelimit.Allocation     // what it asked of the state service lately; none: not told
-	allocation           ratelimit.Allocation     // of the state service's rate, which it is told with each grant
+	grantsSentAt         map[uint64]time.Duration // by grant number
+	promisedUntil        time.Duration            // the member does not take leadership before this
+	stateServedAt        time.Duration            // when the state service last served the member
+	reportsCancellations bool                     // the member reports the cancellations that it acknowledged to users
+	coverage             cancellog.Coverage       // the time for which all of these reports have arrived
+	progressAsOf         time.Duration            // as of when the open jobs were known in the last progress sent
+	demand               ratelimit.Allocation     // share of the state service's rate that it needs; zero: not reported
+	allocation           ratelimit.Allocation     // its share of the state service's rate, sent with each grant
 }
 
-// ServePeers serves the other controllers until the context ends.
+// ServePeers serves requests and connections from the other controllers until the context ends.
 func (n *Node) ServePeers(ctx context.Context, addr string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+peer.Path, n.serveMember)
@@ -54,6 +54,8 @@
 		func(l net.Listener) net.Listener { return l })
 }
 
+// serveMember serves a member's connection: it reads the member's messages while a queue sends it the
+// leader's. It refuses the connection until this controller leads and has read the stored state.
 func (n *Node) serveMember(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	l := n.lead
@@ -80,7 +82,7 @@
 	}()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
-	// Reading and writing end when the context does.
+	// Deadlines in the past end blocked reads and writes when the context ends.
 	deadlinesSet := make(chan struct{})
 	cancelDeadlines := context.AfterFunc(ctx, func() {
 		defer close(deadlinesSet)
@@ -88,7 +90,7 @@
 		_ = rc.SetWriteDeadline(time.Unix(1, 0))
 	})
 	defer func() {
-		if !cancelDeadlines() { // it must not touch the stream after the handler
+		if !cancelDeadlines() { // the stream must not be used after the handler has returned
 			<-deadlinesSet
 		}
 	}()
@@ -110,7 +112,8 @@
 	<-writerDone
 }
 
-// readMemberMessages takes a member's messages until the stream ends.
+// readMemberMessages handles a member's messages until the connection fails, leadership ends, or a newer
+// connection of the same member replaces this one. The first message must be a Hello.
 func (n *Node) readMemberMessages(l *leadership, memberLink *link, body io.Reader,
 	watchdog *time.Timer) (id model.ShardID, err error) {
 	reader := peer.NewReader(body)
@@ -123,7 +126,7 @@
 		n.mu.Lock()
 		if n.lead != l {
 			n.mu.Unlock()
-			return id, errors.New("leadership over")
+			return id, errors.New("leadership ended")
 		}
 		now := n.now()
 		n.siblingSeenAt = now
@@ -133,18 +136,20 @@
 			l.handleMessage(now, id, memberLink, &message)
 		} else {
 			n.mu.Unlock()
-			return 0, errors.New("replaced")
+			return 0, errors.New("link is not registered: replaced by a newer one, or no Hello was received")
 		}
 		n.mu.Unlock()
 	}
 }
 
+// acceptMember registers a member and its new shard, and sends it the Welcome and the open jobs'
+// progress. Once all siblings have joined, no shard of an earlier term acts any more.
 func (l *leadership) acceptMember(now time.Duration, memberLink *link, hello *peerpb.Hello) model.ShardID {
 	host := hello.GetHost()
 	memberLink.host = host
 	for id, other := range l.links {
 		if other.host == host {
-			// Its Hello says that the shard before acts no more.
+			// The Hello says that the member's previous shard no longer acts.
 			delete(l.links, id)
 			l.dispatcher.ShardLost(id, now)
 		}
@@ -171,6 +176,7 @@
 	return id
 }
 
+// handleMessage handles one message of a member; an Ask is answered with a grant.
 func (l *leadership) handleMessage(now time.Duration, id model.ShardID, memberLink *link, message *peerpb.Up) {
 	switch msg := message.Msg.(type) {
 	case *peerpb.Up_Ask:
@@ -184,13 +190,15 @@
 			l.dispatchLoop.applyCancellation(now, model.JobID(id))
 		}
 		if coverageDuration := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; coverageDuration > 0 {
-			memberLink.reportsCancellations, memberLink.coverage.Since = true, now-(coverageDuration-coverageDuration/500) // its clock may be the faster one
+			memberLink.reportsCancellations, memberLink.coverage.Since = true,
+				now-(coverageDuration-coverageDuration/500) // allow for drift between the clocks
 		}
-		// The member promised when it received that grant, so after it was
-		// sent: from then on by this clock, less drift.
+		// The member made its promise when it received that grant, so not before the grant
+		// was sent: count the promise from then, less a margin for drift between the clocks.
 		if sentAt, ok := memberLink.grantsSentAt[msg.Ask.GetPromised()]; ok {
-			memberLink.promisedUntil = max(memberLink.promisedUntil, sentAt+config.Promise-config.Promise/200-50*time.Millisecond)
-			// ... and what it told users before that came in no later than this.
+			memberLink.promisedUntil = max(memberLink.promisedUntil,
+				sentAt+config.Promise-config.Promise/200-50*time.Millisecond)
+			// All cancellations that it acknowledged before that have been reported by now.
 			memberLink.coverage.Until = max(memberLink.coverage.Until, sentAt)
 			for number := range memberLink.grantsSentAt {
 				if number < msg.Ask.GetPromised() {
@@ -222,7 +230,7 @@
 	}
 }
 
-// extendAuthority extends this leader's authority to where every sibling's promise lasts.
+// extendAuthority extends this leader's authority to the end of the earliest of all siblings' promises.
 func (l *leadership) extendAuthority() {
 	promisedUntil := map[string]time.Duration{}
 	for _, memberLink := range l.links {
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -18,30 +18,31 @@
 
 const (
 	grantRequestInterval = 400 * time.Millisecond
-	linkTimeout          = 2500 * time.Millisecond // nothing heard for so long: the link is dead
+	linkTimeout          = 2500 * time.Millisecond // a link without messages for this long is closed
 	statusInterval       = 100 * time.Millisecond
 	maxDirectSends       = 48
 	directTimeout        = 2 * time.Second
-	cycleDelay           = 5 * time.Millisecond // what arrives within so long is dealt with together
+	cycleDelay           = 5 * time.Millisecond // messages that arrive within this delay are handled together
 )
 
-// localShard is this controller's shard. A member's localShard outlives its link until its
-// grant ends: its workers go on being answered.
+// localShard is the shard that runs in this controller, with its connection to the leader. On a member
+// it outlives that connection until its grant ends, so that its workers are still answered.
 type localShard struct {
 	shard             *shard.Shard
-	leaderQueue       *peer.Queue // nil: the leader's own, or the link is lost
+	leaderQueue       *peer.Queue // nil on the leader itself, and when the link is lost
 	codec             *peer.Codec
 	lastTick          time.Duration
 	statusDue         bool
 	grantRequestsSent map[uint64]time.Duration
-	// loggedGrant: the shard may act, as last told in the log.
+	// loggedGrant is whether the shard had a grant when that was last logged.
 	loggedGrant        bool
 	grantRequestSeq    uint64
 	lastGrantRequestAt time.Duration
-	lastGrantNumber    uint64 // of the newest grant
-	cancelsSent        int    // of the cancellations that users were told of here: what the leader has
+	lastGrantNumber    uint64 // number of the newest grant
+	cancelsSent        int    // how many entries of the cancellation log were sent to the leader
 }
 
+// newLocalShard builds a shard that numbers its attempts from the given number on.
 func (n *Node) newLocalShard(attempts uint64) *localShard {
 	local := &localShard{grantRequestsSent: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
 		shard: shard.New(n.shardParams(), attempts, n.rng)}
@@ -49,8 +50,8 @@
 	return local
 }
 
-// dropLocalShard drops this controller's shard. The machines' workers will report
-// here again: the next leader is told of them.
+// dropLocalShard drops this controller's shard. It remembers the shard's machines, whose workers will
+// report here again, so that the next leader can be told of them.
 func (n *Node) dropLocalShard() {
 	if n.local != nil {
 		n.localReady, n.localDroppedAt = make(chan struct{}), n.now()
@@ -61,15 +62,14 @@
 	n.local = nil
 }
 
-// installLocalShard lets this controller's shard begin, and wakes the reports that wait for
-// that.
+// installLocalShard makes local this controller's shard, and wakes the reports that wait for one.
 func (n *Node) installLocalShard(local *localShard) {
 	n.local = local
 	close(n.localReady)
 }
 
-// requestCycle asks for a turn: what comes in until then is dealt with together. The
-// more a turn costs, the more is gathered for the next.
+// requestCycle schedules a cycle, which handles all that has arrived by then together. The longer the
+// last cycle took, the later the next one starts, so that more is batched.
 func (n *Node) requestCycle() {
 	if n.cyclePending {
 		return
@@ -85,7 +85,8 @@
 	})
 }
 
-// runCycle lets shard and dealer settle, and sends what they have to say.
+// runCycle runs the dispatcher's cycle on the leader. On a member it places waiting tasks and sends the
+// shard's commands to workers and its events to the leader.
 func (n *Node) runCycle(now time.Duration) {
 	if n.lead != nil {
 		n.lead.dispatchLoop.runCycle(now)
@@ -100,8 +101,8 @@
 	n.local.statusDue = true
 }
 
-// sendEvents passes the shard's events to the dealer, wherever it is. Without a link
-// they are lost: the next shard of this controller finds out anew what there is.
+// sendEvents passes the shard's events to the dispatcher, here or on the leader. Without a link they
+// are lost: the next shard of this controller learns the state of its machines from their reports.
 func (n *Node) sendEvents(now time.Duration) {
 	if n.lead != nil {
 		n.lead.dispatchLoop.exchangeMessages(now)
@@ -114,6 +115,8 @@
 	}
 }
 
+// sendDirects sends commands directly to workers that should not wait for the workers' next reports.
+// A controller that is behind sends fewer at a time.
 func (n *Node) sendDirects(now time.Duration) {
 	local := n.local
 	local.shard.Flush(now, n.health.scaleConcurrency(now, maxDirectSends))
@@ -123,9 +126,10 @@
 	}
 }
 
+// sendDirect sends one direct command and passes the worker's answer to the shard.
 func (n *Node) sendDirect(local *localShard, d shard.DirectCommand) {
-	// Opening the connection takes time, and the process may stand still: what is
-	// decided under a grant is not sent once it is over.
+	// Opening the connection takes time, and the process may stall: a command that was
+	// decided under a grant must not be sent after the grant has expired.
 	ctx, cancel := context.WithTimeout(context.Background(), d.NotAfter-n.now())
 	defer cancel()
 	raw, executed, err := n.workers.Send(ctx, d.Addr, d.Token, d.Session, d.Commands)
@@ -137,7 +141,7 @@
 		report, err = raw.Report(n.names)
 	}
 	if err != nil {
-		n.log.Debug("direct command unanswered", "machine", wire.MachineName(d.Machine), "err", err)
+		n.log.Debug("no valid answer to a direct command", "machine", wire.MachineName(d.Machine), "err", err)
 		report = nil
 	}
 	local.shard.DirectCommandDone(now, d, report, executed)
@@ -149,7 +153,8 @@
 	}
 }
 
-// tickMember is called a few times a second on a member.
+// tickMember is called a few times a second on a member. It advances the shard, requests grants from
+// the leader and reports the shard's status.
 func (n *Node) tickMember(now time.Duration) {
 	local := n.local
 	if now-local.lastTick < statusInterval {
@@ -164,7 +169,7 @@
 		return
 	}
 	if now-local.lastGrantRequestAt >= grantRequestInterval {
-		// The grant counts from here, however late the answer comes.
+		// The grant counts from when it was requested, however late the answer arrives.
 		local.grantRequestSeq++
 		local.grantRequestsSent[local.grantRequestSeq] = now
 		local.lastGrantRequestAt = now
@@ -192,7 +197,7 @@
 	}
 }
 
-// wakeOwned wakes reports that wait for their machine's owner.
+// wakeOwned wakes the waiting reports of a machine once an order says which shard owns it.
 func (n *Node) wakeOwned(order *model.Order) {
 	id := order.Machine.ID
 	switch order.Kind {
@@ -205,7 +210,7 @@
 	n.wakeReports(id)
 }
 
-// wakeReports lets the reports of a machine go on that wait.
+// wakeReports wakes the waiting reports of a machine.
 func (n *Node) wakeReports(id model.MachineID) {
 	for _, c := range n.reportWaiters[id] {
 		close(c)
@@ -213,6 +218,7 @@
 	delete(n.reportWaiters, id)
 }
 
+// siblingAddr returns the address of a sibling, "" if the host is none.
 func (n *Node) siblingAddr(host string) string {
 	for _, s := range n.cfg.Siblings {
 		if s.HostName == host {
@@ -222,9 +228,9 @@
 	return ""
 }
 
-// checkSiblings finds out, while this controller's start holds it off from
-// leadership, whether any sibling leads: if none does, nobody can count on a
-// promise of its last life.
+// checkSiblings asks the siblings, while a restart keeps this controller from leadership, whether any
+// of them leads. If none does, no leader relies on a promise that this controller made in its
+// previous run, and it may take leadership at once.
 func (n *Node) checkSiblings(ctx context.Context) {
 	dialer := peer.NewDialer()
 	notLeading := map[string]bool{}
@@ -247,7 +253,7 @@
 	}
 }
 
-// runMember keeps a link to the leader while another controller leads.
+// runMember keeps a connection to the leader while another controller leads.
 func (n *Node) runMember(ctx context.Context) {
 	dialer := peer.NewDialer()
 	for ctx.Err() == nil {
@@ -272,13 +278,13 @@
 		}
 		n.leader, n.lastLinkHost = "", host
 		n.mu.Unlock()
-		n.log.Log(ctx, level, "link to the leader ended", "leader", host, "err", err)
+		n.log.Log(ctx, level, "connection to the leader closed", "leader", host, "err", err)
 		sleep(ctx, 300*time.Millisecond)
 	}
 }
 
-// findLeader asks the siblings who leads, for a controller that can't read the
-// leader's key.
+// findLeader asks the siblings which of them leads, when this controller can't read the leader key.
+// It returns "" if none says that it does.
 func (n *Node) findLeader(ctx context.Context, dialer *peer.Dialer) string {
 	for _, s := range n.cfg.Siblings {
 		leads, known := dialer.Leading(ctx, s.Address)
@@ -294,8 +300,10 @@
 	return ""
 }
 
-var errLinkTimeout = errors.New("nothing heard from the other side")
+var errLinkTimeout = errors.New("no message from the peer within the link timeout")
 
+// followLeader connects this controller to a leader as a member, and applies the leader's messages
+// until the connection fails or this controller's shard is replaced.
 func (n *Node) followLeader(ctx context.Context, dialer *peer.Dialer, host, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -309,11 +317,11 @@
 	go func() { cancel(sendQueue.Run(ctx, requestWriter, nil)) }()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
-	// From here the shard of before acts no more: that is what Hello says.
+	// Hello tells the leader that this controller's previous shard no longer acts.
 	n.mu.Lock()
 	if n.lead != nil {
 		n.mu.Unlock()
-		return errors.New("leading myself")
+		return errors.New("this controller leads")
 	}
 	n.dropLocalShard()
 	n.mu.Unlock()
@@ -344,13 +352,13 @@
 		n.siblingSeenAt = now
 		if local != nil && n.local != local {
 			n.mu.Unlock()
-			return errors.New("another shard took over")
+			return errors.New("the local shard was replaced or dropped")
 		}
 		switch msg := message.Msg.(type) {
 		case *peerpb.Down_Welcome:
 			if n.lead != nil || local != nil {
 				n.mu.Unlock()
-				return errors.New("unexpected welcome")
+				return errors.New("unexpected Welcome message")
 			}
 			local = n.newLocalShard(msg.Welcome.GetAttempts())
 			local.leaderQueue = sendQueue
@@ -360,7 +368,7 @@
 			if msg.Welcome.GetCompares() {
 				n.openChecker.setLeader(sendQueue)
 			}
-			n.log.Info("joined", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.previousMachines))
+			n.log.Info("joined the leader", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.previousMachines))
 			for id := range n.previousMachines {
 				sendQueue.Send(local.codec.Event(&model.Event{Kind: model.MachineRemembered, Machine: id}))
 			}
@@ -390,7 +398,7 @@
 			if sentAt, ok := local.grantRequestsSent[msg.Grant.GetSeq()]; ok {
 				delete(local.grantRequestsSent, msg.Grant.GetSeq())
 				local.lastGrantNumber = msg.Grant.GetNumber()
-				if age := msg.Grant.GetSettledAgeUs(); age > 0 { // as old as its asking
+				if age := msg.Grant.GetSettledAgeUs(); age > 0 { // counted from when the grant was requested
 					n.statusFreshness.SetPropagated(sentAt - time.Duration(age)*time.Microsecond)
 				}
 				if age := msg.Grant.GetToldAgeUs(); age > 0 {
@@ -398,7 +406,7 @@
 				}
 				n.election.Promise(now + config.Promise)
 				grantDuration := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
-				// Both clocks may drift, and timers are late.
+				// The margin covers drift between the two clocks, and late timers.
 				local.shard.SetGrant(sentAt + grantDuration - grantDuration/500 - 50*time.Millisecond)
 			}
 		case *peerpb.Down_Order:
@@ -418,10 +426,10 @@
 	}
 }
 
-// jobProgress of an open job, for display, with its open record's version.
+// jobProgress is an open job's progress, for display, with the version of its open record.
 type jobProgress struct {
 	done, running int
 	version       uint64
-	onHold        bool // jobs that it needs are not done
-	inDoubt       bool // ... or one of them was cancelled, or that is being found out
+	onHold        bool // not all of its dependencies are done
+	inDoubt       bool // a dependency was cancelled, or may have been
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node runs the cores of one controller: it feeds them messages and
-// time, and carries out what they ask for.
+// Package node runs one controller. It connects the state machines of internal/core to the clock,
+// the network, the state service and the cloud: it feeds them messages and time, and executes the
+// operations that they request.
 package node
 
 import (
@@ -40,7 +41,7 @@
 	machinePrefix = "machines/"
 )
 
-// Node is one controller.
+// Node is one controller: a member that runs a shard, and the leader while it holds the lease.
 type Node struct {
 	cfg      *config.Platform
 	settings *config.Settings
@@ -49,7 +50,7 @@
 	state    *state.Client
 	cloud    *cloud.Client
 	workers  *worker.Client
-	// dialer opens connections to siblings for users' requests.
+	// dialer connects to siblings to forward users' requests.
 	dialer    *peer.Dialer
 	failures  *failureLog
 	startedAt time.Time
@@ -61,32 +62,32 @@
 	names               *wire.Names
 	election            *election.Election
 	lead                *leadership
-	lastLedTerm         uint64                      // the last term that this controller took up
-	local               *localShard                 // this controller's shard, nil while it may not act
-	localReady          chan struct{}               // closed while there is one
-	localDroppedAt      time.Duration               // since when there is none
-	progress            map[model.JobID]jobProgress // of open jobs, as last told by the leader
-	leader              string                      // the leader that this controller is linked to
-	leaderStateServedAt time.Duration               // the state service last served the leader
-	lastReportAt        time.Duration               // the last worker's report
-	lastLinkHost        string                      // the last host whose link ended
+	lastLedTerm         uint64                      // the last term that this controller led
+	local               *localShard                 // nil while this controller has no shard
+	localReady          chan struct{}               // closed while a local shard exists
+	localDroppedAt      time.Duration               // when the last local shard was dropped
+	progress            map[model.JobID]jobProgress // of open jobs, as last sent by the leader
+	leader              string                      // host of the connected leader, "" if there is none
+	leaderStateServedAt time.Duration               // when the state service last served the leader
+	lastReportAt        time.Duration               // when the last worker report arrived
+	lastLinkHost        string                      // leader host of the last link that ended
 	reportWaiters       map[model.MachineID][]chan struct{}
 	types               []model.MachineType
 	cachedFinals        map[model.JobID]jobs.Stage
 	openRecords         map[model.JobID]openRecordInfo
-	cancelLog           *cancellog.Log            // cancellations that users were told of here
-	statusFreshness     *pipeline.StatusFreshness // as the leader that this controller is linked to has told
-	siblingSeenAt       time.Duration             // a sibling was last heard
+	cancelLog           *cancellog.Log            // cancellations that this controller acknowledged to users
+	statusFreshness     *pipeline.StatusFreshness // from the connected leader
+	siblingSeenAt       time.Duration             // when a sibling last answered or sent a message
 	openChecker         *openChecker
-	finalOrder          []model.JobID // of finals, oldest first
+	finalOrder          []model.JobID // keys of cachedFinals, oldest first
 	stats               Stats
-	previousMachines    map[model.MachineID]map[model.Name]bool // machines of this controller's last shard, with their images
-	cyclePending        bool                                    // a turn is due
-	cycleDuration       time.Duration                           // of the last turn
+	previousMachines    map[model.MachineID]map[model.Name]bool // machines of the last local shard, with their images
+	cyclePending        bool                                    // a cycle is scheduled
+	cycleDuration       time.Duration                           // of the last cycle
 	lastTick            time.Duration
 }
 
-// Stats are counts for operators.
+// Stats are counters for operators.
 type Stats struct {
 	Reports, Redirected, Stalls uint64
 }
@@ -95,17 +96,16 @@
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	stallThreshold = time.Second // a tick so late: the process did not run, or far too slowly
+	stallThreshold = time.Second // a longer gap between ticks counts as a stall of the process
 )
 
-// MaxDirectConns is how many sockets a controller keeps for telling workers something
-// directly, those that idle until the next time included.
+// MaxDirectConns returns the maximum number of sockets for direct commands to workers, including
+// idle ones that are kept for reuse.
 func MaxDirectConns(fdLimit int) int { return maxDirectSends + maxIdleDirectConns(fdLimit) }
 
 func maxIdleDirectConns(fdLimit int) int { return fdLimit / 12 }
 
-// New builds a controller. The random numbers' seed is injected, so that a
-// test can repeat a run.
+// New builds a controller. The random number generator is injected so that a test can repeat a run.
 func New(cfg *config.Platform, settings *config.Settings, log *slog.Logger, rng *rand.Rand) *Node {
 	teams := make([]string, len(cfg.Cluster.Teams))
 	for i, t := range cfg.Cluster.Teams {
@@ -151,14 +151,15 @@
 	return n
 }
 
-// recordOutcome takes what became of a request to the state service.
+// recordOutcome records the outcome of a request to the state service.
 func (n *Node) recordOutcome(sent time.Time, o storehealth.Outcome) {
 	n.health.recordRequest(sent.Sub(n.startedAt), o)
 }
 
+// now returns the time since the start of the process on the monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// Run works until the context ends.
+// Run runs the controller until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.fetchCatalog(ctx)
 	go n.watchLeader(ctx)
@@ -176,11 +177,11 @@
 	}
 }
 
-// resignTimeout is what a process that is told to stop takes to give leadership up.
+// resignTimeout bounds how long a process that is told to stop takes to resign leadership.
 const resignTimeout = time.Second
 
-// ResignLeadership gives leadership up once Run has ended, for a process that is told to stop: the
-// others need not wait until its lease is over. Whoever is killed skips it.
+// ResignLeadership resigns leadership after Run has ended because the process is told to stop. The
+// other controllers then need not wait for the lease to expire, as they do when a leader is killed.
 func (n *Node) ResignLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
@@ -199,12 +200,13 @@
 	}
 }
 
-// Admit tells whether a user's request should be begun at all, or when its user
-// should ask again.
+// Admit reports whether a user's request of this kind should be processed. If not, retryAfter is when
+// the user should try again.
 func (n *Node) Admit(kind overload.Kind) (ok bool, retryAfter time.Duration) {
 	return n.health.admit(n.now(), kind)
 }
 
+// tick measures how late it is called, then steps the election and the leader's or the member's part.
 func (n *Node) tick(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -214,11 +216,11 @@
 		n.health.recordDelay(now, since-tickInterval)
 		if since > stallThreshold {
 			n.stats.Stalls++
-			n.log.Info("this controller stood still", "for", since, "leading", n.lead != nil)
+			n.log.Info("process stalled", "for", since, "leading", n.lead != nil)
 		}
 	}
 	n.lastTick = now
-	// First of all authority that ended meanwhile goes.
+	// Authority that has expired is dropped before anything can act on it.
 	n.runElection(ctx, n.election.Step(now))
 	n.syncLeadership(ctx, now)
 	if n.lead != nil {
@@ -228,6 +230,8 @@
 	}
 }
 
+// runElection executes the election's operations in the background and passes it their results.
+// Called under the lock.
 func (n *Node) runElection(ctx context.Context, ops []election.Op) {
 	for _, op := range ops {
 		go func() {
@@ -241,17 +245,18 @@
 	}
 }
 
+// electionOp executes one operation of the election at the state service.
 func (n *Node) electionOp(ctx context.Context, op election.Op) election.Result {
 	res := election.Result{Op: op}
 	switch op.Verb {
 	case election.Read:
 		rec, err := n.readLeader(ctx)
 		if err != nil {
-			n.log.Debug("leader's key not read", "err", err)
+			n.log.Debug("failed to read the leader key", "err", err)
 			return res
 		}
 		res.Leader = rec
-		if rec.Present { // the term matters to whoever takes the key
+		if rec.Present { // the stored term is needed only to acquire a free key
 			res.OK = true
 			return res
 		}
@@ -262,7 +267,7 @@
 		if it != nil {
 			var term wire.Term
 			if err := json.Unmarshal(it.Value, &term); err != nil {
-				n.log.Error("stored term is unreadable", "err", err)
+				n.log.Error("failed to decode the stored term", "err", err)
 				return res
 			}
 			res.Term, res.TermVersion = term.Term, it.Version
@@ -281,17 +286,18 @@
 			}})
 		res.Version, res.OK = rev, err == nil
 	case election.Renew:
-		// It counts from its sending, however late its answer is read; meanwhile
-		// others are sent.
+		// A renewal counts from when it was sent, however late its answer is read, so it may
+		// take the whole lease. Further renewals are sent meanwhile.
 		err := n.state.Extend(state.Patiently(ctx, n.leaseTTL), op.Lease)
 		res.OK, res.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
-		n.failures.record("leader's lease not renewed", err)
+		n.failures.record("failed to renew the leader lease", err)
 	case election.Revoke:
 		res.OK = n.state.End(ctx, op.Lease) == nil
 	}
 	return res
 }
 
+// readLeader reads the leader key; an absent key is not an error.
 func (n *Node) readLeader(ctx context.Context) (election.LeaderRecord, error) {
 	it, err := n.state.Get(ctx, keyLeader)
 	if errors.Is(err, state.ErrNotFound) {
@@ -303,29 +309,30 @@
 	return leaderRecord(it.Value, it.Version)
 }
 
+// leaderRecord decodes a value of the leader key.
 func leaderRecord(v json.RawMessage, version uint64) (election.LeaderRecord, error) {
 	var l wire.Leader
 	if err := json.Unmarshal(v, &l); err != nil {
-		return election.LeaderRecord{}, fmt.Errorf("leader's key: %w", err)
+		return election.LeaderRecord{}, fmt.Errorf("decode leader key: %w", err)
 	}
 	return election.LeaderRecord{Present: true, Host: l.Host, Term: l.Term, Lease: l.Lease, Version: version}, nil
 }
 
-// How long a watch of the leader's key waits: the longer the more controllers there are, for
-// each is a request.
+// Bounds of how long a watch of the leader key waits for a change. Each wait is a request to the
+// state service, so it is longer the more controllers there are.
 const (
 	minLeaderWatch = 10 * time.Second
 	maxLeaderWatch = time.Minute
 )
 
-// watchLeader learns quickly when the leader's key goes or changes.
+// watchLeader watches the leader key, so that the election learns at once when it is deleted or changed.
 func (n *Node) watchLeader(ctx context.Context) {
 	var rev uint64
 	wait := min(maxLeaderWatch, max(minLeaderWatch, time.Duration(len(n.cfg.Siblings))*minLeaderWatch/2))
 	for ctx.Err() == nil {
 		ev, err := n.state.Watch(ctx, keyLeader, rev, wait)
 		if errors.Is(err, state.ErrCompacted) || rev == 0 && err == nil {
-			// Start from now; the election's own reading covers what was before.
+			// Start from the current revision; the election's own reads cover earlier changes.
 			currentRevision, listErr := n.state.List(ctx, keyTerm, func(*wire.Item) error { return nil })
 			if listErr == nil {
 				rev = max(1, currentRevision)
@@ -354,20 +361,20 @@
 	}
 }
 
-// fetchCatalog gets the machine types, without which no submission can be
-// judged, and keeps the prices fresh.
+// fetchCatalog keeps the machine types and their prices up to date. Without machine types no
+// submission can be validated, so the copy that a leader stored is used until the cloud answers.
 func (n *Node) fetchCatalog(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := n.catalogInterval()
 		catalog, err := n.cloud.Catalog(ctx)
 		fresh := err == nil
-		n.failures.record("catalog not read", err)
+		n.failures.record("failed to read the catalog of machine types", err)
 		if err != nil {
 			pause = time.Second
 			n.mu.Lock()
 			known := len(n.types) > 0
 			n.mu.Unlock()
-			if !known { // the last one that a leader read serves meanwhile
+			if !known { // use the copy that a leader stored
 				catalog, err = n.storedCatalog(ctx)
 			}
 		}
@@ -382,7 +389,7 @@
 			if l != nil && fresh && len(mustEncode(catalog)) <= int(n.cfg.Cluster.ValueKB()*1024) {
 				txn := wire.Txn{Guards: []wire.Guard{l.guard}, Then: []wire.Op{{Put: keyCatalog, Value: mustEncode(catalog)}}}
 				if _, err := n.state.Txn(ctx, txn); err != nil {
-					n.log.Debug("catalog not stored", "err", err)
+					n.log.Debug("failed to store the catalog of machine types", "err", err)
 				}
 			}
 		}
@@ -390,8 +397,9 @@
 	}
 }
 
-// catalogInterval is until the machine types are read again: a leader needs the prices, the
-// others together read no more often than two of them, and not at the same moment.
+// catalogInterval returns the time until the catalog is read again. The leader needs current prices
+// and reads about once a minute; the other controllers together read about twice a minute. Jitter
+// keeps them from reading at the same moment.
 func (n *Node) catalogInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -402,6 +410,7 @@
 	return time.Duration(float64(pause) * (0.75 + 0.5*n.rng.Float64()))
 }
 
+// storedCatalog reads the copy of the catalog that a leader stored.
 func (n *Node) storedCatalog(ctx context.Context) (*wire.Catalog, error) {
 	it, err := n.state.Get(ctx, keyCatalog)
 	if err != nil {
@@ -409,11 +418,12 @@
 	}
 	var catalog wire.Catalog
 	if err := json.Unmarshal(it.Value, &catalog); err != nil {
-		return nil, fmt.Errorf("stored catalog: %w", err)
+		return nil, fmt.Errorf("decode stored catalog: %w", err)
 	}
 	return &catalog, nil
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -423,10 +433,11 @@
 	}
 }
 
+// mustEncode encodes a value of this program's own types as JSON.
 func mustEncode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("encode %T: %v", v, err)) // plain structs always encode
+		panic(fmt.Sprintf("encode %T: %v", v, err)) // can't happen: plain structs always encode
 	}
 	return b
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -55,9 +55,9 @@
 	if id, err = wire.ParseJob(name); err != nil {
 		return id, c, err
 	}
-	number, currentLayout := strings.CutPrefix(suffix, "0.")
+	number, newLayout := strings.CutPrefix(suffix, "0.")
 	n, err := strconv.ParseInt(number, 10, 32)
-	return id, dispatcher.ChunkID{OldLayout: !currentLayout, Index: int32(n)}, err
+	return id, dispatcher.ChunkID{OldLayout: !newLayout, Index: int32(n)}, err
 }
 
 // applyOldestRelease takes the oldest release among all controllers, now that all have joined
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	rejoinGrace = 4 * time.Second // a controller without a shard mostly has one again within
-	rejoinWait  = 900 * time.Millisecond
+	rejoinGrace = 4 * time.Second        // a controller that lost its shard mostly has a new one by then
+	rejoinWait  = 900 * time.Millisecond // how long a report waits for that shard
 )
 
-// Report answers a worker: its commands, or (not ok) where to report instead.
+// Report handles a worker's report. The answer holds the worker's commands; if it is not OK, redirectTo
+// is the host that the worker should report to instead, "" if none is known.
 func (n *Node) Report(ctx context.Context, raw *wire.RawReport) (answer shard.Answer, redirectTo string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -25,23 +26,23 @@
 	n.stats.Reports++
 	n.lastReportAt = n.now()
 	if n.local == nil && n.now()-n.localDroppedAt < rejoinGrace {
-		// This controller has just started, or its leader is gone: it will have a
-		// shard within moments. Sent to the leader at once, the workers of all
-		// controllers came to it together, when it had most else to do.
+		// This controller has just started, or lost its leader, and will have a shard soon.
+		// Redirecting at once would send the workers of all controllers to the new leader
+		// together, when it is busiest.
 		n.waitUnlocked(ctx, n.localReady, rejoinWait)
 	}
 	if l := n.lead; l != nil && !l.loaded {
-		// The store is being read: worth a moment, for the next node would
-		// only send the worker back here.
+		// The stored state is being read. Wait for it, because any other controller would
+		// only redirect the worker back here.
 		n.waitUnlocked(ctx, l.loadedSignal, 2*time.Second)
 	}
 	answer, redirectTo, unowned := n.handleReport(report)
 	if !answer.OK && unowned && (n.lead != nil || n.local.leaderQueue != nil) {
-		// The leader is asked whose machine it is; that takes a moment.
+		// Wait for the leader to say which shard owns the machine.
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if !answer.OK && n.local != nil && n.local.shard.Verifying(n.now(), report.Machine.ID) {
-		// Nothing shows that it hears; it is being asked, and mostly answers at once.
+		// The worker is being sent a command to verify that it receives any; wait for its answer.
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if answer.OK {
@@ -49,8 +50,8 @@
 	}
 	n.stats.Redirected++
 	if redirectTo == "" && n.local == nil && n.lead == nil && n.now()-n.localDroppedAt >= rejoinGrace {
-		// Nothing can be done for the worker here, for longer than it takes to join
-		// a leader; the leader, if it lives, can.
+		// This controller has had no shard for longer than it takes to join a leader. The
+		// leader can serve the worker, unless the last link to it has ended.
 		if redirectTo = n.election.Holder(); redirectTo == n.cfg.HostName ||
 			redirectTo != n.leader && n.lastLinkHost == redirectTo {
 			redirectTo = ""
@@ -59,7 +60,8 @@
 	return answer, redirectTo, nil
 }
 
-// handleReportLater waits for news of a report's machine, then answers it as answer does.
+// handleReportLater waits until wakeReports is called for the report's machine, at most a second, then
+// handles the report.
 func (n *Node) handleReportLater(ctx context.Context, report *model.Report) (answer shard.Answer, redirectTo string) {
 	notified := make(chan struct{})
 	n.reportWaiters[report.Machine.ID] = append(n.reportWaiters[report.Machine.ID], notified)
@@ -69,7 +71,7 @@
 	return answer, redirectTo
 }
 
-// waitUnlocked lets go of the lock until c is closed or the time is over.
+// waitUnlocked releases the lock until done is closed, the timeout expires or the context ends.
 func (n *Node) waitUnlocked(ctx context.Context, done <-chan struct{}, timeout time.Duration) {
 	n.mu.Unlock()
 	defer n.mu.Lock()
@@ -82,8 +84,8 @@
 	}
 }
 
-// handleReport takes a report to this controller's shard. unowned tells that the
-// shard may act, but does not own the machine.
+// handleReport passes a report to this controller's shard. unowned is true if the shard may act but does
+// not own the machine, and its owner is not known yet.
 func (n *Node) handleReport(report *model.Report) (answer shard.Answer, redirectTo string, unowned bool) {
 	now := n.now()
 	if n.local == nil || !n.local.shard.HasGrant(now) {
@@ -92,7 +94,7 @@
 	s := n.local.shard
 	refusedBefore := s.Stats.ExpiredSessionReports
 	ok := s.HandleReport(now, report)
-	if !ok && n.lead != nil { // the dealer is at hand: it may be ours by now
+	if !ok && n.lead != nil { // the dispatcher is here and may assign the machine at once
 		n.lead.dispatchLoop.exchangeMessages(now)
 		ok = s.HandleReport(now, report)
 	}
@@ -105,7 +107,7 @@
 			n.logRefused(report)
 		}
 		redirectTo = s.TakeRedirect(report.Machine.ID)
-		n.sendEvents(now) // at once: the worker waits for its owner
+		n.sendEvents(now) // at once, because the worker waits until its owner is known
 	}
 	n.requestCycle()
 	return answer, redirectTo, !ok && redirectTo == "" && !s.Owns(report.Machine.ID)
