--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -10,25 +10,26 @@
 	"honeylock/internal/wire"
 )
 
-// The decision log tells, by jobs' and machines' names, why a task was allowed to start and why
-// it was taken for free: who owned a machine under which token, what was charged to its team,
-// and on which session the decision rested. What is rare on a plain day is told at info, the
-// rest at debug.
+// The decision log shows, by names of jobs and machines, why a task was allowed to start and why it was
+// considered to run nowhere: which shard owned a machine under which token, what was charged to its team,
+// and on which session of the worker the decision was based. Events that are rare in normal operation
+// are logged at info level, the others at debug level.
 
-// logEnabled tells whether a level is on, so that nothing is gathered for a line that is not written.
+// logEnabled reports whether a level is logged, so that callers can skip preparing a line that is not.
 func (n *Node) logEnabled(level slog.Level) bool { return n.log.Enabled(context.Background(), level) }
 
-// logCharges has each change of a team's charges told at debug.
+// logCharges logs every change of the resources charged to a team, at debug level.
 func (l *leadership) logCharges() {
 	if !l.node.logEnabled(slog.LevelDebug) {
 		return
 	}
 	l.dispatcher.OnCharge(func(c dispatcher.Charge) {
-		l.node.log.Debug("charge", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
+		l.node.log.Debug("team charge changed", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
 			"zone", l.node.zoneName(c.Zone), "used_cpu", c.Used.CPU, "limit_cpu", c.Limit.CPU, "term", l.term)
 	})
 }
 
+// zoneName returns a zone's name, "any" for none.
 func (n *Node) zoneName(z model.Name) string {
 	if z == model.None {
 		return "any"
@@ -36,18 +37,18 @@
 	return n.names.Zones.Name(z)
 }
 
-// logEvent tells of an event of a shard, before it is taken.
+// logEvent logs an event of a shard, before the event is handled.
 func (l *leadership) logEvent(from model.ShardID, e *model.Event) {
 	switch e.Kind {
 	case model.LeaseExpiryConfirmed:
 		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
-			return // told again
+			return // a repeated event
 		}
-		l.node.log.Info("machine's lease is over: what it ran is lost", "machine", wire.MachineName(e.Machine), "shard", from,
+		l.node.log.Info("machine's lease expired: its tasks are lost", "machine", wire.MachineName(e.Machine), "shard", from,
 			"token", e.Token)
 	case model.WorkerBack, model.WorkerFenced:
 		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
-			l.node.log.Info("machine is back after its lease was over", "machine", wire.MachineName(e.Machine), "shard", from)
+			l.node.log.Info("machine is back after its lease expired", "machine", wire.MachineName(e.Machine), "shard", from)
 		}
 	case model.AttemptFound:
 		if l.node.logEnabled(slog.LevelDebug) {
@@ -56,16 +57,16 @@
 		}
 	case model.MachineReleased, model.MachineKept:
 		if l.node.logEnabled(slog.LevelDebug) {
-			l.node.log.Debug("machine let go of, or kept", "machine", wire.MachineName(e.Machine), "shard", from,
+			l.node.log.Debug("machine released or kept by its shard", "machine", wire.MachineName(e.Machine), "shard", from,
 				"kept", e.Kind == model.MachineKept, "tasks", len(e.Tasks))
 		}
 	}
 }
 
-// logOrder tells of an order to a shard.
+// logOrder logs an order to a shard.
 func (l *leadership) logOrder(o *model.Order) {
 	if o.Kind == model.KillAttempt {
-		l.node.log.Info("attempt found that must not be: it is stopped", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
+		l.node.log.Info("unexpected attempt found: stopping it", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
 			"machine", wire.MachineName(o.ID), "shard", o.To)
 		return
 	}
@@ -74,35 +75,36 @@
 	}
 	switch o.Kind {
 	case model.OwnMachine:
-		l.node.log.Debug("machine owned", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token", o.Token)
+		l.node.log.Debug("machine assigned to shard", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token",
+			o.Token)
 	case model.AssignTask:
-		l.node.log.Debug("task given", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted",
+		l.node.log.Debug("task assigned to shard", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted",
 			o.Assignment.Attempt)
 	case model.ConfirmLeaseExpiry:
-		l.node.log.Debug("lease to be confirmed as over", "machine", wire.MachineName(o.ID), "shard", o.To)
+		l.node.log.Debug("shard asked to confirm lease expiry", "machine", wire.MachineName(o.ID), "shard", o.To)
 	}
 }
 
-// logStarts tells of the launches that a worker is sent. session is the worker's.
+// logStarts logs the launch commands that are sent to a worker, with the worker's session.
 func (n *Node) logStarts(machine model.MachineID, token, session uint64, commands []model.Command, direct bool) {
 	if !n.logEnabled(slog.LevelDebug) {
 		return
 	}
 	for _, c := range commands {
 		if c.Verb == model.Launch {
-			n.log.Debug("start sent", "task", wire.TaskName(c.Task), "attempt", c.Attempt,
+			n.log.Debug("launch command sent", "task", wire.TaskName(c.Task), "attempt", c.Attempt,
 				"machine", wire.MachineName(machine), "token", token, "session", session, "direct", direct)
 		}
 	}
 }
 
-// logRefused tells of a report that was refused because its session's lease is over.
+// logRefused logs a report that was refused because its session's lease has expired.
 func (n *Node) logRefused(r *model.Report) {
-	n.log.Info("report refused: its session's lease is over", "machine", wire.MachineName(r.Machine.ID),
+	n.log.Info("report refused: its session's lease has expired", "machine", wire.MachineName(r.Machine.ID),
 		"session", r.Session, "number", r.Seq, "token", r.Token)
 }
 
-// logGrant tells when this controller's shard may act no more, and when it may again.
+// logGrant logs when this controller's shard loses the right to act, and when it has it again.
 func (n *Node) logGrant(now time.Duration, local *localShard) {
 	granted := local.shard.HasGrant(now)
 	if granted == local.loggedGrant {
@@ -110,8 +112,8 @@
 	}
 	local.loggedGrant = granted
 	if granted {
-		n.log.Info("grant begins: this controller's shard may act", "leader", n.leader)
+		n.log.Info("grant obtained: this controller's shard may act", "leader", n.leader)
 	} else {
-		n.log.Info("grant is over: this controller's shard may not act", "leader", n.leader)
+		n.log.Info("grant expired: this controller's shard may not act", "leader", n.leader)
 	}
 }
--- a/internal/node/failurelog.go
+++ b/internal/node/failurelog.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// failureLog keeps a service that stays away from filling the log: its first
-// failure and its return are told at info, what lies between at debug.
+// failureLog keeps repeated failures from filling the log: the first failure and the recovery are logged
+// at info level, the failures in between at debug level.
 type failureLog struct {
 	log          *slog.Logger
 	mu           sync.Mutex
@@ -18,7 +18,7 @@
 	return &failureLog{log: log, failingSince: map[string]time.Time{}}
 }
 
-// record takes the outcome of what is done again and again.
+// record logs the outcome of an operation that is repeated. what is the message for its failure.
 func (f *failureLog) record(what string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +26,7 @@
 	switch {
 	case err == nil && failing:
 		delete(f.failingSince, what)
-		f.log.Info(what+": over", "after", time.Since(since).Round(time.Millisecond))
+		f.log.Info(what+": recovered", "after", time.Since(since).Round(time.Millisecond))
 	case err != nil && failing:
 		f.log.Debug(what, "err", err)
 	case err != nil:
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -18,8 +18,8 @@
 	"honeylock/internal/wire"
 )
 
-// leaderHarness is a leader of term 1 with one member, hive-1, and no world around it. Its clock is
-// the node's, which began an hour ago.
+// leaderHarness is a leader of term 1 with one member, hive-1, without any services. Its clock is the
+// node's, which started an hour ago.
 type leaderHarness struct {
 	t       *testing.T
 	node    *Node
@@ -39,7 +39,7 @@
 	n.startedAt = n.startedAt.Add(-time.Hour)
 	n.election.ClearPriorPromise(0)
 	op := n.election.Step(n.now())[0]
-	for range 3 { // read, asked for a lease, acquired
+	for range 3 { // results of Read, Grant and Acquire
 		now := n.now()
 		op.SentAt = now
 		if ops := n.election.HandleResult(now, election.Result{Op: op, OK: true, Lease: 5, Version: 9}); len(ops) > 0 {
@@ -48,7 +48,7 @@
 	}
 	now := n.now()
 	if !n.election.Leading(now) {
-		t.Fatal("does not lead")
+		t.Fatal("the node does not lead")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,10 +65,10 @@
 	return h
 }
 
-// takeSent takes away what the leader has takeSent to its member.
+// takeSent drains and returns the messages that the leader has queued for its member.
 func (h *leaderHarness) takeSent(t *testing.T) (out []*peerpb.Down) {
 	t.Helper()
-	h.link.queue.Send(&peerpb.Down{}) // the last
+	h.link.queue.Send(&peerpb.Down{}) // marks the end
 	ctx, cancel := context.WithCancel(t.Context())
 	var buf bytes.Buffer
 	_ = h.link.queue.Run(ctx, &buf, func() error { cancel(); return nil })
@@ -84,29 +84,32 @@
 	}
 }
 
-// setOpenJobsAsOf sets back what is known of the open jobs.
+// setOpenJobsAsOf sets the time as of which the open jobs are known.
 func (h *leaderHarness) setOpenJobsAsOf(at time.Duration) {
 	h.lead.dispatchLoop.openJobsAsOf, h.lead.dispatchLoop.openJobsView = at, cancellog.OpenJobsView{}
 	h.lead.dispatchLoop.openJobsView.Read(at)
 	h.takeSent(h.t)
 }
 
+// sendAsk passes a grant request of the member to the leader.
 func (h *leaderHarness) sendAsk(now time.Duration, ask *peerpb.Ask) {
 	h.lead.handleMessage(now, h.shardID, h.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: ask}})
 }
 
-// reportCancellations has the member say that it reportCancellations users of these cancellations, and all that it reportCancellations in
-// the last minute, once it has had a grant.
+// reportCancellations lets the member, which answers the given grant, report that it acknowledged these
+// cancellations to users, and that it has reported all of the last minute.
 func (h *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
 	h.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
 }
 
+// addOpenJob adds a job with two tasks to the dispatcher.
 func (h *leaderHarness) addOpenJob(job model.JobID) {
 	h.node.names.Images.ID("img")
 	h.lead.dispatcher.AddJob(h.node.now(), &model.Spec{ID: job, Tasks: 2, Zone: model.None}, 3, 0, false)
 }
 
-// A new leader gives no grant, and its own shard acts on none, before it has read what is open.
+// A new leader sends no grant, and its own shard has none, before it has read the open jobs. Otherwise
+// tasks of jobs that were cancelled before could start.
 func TestNoGrantBeforeOpenJobsAreRead(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.node.mu.Lock()
@@ -115,30 +118,30 @@
 	h.sendAsk(now, &peerpb.Ask{})
 	for _, message := range h.takeSent(t) {
 		if grant := message.GetGrant(); grant.GetForUs() > 0 {
-			t.Errorf("a grant for %d us", grant.GetForUs())
+			t.Errorf("got a grant for %d us before the open jobs were read", grant.GetForUs())
 		}
 	}
 	h.lead.tick(now)
 	if h.node.local.shard.HasGrant(now) {
-		t.Error("its own shard acts")
+		t.Error("the leader's shard has a grant before the open jobs were read")
 	}
 	h.lead.dispatchLoop.markOpenJobsRead(now, now-time.Second)
 	h.lead.tick(now)
 	if !h.node.local.shard.HasGrant(now) {
-		t.Error("its own shard does not act on a picture of a second ago")
+		t.Error("the leader's shard has no grant though the open jobs were read a second ago")
 	}
 }
 
-// Authority never runs ahead of what it rests on: a member that has a grant of after a
-// cancellation, and loses its leader then, would else act on without having heard of it, from
-// a picture that was asked for well after users were told.
+// The order that ends a cancelled job is sent before a grant that is based on a later view of the open
+// jobs. Otherwise a member that gets such a grant and then loses its leader would act without having
+// learned of the cancellation, although users were told of it before.
 func TestCancellationsPrecedeGrants(t *testing.T) {
 	for name, applyCancellation := range map[string]func(h *leaderHarness, now time.Duration){
 		"by the watch": func(h *leaderHarness, now time.Duration) {
 			h.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
 		},
 		"by another controller": func(h *leaderHarness, now time.Duration) {
-			h.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // gets grant 1
+			h.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // is answered with grant 1
 			h.takeSent(h.t)
 			h.reportCancellations(now, 1, 7)
 		},
@@ -154,26 +157,26 @@
 			applyCancellation(h, now)
 			h.sendAsk(now, &peerpb.Ask{})
 			if h.lead.authorityEnd() <= authorityBefore {
-				t.Fatal("nothing was gained: the test shows nothing")
+				t.Fatal("authority was not extended, so the test shows nothing")
 			}
 			endSent := false
 			for _, message := range h.takeSent(t) {
 				order := message.GetOrder()
 				endSent = endSent || order != nil && model.OrderKind(order.GetKind()) == model.EndJob && order.GetJob() == 7
 				if message.GetGrant() != nil && !endSent {
-					t.Fatal("the grant went out before the job's end")
+					t.Fatal("the grant was sent before the job's end")
 				}
 			}
 			if !endSent {
-				t.Fatal("the member was not told")
+				t.Fatal("the job's end was not sent to the member")
 			}
 		})
 	}
 }
 
-// While the state service answers nobody, the picture of the open jobs is as young as the
-// member's word: counted from the grant that its word answers, and only if it has told all
-// since before the picture.
+// While the state service answers nobody, the view of the open jobs is as recent as the member's reports
+// of acknowledged cancellations. These count from when the grant that they answer was sent, and only if
+// they are complete since before the view was read.
 func TestAuthorityFollowsMembersAcknowledgements(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.node.mu.Lock()
@@ -184,17 +187,17 @@
 	h.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
 	h.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
 	if viewAge() != 20*time.Second {
-		t.Errorf("a member that says nothing of what it told makes the picture %v old", viewAge())
+		t.Errorf("a member that does not report acknowledgements makes the view %v old", viewAge())
 	}
 	h.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
 	if viewAge() != 20*time.Second {
-		t.Errorf("one that began since makes it %v old", viewAge())
+		t.Errorf("a member that started since makes the view %v old", viewAge())
 	}
 	h.reportCancellations(now, 2)
 	if viewAge() != 2*time.Second {
-		t.Errorf("one that has told all makes it %v old, want the age of the grant that it answers", viewAge())
+		t.Errorf("a member that reported all makes the view %v old, want the age of the grant that it answers", viewAge())
 	}
-	// A job that it told of is over, even if what was asked for before still shows it.
+	// A job whose cancellation it reported has ended, even if an older read still shows it as open.
 	h.addOpenJob(7)
 	h.reportCancellations(now, 2, 7, 8)
 	sub, err := wire.ParseSubmission([]byte(`{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch",
@@ -206,13 +209,14 @@
 	h.lead.dispatchLoop.addJob(now, storedJob{sub, 9}, now)
 	for _, id := range []model.JobID{7, 8} {
 		if h.lead.dispatcher.JobVersion(id) != 0 {
-			t.Errorf("job %d is open", id)
+			t.Errorf("job %d is open, want ended", id)
 		}
 	}
 }
 
-// A leader that the state service answers, but not about the open jobs, lets another one try,
-// however young its picture is by what controllers tell: it would never learn of a new job.
+// A leader that the state service serves, except for requests about the open jobs, resigns, however
+// recent its view is by the controllers' reports: it would never learn of a new job. In an outage of
+// the whole service it goes on.
 func TestLeaderResignsWhenOpenWatchFails(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.node.mu.Lock()
@@ -221,23 +225,23 @@
 	h.setOpenJobsAsOf(now)
 	for d := time.Duration(0); d < 2*time.Minute; d += time.Second {
 		if h.lead.dispatchLoop.openWatchFailing(now + d) {
-			t.Fatalf("blind in an outage, after %v", d)
+			t.Fatalf("the watch counts as failing after %v of an outage", d)
 		}
 	}
 	outageEnd := now + 2*time.Minute
 	for d := time.Duration(0); d < openWatchFailureLimit; d += time.Second {
 		h.node.health.recordRequest(outageEnd+d, storehealth.Served)
 		if h.lead.dispatchLoop.openWatchFailing(outageEnd + d) {
-			t.Fatalf("blind %v after the outage", d)
+			t.Fatalf("the watch counts as failing already %v after the outage", d)
 		}
 	}
 	h.node.health.recordRequest(outageEnd+openWatchFailureLimit+time.Second, storehealth.Served)
 	if !h.lead.dispatchLoop.openWatchFailing(outageEnd + openWatchFailureLimit + time.Second) {
-		t.Error("goes on without news")
+		t.Error("the watch does not count as failing after the limit")
 	}
 	h.lead.dispatchLoop.markOpenJobsRead(outageEnd+15*time.Second, outageEnd+14*time.Second)
 	h.node.health.recordRequest(outageEnd+15*time.Second, storehealth.Served)
 	if h.lead.dispatchLoop.openWatchFailing(outageEnd + 15*time.Second) {
-		t.Error("gives way though it has news")
+		t.Error("the watch counts as failing though the open jobs were read")
 	}
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -9,17 +9,17 @@
 	"honeylock/internal/core/storehealth"
 )
 
-// processHealth is how this process is doing: how far behind it is, and how it stands with
-// the state service. It has a lock of its own: neither a door nor an answer of the
-// state service should wait for a long turn to be told, or to tell.
+// processHealth tracks how far behind this process is, and whether the state service serves it. It has
+// its own lock, so that neither admission of requests nor answers of the state service wait for a long
+// cycle to end.
 type processHealth struct {
 	mu       sync.Mutex
 	overload overload.Detector
 	store    storehealth.Health
-	jitter   *rand.Rand // sets askers apart
+	jitter   *rand.Rand // spreads the retries of refused users
 }
 
-// recordDelay takes how recordDelay a tick came.
+// recordDelay records how late a tick was.
 func (h *processHealth) recordDelay(now, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,68 +27,74 @@
 	h.store.RecordDelay(now, delay)
 }
 
-// recordRequest takes what became of a request to the state service.
+// recordRequest records the outcome of a request to the state service.
 func (h *processHealth) recordRequest(sent time.Duration, o storehealth.Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.store.RecordOutcome(sent, o)
 }
 
-// admit tells whether a user's request should be begun at all, or when its user
-// should ask again.
+// admit reports whether a user's request should be processed, and if not, when the user should try
+// again.
 func (h *processHealth) admit(now time.Duration, kind overload.Kind) (ok bool, retryAfter time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.overload.Admits(now, kind), h.overload.RetryAfter(now, h.jitter.Float64())
 }
 
-// scaleConcurrency is how many of up to most things this process should do at a time of its
-// own accord.
+// scaleConcurrency returns how many operations, of at most limit, this process should have in progress
+// on its own initiative: fewer the further it is behind.
 func (h *processHealth) scaleConcurrency(now time.Duration, limit int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.overload.Scale(now, limit)
 }
 
+// lag returns how far behind this process is.
 func (h *processHealth) lag(now time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.overload.Lag(now)
 }
 
-// stateUnserved, alone, givesWay and confirmed are the store's.
+// stateUnserved reports whether the state service has not served this controller for a while.
 func (h *processHealth) stateUnserved(now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.Unreachable(now)
 }
 
+// refusedAlone reports whether the state service refuses this controller while it serves a sibling, which
+// it last served at siblingServedAt.
 func (h *processHealth) refusedAlone(now, siblingServedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.RefusedAlone(now, siblingServedAt)
 }
 
+// shouldYield reports whether this leader should yield to a sibling that the state service serves.
+// confirm is true if a sibling should first be asked whether it is served.
 func (h *processHealth) shouldYield(now, siblingServedAt time.Duration) (yield, confirm bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.YieldNow(now, siblingServedAt)
 }
 
+// yieldConfirmed records that a sibling, when asked, was served by the state service.
 func (h *processHealth) yieldConfirmed(now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.store.ConfirmServed(now)
 }
 
-// lastServed is when the newest request was sent that the state service has lastServed.
+// lastServed returns when the newest request that the state service has served was sent.
 func (h *processHealth) lastServed() (at time.Duration, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.LastServed()
 }
 
-// sinceServed is how long ago that was; long ago if there was none.
+// sinceServed returns how long ago lastServed was, more than an hour if nothing was ever served.
 func (h *processHealth) sinceServed(now time.Duration) time.Duration {
 	at, known := h.lastServed()
 	if !known {
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -92,7 +92,7 @@
 		guard:        wire.Guard{Key: keyLeader, Version: n.election.Version()},
 		loadedSignal: make(chan struct{}), startedAt: now, links: map[model.ShardID]*link{},
 		siblingReleases: map[string]uint32{},
-		writeQuota:      writequota.New(cluster.State.WriteRPS*leaderWriteShare,
+		writeQuota: writequota.New(cluster.State.WriteRPS*leaderWriteShare,
 			max(8, int(cluster.State.WriteRPS*leaderWriteShare/2)))}
 	// Shards of the previous term may act on grants until their leader's authority would
 	// have ended, even if its lease was revoked early: for up to one lease or promise from
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -10,15 +10,13 @@
 	"honeylock/internal/core/starvation"
 )
 
-// loadLogInterval is how often the leader's log tells what is open and what there is
-// for it.
+// loadLogInterval is how often the leader logs the open jobs and the machines that there are for them.
 const loadLogInterval = 15 * time.Second
 
-// classLoad sums up the open jobs of a class.
+// classLoad sums up the open jobs of one class: numbers of jobs, then of tasks.
 type classLoad struct{ jobs, ending, unfinished, assigned, running int }
 
-// logLoad tells the load at info: without it a day can't be understood
-// afterwards.
+// logLoad logs the load at info level, so that operators can later see how jobs and machines developed.
 func (dl *dispatchLoop) logLoad() {
 	if !dl.lead.node.log.Enabled(dl.lead.ctx, slog.LevelInfo) {
 		return
@@ -31,7 +29,7 @@
 			classes[demand.Spec.Class] = c
 		}
 		c.jobs++
-		if demand.Unfinished == 0 { // its final is not stored yet
+		if demand.Unfinished == 0 { // its final record is not stored yet
 			c.ending++
 		}
 		c.unfinished += int(demand.Unfinished)
@@ -60,7 +58,8 @@
 		"cpus", cpus/1000,
 		"free", free/1000)
 	for _, group := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
-		dl.lead.node.log.Warn("jobs wait for too long to begin", "of", dl.lead.node.groupName(group.Group), "begun", group.Begun,
+		dl.lead.node.log.Warn("jobs have waited too long to begin", "of", dl.lead.node.groupName(group.Group), "begun",
+			group.Begun,
 			"late", group.Overdue,
 			"longest", group.LongestWait)
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -8,17 +8,17 @@
 	"honeylock/internal/core/model"
 )
 
-// MemberReply is how a controller stands with the leader, as operators see it.
+// MemberReply is a controller's status as the leader sees it, for operators.
 type MemberReply struct {
 	Host      string  `json:"host"`
 	Leading   bool    `json:"leads"`
-	Connected bool    `json:"here"`    // it leads, or is linked to the leader
-	Release   uint32  `json:"release"` // 0: 0.4, or not heard in this term
+	Connected bool    `json:"here"`    // it leads, or is connected to the leader
+	Release   uint32  `json:"release"` // 0: release 0.4, or it has not joined in this term
 	Machines  int     `json:"machines"`
-	StateAgeS float64 `json:"state_s"` // how long ago the state service last answered it; -1: not told
+	StateAgeS float64 `json:"state_s"` // how long ago the state service last served it; -1: not reported
 }
 
-// memberReplies tells how all controllers stand.
+// memberReplies returns the status of all controllers, sorted by host.
 func (l *leadership) memberReplies(now time.Duration) []MemberReply {
 	owned := map[model.ShardID]int{}
 	for _, owner := range l.dispatcher.MachineOwners() {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,7 +6,7 @@
 	"honeylock/internal/core/writequota"
 )
 
-// Register adds the controller's metrics to a registry.
+// Register registers the controller's metrics.
 func (n *Node) Register(reg *prometheus.Registry) {
 	gauge := func(name, help string, f func() float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "honeylock_" + name, Help: help}, func() float64 {
@@ -142,7 +142,7 @@
 		shardCount(func() uint64 { return n.local.shard.Stats.Errors }))
 }
 
-// whileLeading is f's figure while this controller leads, else 0.
+// whileLeading returns a function that returns f's value while this controller leads, else 0.
 func whileLeading[T float64 | uint64](n *Node, f func(l *leadership) T) func() T {
 	return func() T {
 		if n.lead == nil {
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -21,12 +21,13 @@
 	"honeylock/internal/wire"
 )
 
+// storedJob is an open job as stored, with the version of its open record.
 type storedJob struct {
 	submission *wire.Submission
 	version    uint64
 }
 
-// listOpen lists the open jobs.
+// listOpen lists the stored open jobs, and the revision that they were listed at.
 func (dl *dispatchLoop) listOpen() (map[model.JobID]storedJob, uint64, error) {
 	open := map[model.JobID]storedJob{}
 	rev, err := dl.lead.node.state.List(state.As(dl.lead.ctx, ratelimit.Leader), openPrefix, func(it *wire.Item) error {
@@ -40,6 +41,7 @@
 	return open, rev, err
 }
 
+// parseOpenRecord parses an open record; of a deleted one (no value) only the key.
 func parseOpenRecord(key string, v json.RawMessage) (model.JobID, *wire.Submission, error) {
 	id, err := wire.ParseJob(strings.TrimPrefix(key, openPrefix))
 	if err != nil {
@@ -55,22 +57,24 @@
 	return id, &sub, nil
 }
 
+// storedBlock is a stored block of machine records.
 type storedBlock struct {
 	wire.MachineBlock
 	id      dispatcher.BlockID
 	version uint64
 }
 
+// storedChunk is a stored chunk of a job's progress.
 type storedChunk struct {
 	id        model.JobID
 	chunk     dispatcher.ChunkID
-	firstTask int32 // the task of its first bit
+	firstTask int32 // index of the task of its first bit
 	bits      []byte
 	// version of the record
 	version uint64
 }
 
-// read gets the machines' records, the open jobs and what is done of them.
+// read reads the machine records, the open jobs and their progress.
 func (dl *dispatchLoop) read(ctx context.Context) (func(time.Duration) error, error) {
 	blocks, err := dl.readBlocks(ctx)
 	if err != nil {
@@ -102,12 +106,12 @@
 		for id := range n.previousMachines {
 			dl.dispatcher.HandleEvent(now, dl.lead.localID, model.Event{Kind: model.MachineRemembered, Machine: id})
 		}
-		cancelled, _ := n.cancelLog.EntriesFrom(0) // some perhaps since that was asked
+		cancelled, _ := n.cancelLog.EntriesFrom(0) // some may be newer than the list of open jobs
 		for _, id := range cancelled {
 			dl.openJobsView.AddCancelled(now, id)
 		}
 		for _, stored := range open {
-			dl.addJob(now, stored, -time.Hour) // users may have been told long ago
+			dl.addJob(now, stored, -time.Hour) // ends of its dependencies may have been acknowledged long ago
 		}
 		dl.lead.dependencies.applyDecisions(now)
 		for _, c := range chunks {
@@ -115,12 +119,13 @@
 		}
 		dl.openRevision, dl.orphanedKeys = rev, orphans
 		dl.markOpenJobsRead(now, askedAt)
-		n.log.Info("store read", "term", dl.lead.term, "revision", rev,
+		n.log.Info("stored state read", "term", dl.lead.term, "revision", rev,
 			"asked_ago", now-askedAt, "open", len(open), "machines", machines)
 		return nil
 	}, nil
 }
 
+// readBlocks lists the blocks of machine records, those in the newest layout first.
 func (dl *dispatchLoop) readBlocks(ctx context.Context) ([]storedBlock, error) {
 	var blocks []storedBlock
 	_, err := dl.lead.node.state.List(ctx, machinePrefix, func(it *wire.Item) error {
@@ -135,12 +140,12 @@
 		blocks = append(blocks, block)
 		return nil
 	})
-	// The newest layout first: a machine that stands in two counts as recorded there.
+	// A machine that is in two blocks counts as recorded in the newest layout, so that comes first.
 	slices.SortStableFunc(blocks, func(a, b storedBlock) int { return cmp.Compare(layoutOrder(a.id), layoutOrder(b.id)) })
 	return blocks, err
 }
 
-// layoutOrder orders layouts: they have only ever become smaller.
+// layoutOrder orders layouts from newest to oldest: newer layouts always have smaller blocks.
 func layoutOrder(id dispatcher.BlockID) uint64 {
 	if id.Size == 0 {
 		return math.MaxUint64
@@ -148,8 +153,8 @@
 	return id.Size
 }
 
-// currentLayout is the layout that the records were last written in, 0: that of 0.4. One
-// record of a later layout shows that all controllers could read it.
+// currentLayout returns the layout that the records were last written in, 0 for that of 0.4. A single
+// record in a later layout shows that all controllers can read it.
 func currentLayout(blocks []storedBlock, planned uint64) uint64 {
 	size := planned
 	for _, r := range blocks {
@@ -160,7 +165,7 @@
 	return size
 }
 
-// readChunks lists what is done of the open jobs, and the keys of others.
+// readChunks lists the progress of the open jobs, and the keys of orphaned progress of ended jobs.
 func (dl *dispatchLoop) readChunks(ctx context.Context,
 	open map[model.JobID]storedJob) (chunks []storedChunk, orphans []string,
 	err error) {
@@ -178,7 +183,8 @@
 			return fmt.Errorf("done record %s: %w", it.Key, err)
 		}
 		if chunkID.OldLayout {
-			chunks = append(chunks, storedChunk{id, chunkID, chunkID.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB), chunk.Bits,
+			chunks = append(chunks, storedChunk{id, chunkID, chunkID.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB),
+				chunk.Bits,
 				it.Version})
 		} else {
 			chunks = append(chunks, storedChunk{id, chunkID, chunk.From, chunk.Part, it.Version})
@@ -188,7 +194,7 @@
 	return chunks, orphans, err
 }
 
-// run watches the open jobs.
+// run deletes orphaned progress in the background and watches the open jobs.
 func (dl *dispatchLoop) run() {
 	if len(dl.orphanedKeys) > 0 {
 		go dl.deleteOrphans(dl.orphanedKeys)
@@ -196,18 +202,19 @@
 	dl.watchOpen(dl.openRevision)
 }
 
+// deleteOrphans deletes stored progress of ended jobs. What fails is left to the next leader.
 func (dl *dispatchLoop) deleteOrphans(keys []string) {
 	for _, k := range keys {
 		if _, err := dl.lead.node.state.Txn(dl.lead.ctx, wire.Txn{Guards: []wire.Guard{dl.lead.guard},
 			Then: []wire.Op{{Delete: k}}}); err != nil {
-			dl.lead.node.log.Debug("orphan not dropped", "key", k, "err", err)
+			dl.lead.node.log.Debug("failed to delete orphaned progress", "key", k, "err", err)
 		}
 	}
 }
 
-// addJob takes an open record. What was stored before this term's key may have
-// tasks on machines.
-// An end of a job that it awaits may have been told since.
+// addJob adds a stored open job, unless its cancellation is known already. A job that was stored before
+// this term's leader key may have tasks on machines. since is the earliest time at which the end of one
+// of its dependencies may have been acknowledged to a user.
 func (dl *dispatchLoop) addJob(now time.Duration, stored storedJob, since time.Duration) {
 	waited := time.Duration(max(0, time.Now().UnixMilli()-stored.submission.SubmittedMS)) * time.Millisecond
 	spec := stored.submission.Spec(dl.lead.node.names)
@@ -218,7 +225,7 @@
 	dl.lead.dependencies.addJob(spec, stored.submission.Needs(), since)
 }
 
-// watchOpen watches the open jobs.
+// watchOpen applies changes of the open jobs, starting after revision rev, until the term ends.
 func (dl *dispatchLoop) watchOpen(rev uint64) {
 	n := dl.lead.node
 	for dl.lead.ctx.Err() == nil {
@@ -236,7 +243,7 @@
 			err = listErr
 		}
 		if dl.lead.ctx.Err() == nil {
-			n.failures.record("open jobs not followed", err)
+			n.failures.record("failed to watch the open jobs", err)
 		}
 		if err != nil {
 			sleep(dl.lead.ctx, 300*time.Millisecond)
@@ -245,7 +252,7 @@
 		rev = ev.Revision
 		n.mu.Lock()
 		if n.lead != dl.lead {
-			// The term ended while the watch waited: there may be no shard now.
+			// The term ended while the watch waited, so there may be no local shard any more.
 			n.mu.Unlock()
 			return
 		}
@@ -254,7 +261,7 @@
 	}
 }
 
-// applyOpenEvents takes what has applyOpenEvents among the open jobs, as a question asked then was answered.
+// applyOpenEvents applies changes of the open jobs that answer a request sent at askedAt.
 func (dl *dispatchLoop) applyOpenEvents(now, askedAt time.Duration, events []wire.Event) {
 	n := dl.lead.node
 	for _, e := range events {
@@ -262,7 +269,7 @@
 		id, sub, err := parseOpenRecord(key, e.Value)
 		switch {
 		case err != nil:
-			n.log.Error("open record unreadable", "key", key, "err", err)
+			n.log.Error("failed to decode an open record", "key", key, "err", err)
 		case e.Put != "":
 			dl.addJob(now, storedJob{sub, e.Version}, dl.openJobsAsOf)
 		default:
@@ -278,16 +285,16 @@
 	}
 }
 
-// markOpenJobsRead takes that the open jobs are known as of when it was asked. Authority lasts longer
-// from here on, so what was learned goes out first: a shard with a grant that rests on this
-// picture, and that hears nothing more, would act on without it.
+// markOpenJobsRead records that the open jobs are known as of askedAt, which extends this leader's
+// authority. It first sends the orders that follow from what was read: otherwise a shard could get a
+// grant that is based on this view, lose its link, and act without those orders.
 func (dl *dispatchLoop) markOpenJobsRead(now, askedAt time.Duration) {
 	dl.exchangeMessages(now)
 	dl.openJobsAsOf = askedAt
 	dl.openJobsView.Read(askedAt)
 }
 
-// applyCancellation takes a controller's word that it told a user of a cancellation.
+// applyCancellation ends a job whose cancellation a controller has acknowledged to a user.
 func (dl *dispatchLoop) applyCancellation(now time.Duration, id model.JobID) {
 	if !dl.openJobsView.AddCancelled(now, id) || dl.dispatcher.JobVersion(id) == 0 {
 		return
@@ -298,12 +305,13 @@
 	dl.lead.node.requestCycle()
 }
 
-// openWatchFailureLimit is how long the state service may serve a leader without news of the open jobs:
-// some questions, each of which takes seconds.
+// openWatchFailureLimit is how long a leader may be served by the state service without an answer about
+// the open jobs. It covers several requests, each of which may take seconds.
 const openWatchFailureLimit = 10 * time.Second
 
-// openWatchFailing tells that the state service answers this leader, yet not what it asks about the
-// open jobs: another one may learn of what was submitted. In an outage nobody does.
+// openWatchFailing reports whether the state service has for long served this leader but not its
+// requests about the open jobs. Another leader may then learn of new submissions. In an outage of the
+// state service no other leader would, so that does not count.
 func (dl *dispatchLoop) openWatchFailing(now time.Duration) bool {
 	if now-dl.openJobsAsOf <= dl.lead.node.cfg.Cluster.StalenessBound() || dl.lead.node.health.stateUnserved(now) {
 		dl.openWatchFailingSince = 0
@@ -315,7 +323,8 @@
 	return now-dl.openWatchFailingSince > openWatchFailureLimit
 }
 
-// updateOpenJobsView brings the picture up to what all controllers have told, as this one knows it.
+// updateOpenJobsView extends the validity of the view of the open jobs by the cancellations that all
+// siblings have reported. It needs a link to each sibling.
 func (dl *dispatchLoop) updateOpenJobsView(now time.Duration) {
 	var coverages []cancellog.Coverage
 	for _, s := range dl.lead.node.cfg.Siblings {
@@ -325,12 +334,12 @@
 		}
 		coverages = append(coverages, memberLink.coverage)
 	}
-	dl.exchangeMessages(now) // as for what was seen
+	dl.exchangeMessages(now) // before authority is extended, as in markOpenJobsRead
 	dl.openJobsView.ApplyCoverage(now, coverages)
 }
 
-// relist reads all open jobs, where the watch has fallen behind; over tells that
-// the term ended meanwhile.
+// relist reads all open jobs again after the watch has fallen too far behind. termOver is true if the
+// term has ended meanwhile.
 func (dl *dispatchLoop) relist() (rev uint64, termOver bool, err error) {
 	n := dl.lead.node
 	askedAt := n.now()
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -7,12 +7,12 @@
 	"honeylock/internal/core/rateshare"
 )
 
-// rateDivisionInterval is how often the leader divides the state service's rate anew.
+// rateDivisionInterval is how often the leader divides the state service's rate among the controllers.
 const rateDivisionInterval = 400 * time.Millisecond
 
-// divideRate divides the state service's rate among all controllers by what they asked for
-// lately. A sibling that says nothing of its needs (it is not linked, or of a release before
-// 0.9) uses up to an equal part by itself, which is left to it.
+// divideRate divides the state service's rate among all controllers by their recent demand. A sibling
+// that reports no demand (it is not connected, or of a release before 0.9) limits itself to an equal
+// share, so that share is left to it.
 func (l *leadership) divideRate(now time.Duration) {
 	if now-l.ratesDividedAt < rateDivisionInterval {
 		return
@@ -21,7 +21,7 @@
 	n := l.node
 	siblings := n.cfg.Siblings
 	equalShare := rateshare.TotalShare / float64(1+len(siblings))
-	links := make([]*link, len(siblings)) // nil: not linked
+	links := make([]*link, len(siblings)) // nil: not connected
 	requests, writes := make([]float64, len(siblings)), make([]float64, len(siblings))
 	for i, s := range siblings {
 		links[i] = l.linkTo(s.HostName)
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -10,17 +10,18 @@
 	"honeylock/internal/wire"
 )
 
-// release is what this program can do beyond 0.4, as controllers tell each other. From
-// 1 on it reads blocks of machines of every size, and knows jobs that await others; from 2
-// on it tells reports' numbers and jobs in doubt.
+// release numbers this program's capabilities beyond release 0.4; controllers exchange it. From 1 on a
+// controller reads machine blocks of every size and supports jobs with dependencies. From 2 on it also
+// exchanges the numbers of workers' reports and which jobs are in doubt.
 const release = 2
 
-// Keys of the records whose size the state service bounds. Those of 0.4 have a number
-// alone: machines/00000003, done/job-000412/1. Later ones say how large a block is, or
-// which task is a chunk's first within its value: machines/s19/00000003,
-// done/job-000412/0.3. A leader of 0.4 that lists them takes the machines in and the
-// chunks for empty ones (docs/upgrade.md).
+// Keys of the records whose size is limited by the state service. Keys of 0.4 hold only a number:
+// machines/00000003, done/job-000412/1. Later keys of blocks also hold the block's size,
+// machines/s19/00000003; later keys of chunks, done/job-000412/0.3, mark values that name the chunk's
+// first task. A leader of 0.4 that lists the later records reads the machines, and reads the chunks as
+// empty ones (docs/upgrade.md).
 
+// blockKey returns the key of a block of machine records.
 func blockKey(id dispatcher.BlockID) string {
 	if id.Size == 0 {
 		return fmt.Sprintf("%s%08d", machinePrefix, id.Index)
@@ -28,11 +29,12 @@
 	return fmt.Sprintf("%ss%d/%08d", machinePrefix, id.Size, id.Index)
 }
 
+// parseBlockKey parses a key made by blockKey.
 func parseBlockKey(key string) (id dispatcher.BlockID, err error) {
 	number := strings.TrimPrefix(key, machinePrefix)
 	if size, rest, sized := strings.Cut(number, "/"); sized {
 		if id.Size, err = strconv.ParseUint(strings.TrimPrefix(size, "s"), 10, 32); err != nil || id.Size == 0 {
-			return id, fmt.Errorf("machine records %s: its layout is not known", key)
+			return id, fmt.Errorf("machine records %s: unknown layout", key)
 		}
 		number = rest
 	}
@@ -42,6 +44,7 @@
 	return id, nil
 }
 
+// chunkKey returns the key of a chunk of a job's progress.
 func chunkKey(id model.JobID, c dispatcher.ChunkID) string {
 	layoutPrefix := ""
 	if !c.OldLayout {
@@ -50,6 +53,7 @@
 	return fmt.Sprintf("%s%s/%s%d", donePrefix, wire.JobName(id), layoutPrefix, c.Index)
 }
 
+// parseChunkKey parses a key made by chunkKey.
 func parseChunkKey(key string) (id model.JobID, c dispatcher.ChunkID, err error) {
 	name, suffix, _ := strings.Cut(strings.TrimPrefix(key, donePrefix), "/")
 	if id, err = wire.ParseJob(name); err != nil {
@@ -60,23 +64,23 @@
 	return id, dispatcher.ChunkID{OldLayout: !newLayout, Index: int32(n)}, err
 }
 
-// applyOldestRelease takes the oldest release among all controllers, now that all have joined
-// this term: once none is of 0.4, records are written that fit the limits to come.
+// applyOldestRelease is called with the oldest release among all controllers once all have joined this
+// term. If none is of 0.4, records are written in a layout that fits the announced lower limits.
 func (l *leadership) applyOldestRelease(oldest uint32) {
 	cluster := &l.node.cfg.Cluster
 	if oldest >= 1 && l.dispatcher.Layout() == 0 && cluster.ValueKB() < cluster.State.ValueKB {
 		size := blockSize(cluster.ValueKB())
-		l.node.log.Info("all controllers are of this release: machines' records get smaller", "machines", size)
+		l.node.log.Info("all controllers can read smaller blocks of machine records: using them", "machines", size)
 		l.changeLayout(size)
 	}
 }
 
-// shrinkBlocks takes a block that the state service refused for its size: limits that were
-// announced hold, or names are long. Written again as it is it would be refused for
-// ever, and its machines would get no task.
+// shrinkBlocks reduces the block size after the state service refused a block as too large, because
+// announced limits are in force or names are long. The same block would be refused forever, and its
+// machines would get no tasks.
 func (l *leadership) shrinkBlocks(id dispatcher.BlockID) {
 	if id.Size != l.dispatcher.Layout() || id.Size == 1 {
-		return // the layout has changed since
+		return // the layout has already changed
 	}
 	cluster := &l.node.cfg.Cluster
 	size := id.Size
@@ -84,11 +88,12 @@
 		size = legacyBlockSize(cluster.State.ValueKB)
 	}
 	size = min(blockSize(cluster.ValueKB()), max(1, size/2))
-	l.node.log.Info("a block of machines' records is too large for the state service: smaller ones", "machines", size)
+	l.node.log.Info("a block of machine records is too large for the state service: using smaller blocks", "machines",
+		size)
 	l.changeLayout(size)
 }
 
-// changeLayout has everything that may be too large for the limits to come written smaller.
+// changeLayout switches everything that may exceed the announced limits to smaller records.
 func (l *leadership) changeLayout(size uint64) {
 	l.dispatcher.SetLayout(size)
 	l.drains.engine.EnableCompression()
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -6,7 +6,7 @@
 	"honeylock/internal/core/starvation"
 )
 
-// groupName is what a group of jobs has in common, for people.
+// groupName returns a readable name of a group of jobs: its team or class, or the largest jobs of a class.
 func (n *Node) groupName(group starvation.Group) string {
 	switch group.Kind {
 	case starvation.Team:
@@ -18,7 +18,8 @@
 	}
 }
 
-// starvationMetrics tell, on the leader, what part of each class, team and size has begun.
+// starvationMetrics export, on the leader, the share of jobs of each class, team and size that have begun
+// and their longest wait.
 type starvationMetrics struct {
 	node                *Node
 	begunShare, longest *prometheus.Desc
--- a/internal/node/storewrites.go
+++ b/internal/node/storewrites.go
@@ -11,44 +11,44 @@
 	"honeylock/internal/wire"
 )
 
-// component is one of the leader's powers: it loads what earlier leaders stored, then
-// is ticked, and gives what must be written. What it decides, a core decides. All
-// but read and run are called under the controller's lock.
+// component is one part of the leader. It loads what earlier leaders stored, is ticked while the term
+// lasts, and returns what must be stored; its decisions are made by state machines in internal/core.
+// All methods but read and run are called under the controller's lock.
 type component interface {
-	// read gets the part's records from the store, without the lock; take brings
-	// them in once every part has read its own.
-	read(ctx context.Context) (take func(now time.Duration) error, err error)
-	// run follows the outside world until the term ends.
+	// read reads the component's stored records without the lock. The function that it
+	// returns applies them under the lock, once every component has read its own.
+	read(ctx context.Context) (apply func(now time.Duration) error, err error)
+	// run follows changes from outside the process until the term ends.
 	run()
 	// tick is called a few times a second.
 	tick(now time.Duration)
-	// writes gives at most n changes of a class.
+	// writes returns at most n writes of a class.
 	writes(now time.Duration, c writequota.Class, n int) []storeWrite
 }
 
-// storeWrite is a transaction of the leader's. It bears the leader's guard besides
-// its own.
+// storeWrite is a transaction of the leader. Its own guards are added to the guard on the leader key.
 type storeWrite struct {
 	guards    []wire.Guard
 	ops       []wire.Op
-	batchable bool // may share a transaction with others of its part
+	batchable bool // may share a transaction with others of its component and class
 	onDone    func(now time.Duration, o writeOutcome)
 }
 
-// writeOutcome of a write.
+// writeOutcome is the outcome of a storeWrite.
 type writeOutcome struct {
 	revision uint64
 	err      error
-	// conflict tells that a guard failed, of this write or of one that shares its
-	// transaction: the key of its own first guard is at version at now (0: absent).
+	// conflict is true if a guard of this write, or of one that shares its transaction,
+	// failed. foundVersion is then the current version of the key of its own first guard,
+	// 0 if that is absent.
 	conflict     bool
 	foundVersion uint64
 }
 
-// maxWritesPerFlush are the writes given at a time.
+// maxWritesPerFlush is the maximum number of writes of one class of a component per flush.
 const maxWritesPerFlush = 32
 
-// flushWrites writes what must last, the most urgent first.
+// flushWrites stores what the components have to store, the most urgent class first, within the quota.
 func (l *leadership) flushWrites(now time.Duration) {
 	for class := writequota.FinalRecords; class <= writequota.OperatorRecords; class++ {
 		for _, comp := range l.components {
@@ -64,7 +64,7 @@
 	}
 }
 
-// sendWrites carries writes out, those that join in one transaction.
+// sendWrites commits writes in the background, batchable ones together in one transaction.
 func (l *leadership) sendWrites(now time.Duration, class writequota.Class, writes []storeWrite) {
 	var batch []storeWrite
 	flush := func() {
@@ -86,9 +86,9 @@
 	flush()
 }
 
-// requestClass is how urgent a write is among this controller's requests: progress once
-// went as finals do, and where changes were scarce 170 jobs that had ended waited
-// behind it. For an operator's change somebody waits, as for a user's.
+// requestClass returns the priority of a class of writes among this controller's requests. Progress is
+// in the background: with the priority of final records, 170 ended jobs waited behind it when the
+// write rate was scarce. An operator waits for an operator's change, so it has a user's priority.
 func requestClass(class writequota.Class) ratelimit.Class {
 	switch class {
 	case writequota.FinalRecords:
@@ -100,8 +100,8 @@
 	}
 }
 
-// readVersion reads at which version a key is whose guard may have failed; 0: absent. Ours is
-// the leader's key still, or else nothing matters any more.
+// readVersion reads the version of a key whose guard may have failed, 0 if it is absent. That the guard
+// on the leader key may have failed instead need not be checked: this term has then ended.
 func (l *leadership) readVersion(ctx context.Context, key string) (known bool, version uint64) {
 	it, err := l.node.state.Get(ctx, key)
 	if err != nil {
@@ -110,6 +110,7 @@
 	return true, it.Version
 }
 
+// commitWrites stores a batch in one transaction and passes each write its outcome.
 func (l *leadership) commitWrites(batch []storeWrite, class writequota.Class) {
 	n := l.node
 	txn := wire.Txn{Guards: []wire.Guard{l.guard}}
@@ -120,7 +121,7 @@
 	ctx := state.As(l.ctx, requestClass(class))
 	rev, err := n.state.Txn(ctx, txn)
 	if err != nil {
-		n.log.Debug("not stored", "writes", len(batch), "err", err)
+		n.log.Debug("failed to store writes", "writes", len(batch), "err", err)
 	}
 	outcomes := make([]writeOutcome, len(batch))
 	for i, write := range batch {
