--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -23,65 +23,66 @@
 	if !l.node.logEnabled(slog.LevelDebug) {
 		return
 	}
-	l.dispatcher.OnCharge(func(c dispatcher.Charge) {
-		l.node.log.Debug("team charge changed", "task", wire.TaskName(c.Task), "reason", c.Reason.String(), "shard", c.Shard,
-			"zone", l.node.zoneName(c.Zone), "used_cpu", c.Used.CPU, "limit_cpu", c.Limit.CPU, "term", l.term)
+	l.dispatcher.OnCharge(func(change dispatcher.Charge) {
+		l.node.log.Debug("team charge changed", "task", wire.TaskName(change.Task), "reason", change.Reason.String(),
+			"shard", change.Shard, "zone", l.node.zoneName(change.Zone),
+			"used_cpu", change.Used.CPU, "limit_cpu", change.Limit.CPU, "term", l.term)
 	})
 }
 
 // zoneName returns a zone's name, "any" for none.
-func (n *Node) zoneName(z model.Name) string {
-	if z == model.None {
+func (n *Node) zoneName(zone model.Name) string {
+	if zone == model.None {
 		return "any"
 	}
-	return n.names.Zones.Name(z)
+	return n.names.Zones.Name(zone)
 }
 
 // logEvent logs an event of a shard, before the event is handled.
-func (l *leadership) logEvent(from model.ShardID, e *model.Event) {
-	switch e.Kind {
+func (l *leadership) logEvent(from model.ShardID, event *model.Event) {
+	switch event.Kind {
 	case model.LeaseExpiryConfirmed:
-		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
+		if l.dispatcher.LeaseExpiryConfirmed(event.Machine) {
 			return // a repeated event
 		}
-		l.node.log.Info("machine's lease expired: its tasks are lost", "machine", wire.MachineName(e.Machine), "shard", from,
-			"token", e.Token)
+		l.node.log.Info("machine's lease expiry confirmed: its tasks are lost",
+			"machine", wire.MachineName(event.Machine), "shard", from, "token", event.Token)
 	case model.WorkerBack, model.WorkerFenced:
-		if l.dispatcher.LeaseExpiryConfirmed(e.Machine) {
-			l.node.log.Info("machine is back after its lease expired", "machine", wire.MachineName(e.Machine), "shard", from)
+		if l.dispatcher.LeaseExpiryConfirmed(event.Machine) {
+			l.node.log.Info("machine is back after its lease expired", "machine", wire.MachineName(event.Machine), "shard", from)
 		}
 	case model.AttemptFound:
 		if l.node.logEnabled(slog.LevelDebug) {
-			l.node.log.Debug("attempt found", "task", wire.TaskName(e.Task), "attempt", e.Attempt,
-				"machine", wire.MachineName(e.Machine), "shard", from)
+			l.node.log.Debug("attempt found", "task", wire.TaskName(event.Task), "attempt", event.Attempt,
+				"machine", wire.MachineName(event.Machine), "shard", from)
 		}
 	case model.MachineReleased, model.MachineKept:
 		if l.node.logEnabled(slog.LevelDebug) {
-			l.node.log.Debug("machine released or kept by its shard", "machine", wire.MachineName(e.Machine), "shard", from,
-				"kept", e.Kind == model.MachineKept, "tasks", len(e.Tasks))
+			l.node.log.Debug("machine released or kept by its shard", "machine", wire.MachineName(event.Machine), "shard", from,
+				"kept", event.Kind == model.MachineKept, "tasks", len(event.Tasks))
 		}
 	}
 }
 
 // logOrder logs an order to a shard.
-func (l *leadership) logOrder(o *model.Order) {
-	if o.Kind == model.KillAttempt {
-		l.node.log.Info("unexpected attempt found: stopping it", "task", wire.TaskName(o.Task), "attempt", o.Attempt,
-			"machine", wire.MachineName(o.ID), "shard", o.To)
+func (l *leadership) logOrder(order *model.Order) {
+	if order.Kind == model.KillAttempt {
+		l.node.log.Info("unexpected attempt found: stopping it", "task", wire.TaskName(order.Task), "attempt", order.Attempt,
+			"machine", wire.MachineName(order.ID), "shard", order.To)
 		return
 	}
 	if !l.node.logEnabled(slog.LevelDebug) {
 		return
 	}
-	switch o.Kind {
+	switch order.Kind {
 	case model.OwnMachine:
-		l.node.log.Debug("machine assigned to shard", "machine", wire.MachineName(o.Machine.ID), "shard", o.To, "token",
-			o.Token)
+		l.node.log.Debug("machine assigned to shard", "machine", wire.MachineName(order.Machine.ID), "shard", order.To,
+			"token", order.Token)
 	case model.AssignTask:
-		l.node.log.Debug("task assigned to shard", "task", wire.TaskName(o.Assignment.Task), "shard", o.To, "adopted",
-			o.Assignment.Attempt)
+		l.node.log.Debug("task assigned to shard", "task", wire.TaskName(order.Assignment.Task), "shard", order.To,
+			"adopted", order.Assignment.Attempt)
 	case model.ConfirmLeaseExpiry:
-		l.node.log.Debug("shard asked to confirm lease expiry", "machine", wire.MachineName(o.ID), "shard", o.To)
+		l.node.log.Debug("shard asked to confirm lease expiry", "machine", wire.MachineName(order.ID), "shard", order.To)
 	}
 }
 
@@ -90,18 +91,18 @@
 	if !n.logEnabled(slog.LevelDebug) {
 		return
 	}
-	for _, c := range commands {
-		if c.Verb == model.Launch {
-			n.log.Debug("launch command sent", "task", wire.TaskName(c.Task), "attempt", c.Attempt,
+	for _, command := range commands {
+		if command.Verb == model.Launch {
+			n.log.Debug("launch command sent", "task", wire.TaskName(command.Task), "attempt", command.Attempt,
 				"machine", wire.MachineName(machine), "token", token, "session", session, "direct", direct)
 		}
 	}
 }
 
 // logRefused logs a report that was refused because its session's lease has expired.
-func (n *Node) logRefused(r *model.Report) {
-	n.log.Info("report refused: its session's lease has expired", "machine", wire.MachineName(r.Machine.ID),
-		"session", r.Session, "number", r.Seq, "token", r.Token)
+func (n *Node) logRefused(report *model.Report) {
+	n.log.Info("report refused: its session's lease has expired", "machine", wire.MachineName(report.Machine.ID),
+		"session", report.Session, "number", report.Seq, "token", report.Token)
 }
 
 // logGrant logs when this controller's shard loses the right to act, and when it has it again.
--- a/internal/node/dispatchloop.go
+++ b/internal/node/dispatchloop.go
@@ -87,19 +87,19 @@
 // exchangeMessages passes the dispatcher's orders to the shards, and the own shard's events to the
 // dispatcher, until there are no more.
 func (dl *dispatchLoop) exchangeMessages(now time.Duration) {
-	s := dl.lead.node.local.shard
+	local := dl.lead.node.local.shard
 	for {
-		orders, events := dl.dispatcher.TakeOrders(), s.TakeEvents()
+		orders, events := dl.dispatcher.TakeOrders(), local.TakeEvents()
 		if len(orders) == 0 && len(events) == 0 {
 			return
 		}
 		for i := range orders {
 			dl.lead.logOrder(&orders[i])
 			if o := &orders[i]; o.To == dl.lead.localID {
-				s.HandleOrder(now, *o)
+				local.HandleOrder(now, *o)
 				dl.lead.node.wakeOwned(o)
-			} else if k := dl.lead.links[o.To]; k != nil {
-				k.queue.Send(k.codec.Order(now, o))
+			} else if memberLink := dl.lead.links[o.To]; memberLink != nil {
+				memberLink.queue.Send(memberLink.codec.Order(now, o))
 			}
 		}
 		for _, e := range events {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -28,10 +28,10 @@
 }
 
 // recordRequest records the outcome of a request to the state service.
-func (h *processHealth) recordRequest(sent time.Duration, o storehealth.Outcome) {
+func (h *processHealth) recordRequest(sent time.Duration, outcome storehealth.Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.store.RecordOutcome(sent, o)
+	h.store.RecordOutcome(sent, outcome)
 }
 
 // admit reports whether a user's request should be processed, and if not, when the user should try
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -265,8 +265,8 @@
 	return nil
 }
 
-// authorityEnd returns when this leader's authority ends unless it is extended: with its lease and its
-// siblings' promises, or earlier when its view of the open jobs is too old.
+// authorityEnd returns when this leader's authority ends unless it is extended: once both its lease and
+// the promises of its siblings have ended, or earlier once its view of the open jobs is too old.
 func (l *leadership) authorityEnd() time.Duration {
 	return min(l.node.election.Deadline(), l.dispatchLoop.openJobsView.ValidUntil(l.node.cfg.Cluster.StalenessBound()))
 }
@@ -319,8 +319,8 @@
 }
 
 // handleEvent logs a shard's event and passes it to the drain manager and the dispatcher.
-func (l *leadership) handleEvent(now time.Duration, from model.ShardID, e model.Event) {
-	l.logEvent(from, &e)
-	l.drains.handleEvent(now, &e)
-	l.dispatcher.HandleEvent(now, from, e)
+func (l *leadership) handleEvent(now time.Duration, from model.ShardID, event model.Event) {
+	l.logEvent(from, &event)
+	l.drains.handleEvent(now, &event)
+	l.dispatcher.HandleEvent(now, from, event)
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -95,8 +95,8 @@
 		}
 	}()
 	id, err := n.readMemberMessages(l, memberLink, r.Body, watchdog)
-	if c := context.Cause(ctx); c != nil {
-		err = c
+	if cause := context.Cause(ctx); cause != nil {
+		err = cause
 	}
 	n.mu.Lock()
 	if id != 0 && n.lead == l {
@@ -164,8 +164,8 @@
 	l.node.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
 	l.siblingReleases[host] = hello.GetRelease()
 	allJoined, oldest := true, uint32(release)
-	for _, s := range l.node.cfg.Siblings {
-		siblingRelease, joined := l.siblingReleases[s.HostName]
+	for _, sibling := range l.node.cfg.Siblings {
+		siblingRelease, joined := l.siblingReleases[sibling.HostName]
 		allJoined, oldest = allJoined && joined, min(oldest, siblingRelease)
 	}
 	if allJoined {
@@ -237,8 +237,8 @@
 		promisedUntil[memberLink.host] = max(promisedUntil[memberLink.host], memberLink.promisedUntil)
 	}
 	earliest := time.Duration(1<<63 - 1)
-	for _, s := range l.node.cfg.Siblings {
-		earliest = min(earliest, promisedUntil[s.HostName])
+	for _, sibling := range l.node.cfg.Siblings {
+		earliest = min(earliest, promisedUntil[sibling.HostName])
 	}
 	if len(l.node.cfg.Siblings) > 0 {
 		l.node.election.ExtendAuthority(earliest)
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -55,13 +55,10 @@
 	awaiting, unknown, cancelPending := dl.lead.dependencies.graph.Counts()
 	dl.lead.node.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", cancelPending,
 		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", dl.dispatcher.UnverifiedCount(),
-		"cpus", cpus/1000,
-		"free", free/1000)
+		"cpus", cpus/1000, "free", free/1000)
 	for _, group := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
-		dl.lead.node.log.Warn("jobs have waited too long to begin", "of", dl.lead.node.groupName(group.Group), "begun",
-			group.Begun,
-			"late", group.Overdue,
-			"longest", group.LongestWait)
+		dl.lead.node.log.Warn("jobs have waited too long to begin", "of", dl.lead.node.groupName(group.Group),
+			"begun", group.Begun, "late", group.Overdue, "longest", group.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -120,34 +120,34 @@
 func (n *Node) sendDirects(now time.Duration) {
 	local := n.local
 	local.shard.Flush(now, n.health.scaleConcurrency(now, maxDirectSends))
-	for _, d := range local.shard.TakeDirectCommands() {
-		n.logStarts(d.Machine, d.Token, d.Session, d.Commands, true)
-		go n.sendDirect(local, d)
+	for _, command := range local.shard.TakeDirectCommands() {
+		n.logStarts(command.Machine, command.Token, command.Session, command.Commands, true)
+		go n.sendDirect(local, command)
 	}
 }
 
 // sendDirect sends one direct command and passes the worker's answer to the shard.
-func (n *Node) sendDirect(local *localShard, d shard.DirectCommand) {
+func (n *Node) sendDirect(local *localShard, command shard.DirectCommand) {
 	// Opening the connection takes time, and the process may stall: a command that was
 	// decided under a grant must not be sent after the grant has expired.
-	ctx, cancel := context.WithTimeout(context.Background(), d.NotAfter-n.now())
+	ctx, cancel := context.WithTimeout(context.Background(), command.NotAfter-n.now())
 	defer cancel()
-	raw, executed, err := n.workers.Send(ctx, d.Addr, d.Token, d.Session, d.Commands)
+	rawReport, executed, err := n.workers.Send(ctx, command.Addr, command.Token, command.Session, command.Commands)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	var report *model.Report
 	if err == nil {
-		report, err = raw.Report(n.names)
+		report, err = rawReport.Report(n.names)
 	}
 	if err != nil {
-		n.log.Debug("no valid answer to a direct command", "machine", wire.MachineName(d.Machine), "err", err)
+		n.log.Debug("no valid answer to a direct command", "machine", wire.MachineName(command.Machine), "err", err)
 		report = nil
 	}
-	local.shard.DirectCommandDone(now, d, report, executed)
+	local.shard.DirectCommandDone(now, command, report, executed)
 	if n.local == local {
 		if report != nil {
-			n.wakeReports(d.Machine)
+			n.wakeReports(command.Machine)
 		}
 		n.requestCycle()
 	}
@@ -220,9 +220,9 @@
 
 // siblingAddr returns the address of a sibling, "" if the host is none.
 func (n *Node) siblingAddr(host string) string {
-	for _, s := range n.cfg.Siblings {
-		if s.HostName == host {
-			return s.Address
+	for _, sibling := range n.cfg.Siblings {
+		if sibling.HostName == host {
+			return sibling.Address
 		}
 	}
 	return ""
@@ -236,12 +236,12 @@
 	notLeading := map[string]bool{}
 	for ctx.Err() == nil && n.now() < config.Promise {
 		noneLeads := true
-		for _, s := range n.cfg.Siblings {
-			if !notLeading[s.HostName] {
-				leads, known := dialer.Leading(ctx, s.Address)
-				notLeading[s.HostName] = known && !leads
+		for _, sibling := range n.cfg.Siblings {
+			if !notLeading[sibling.HostName] {
+				leads, known := dialer.Leading(ctx, sibling.Address)
+				notLeading[sibling.HostName] = known && !leads
 			}
-			noneLeads = noneLeads && notLeading[s.HostName]
+			noneLeads = noneLeads && notLeading[sibling.HostName]
 		}
 		if noneLeads {
 			n.mu.Lock()
@@ -286,15 +286,15 @@
 // findLeader asks the siblings which of them leads, when this controller can't read the leader key.
 // It returns "" if none says that it does.
 func (n *Node) findLeader(ctx context.Context, dialer *peer.Dialer) string {
-	for _, s := range n.cfg.Siblings {
-		leads, known := dialer.Leading(ctx, s.Address)
+	for _, sibling := range n.cfg.Siblings {
+		leads, known := dialer.Leading(ctx, sibling.Address)
 		if known {
 			n.mu.Lock()
 			n.siblingSeenAt = n.now()
 			n.mu.Unlock()
 		}
 		if leads {
-			return s.HostName
+			return sibling.HostName
 		}
 	}
 	return ""
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -27,10 +27,10 @@
 	out := []MemberReply{{Host: l.node.cfg.HostName, Leading: true, Connected: true, Release: release,
 		Machines:  owned[l.localID],
 		StateAgeS: l.node.health.sinceServed(now).Seconds()}}
-	for _, s := range l.node.cfg.Siblings {
-		reply := MemberReply{Host: s.HostName, Release: l.siblingReleases[s.HostName], StateAgeS: -1}
+	for _, sibling := range l.node.cfg.Siblings {
+		reply := MemberReply{Host: sibling.HostName, Release: l.siblingReleases[sibling.HostName], StateAgeS: -1}
 		for id, memberLink := range l.links {
-			if memberLink.host == s.HostName {
+			if memberLink.host == sibling.HostName {
 				reply.Connected, reply.Machines, reply.StateAgeS = true, owned[id], (now - memberLink.stateServedAt).Seconds()
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,11 +87,13 @@
 	lastTick            time.Duration
 }
 
-// Stats are counters for operators.
+// Stats are counters for operators: worker reports received, reports redirected to another controller,
+// and stalls of this process.
 type Stats struct {
 	Reports, Redirected, Stalls uint64
 }
 
+// maxCachedFinals bounds the caches of ended jobs and of open records.
 const maxCachedFinals = 20_000
 
 const (
@@ -103,6 +105,7 @@
 // idle ones that are kept for reuse.
 func MaxDirectConns(fdLimit int) int { return maxDirectSends + maxIdleDirectConns(fdLimit) }
 
+// maxIdleDirectConns returns how many idle sockets are kept for direct commands.
 func maxIdleDirectConns(fdLimit int) int { return fdLimit / 12 }
 
 // New builds a controller. The random number generator is injected so that a test can repeat a run.
@@ -152,8 +155,8 @@
 }
 
 // recordOutcome records the outcome of a request to the state service.
-func (n *Node) recordOutcome(sent time.Time, o storehealth.Outcome) {
-	n.health.recordRequest(sent.Sub(n.startedAt), o)
+func (n *Node) recordOutcome(sent time.Time, outcome storehealth.Outcome) {
+	n.health.recordRequest(sent.Sub(n.startedAt), outcome)
 }
 
 // now returns the time since the start of the process on the monotonic clock.
@@ -235,11 +238,11 @@
 func (n *Node) runElection(ctx context.Context, ops []election.Op) {
 	for _, op := range ops {
 		go func() {
-			res := n.electionOp(state.As(ctx, ratelimit.Authority), op)
+			result := n.electionOp(state.As(ctx, ratelimit.Authority), op)
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			now := n.now()
-			n.runElection(ctx, n.election.HandleResult(now, res))
+			n.runElection(ctx, n.election.HandleResult(now, result))
 			n.syncLeadership(ctx, now)
 		}()
 	}
@@ -247,35 +250,35 @@
 
 // electionOp executes one operation of the election at the state service.
 func (n *Node) electionOp(ctx context.Context, op election.Op) election.Result {
-	res := election.Result{Op: op}
+	result := election.Result{Op: op}
 	switch op.Verb {
 	case election.Read:
-		rec, err := n.readLeader(ctx)
+		record, err := n.readLeader(ctx)
 		if err != nil {
 			n.log.Debug("failed to read the leader key", "err", err)
-			return res
+			return result
 		}
-		res.Leader = rec
-		if rec.Present { // the stored term is needed only to acquire a free key
-			res.OK = true
-			return res
+		result.Leader = record
+		if record.Present { // the stored term is needed only to acquire a free key
+			result.OK = true
+			return result
 		}
-		it, err := n.state.Get(ctx, keyTerm)
+		item, err := n.state.Get(ctx, keyTerm)
 		if err != nil && !errors.Is(err, state.ErrNotFound) {
-			return res
+			return result
 		}
-		if it != nil {
+		if item != nil {
 			var term wire.Term
-			if err := json.Unmarshal(it.Value, &term); err != nil {
+			if err := json.Unmarshal(item.Value, &term); err != nil {
 				n.log.Error("failed to decode the stored term", "err", err)
-				return res
+				return result
 			}
-			res.Term, res.TermVersion = term.Term, it.Version
+			result.Term, result.TermVersion = term.Term, item.Version
 		}
-		res.OK = true
+		result.OK = true
 	case election.Grant:
 		id, err := n.state.Grant(ctx, n.leaseTTL)
-		res.Lease, res.OK = id, err == nil
+		result.Lease, result.OK = id, err == nil
 	case election.Acquire:
 		rev, err := n.state.Txn(ctx, wire.Txn{
 			Guards: []wire.Guard{{Key: keyLeader}, {Key: keyTerm, Version: op.TermVersion}},
@@ -284,38 +287,39 @@
 					Lease: op.Lease},
 				{Put: keyTerm, Value: mustEncode(wire.Term{Term: op.Term})},
 			}})
-		res.Version, res.OK = rev, err == nil
+		result.Version, result.OK = rev, err == nil
 	case election.Renew:
 		// A renewal counts from when it was sent, however late its answer is read, so it may
 		// take the whole lease. Further renewals are sent meanwhile.
 		err := n.state.Extend(state.Patiently(ctx, n.leaseTTL), op.Lease)
-		res.OK, res.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
+		result.OK, result.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
 		n.failures.record("failed to renew the leader lease", err)
 	case election.Revoke:
-		res.OK = n.state.End(ctx, op.Lease) == nil
+		result.OK = n.state.End(ctx, op.Lease) == nil
 	}
-	return res
+	return result
 }
 
 // readLeader reads the leader key; an absent key is not an error.
 func (n *Node) readLeader(ctx context.Context) (election.LeaderRecord, error) {
-	it, err := n.state.Get(ctx, keyLeader)
+	item, err := n.state.Get(ctx, keyLeader)
 	if errors.Is(err, state.ErrNotFound) {
 		return election.LeaderRecord{}, nil
 	}
 	if err != nil {
 		return election.LeaderRecord{}, err
 	}
-	return leaderRecord(it.Value, it.Version)
+	return leaderRecord(item.Value, item.Version)
 }
 
 // leaderRecord decodes a value of the leader key.
-func leaderRecord(v json.RawMessage, version uint64) (election.LeaderRecord, error) {
-	var l wire.Leader
-	if err := json.Unmarshal(v, &l); err != nil {
+func leaderRecord(value json.RawMessage, version uint64) (election.LeaderRecord, error) {
+	var leader wire.Leader
+	if err := json.Unmarshal(value, &leader); err != nil {
 		return election.LeaderRecord{}, fmt.Errorf("decode leader key: %w", err)
 	}
-	return election.LeaderRecord{Present: true, Host: l.Host, Term: l.Term, Lease: l.Lease, Version: version}, nil
+	return election.LeaderRecord{Present: true, Host: leader.Host, Term: leader.Term, Lease: leader.Lease,
+		Version: version}, nil
 }
 
 // Bounds of how long a watch of the leader key waits for a change. Each wait is a request to the
@@ -327,15 +331,15 @@
 
 // watchLeader watches the leader key, so that the election learns at once when it is deleted or changed.
 func (n *Node) watchLeader(ctx context.Context) {
-	var rev uint64
+	var revision uint64
 	wait := min(maxLeaderWatch, max(minLeaderWatch, time.Duration(len(n.cfg.Siblings))*minLeaderWatch/2))
 	for ctx.Err() == nil {
-		ev, err := n.state.Watch(ctx, keyLeader, rev, wait)
-		if errors.Is(err, state.ErrCompacted) || rev == 0 && err == nil {
+		response, err := n.state.Watch(ctx, keyLeader, revision, wait)
+		if errors.Is(err, state.ErrCompacted) || revision == 0 && err == nil {
 			// Start from the current revision; the election's own reads cover earlier changes.
 			currentRevision, listErr := n.state.List(ctx, keyTerm, func(*wire.Item) error { return nil })
 			if listErr == nil {
-				rev = max(1, currentRevision)
+				revision = max(1, currentRevision)
 				continue
 			}
 			err = listErr
@@ -344,14 +348,14 @@
 			sleep(ctx, 500*time.Millisecond)
 			continue
 		}
-		rev = ev.Revision
-		for _, e := range ev.Events {
-			record := election.LeaderRecord{Version: e.Version}
-			if e.Put == keyLeader {
-				if record, err = leaderRecord(e.Value, e.Version); err != nil {
+		revision = response.Revision
+		for _, event := range response.Events {
+			record := election.LeaderRecord{Version: event.Version}
+			if event.Put == keyLeader {
+				if record, err = leaderRecord(event.Value, event.Version); err != nil {
 					continue
 				}
-			} else if e.Delete != keyLeader {
+			} else if event.Delete != keyLeader {
 				continue
 			}
 			n.mu.Lock()
@@ -412,12 +416,12 @@
 
 // storedCatalog reads the copy of the catalog that a leader stored.
 func (n *Node) storedCatalog(ctx context.Context) (*wire.Catalog, error) {
-	it, err := n.state.Get(ctx, keyCatalog)
+	item, err := n.state.Get(ctx, keyCatalog)
 	if err != nil {
 		return nil, err
 	}
 	var catalog wire.Catalog
-	if err := json.Unmarshal(it.Value, &catalog); err != nil {
+	if err := json.Unmarshal(item.Value, &catalog); err != nil {
 		return nil, fmt.Errorf("decode stored catalog: %w", err)
 	}
 	return &catalog, nil
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -30,43 +30,45 @@
 // listOpen lists the stored open jobs, and the revision that they were listed at.
 func (dl *dispatchLoop) listOpen() (map[model.JobID]storedJob, uint64, error) {
 	open := map[model.JobID]storedJob{}
-	rev, err := dl.lead.node.state.List(state.As(dl.lead.ctx, ratelimit.Leader), openPrefix, func(it *wire.Item) error {
-		id, sub, err := parseOpenRecord(it.Key, it.Value)
-		if err != nil {
-			return err
-		}
-		open[id] = storedJob{sub, it.Version}
-		return nil
-	})
-	return open, rev, err
+	revision, err := dl.lead.node.state.List(state.As(dl.lead.ctx, ratelimit.Leader), openPrefix,
+		func(item *wire.Item) error {
+			id, submission, err := parseOpenRecord(item.Key, item.Value)
+			if err != nil {
+				return err
+			}
+			open[id] = storedJob{submission, item.Version}
+			return nil
+		})
+	return open, revision, err
 }
 
-// parseOpenRecord parses an open record; of a deleted one (no value) only the key.
-func parseOpenRecord(key string, v json.RawMessage) (model.JobID, *wire.Submission, error) {
+// parseOpenRecord parses an open record. The submission is nil if the record has no value because it was
+// deleted.
+func parseOpenRecord(key string, value json.RawMessage) (model.JobID, *wire.Submission, error) {
 	id, err := wire.ParseJob(strings.TrimPrefix(key, openPrefix))
 	if err != nil {
 		return 0, nil, fmt.Errorf("open record: %w", err)
 	}
-	if v == nil {
+	if value == nil {
 		return id, nil, nil
 	}
-	var sub wire.Submission
-	if err := json.Unmarshal(v, &sub); err != nil {
+	var submission wire.Submission
+	if err := json.Unmarshal(value, &submission); err != nil {
 		return 0, nil, fmt.Errorf("open record %s: %w", key, err)
 	}
-	return id, &sub, nil
+	return id, &submission, nil
 }
 
 // storedBlock is a stored block of machine records.
 type storedBlock struct {
 	wire.MachineBlock
-	id      dispatcher.BlockID
+	blockID dispatcher.BlockID
 	version uint64
 }
 
 // storedChunk is a stored chunk of a job's progress.
 type storedChunk struct {
-	id        model.JobID
+	job       model.JobID
 	chunk     dispatcher.ChunkID
 	firstTask int32 // index of the task of its first bit
 	bits      []byte
@@ -81,7 +83,7 @@
 		return nil, err
 	}
 	askedAt := dl.lead.node.now()
-	open, rev, err := dl.listOpen()
+	open, revision, err := dl.listOpen()
 	if err != nil {
 		return nil, err
 	}
@@ -92,13 +94,13 @@
 	return func(now time.Duration) error {
 		n := dl.lead.node
 		machines := 0
-		for _, r := range blocks {
-			ms, err := r.Decode(n.names)
+		for _, block := range blocks {
+			decoded, err := block.Decode(n.names)
 			if err != nil {
 				return fmt.Errorf("machine records: %w", err)
 			}
-			machines += len(ms)
-			dl.dispatcher.AddStoredBlock(r.id, r.version, ms)
+			machines += len(decoded)
+			dl.dispatcher.AddStoredBlock(block.blockID, block.version, decoded)
 		}
 		if size := currentLayout(blocks, dl.dispatcher.Layout()); size != 0 {
 			dl.lead.changeLayout(size)
@@ -114,12 +116,12 @@
 			dl.addJob(now, stored, -time.Hour) // ends of its dependencies may have been acknowledged long ago
 		}
 		dl.lead.dependencies.applyDecisions(now)
-		for _, c := range chunks {
-			dl.dispatcher.AddDoneChunk(c.id, c.chunk, c.version, c.firstTask, c.bits)
+		for _, chunk := range chunks {
+			dl.dispatcher.AddDoneChunk(chunk.job, chunk.chunk, chunk.version, chunk.firstTask, chunk.bits)
 		}
-		dl.openRevision, dl.orphanedKeys = rev, orphans
+		dl.openRevision, dl.orphanedKeys = revision, orphans
 		dl.markOpenJobsRead(now, askedAt)
-		n.log.Info("stored state read", "term", dl.lead.term, "revision", rev,
+		n.log.Info("stored state read", "term", dl.lead.term, "revision", revision,
 			"asked_ago", now-askedAt, "open", len(open), "machines", machines)
 		return nil
 	}, nil
@@ -128,20 +130,22 @@
 // readBlocks lists the blocks of machine records, those in the newest layout first.
 func (dl *dispatchLoop) readBlocks(ctx context.Context) ([]storedBlock, error) {
 	var blocks []storedBlock
-	_, err := dl.lead.node.state.List(ctx, machinePrefix, func(it *wire.Item) error {
-		block := storedBlock{version: it.Version}
+	_, err := dl.lead.node.state.List(ctx, machinePrefix, func(item *wire.Item) error {
+		block := storedBlock{version: item.Version}
 		var err error
-		if block.id, err = parseBlockKey(it.Key); err != nil {
+		if block.blockID, err = parseBlockKey(item.Key); err != nil {
 			return err
 		}
-		if err := json.Unmarshal(it.Value, &block.MachineBlock); err != nil {
-			return fmt.Errorf("machine records %s: %w", it.Key, err)
+		if err := json.Unmarshal(item.Value, &block.MachineBlock); err != nil {
+			return fmt.Errorf("machine records %s: %w", item.Key, err)
 		}
 		blocks = append(blocks, block)
 		return nil
 	})
 	// A machine that is in two blocks counts as recorded in the newest layout, so that comes first.
-	slices.SortStableFunc(blocks, func(a, b storedBlock) int { return cmp.Compare(layoutOrder(a.id), layoutOrder(b.id)) })
+	slices.SortStableFunc(blocks, func(a, b storedBlock) int {
+		return cmp.Compare(layoutOrder(a.blockID), layoutOrder(b.blockID))
+	})
 	return blocks, err
 }
 
@@ -157,8 +161,8 @@
 // record in a later layout shows that all controllers can read it.
 func currentLayout(blocks []storedBlock, planned uint64) uint64 {
 	size := planned
-	for _, r := range blocks {
-		if s := r.id.Size; s != 0 && (size == 0 || s < size) {
+	for _, block := range blocks {
+		if s := block.blockID.Size; s != 0 && (size == 0 || s < size) {
 			size = s
 		}
 	}
@@ -167,27 +171,25 @@
 
 // readChunks lists the progress of the open jobs, and the keys of orphaned progress of ended jobs.
 func (dl *dispatchLoop) readChunks(ctx context.Context,
-	open map[model.JobID]storedJob) (chunks []storedChunk, orphans []string,
-	err error) {
-	_, err = dl.lead.node.state.List(ctx, donePrefix, func(it *wire.Item) error {
-		id, chunkID, err := parseChunkKey(it.Key)
+	open map[model.JobID]storedJob) (chunks []storedChunk, orphans []string, err error) {
+	_, err = dl.lead.node.state.List(ctx, donePrefix, func(item *wire.Item) error {
+		id, chunkID, err := parseChunkKey(item.Key)
 		if err != nil {
-			return fmt.Errorf("done record %s: %w", it.Key, err)
+			return fmt.Errorf("done record %s: %w", item.Key, err)
 		}
 		if _, ok := open[id]; !ok {
-			orphans = append(orphans, it.Key)
+			orphans = append(orphans, item.Key)
 			return nil
 		}
 		var chunk wire.Chunk
-		if err := json.Unmarshal(it.Value, &chunk); err != nil {
-			return fmt.Errorf("done record %s: %w", it.Key, err)
+		if err := json.Unmarshal(item.Value, &chunk); err != nil {
+			return fmt.Errorf("done record %s: %w", item.Key, err)
 		}
 		if chunkID.OldLayout {
-			chunks = append(chunks, storedChunk{id, chunkID, chunkID.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB),
-				chunk.Bits,
-				it.Version})
+			chunks = append(chunks, storedChunk{id, chunkID,
+				chunkID.Index * chunkSize(dl.lead.node.cfg.Cluster.State.ValueKB), chunk.Bits, item.Version})
 		} else {
-			chunks = append(chunks, storedChunk{id, chunkID, chunk.From, chunk.Part, it.Version})
+			chunks = append(chunks, storedChunk{id, chunkID, chunk.From, chunk.Part, item.Version})
 		}
 		return nil
 	})
@@ -204,10 +206,10 @@
 
 // deleteOrphans deletes stored progress of ended jobs. What fails is left to the next leader.
 func (dl *dispatchLoop) deleteOrphans(keys []string) {
-	for _, k := range keys {
+	for _, key := range keys {
 		if _, err := dl.lead.node.state.Txn(dl.lead.ctx, wire.Txn{Guards: []wire.Guard{dl.lead.guard},
-			Then: []wire.Op{{Delete: k}}}); err != nil {
-			dl.lead.node.log.Debug("failed to delete orphaned progress", "key", k, "err", err)
+			Then: []wire.Op{{Delete: key}}}); err != nil {
+			dl.lead.node.log.Debug("failed to delete orphaned progress", "key", key, "err", err)
 		}
 	}
 }
@@ -225,19 +227,19 @@
 	dl.lead.dependencies.addJob(spec, stored.submission.Needs(), since)
 }
 
-// watchOpen applies changes of the open jobs, starting after revision rev, until the term ends.
-func (dl *dispatchLoop) watchOpen(rev uint64) {
+// watchOpen applies changes of the open jobs, starting after a revision, until the term ends.
+func (dl *dispatchLoop) watchOpen(revision uint64) {
 	n := dl.lead.node
 	for dl.lead.ctx.Err() == nil {
 		askedAt := n.now()
-		ev, err := n.state.Watch(dl.lead.ctx, openPrefix, rev, 2*time.Second)
+		response, err := n.state.Watch(dl.lead.ctx, openPrefix, revision, 2*time.Second)
 		if errors.Is(err, state.ErrCompacted) {
 			relistedRevision, termOver, listErr := dl.relist()
 			if termOver {
 				return
 			}
 			if listErr == nil {
-				rev = relistedRevision
+				revision = relistedRevision
 				continue
 			}
 			err = listErr
@@ -249,14 +251,14 @@
 			sleep(dl.lead.ctx, 300*time.Millisecond)
 			continue
 		}
-		rev = ev.Revision
+		revision = response.Revision
 		n.mu.Lock()
 		if n.lead != dl.lead {
 			// The term ended while the watch waited, so there may be no local shard any more.
 			n.mu.Unlock()
 			return
 		}
-		dl.applyOpenEvents(n.now(), askedAt, ev.Events)
+		dl.applyOpenEvents(n.now(), askedAt, response.Events)
 		n.mu.Unlock()
 	}
 }
@@ -264,14 +266,14 @@
 // applyOpenEvents applies changes of the open jobs that answer a request sent at askedAt.
 func (dl *dispatchLoop) applyOpenEvents(now, askedAt time.Duration, events []wire.Event) {
 	n := dl.lead.node
-	for _, e := range events {
-		key := e.Put + e.Delete
-		id, sub, err := parseOpenRecord(key, e.Value)
+	for _, event := range events {
+		key := event.Put + event.Delete
+		id, submission, err := parseOpenRecord(key, event.Value)
 		switch {
 		case err != nil:
 			n.log.Error("failed to decode an open record", "key", key, "err", err)
-		case e.Put != "":
-			dl.addJob(now, storedJob{sub, e.Version}, dl.openJobsAsOf)
+		case event.Put != "":
+			dl.addJob(now, storedJob{submission, event.Version}, dl.openJobsAsOf)
 		default:
 			dl.dispatcher.JobRemoved(id)
 			dl.lead.dependencies.jobEnded(now, id, pipeline.Unknown)
@@ -327,8 +329,8 @@
 // siblings have reported. It needs a link to each sibling.
 func (dl *dispatchLoop) updateOpenJobsView(now time.Duration) {
 	var coverages []cancellog.Coverage
-	for _, s := range dl.lead.node.cfg.Siblings {
-		memberLink := dl.lead.linkTo(s.HostName)
+	for _, sibling := range dl.lead.node.cfg.Siblings {
+		memberLink := dl.lead.linkTo(sibling.HostName)
 		if memberLink == nil || !memberLink.reportsCancellations {
 			return
 		}
@@ -340,10 +342,10 @@
 
 // relist reads all open jobs again after the watch has fallen too far behind. termOver is true if the
 // term has ended meanwhile.
-func (dl *dispatchLoop) relist() (rev uint64, termOver bool, err error) {
+func (dl *dispatchLoop) relist() (revision uint64, termOver bool, err error) {
 	n := dl.lead.node
 	askedAt := n.now()
-	open, rev, err := dl.listOpen()
+	open, revision, err := dl.listOpen()
 	if err != nil {
 		return 0, false, err
 	}
@@ -358,12 +360,12 @@
 		stillOpen[id] = true
 		dl.addJob(now, stored, dl.openJobsAsOf)
 	}
-	for _, id := range dl.dispatcher.SyncOpenJobs(stillOpen, rev) {
+	for _, id := range dl.dispatcher.SyncOpenJobs(stillOpen, revision) {
 		dl.lead.dependencies.jobEnded(now, id, pipeline.Unknown)
 	}
 	dl.lead.dependencies.applyDecisions(now)
 	dl.markOpenJobsRead(now, askedAt)
 	dl.dispatchDue = true
 	n.requestCycle()
-	return rev, false, nil
+	return revision, false, nil
 }
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -23,8 +23,8 @@
 	equalShare := rateshare.TotalShare / float64(1+len(siblings))
 	links := make([]*link, len(siblings)) // nil: not connected
 	requests, writes := make([]float64, len(siblings)), make([]float64, len(siblings))
-	for i, s := range siblings {
-		links[i] = l.linkTo(s.HostName)
+	for i, sibling := range siblings {
+		links[i] = l.linkTo(sibling.HostName)
 		requests[i], writes[i] = equalShare, equalShare
 		if memberLink := links[i]; memberLink != nil && memberLink.demand.Requests > 0 {
 			requests[i], writes[i] = memberLink.demand.Requests, memberLink.demand.Writes
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -88,8 +88,8 @@
 		size = legacyBlockSize(cluster.State.ValueKB)
 	}
 	size = min(blockSize(cluster.ValueKB()), max(1, size/2))
-	l.node.log.Info("a block of machine records is too large for the state service: using smaller blocks", "machines",
-		size)
+	l.node.log.Info("a block of machine records is too large for the state service: using smaller blocks",
+		"machines", size)
 	l.changeLayout(size)
 }
 
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -42,7 +42,7 @@
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if !answer.OK && n.local != nil && n.local.shard.Verifying(n.now(), report.Machine.ID) {
-		// The worker is being sent a command to verify that it receives any; wait for its answer.
+		// The worker is being asked, to verify that it receives messages. Wait for its answer.
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if answer.OK {
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -34,13 +34,13 @@
 }
 
 // Describe implements prometheus.Collector.
-func (m *starvationMetrics) Describe(c chan<- *prometheus.Desc) {
-	c <- m.begunShare
-	c <- m.longest
+func (m *starvationMetrics) Describe(descs chan<- *prometheus.Desc) {
+	descs <- m.begunShare
+	descs <- m.longest
 }
 
 // Collect implements prometheus.Collector.
-func (m *starvationMetrics) Collect(c chan<- prometheus.Metric) {
+func (m *starvationMetrics) Collect(metrics chan<- prometheus.Metric) {
 	m.node.mu.Lock()
 	defer m.node.mu.Unlock()
 	if m.node.lead == nil {
@@ -48,7 +48,7 @@
 	}
 	for _, s := range m.node.lead.dispatcher.Starvation(m.node.now()) {
 		of := m.node.groupName(s.Group)
-		c <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
-		c <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
+		metrics <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
+		metrics <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
 	}
 }
--- a/internal/node/storewrites.go
+++ b/internal/node/storewrites.go
@@ -22,8 +22,8 @@
 	run()
 	// tick is called a few times a second.
 	tick(now time.Duration)
-	// writes returns at most n writes of a class.
-	writes(now time.Duration, c writequota.Class, n int) []storeWrite
+	// writes returns at most limit writes of a class.
+	writes(now time.Duration, class writequota.Class, limit int) []storeWrite
 }
 
 // storeWrite is a transaction of the leader. Its own guards are added to the guard on the leader key.
@@ -100,14 +100,15 @@
 	}
 }
 
-// readVersion reads the version of a key whose guard may have failed, 0 if it is absent. That the guard
-// on the leader key may have failed instead need not be checked: this term has then ended.
+// readVersion reads the version of a key whose guard may have failed, 0 if the key is absent. It does not
+// check whether the guard on the leader key failed instead: this term has then ended, and the outcome of
+// its writes no longer matters.
 func (l *leadership) readVersion(ctx context.Context, key string) (known bool, version uint64) {
-	it, err := l.node.state.Get(ctx, key)
+	item, err := l.node.state.Get(ctx, key)
 	if err != nil {
 		return errors.Is(err, state.ErrNotFound), 0
 	}
-	return true, it.Version
+	return true, item.Version
 }
 
 // commitWrites stores a batch in one transaction and passes each write its outcome.
@@ -119,13 +120,13 @@
 		txn.Then = append(txn.Then, write.ops...)
 	}
 	ctx := state.As(l.ctx, requestClass(class))
-	rev, err := n.state.Txn(ctx, txn)
+	revision, err := n.state.Txn(ctx, txn)
 	if err != nil {
 		n.log.Debug("failed to store writes", "writes", len(batch), "err", err)
 	}
 	outcomes := make([]writeOutcome, len(batch))
 	for i, write := range batch {
-		outcomes[i] = writeOutcome{revision: rev, err: err}
+		outcomes[i] = writeOutcome{revision: revision, err: err}
 		if errors.Is(err, state.ErrConflict) && len(write.guards) > 0 {
 			outcomes[i].conflict, outcomes[i].foundVersion = l.readVersion(ctx, write.guards[0].Key)
 		}
