--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -64,23 +64,23 @@
 	return h.store.Unreachable(now)
 }
 
-// refusedAlone reports whether the state service refuses this controller while it serves a sibling, which
-// it last served at siblingServedAt.
+// refusedAlone reports whether the state service refuses this controller while it serves another one,
+// which it last served at siblingServedAt.
 func (h *processHealth) refusedAlone(now, siblingServedAt time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.RefusedAlone(now, siblingServedAt)
 }
 
-// shouldYield reports whether this leader should yield to a sibling that the state service serves.
-// confirm is true if a sibling should first be asked whether it is served.
+// shouldYield reports whether this leader should yield to another controller that the state service
+// serves. confirm is true if one should first be asked whether it is served.
 func (h *processHealth) shouldYield(now, siblingServedAt time.Duration) (yield, confirm bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.YieldNow(now, siblingServedAt)
 }
 
-// yieldConfirmed records that a sibling, when asked, was served by the state service.
+// yieldConfirmed records that another controller, when asked, was served by the state service.
 func (h *processHealth) yieldConfirmed(now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -42,7 +42,7 @@
 	dispatcher      *dispatcher.Dispatcher
 	localID         model.ShardID
 	links           map[model.ShardID]*link
-	siblingReleases map[string]uint32 // releases of the siblings that have joined in this term, by host
+	siblingReleases map[string]uint32 // releases of the other controllers that have joined in this term, by host
 	loadedSignal    chan struct{}     // closed once the stored state has been read
 	loaded          bool
 	loadedAt        time.Duration
@@ -56,7 +56,7 @@
 	writeQuota      *writequota.Quota
 	lastFlush       time.Duration
 	ratesDividedAt  time.Duration // when the state service's rate was last divided
-	// confirming is whether a sibling is being asked if the state service serves it.
+	// confirming is whether another controller is being asked if the state service serves it.
 	confirming bool
 }
 
@@ -212,17 +212,18 @@
 	return nil
 }
 
-// isolated reports whether this leader has no link to any sibling and has received no worker report
-// for a while. Since it still leads it reaches the state service, but another controller would serve
-// the workers better.
+// isolated reports whether this leader has no link to any other controller and has received no worker
+// report for a while. Since it still leads it reaches the state service, but another controller would
+// serve the workers better.
 func (l *leadership) isolated(now time.Duration) bool {
 	timeout := max(3*time.Second, config.Seconds(2.5*l.node.cfg.Cluster.Workers.ReportS))
 	return len(l.node.cfg.Siblings) > 0 && len(l.links) == 0 &&
 		now-max(l.node.lastReportAt, l.startedAt, l.memberLostAt) > timeout && l.dispatcher.HasMachines()
 }
 
-// refusedByState reports whether the state service refuses this leader while it serves siblings. A
-// sibling is asked to confirm that first, since links only tell when the service last answered it.
+// refusedByState reports whether the state service refuses this leader while it serves other
+// controllers. One of them is asked to confirm that first, since a link only shows when the service last
+// answered its member.
 func (l *leadership) refusedByState(now time.Duration) bool {
 	var newest time.Duration
 	var host string
@@ -239,9 +240,9 @@
 	return yield
 }
 
-// confirmRefusal makes a sibling send a request to the state service, by forwarding it a user's poll.
-// The poll names a job that can't exist, because for a known job the sibling might answer without
-// the state service. Not found is therefore a valid confirmation.
+// confirmRefusal makes another controller send a request to the state service, by forwarding it a user's
+// poll. The poll names a job that can't exist, because for a known job the controller might answer
+// without the state service. Not found is therefore a valid confirmation.
 func (l *leadership) confirmRefusal(addr string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
@@ -266,7 +267,7 @@
 }
 
 // authorityEnd returns when this leader's authority ends unless it is extended: once both its lease and
-// the promises of its siblings have ended, or earlier once its view of the open jobs is too old.
+// the promises of the other controllers have ended, or earlier once its view of the open jobs is too old.
 func (l *leadership) authorityEnd() time.Duration {
 	return min(l.node.election.Deadline(), l.dispatchLoop.openJobsView.ValidUntil(l.node.cfg.Cluster.StalenessBound()))
 }
@@ -285,12 +286,12 @@
 		return
 	}
 	if l.isolated(now) {
-		l.node.log.Error("no worker reports and no sibling is connected: resigning leadership", "term", l.term)
+		l.node.log.Error("no worker reports and no other controller is connected: resigning leadership", "term", l.term)
 		l.node.election.Resign(now, 4*time.Second)
 		return
 	}
 	if l.refusedByState(now) {
-		l.node.log.Error("the state service serves a sibling, but not this controller: resigning leadership",
+		l.node.log.Error("the state service serves another controller, but not this one: resigning leadership",
 			"term", l.term)
 		l.node.election.Resign(now, 4*time.Second)
 		return
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -143,7 +143,7 @@
 }
 
 // acceptMember registers a member and its new shard, and sends it the Welcome and the open jobs'
-// progress. Once all siblings have joined, no shard of an earlier term acts any more.
+// progress. Once all controllers have joined, no shard of an earlier term acts any more.
 func (l *leadership) acceptMember(now time.Duration, memberLink *link, hello *peerpb.Hello) model.ShardID {
 	host := hello.GetHost()
 	memberLink.host = host
@@ -230,7 +230,7 @@
 	}
 }
 
-// extendAuthority extends this leader's authority to the end of the earliest of all siblings' promises.
+// extendAuthority extends this leader's authority to the earliest end of the other controllers' promises.
 func (l *leadership) extendAuthority() {
 	promisedUntil := map[string]time.Duration{}
 	for _, memberLink := range l.links {
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -218,7 +218,7 @@
 	delete(n.reportWaiters, id)
 }
 
-// siblingAddr returns the address of a sibling, "" if the host is none.
+// siblingAddr returns the address of another controller, "" if the host is none.
 func (n *Node) siblingAddr(host string) string {
 	for _, sibling := range n.cfg.Siblings {
 		if sibling.HostName == host {
@@ -228,7 +228,7 @@
 	return ""
 }
 
-// checkSiblings asks the siblings, while a restart keeps this controller from leadership, whether any
+// checkSiblings asks the other controllers, while a restart keeps this one from leadership, whether any
 // of them leads. If none does, no leader relies on a promise that this controller made in its
 // previous run, and it may take leadership at once.
 func (n *Node) checkSiblings(ctx context.Context) {
@@ -283,7 +283,7 @@
 	}
 }
 
-// findLeader asks the siblings which of them leads, when this controller can't read the leader key.
+// findLeader asks the other controllers which of them leads, when this controller can't read the leader key.
 // It returns "" if none says that it does.
 func (n *Node) findLeader(ctx context.Context, dialer *peer.Dialer) string {
 	for _, sibling := range n.cfg.Siblings {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,7 +50,7 @@
 	state    *state.Client
 	cloud    *cloud.Client
 	workers  *worker.Client
-	// dialer connects to siblings to forward users' requests.
+	// dialer connects to other controllers to forward users' requests.
 	dialer    *peer.Dialer
 	failures  *failureLog
 	startedAt time.Time
@@ -77,7 +77,7 @@
 	openRecords         map[model.JobID]openRecordInfo
 	cancelLog           *cancellog.Log            // cancellations that this controller acknowledged to users
 	statusFreshness     *pipeline.StatusFreshness // from the connected leader
-	siblingSeenAt       time.Duration             // when a sibling last answered or sent a message
+	siblingSeenAt       time.Duration             // when another controller last answered or sent a message
 	openChecker         *openChecker
 	finalOrder          []model.JobID // keys of cachedFinals, oldest first
 	stats               Stats
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -325,8 +325,8 @@
 	return now-dl.openWatchFailingSince > openWatchFailureLimit
 }
 
-// updateOpenJobsView extends the validity of the view of the open jobs by the cancellations that all
-// siblings have reported. It needs a link to each sibling.
+// updateOpenJobsView extends the validity of the view of the open jobs by the cancellations that all other
+// controllers have reported. It needs a link to each of them.
 func (dl *dispatchLoop) updateOpenJobsView(now time.Duration) {
 	var coverages []cancellog.Coverage
 	for _, sibling := range dl.lead.node.cfg.Siblings {
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -10,7 +10,7 @@
 // rateDivisionInterval is how often the leader divides the state service's rate among the controllers.
 const rateDivisionInterval = 400 * time.Millisecond
 
-// divideRate divides the state service's rate among all controllers by their recent demand. A sibling
+// divideRate divides the state service's rate among all controllers by their recent demand. A controller
 // that reports no demand (it is not connected, or of a release before 0.9) limits itself to an equal
 // share, so that share is left to it.
 func (l *leadership) divideRate(now time.Duration) {
