--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -18,8 +18,8 @@
 	"honeylock/internal/wire"
 )
 
-// leaderHarness is a leader of term 1 with one member, hive-1, and no world around it. Its clock is
-// the node's, which began an hour ago.
+// leaderHarness is a leader of term 1 with one member, hive-1, without any services. Its clock is the
+// node's, which started an hour ago.
 type leaderHarness struct {
 	t       *testing.T
 	node    *Node
@@ -31,15 +31,15 @@
 func newLeaderHarness(t *testing.T) *leaderHarness {
 	t.Helper()
 	cfg := &config.Platform{HostName: "hive-0", Siblings: []config.Sibling{{HostName: "hive-1"}}}
-	c := &cfg.Cluster
-	c.Teams = []config.Team{{Name: "vision"}}
-	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS = 8, 42, 67
-	c.State.RPS, c.State.WriteRPS, c.State.ValueKB, c.State.TxnOps = 100, 100, 16, 16
+	cluster := &cfg.Cluster
+	cluster.Teams = []config.Team{{Name: "vision"}}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = 8, 42, 67
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = 100, 100, 16, 16
 	n := New(cfg, config.DefaultSettings(), slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
 	n.startedAt = n.startedAt.Add(-time.Hour)
 	n.election.ClearPriorPromise(0)
 	op := n.election.Step(n.now())[0]
-	for range 3 { // read, asked for a lease, acquired
+	for range 3 { // results of Read, Grant and Acquire
 		now := n.now()
 		op.SentAt = now
 		if ops := n.election.HandleResult(now, election.Result{Op: op, OK: true, Lease: 5, Version: 9}); len(ops) > 0 {
@@ -48,7 +48,7 @@
 	}
 	now := n.now()
 	if !n.election.Leading(now) {
-		t.Fatal("does not lead")
+		t.Fatal("the node does not lead")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,186 +58,190 @@
 	n.lead = n.newLeadership(ctx, now)
 	l := n.lead
 	l.loaded = true
-	k := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSent: map[uint64]time.Duration{}}
-	r := &leaderHarness{t: t, node: n, lead: l, link: k}
-	r.shardID = l.acceptMember(now, r.link, &peerpb.Hello{Host: "hive-1", Release: release})
-	r.takeSent(t)
-	return r
+	memberLink := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSentAt: map[uint64]time.Duration{}}
+	h := &leaderHarness{t: t, node: n, lead: l, link: memberLink}
+	h.shardID = l.acceptMember(now, h.link, &peerpb.Hello{Host: "hive-1", Release: release})
+	h.takeSent(t)
+	return h
 }
 
-// takeSent takes away what the leader has takeSent to its member.
-func (r *leaderHarness) takeSent(t *testing.T) (out []*peerpb.Down) {
+// takeSent drains and returns the messages that the leader has queued for its member.
+func (h *leaderHarness) takeSent(t *testing.T) (out []*peerpb.Down) {
 	t.Helper()
-	r.link.queue.Send(&peerpb.Down{}) // the last
+	h.link.queue.Send(&peerpb.Down{}) // marks the end
 	ctx, cancel := context.WithCancel(t.Context())
 	var buf bytes.Buffer
-	_ = r.link.queue.Run(ctx, &buf, func() error { cancel(); return nil })
-	for in := peer.NewReader(&buf); ; {
-		m := &peerpb.Down{}
-		if err := in.Next(m); err != nil {
+	_ = h.link.queue.Run(ctx, &buf, func() error { cancel(); return nil })
+	for reader := peer.NewReader(&buf); ; {
+		message := &peerpb.Down{}
+		if err := reader.Next(message); err != nil {
 			t.Fatal(err)
 		}
-		if m.Msg == nil {
+		if message.Msg == nil {
 			return out
 		}
-		out = append(out, m)
+		out = append(out, message)
 	}
 }
 
-// setOpenJobsAsOf sets back what is known of the open jobs.
-func (r *leaderHarness) setOpenJobsAsOf(at time.Duration) {
-	r.lead.dispatchLoop.openJobsAsOf, r.lead.dispatchLoop.openJobsView = at, cancellog.OpenJobsView{}
-	r.lead.dispatchLoop.openJobsView.Read(at)
-	r.takeSent(r.t)
+// setOpenJobsAsOf sets the time as of which the open jobs are known.
+func (h *leaderHarness) setOpenJobsAsOf(at time.Duration) {
+	h.lead.dispatchLoop.openJobsAsOf, h.lead.dispatchLoop.openJobsView = at, cancellog.OpenJobsView{}
+	h.lead.dispatchLoop.openJobsView.Read(at)
+	h.takeSent(h.t)
 }
 
-func (r *leaderHarness) sendAsk(now time.Duration, a *peerpb.Ask) {
-	r.lead.handleMessage(now, r.shardID, r.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: a}})
+// sendAsk passes a grant request of the member to the leader.
+func (h *leaderHarness) sendAsk(now time.Duration, ask *peerpb.Ask) {
+	h.lead.handleMessage(now, h.shardID, h.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: ask}})
 }
 
-// reportCancellations has the member say that it reportCancellations users of these cancellations, and all that it reportCancellations in
-// the last minute, once it has had a grant.
-func (r *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
-	r.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
+// reportCancellations lets the member, which answers the given grant, report that it acknowledged these
+// cancellations to users, and that it has reported all of the last minute.
+func (h *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
+	h.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
 }
 
-func (r *leaderHarness) addOpenJob(job model.JobID) {
-	r.node.names.Images.ID("img")
-	r.lead.dispatcher.AddJob(r.node.now(), &model.Spec{ID: job, Tasks: 2, Zone: model.None}, 3, 0, false)
+// addOpenJob adds a job with two tasks to the dispatcher.
+func (h *leaderHarness) addOpenJob(job model.JobID) {
+	h.node.names.Images.ID("img")
+	h.lead.dispatcher.AddJob(h.node.now(), &model.Spec{ID: job, Tasks: 2, Zone: model.None}, 3, 0, false)
 }
 
-// A new leader gives no grant, and its own shard acts on none, before it has read what is open.
+// A new leader sends no grant, and its own shard has none, before it has read the open jobs. Otherwise
+// tasks of jobs that were cancelled before could start.
 func TestNoGrantBeforeOpenJobsAreRead(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	r.sendAsk(now, &peerpb.Ask{})
-	for _, m := range r.takeSent(t) {
-		if g := m.GetGrant(); g.GetForUs() > 0 {
-			t.Errorf("a grant for %d us", g.GetForUs())
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	h.sendAsk(now, &peerpb.Ask{})
+	for _, message := range h.takeSent(t) {
+		if grant := message.GetGrant(); grant.GetForUs() > 0 {
+			t.Errorf("got a grant for %d us before the open jobs were read", grant.GetForUs())
 		}
 	}
-	r.lead.tick(now)
-	if r.node.local.shard.HasGrant(now) {
-		t.Error("its own shard acts")
+	h.lead.tick(now)
+	if h.node.local.shard.HasGrant(now) {
+		t.Error("the leader's shard has a grant before the open jobs were read")
 	}
-	r.lead.dispatchLoop.markOpenJobsRead(now, now-time.Second)
-	r.lead.tick(now)
-	if !r.node.local.shard.HasGrant(now) {
-		t.Error("its own shard does not act on a picture of a second ago")
+	h.lead.dispatchLoop.markOpenJobsRead(now, now-time.Second)
+	h.lead.tick(now)
+	if !h.node.local.shard.HasGrant(now) {
+		t.Error("the leader's shard has no grant though the open jobs were read a second ago")
 	}
 }
 
-// Authority never runs ahead of what it rests on: a member that has a grant of after a
-// cancellation, and loses its leader then, would else act on without having heard of it, from
-// a picture that was asked for well after users were told.
+// The order that ends a cancelled job is sent before a grant that is based on a later view of the open
+// jobs. Otherwise a member that gets such a grant and then loses its leader would act without having
+// learned of the cancellation, although users were told of it before.
 func TestCancellationsPrecedeGrants(t *testing.T) {
-	for name, learn := range map[string]func(r *leaderHarness, now time.Duration){
-		"by the watch": func(r *leaderHarness, now time.Duration) {
-			r.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
+	for name, applyCancellation := range map[string]func(h *leaderHarness, now time.Duration){
+		"by the watch": func(h *leaderHarness, now time.Duration) {
+			h.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
 		},
-		"by another controller": func(r *leaderHarness, now time.Duration) {
-			r.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // gets grant 1
-			r.takeSent(r.t)
-			r.reportCancellations(now, 1, 7)
+		"by another controller": func(h *leaderHarness, now time.Duration) {
+			h.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // is answered with grant 1
+			h.takeSent(h.t)
+			h.reportCancellations(now, 1, 7)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newLeaderHarness(t)
-			r.node.mu.Lock()
-			defer r.node.mu.Unlock()
-			r.addOpenJob(7)
-			now := r.node.now()
-			r.setOpenJobsAsOf(now - 20*time.Second)
-			was := r.lead.authorityEnd()
-			learn(r, now)
-			r.sendAsk(now, &peerpb.Ask{})
-			if r.lead.authorityEnd() <= was {
-				t.Fatal("nothing was gained: the test shows nothing")
+			h := newLeaderHarness(t)
+			h.node.mu.Lock()
+			defer h.node.mu.Unlock()
+			h.addOpenJob(7)
+			now := h.node.now()
+			h.setOpenJobsAsOf(now - 20*time.Second)
+			authorityBefore := h.lead.authorityEnd()
+			applyCancellation(h, now)
+			h.sendAsk(now, &peerpb.Ask{})
+			if h.lead.authorityEnd() <= authorityBefore {
+				t.Fatal("authority was not extended, so the test shows nothing")
 			}
-			ended := false
-			for _, m := range r.takeSent(t) {
-				o := m.GetOrder()
-				ended = ended || o != nil && model.OrderKind(o.GetKind()) == model.EndJob && o.GetJob() == 7
-				if m.GetGrant() != nil && !ended {
-					t.Fatal("the grant went out before the job's end")
+			endSent := false
+			for _, message := range h.takeSent(t) {
+				order := message.GetOrder()
+				endSent = endSent || order != nil && model.OrderKind(order.GetKind()) == model.EndJob && order.GetJob() == 7
+				if message.GetGrant() != nil && !endSent {
+					t.Fatal("the grant was sent before the job's end")
 				}
 			}
-			if !ended {
-				t.Fatal("the member was not told")
+			if !endSent {
+				t.Fatal("the job's end was not sent to the member")
 			}
 		})
 	}
 }
 
-// While the state service answers nobody, the picture of the open jobs is as young as the
-// member's word: counted from the grant that its word answers, and only if it has told all
-// since before the picture.
+// While the state service answers nobody, the view of the open jobs is as recent as the member's reports
+// of acknowledged cancellations. These count from when the grant that they answer was sent, and only if
+// they are complete since before the view was read.
 func TestAuthorityFollowsMembersAcknowledgements(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	viewAge := func() time.Duration { return now - r.lead.dispatchLoop.openJobsView.ValidUntil(0) }
-	r.setOpenJobsAsOf(now - 20*time.Second)
-	r.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
-	r.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	viewAge := func() time.Duration { return now - h.lead.dispatchLoop.openJobsView.ValidUntil(0) }
+	h.setOpenJobsAsOf(now - 20*time.Second)
+	h.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
+	h.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
 	if viewAge() != 20*time.Second {
-		t.Errorf("a member that says nothing of what it told makes the picture %v old", viewAge())
+		t.Errorf("a member that does not report acknowledgements makes the view %v old", viewAge())
 	}
-	r.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
+	h.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
 	if viewAge() != 20*time.Second {
-		t.Errorf("one that began since makes it %v old", viewAge())
+		t.Errorf("a member that started since makes the view %v old", viewAge())
 	}
-	r.reportCancellations(now, 2)
+	h.reportCancellations(now, 2)
 	if viewAge() != 2*time.Second {
-		t.Errorf("one that has told all makes it %v old, want the age of the grant that it answers", viewAge())
+		t.Errorf("a member that reported all makes the view %v old, want the age of the grant that it answers", viewAge())
 	}
-	// A job that it told of is over, even if what was asked for before still shows it.
-	r.addOpenJob(7)
-	r.reportCancellations(now, 2, 7, 8)
+	// A job whose cancellation it reported has ended, even if an older read still shows it as open.
+	h.addOpenJob(7)
+	h.reportCancellations(now, 2, 7, 8)
 	sub, err := wire.ParseSubmission([]byte(`{"NameId":"job-000008","Comb":"train","Colony":"vision","Shape":"batch",
 		"Rank":"standard","Cells":2,"Cpus":1,"Accelerators":0,"MemGb":1,"Wax":"img","ImageGb":1,"Together":false,
 		"Spread":false,"SwarmBoxes":false,"ForageS":1,"CapIntervalS":0,"CapS":0}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.lead.dispatchLoop.addJob(now, storedJob{sub, 9}, now)
+	h.lead.dispatchLoop.addJob(now, storedJob{sub, 9}, now)
 	for _, id := range []model.JobID{7, 8} {
-		if r.lead.dispatcher.JobVersion(id) != 0 {
-			t.Errorf("job %d is open", id)
+		if h.lead.dispatcher.JobVersion(id) != 0 {
+			t.Errorf("job %d is open, want ended", id)
 		}
 	}
 }
 
-// A leader that the state service answers, but not about the open jobs, lets another one try,
-// however young its picture is by what controllers tell: it would never learn of a new job.
+// A leader that the state service serves, except for requests about the open jobs, resigns, however
+// recent its view is by the controllers' reports: it would never learn of a new job. In an outage of
+// the whole service it goes on.
 func TestLeaderResignsWhenOpenWatchFails(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.mu.Lock()
-	defer r.node.mu.Unlock()
-	now := r.node.now()
-	r.setOpenJobsAsOf(now)
+	h := newLeaderHarness(t)
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
+	now := h.node.now()
+	h.setOpenJobsAsOf(now)
 	for d := time.Duration(0); d < 2*time.Minute; d += time.Second {
-		if r.lead.dispatchLoop.openWatchFailing(now + d) {
-			t.Fatalf("blind in an outage, after %v", d)
+		if h.lead.dispatchLoop.openWatchFailing(now + d) {
+			t.Fatalf("the watch counts as failing after %v of an outage", d)
 		}
 	}
-	back := now + 2*time.Minute
+	outageEnd := now + 2*time.Minute
 	for d := time.Duration(0); d < openWatchFailureLimit; d += time.Second {
-		r.node.health.recordRequest(back+d, storehealth.Served)
-		if r.lead.dispatchLoop.openWatchFailing(back + d) {
-			t.Fatalf("blind %v after the outage", d)
+		h.node.health.recordRequest(outageEnd+d, storehealth.Served)
+		if h.lead.dispatchLoop.openWatchFailing(outageEnd + d) {
+			t.Fatalf("the watch counts as failing already %v after the outage", d)
 		}
 	}
-	r.node.health.recordRequest(back+openWatchFailureLimit+time.Second, storehealth.Served)
-	if !r.lead.dispatchLoop.openWatchFailing(back + openWatchFailureLimit + time.Second) {
-		t.Error("goes on without news")
+	h.node.health.recordRequest(outageEnd+openWatchFailureLimit+time.Second, storehealth.Served)
+	if !h.lead.dispatchLoop.openWatchFailing(outageEnd + openWatchFailureLimit + time.Second) {
+		t.Error("the watch does not count as failing after the limit")
 	}
-	r.lead.dispatchLoop.markOpenJobsRead(back+15*time.Second, back+14*time.Second)
-	r.node.health.recordRequest(back+15*time.Second, storehealth.Served)
-	if r.lead.dispatchLoop.openWatchFailing(back + 15*time.Second) {
-		t.Error("gives way though it has news")
+	h.lead.dispatchLoop.markOpenJobsRead(outageEnd+15*time.Second, outageEnd+14*time.Second)
+	h.node.health.recordRequest(outageEnd+15*time.Second, storehealth.Served)
+	if h.lead.dispatchLoop.openWatchFailing(outageEnd + 15*time.Second) {
+		t.Error("the watch counts as failing though the open jobs were read")
 	}
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -17,25 +17,25 @@
 	"honeylock/internal/peer/peerpb"
 )
 
-// link is the leader's end of a member's stream.
+// link is the leader's end of the connection to a member.
 type link struct {
 	host     string
 	queue    *peer.Queue
 	codec    *peer.Codec
-	grantEnd time.Duration // of the longest grant given
+	grantEnd time.Duration // latest end of any grant sent on this link
 
-	lastGrant            uint64
-	grantsSent           map[uint64]time.Duration // grants, by number
-	promisedUntil        time.Duration            // the member does not take over before
-	stateServedAt        time.Duration            // the state service last answered it
-	reportsCancellations bool                     // the member says of which cancellations it told users
-	coverage             cancellog.Coverage       // how far that is known
-	progressAsOf         time.Duration            // the picture that its last progress was of was made
-	demand               ratelimit.Allocation     // what it asked of the state service lately; none: not told
-	allocation           ratelimit.Allocation     // of the state service's rate, which it is told with each grant
+	lastGrantNumber      uint64
+	grantsSentAt         map[uint64]time.Duration // by grant number
+	promisedUntil        time.Duration            // the member does not take leadership before this
+	stateServedAt        time.Duration            // when the state service last served the member
+	reportsCancellations bool                     // the member reports the cancellations that it acknowledged to users
+	coverage             cancellog.Coverage       // the time for which all of these reports have arrived
+	progressAsOf         time.Duration            // as of when the open jobs were known in the last progress sent
+	demand               ratelimit.Allocation     // share of the state service's rate that it needs; zero: not reported
+	allocation           ratelimit.Allocation     // its share of the state service's rate, sent with each grant
 }
 
-// ServePeers serves the other controllers until the context ends.
+// ServePeers serves requests and connections from the other controllers until the context ends.
 func (n *Node) ServePeers(ctx context.Context, addr string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+peer.Path, n.serveMember)
@@ -54,6 +54,8 @@
 		func(l net.Listener) net.Listener { return l })
 }
 
+// serveMember serves a member's connection: it reads the member's messages while a queue sends it the
+// leader's. It refuses the connection until this controller leads and has read the stored state.
 func (n *Node) serveMember(w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	l := n.lead
@@ -72,98 +74,101 @@
 	if err := rc.Flush(); err != nil {
 		return
 	}
-	k := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSent: map[uint64]time.Duration{}}
-	written := make(chan struct{})
+	memberLink := &link{queue: peer.NewQueue(), codec: peer.NewCodec(n.names), grantsSentAt: map[uint64]time.Duration{}}
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(written)
-		cancel(k.queue.Run(ctx, w, rc.Flush))
+		defer close(writerDone)
+		cancel(memberLink.queue.Run(ctx, w, rc.Flush))
 	}()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
-	// Reading and writing end when the context does.
-	broken := make(chan struct{})
-	stopBreak := context.AfterFunc(ctx, func() {
-		defer close(broken)
+	// Deadlines in the past end blocked reads and writes when the context ends.
+	deadlinesSet := make(chan struct{})
+	cancelDeadlines := context.AfterFunc(ctx, func() {
+		defer close(deadlinesSet)
 		_ = rc.SetReadDeadline(time.Unix(1, 0))
 		_ = rc.SetWriteDeadline(time.Unix(1, 0))
 	})
 	defer func() {
-		if !stopBreak() { // it must not touch the stream after the handler
-			<-broken
+		if !cancelDeadlines() { // the stream must not be used after the handler has returned
+			<-deadlinesSet
 		}
 	}()
-	id, err := n.readMemberMessages(l, k, r.Body, watchdog)
-	if c := context.Cause(ctx); c != nil {
-		err = c
+	id, err := n.readMemberMessages(l, memberLink, r.Body, watchdog)
+	if cause := context.Cause(ctx); cause != nil {
+		err = cause
 	}
 	n.mu.Lock()
 	if id != 0 && n.lead == l {
 		now := n.now()
-		n.log.Info("member lost", "host", k.host, "shard", id, "err", err, "authority_left", k.grantEnd-now)
+		n.log.Info("member lost", "host", memberLink.host, "shard", id, "err", err, "authority_left", memberLink.grantEnd-now)
 		delete(l.links, id)
 		l.memberLostAt = now
-		l.dispatcher.ShardLost(id, max(now, k.grantEnd))
+		l.dispatcher.ShardLost(id, max(now, memberLink.grantEnd))
 		n.requestCycle()
 	}
 	n.mu.Unlock()
 	cancel(err)
-	<-written
+	<-writerDone
 }
 
-// readMemberMessages takes a member's messages until the stream ends.
-func (n *Node) readMemberMessages(l *leadership, k *link, body io.Reader,
+// readMemberMessages handles a member's messages until the connection fails, leadership ends, or a newer
+// connection of the same member replaces this one. The first message must be a Hello.
+func (n *Node) readMemberMessages(l *leadership, memberLink *link, body io.Reader,
 	watchdog *time.Timer) (id model.ShardID, err error) {
-	in := peer.NewReader(body)
+	reader := peer.NewReader(body)
 	for {
-		var m peerpb.Up
-		if err := in.Next(&m); err != nil {
+		var message peerpb.Up
+		if err := reader.Next(&message); err != nil {
 			return id, err
 		}
 		watchdog.Reset(linkTimeout)
 		n.mu.Lock()
 		if n.lead != l {
 			n.mu.Unlock()
-			return id, errors.New("leadership over")
+			return id, errors.New("leadership ended")
 		}
 		now := n.now()
 		n.siblingSeenAt = now
-		if h := m.GetHello(); h != nil && id == 0 {
-			id = l.acceptMember(now, k, h)
-		} else if id != 0 && l.links[id] == k {
-			l.handleMessage(now, id, k, &m)
+		if hello := message.GetHello(); hello != nil && id == 0 {
+			id = l.acceptMember(now, memberLink, hello)
+		} else if id != 0 && l.links[id] == memberLink {
+			l.handleMessage(now, id, memberLink, &message)
 		} else {
 			n.mu.Unlock()
-			return 0, errors.New("replaced")
+			return 0, errors.New("link is not registered: replaced by a newer one, or no Hello was received")
 		}
 		n.mu.Unlock()
 	}
 }
 
-func (l *leadership) acceptMember(now time.Duration, k *link, hello *peerpb.Hello) model.ShardID {
+// acceptMember registers a member and its new shard, and sends it the Welcome and the open jobs'
+// progress. Once all controllers have joined, no shard of an earlier term acts any more.
+func (l *leadership) acceptMember(now time.Duration, memberLink *link, hello *peerpb.Hello) model.ShardID {
 	host := hello.GetHost()
-	k.host = host
-	for id, o := range l.links {
-		if o.host == host {
-			// Its Hello says that the shard before acts no more.
+	memberLink.host = host
+	for id, other := range l.links {
+		if other.host == host {
+			// The Hello says that the member's previous shard no longer acts.
 			delete(l.links, id)
 			l.dispatcher.ShardLost(id, now)
 		}
 	}
 	id := l.dispatcher.AddShard(now, host)
-	l.links[id] = k
-	k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term,
+	l.links[id] = memberLink
+	memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Welcome{Welcome: &peerpb.Welcome{Term: l.term,
 		Attempts: l.dispatcher.FirstAttempt(id),
 		Tell:     l.drains.disruptions.Enabled(), Compares: true}}})
-	k.queue.Send(l.dispatchLoop.collectProgress())
-	k.progressAsOf = l.dispatchLoop.progressAsOf
+	memberLink.queue.Send(l.dispatchLoop.collectProgress())
+	memberLink.progressAsOf = l.dispatchLoop.progressAsOf
 	l.node.log.Info("member joined", "host", host, "shard", id, "release", hello.GetRelease())
 	l.siblingReleases[host] = hello.GetRelease()
-	all, oldest := true, uint32(release)
-	for _, s := range l.node.cfg.Siblings {
-		r, joined := l.siblingReleases[s.HostName]
-		all, oldest = all && joined, min(oldest, r)
+	allJoined, oldest := true, uint32(release)
+	for _, sibling := range l.node.cfg.Siblings {
+		siblingRelease, joined := l.siblingReleases[sibling.HostName]
+		allJoined, oldest = allJoined && joined, min(oldest, siblingRelease)
 	}
-	if all {
+	if allJoined {
 		l.dispatcher.AllControllersJoined(now)
 		l.applyOldestRelease(oldest)
 	}
@@ -171,66 +176,69 @@
 	return id
 }
 
-func (l *leadership) handleMessage(now time.Duration, id model.ShardID, k *link, m *peerpb.Up) {
-	switch msg := m.Msg.(type) {
+// handleMessage handles one message of a member; an Ask is answered with a grant.
+func (l *leadership) handleMessage(now time.Duration, id model.ShardID, memberLink *link, message *peerpb.Up) {
+	switch msg := message.Msg.(type) {
 	case *peerpb.Up_Ask:
 		if !l.node.election.Leading(now) {
 			return
 		}
 		if age := msg.Ask.GetStateAgeUs(); age >= 0 {
-			k.stateServedAt = now - time.Duration(age)*time.Microsecond
+			memberLink.stateServedAt = now - time.Duration(age)*time.Microsecond
 		}
 		for _, id := range msg.Ask.GetTold() {
 			l.dispatchLoop.applyCancellation(now, model.JobID(id))
 		}
-		if d := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; d > 0 {
-			k.reportsCancellations, k.coverage.Since = true, now-(d-d/500) // its clock may be the faster one
+		if coverageDuration := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; coverageDuration > 0 {
+			memberLink.reportsCancellations, memberLink.coverage.Since = true,
+				now-(coverageDuration-coverageDuration/500) // allow for drift between the clocks
 		}
-		// The member promised when it received that grant, so after it was
-		// sent: from then on by this clock, less drift.
-		if at, ok := k.grantsSent[msg.Ask.GetPromised()]; ok {
-			k.promisedUntil = max(k.promisedUntil, at+config.Promise-config.Promise/200-50*time.Millisecond)
-			// ... and what it told users before that came in no later than this.
-			k.coverage.Until = max(k.coverage.Until, at)
-			for no := range k.grantsSent {
-				if no < msg.Ask.GetPromised() {
-					delete(k.grantsSent, no)
+		// The member made its promise when it received that grant, so not before the grant
+		// was sent: count the promise from then, less a margin for drift between the clocks.
+		if sentAt, ok := memberLink.grantsSentAt[msg.Ask.GetPromised()]; ok {
+			memberLink.promisedUntil = max(memberLink.promisedUntil,
+				sentAt+config.Promise-config.Promise/200-50*time.Millisecond)
+			// All cancellations that it acknowledged before that have been reported by now.
+			memberLink.coverage.Until = max(memberLink.coverage.Until, sentAt)
+			for number := range memberLink.grantsSentAt {
+				if number < msg.Ask.GetPromised() {
+					delete(memberLink.grantsSentAt, number)
 				}
 			}
 		}
-		k.demand = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
+		memberLink.demand = ratelimit.Allocation{Requests: msg.Ask.GetRequestsNeeded(), Writes: msg.Ask.GetWritesNeeded()}
 		l.extendAuthority()
 		l.dispatchLoop.updateOpenJobsView(now)
-		k.grantEnd = max(k.grantEnd, l.authorityEnd())
-		k.lastGrant++
-		k.grantsSent[k.lastGrant] = now
-		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
-			ForUs: max(0, l.authorityEnd()-now).Microseconds(), Number: k.lastGrant,
+		memberLink.grantEnd = max(memberLink.grantEnd, l.authorityEnd())
+		memberLink.lastGrantNumber++
+		memberLink.grantsSentAt[memberLink.lastGrantNumber] = now
+		memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Grant{Grant: &peerpb.Grant{Seq: msg.Ask.GetSeq(),
+			ForUs: max(0, l.authorityEnd()-now).Microseconds(), Number: memberLink.lastGrantNumber,
 			SettledAgeUs:  max(1, (now - l.dependencies.propagatedUntil(now)).Microseconds()),
-			ToldAgeUs:     max(1, (now - k.progressAsOf).Microseconds()),
-			RequestsShare: k.allocation.Requests, WritesShare: k.allocation.Writes}}})
+			ToldAgeUs:     max(1, (now - memberLink.progressAsOf).Microseconds()),
+			RequestsShare: memberLink.allocation.Requests, WritesShare: memberLink.allocation.Writes}}})
 	case *peerpb.Up_Questions:
-		l.handleQuestions(k, msg.Questions.GetQuestions())
+		l.handleQuestions(memberLink, msg.Questions.GetQuestions())
 	case *peerpb.Up_Event:
-		l.handleEvent(now, id, k.codec.FromEvent(msg.Event))
+		l.handleEvent(now, id, memberLink.codec.FromEvent(msg.Event))
 		l.node.requestCycle()
 	case *peerpb.Up_Status:
-		ms, jobs := k.codec.FromStatus(now, msg.Status)
-		l.dispatcher.UpdateStatus(now, id, ms, jobs, msg.Status.GetDeals())
+		machines, taskCounts := memberLink.codec.FromStatus(now, msg.Status)
+		l.dispatcher.UpdateStatus(now, id, machines, taskCounts, msg.Status.GetDeals())
 		l.dispatchLoop.dispatchDue = true
 		l.node.requestCycle()
 	}
 }
 
-// extendAuthority extends this leader's authority to where every sibling's promise lasts.
+// extendAuthority extends this leader's authority to the earliest end of the other controllers' promises.
 func (l *leadership) extendAuthority() {
 	promisedUntil := map[string]time.Duration{}
-	for _, k := range l.links {
-		promisedUntil[k.host] = max(promisedUntil[k.host], k.promisedUntil)
+	for _, memberLink := range l.links {
+		promisedUntil[memberLink.host] = max(promisedUntil[memberLink.host], memberLink.promisedUntil)
 	}
 	earliest := time.Duration(1<<63 - 1)
-	for _, s := range l.node.cfg.Siblings {
-		earliest = min(earliest, promisedUntil[s.HostName])
+	for _, sibling := range l.node.cfg.Siblings {
+		earliest = min(earliest, promisedUntil[sibling.HostName])
 	}
 	if len(l.node.cfg.Siblings) > 0 {
 		l.node.election.ExtendAuthority(earliest)
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -10,33 +10,31 @@
 	"honeylock/internal/core/starvation"
 )
 
-// loadLogInterval is how often the leader's log tells what is open and what there is
-// for it.
+// loadLogInterval is how often the leader logs the open jobs and the machines that there are for them.
 const loadLogInterval = 15 * time.Second
 
-// classLoad sums up the open jobs of a class.
+// classLoad sums up the open jobs of one class: numbers of jobs, then of tasks.
 type classLoad struct{ jobs, ending, unfinished, assigned, running int }
 
-// logLoad tells the load at info: without it a day can't be understood
-// afterwards.
+// logLoad logs the load at info level, so that operators can later see how jobs and machines developed.
 func (dl *dispatchLoop) logLoad() {
 	if !dl.lead.node.log.Enabled(dl.lead.ctx, slog.LevelInfo) {
 		return
 	}
 	classes := map[model.Name]*classLoad{}
-	for _, need := range dl.dispatcher.Demand() {
-		c := classes[need.Spec.Class]
+	for _, demand := range dl.dispatcher.Demand() {
+		c := classes[demand.Spec.Class]
 		if c == nil {
 			c = &classLoad{}
-			classes[need.Spec.Class] = c
+			classes[demand.Spec.Class] = c
 		}
 		c.jobs++
-		if need.Unfinished == 0 { // its final is not stored yet
+		if demand.Unfinished == 0 { // its final record is not stored yet
 			c.ending++
 		}
-		c.unfinished += int(need.Unfinished)
-		c.assigned += int(need.Assigned)
-		c.running += dl.dispatcher.TaskCounts(need.Spec.ID).Running
+		c.unfinished += int(demand.Unfinished)
+		c.assigned += int(demand.Assigned)
+		c.running += dl.dispatcher.TaskCounts(demand.Spec.ID).Running
 	}
 	var machines, ready, spot, faulty int
 	var cpus, free int64
@@ -57,12 +55,10 @@
 	awaiting, unknown, cancelPending := dl.lead.dependencies.graph.Counts()
 	dl.lead.node.log.Info("load", "awaiting", awaiting, "unknown", unknown, "doomed", cancelPending,
 		"machines", machines, "spot", spot, "ready", ready, "faulty", faulty, "unheard", dl.dispatcher.UnverifiedCount(),
-		"cpus", cpus/1000,
-		"free", free/1000)
-	for _, s := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
-		dl.lead.node.log.Warn("jobs wait for too long to begin", "of", dl.lead.node.groupName(s.Group), "begun", s.Begun,
-			"late", s.Overdue,
-			"longest", s.LongestWait)
+		"cpus", cpus/1000, "free", free/1000)
+	for _, group := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
+		dl.lead.node.log.Warn("jobs have waited too long to begin", "of", dl.lead.node.groupName(group.Group),
+			"begun", group.Begun, "late", group.Overdue, "longest", group.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -7,12 +7,12 @@
 	"honeylock/internal/core/rateshare"
 )
 
-// rateDivisionInterval is how often the leader divides the state service's rate anew.
+// rateDivisionInterval is how often the leader divides the state service's rate among the controllers.
 const rateDivisionInterval = 400 * time.Millisecond
 
-// divideRate divides the state service's rate among all controllers by what they asked for
-// lately. A sibling that says nothing of its needs (it is not linked, or of a release before
-// 0.9) uses up to an equal part by itself, which is left to it.
+// divideRate divides the state service's rate among all controllers by their recent demand. A controller
+// that reports no demand (it is not connected, or of a release before 0.9) limits itself to an equal
+// share, so that share is left to it.
 func (l *leadership) divideRate(now time.Duration) {
 	if now-l.ratesDividedAt < rateDivisionInterval {
 		return
@@ -20,24 +20,24 @@
 	l.ratesDividedAt = now
 	n := l.node
 	siblings := n.cfg.Siblings
-	equal := rateshare.TotalShare / float64(1+len(siblings))
-	links := make([]*link, len(siblings)) // nil: not linked
+	equalShare := rateshare.TotalShare / float64(1+len(siblings))
+	links := make([]*link, len(siblings)) // nil: not connected
 	requests, writes := make([]float64, len(siblings)), make([]float64, len(siblings))
-	for i, s := range siblings {
-		links[i] = l.linkTo(s.HostName)
-		requests[i], writes[i] = equal, equal
-		if k := links[i]; k != nil && k.demand.Requests > 0 {
-			requests[i], writes[i] = k.demand.Requests, k.demand.Writes
+	for i, sibling := range siblings {
+		links[i] = l.linkTo(sibling.HostName)
+		requests[i], writes[i] = equalShare, equalShare
+		if memberLink := links[i]; memberLink != nil && memberLink.demand.Requests > 0 {
+			requests[i], writes[i] = memberLink.demand.Requests, memberLink.demand.Writes
 		}
 	}
-	own := n.state.Needs()
+	ownDemand := n.state.Needs()
 	var allocation ratelimit.Allocation
-	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, own.Requests, requests)
-	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, own.Writes, writes)
+	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, ownDemand.Requests, requests)
+	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, ownDemand.Writes, writes)
 	n.state.SetPart(allocation, rateshare.AllocationTTL)
-	for i, k := range links {
-		if k != nil {
-			k.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
+	for i, memberLink := range links {
+		if memberLink != nil {
+			memberLink.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
 		}
 	}
 }
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -6,7 +6,7 @@
 	"honeylock/internal/core/starvation"
 )
 
-// groupName is what a group of jobs has in common, for people.
+// groupName returns a readable name of a group of jobs: its team or class, or the largest jobs of a class.
 func (n *Node) groupName(group starvation.Group) string {
 	switch group.Kind {
 	case starvation.Team:
@@ -18,7 +18,8 @@
 	}
 }
 
-// starvationMetrics tell, on the leader, what part of each class, team and size has begun.
+// starvationMetrics export, on the leader, the share of jobs of each class, team and size that have begun
+// and their longest wait.
 type starvationMetrics struct {
 	node                *Node
 	begunShare, longest *prometheus.Desc
@@ -33,13 +34,13 @@
 }
 
 // Describe implements prometheus.Collector.
-func (m *starvationMetrics) Describe(c chan<- *prometheus.Desc) {
-	c <- m.begunShare
-	c <- m.longest
+func (m *starvationMetrics) Describe(descs chan<- *prometheus.Desc) {
+	descs <- m.begunShare
+	descs <- m.longest
 }
 
 // Collect implements prometheus.Collector.
-func (m *starvationMetrics) Collect(c chan<- prometheus.Metric) {
+func (m *starvationMetrics) Collect(metrics chan<- prometheus.Metric) {
 	m.node.mu.Lock()
 	defer m.node.mu.Unlock()
 	if m.node.lead == nil {
@@ -47,7 +48,7 @@
 	}
 	for _, s := range m.node.lead.dispatcher.Starvation(m.node.now()) {
 		of := m.node.groupName(s.Group)
-		c <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
-		c <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
+		metrics <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
+		metrics <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
 	}
 }
