--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -31,8 +31,8 @@
 	LastFraction float64       // of a task's run, in which it is not moved
 }
 
-func (b *Budget) covers(sp *model.Spec) bool {
-	return b.Team == sp.Team && (b.Class == model.None || b.Class == sp.Class)
+func (b *Budget) covers(spec *model.Spec) bool {
+	return b.Team == spec.Team && (b.Class == model.None || b.Class == spec.Class)
 }
 
 // Cause of a task's being out of work.
@@ -57,20 +57,20 @@
 // Label is the cause's name in metrics.
 func (c Cause) Label() string { return [...]string{"plan", "price", "evicted", "lost", "unsure"}[c] }
 
-// out is a task that is out of work, or has not made up for what it lost.
-type out struct {
-	sp    *model.Spec
-	cause Cause
-	lost  time.Duration // run time that it has to make up for
-	back  time.Duration // it is at work again, and has made up for it then; 0: not yet
+// outTask is a task that is out of work, or has not made up for what it lost.
+type outTask struct {
+	spec        *model.Spec
+	cause       Cause
+	lostRunTime time.Duration // run time that it has to make up for
+	recoveredAt time.Duration // it is at work again, and has made up for it then; 0: not yet
 }
 
 // loss is work that was lost by our own doing.
 type loss struct {
-	at    time.Duration
-	sp    *model.Spec
-	cause Cause
-	cpuS  float64
+	at         time.Duration
+	spec       *model.Spec
+	cause      Cause
+	cpuSeconds float64
 }
 
 // Counts of a team, by cause, for metrics.
@@ -86,11 +86,11 @@
 
 // Tracker is the state machine.
 type Tracker struct {
-	budgets []Budget
-	out     map[model.Task]*out
-	moves   map[model.Task]int
-	losses  []loss // oldest first
-	Counts  map[model.Name]*Counts
+	budgets  []Budget
+	outTasks map[model.Task]*outTask
+	moves    map[model.Task]int
+	losses   []loss // oldest first
+	Counts   map[model.Name]*Counts
 	// Recovered: the machines of earlier terms are accounted for. Before, nothing is drawn.
 	Recovered bool
 	// TeamState tells of a team's work, or of that of one of its classes.
@@ -101,19 +101,19 @@
 
 // New returns a book with these budgets.
 func New(budgets []Budget) *Tracker {
-	return &Tracker{budgets: budgets, out: map[model.Task]*out{}, moves: map[model.Task]int{},
+	return &Tracker{budgets: budgets, outTasks: map[model.Task]*outTask{}, moves: map[model.Task]int{},
 		Counts:   map[model.Name]*Counts{},
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
 // Enabled tells whether there is any budget: without one nothing need be told here.
-func (k *Tracker) Enabled() bool { return k != nil && len(k.budgets) > 0 }
+func (tracker *Tracker) Enabled() bool { return tracker != nil && len(tracker.budgets) > 0 }
 
-func (k *Tracker) counts(team model.Name) *Counts {
-	c := k.Counts[team]
+func (tracker *Tracker) teamCounts(team model.Name) *Counts {
+	c := tracker.Counts[team]
 	if c == nil {
 		c = &Counts{}
-		k.Counts[team] = c
+		tracker.Counts[team] = c
 	}
 	return c
 }
@@ -127,60 +127,64 @@
 	Remaining time.Duration // ... and is likely to run on for
 }
 
-// lost is the run time that a task loses when it is stopped: what it did not save.
-func (a *MoveRequest) lost() time.Duration {
-	if a.Spec.CheckpointInterval > 0 {
-		return a.Spec.CheckpointTime
+// lostRunTime is the run time that a task loses when it is stopped: what it did not save.
+func (request *MoveRequest) lostRunTime() time.Duration {
+	if request.Spec.CheckpointInterval > 0 {
+		return request.Spec.CheckpointTime
 	}
-	return a.Ran
+	return request.Ran
 }
 
 // RequestMove asks for a task to be moved: "" if it may, and it is out from here on; else what
 // stands against it.
-func (k *Tracker) RequestMove(now time.Duration, a MoveRequest) string {
-	k.expire(now)
-	for i := range k.budgets {
-		if b := &k.budgets[i]; b.covers(a.Spec) {
-			if why := k.against(now, b, &a); why != "" {
-				k.counts(a.Spec.Team).Refused[a.Cause]++
-				return why
+func (tracker *Tracker) RequestMove(now time.Duration, request MoveRequest) string {
+	tracker.expire(now)
+	for i := range tracker.budgets {
+		if b := &tracker.budgets[i]; b.covers(request.Spec) {
+			if reason := tracker.refusalReason(now, b, &request); reason != "" {
+				tracker.teamCounts(request.Spec.Team).Refused[request.Cause]++
+				return reason
 			}
 		}
 	}
-	k.counts(a.Spec.Team).Granted[a.Cause]++
-	k.moves[a.Task]++
-	k.out[a.Task] = &out{sp: a.Spec, cause: a.Cause, lost: a.lost()}
-	k.losses = append(k.losses, loss{now, a.Spec, a.Cause, cpuSeconds(a.Spec, a.lost())})
+	tracker.teamCounts(request.Spec.Team).Granted[request.Cause]++
+	tracker.moves[request.Task]++
+	tracker.outTasks[request.Task] = &outTask{spec: request.Spec, cause: request.Cause, lostRunTime: request.lostRunTime()}
+	tracker.losses = append(tracker.losses, loss{now, request.Spec, request.Cause,
+		cpuSeconds(request.Spec, request.lostRunTime())})
 	return ""
 }
 
-func cpuSeconds(sp *model.Spec, d time.Duration) float64 {
-	return float64(sp.PerTask.CPU) / 1000 * d.Seconds()
+func cpuSeconds(spec *model.Spec, duration time.Duration) float64 {
+	return float64(spec.PerTask.CPU) / 1000 * duration.Seconds()
 }
 
-// against tells what a budget has against a move, "" if nothing.
-func (k *Tracker) against(now time.Duration, b *Budget, a *MoveRequest) string {
-	name := k.name(b)
-	if !k.Recovered {
+// refusalReason tells what a budget has against a move, "" if nothing.
+func (tracker *Tracker) refusalReason(now time.Duration, b *Budget, request *MoveRequest) string {
+	name := tracker.budgetName(b)
+	if !tracker.Recovered {
 		return name + ": not all machines of earlier terms are accounted for"
 	}
-	if b.MaxMoves > 0 && k.moves[a.Task] >= b.MaxMoves {
-		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, k.moves[a.Task])
+	if b.MaxMoves > 0 && tracker.moves[request.Task] >= b.MaxMoves {
+		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, tracker.moves[request.Task])
 	}
-	if whole := a.Ran + a.Remaining; b.LastFraction > 0 && a.Remaining < time.Duration(b.LastFraction*float64(whole)) {
+	if whole := request.Ran + request.Remaining; b.LastFraction > 0 &&
+		request.Remaining < time.Duration(b.LastFraction*float64(whole)) {
 		return fmt.Sprintf("%s: a task is in the last %.0f%% of its run", name, 100*b.LastFraction)
 	}
-	u := k.used(b)
-	if most, bound := b.tasks(u.running); bound && u.tasks+1 > most {
-		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%d of %d tasks are", u.tasks, most)))
+	usage := tracker.usageOf(b)
+	if limit, limited := b.taskLimit(usage.running); limited && usage.tasks+1 > limit {
+		return fmt.Sprintf("%s: %s", name, usage.describe(now, fmt.Sprintf("%d of %d tasks are", usage.tasks, limit)))
 	}
-	if b.MaxCPU > 0 && u.cpu+a.Spec.PerTask.CPU > b.MaxCPU {
-		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%.1f of %.1f CPUs are", cpus(u.cpu), cpus(b.MaxCPU))))
+	if b.MaxCPU > 0 && usage.cpu+request.Spec.PerTask.CPU > b.MaxCPU {
+		return fmt.Sprintf("%s: %s", name, usage.describe(now,
+			fmt.Sprintf("%.1f of %.1f CPUs are", cpus(usage.cpu), cpus(b.MaxCPU))))
 	}
 	if b.MaxLostCPU > 0 {
-		lost, until := k.lostIn(now, b)
-		if lost+cpuSeconds(a.Spec, a.lost()) > b.MaxLostCPU {
-			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost, b.MaxLostCPU,
+		lost, until := tracker.lostCPUSeconds(now, b)
+		if lost+cpuSeconds(request.Spec, request.lostRunTime()) > b.MaxLostCPU {
+			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost,
+				b.MaxLostCPU,
 				b.Window, (until - now).Round(time.Second))
 		}
 	}
@@ -189,58 +193,58 @@
 
 func cpus(n int64) float64 { return float64(n) / 1000 }
 
-// tasks is how many may be out at once.
-func (b *Budget) tasks(running int) (most int, bound bool) {
+// taskLimit is how many may be out at once.
+func (b *Budget) taskLimit(running int) (limit int, limited bool) {
 	if b.MaxShare > 0 {
-		most, bound = max(1, int(b.MaxShare*float64(running))), true
+		limit, limited = max(1, int(b.MaxShare*float64(running))), true
 	}
-	if b.MaxTasks > 0 && (!bound || b.MaxTasks < most) {
-		most, bound = b.MaxTasks, true
+	if b.MaxTasks > 0 && (!limited || b.MaxTasks < limit) {
+		limit, limited = b.MaxTasks, true
 	}
-	return most, bound
+	return limit, limited
 }
 
-func (k *Tracker) name(b *Budget) string {
-	return "the budget of disruption of " + k.TeamName(b.Team)
+func (tracker *Tracker) budgetName(b *Budget) string {
+	return "the budget of disruption of " + tracker.TeamName(b.Team)
 }
 
-// used is what is out of a budget.
-type used struct {
+// usage is what is out of a budget.
+type usage struct {
 	tasks, running int
 	cpu            int64
-	by             [NumCauses]int
-	back           time.Duration // the first that is known to be back, 0: none is
+	byCause        [NumCauses]int
+	firstRecovery  time.Duration // the first that is known to be back, 0: none is
 }
 
-func (k *Tracker) used(b *Budget) used {
-	var u used
-	for _, o := range k.out {
-		if b.covers(o.sp) {
-			u.tasks++
-			u.cpu += o.sp.PerTask.CPU
-			u.by[o.cause]++
-			if o.back > 0 && (u.back == 0 || o.back < u.back) {
-				u.back = o.back
+func (tracker *Tracker) usageOf(b *Budget) usage {
+	var usage usage
+	for _, o := range tracker.outTasks {
+		if b.covers(o.spec) {
+			usage.tasks++
+			usage.cpu += o.spec.PerTask.CPU
+			usage.byCause[o.cause]++
+			if o.recoveredAt > 0 && (usage.firstRecovery == 0 || o.recoveredAt < usage.firstRecovery) {
+				usage.firstRecovery = o.recoveredAt
 			}
 		}
 	}
-	if k.TeamState == nil {
-		return u
+	if tracker.TeamState == nil {
+		return usage
 	}
-	p := k.TeamState(b.Team, b.Class)
-	u.running = p.Running
-	u.tasks += p.Orphaned + p.Unknown
-	u.cpu += p.CPU
-	u.by[Lost] += p.Orphaned
-	u.by[Unknown] += p.Unknown
-	return u
+	state := tracker.TeamState(b.Team, b.Class)
+	usage.running = state.Running
+	usage.tasks += state.Orphaned + state.Unknown
+	usage.cpu += state.CPU
+	usage.byCause[Lost] += state.Orphaned
+	usage.byCause[Unknown] += state.Unknown
+	return usage
 }
 
-// say tells what is out, and why.
-func (u *used) say(now time.Duration, what string) string {
+// describe tells what is out, and why.
+func (u *usage) describe(now time.Duration, what string) string {
 	s := what + " out of work ("
 	first := true
-	for c, n := range u.by {
+	for c, n := range u.byCause {
 		if n == 0 {
 			continue
 		}
@@ -251,86 +255,86 @@
 		s += fmt.Sprintf("%d %s", n, Cause(c))
 	}
 	s += ")"
-	if u.back > now {
-		s += fmt.Sprintf(", the first is back in %v", (u.back - now).Round(time.Second))
+	if u.firstRecovery > now {
+		s += fmt.Sprintf(", the first is back in %v", (u.firstRecovery - now).Round(time.Second))
 	}
 	return s
 }
 
-// lostIn sums up what a budget's work lost in its window by our own doing, and when
+// lostCPUSeconds sums up what a budget's work lost in its window by our own doing, and when
 // the oldest of it is forgotten.
-func (k *Tracker) lostIn(now time.Duration, b *Budget) (cpuS float64, until time.Duration) {
-	until = now
-	for i := len(k.losses) - 1; i >= 0; i-- {
-		if l := &k.losses[i]; now-l.at < b.Window && b.covers(l.sp) {
-			cpuS += l.cpuS
-			until = l.at + b.Window
+func (tracker *Tracker) lostCPUSeconds(now time.Duration, b *Budget) (cpuSeconds float64, expiresAt time.Duration) {
+	expiresAt = now
+	for i := len(tracker.losses) - 1; i >= 0; i-- {
+		if l := &tracker.losses[i]; now-l.at < b.Window && b.covers(l.spec) {
+			cpuSeconds += l.cpuSeconds
+			expiresAt = l.at + b.Window
 		}
 	}
-	return cpuS, until
+	return cpuSeconds, expiresAt
 }
 
 // HandleEvent takes what a shard tells of a job's task that is out of work, at work again, or done.
-func (k *Tracker) HandleEvent(now time.Duration, e *model.Event, sp *model.Spec) {
-	switch e.Kind {
+func (tracker *Tracker) HandleEvent(now time.Duration, event *model.Event, spec *model.Spec) {
+	switch event.Kind {
 	case model.TaskInterrupted:
 		cause := Evicted
-		if e.Cause == model.CauseOther {
+		if event.Cause == model.CauseOther {
 			cause = Lost
 		}
-		k.TaskStopped(e.Task, sp, cause, e.RunTime)
+		tracker.TaskStopped(event.Task, spec, cause, event.RunTime)
 	case model.TaskResumed:
-		k.TaskResumed(now, e.Task)
+		tracker.TaskResumed(now, event.Task)
 	case model.TaskFinished:
-		k.TaskDone(e.Task)
+		tracker.TaskDone(event.Task)
 	}
 }
 
 // TaskStopped takes the news that a running task is out of work. What was drawn for stays
 // drawn; all else eats of the budget.
-func (k *Tracker) TaskStopped(t model.Task, sp *model.Spec, c Cause, lost time.Duration) {
-	if o := k.out[t]; o != nil {
-		o.back = 0
-		o.lost = max(o.lost, lost)
+func (tracker *Tracker) TaskStopped(task model.Task, spec *model.Spec, cause Cause, lost time.Duration) {
+	if o := tracker.outTasks[task]; o != nil {
+		o.recoveredAt = 0
+		o.lostRunTime = max(o.lostRunTime, lost)
 		return
 	}
-	k.counts(sp.Team).Involuntary[c]++
-	k.out[t] = &out{sp: sp, cause: c, lost: lost}
+	tracker.teamCounts(spec.Team).Involuntary[cause]++
+	tracker.outTasks[task] = &outTask{spec: spec, cause: cause, lostRunTime: lost}
 }
 
 // TaskResumed takes the news that a task is at work again: it is out until it has made up
 // for what it lost.
-func (k *Tracker) TaskResumed(now time.Duration, t model.Task) {
-	if o := k.out[t]; o != nil && o.back == 0 {
-		o.back = now + o.lost
+func (tracker *Tracker) TaskResumed(now time.Duration, task model.Task) {
+	if o := tracker.outTasks[task]; o != nil && o.recoveredAt == 0 {
+		o.recoveredAt = now + o.lostRunTime
 	}
 }
 
 // TaskDone takes the news that a task is done.
-func (k *Tracker) TaskDone(t model.Task) {
-	delete(k.out, t)
-	delete(k.moves, t)
+func (tracker *Tracker) TaskDone(task model.Task) {
+	delete(tracker.outTasks, task)
+	delete(tracker.moves, task)
 }
 
 // Prune forgets the tasks of jobs that are over.
-func (k *Tracker) Prune(open func(model.JobID) bool) {
+func (tracker *Tracker) Prune(open func(model.JobID) bool) {
 	over := func(t model.Task) bool { return !open(t.Job) }
-	maps.DeleteFunc(k.out, func(t model.Task, _ *out) bool { return over(t) })
-	maps.DeleteFunc(k.moves, func(t model.Task, _ int) bool { return over(t) })
+	maps.DeleteFunc(tracker.outTasks, func(t model.Task, _ *outTask) bool { return over(t) })
+	maps.DeleteFunc(tracker.moves, func(t model.Task, _ int) bool { return over(t) })
 }
 
 // expire gives back what has made up for what it lost, and forgets old losses.
-func (k *Tracker) expire(now time.Duration) {
-	for t, o := range k.out {
-		if o.back > 0 && now >= o.back {
-			delete(k.out, t)
+func (tracker *Tracker) expire(now time.Duration) {
+	for t, o := range tracker.outTasks {
+		if o.recoveredAt > 0 && now >= o.recoveredAt {
+			delete(tracker.outTasks, t)
 		}
 	}
 	var longest time.Duration
-	for i := range k.budgets {
-		longest = max(longest, k.budgets[i].Window)
+	for i := range tracker.budgets {
+		longest = max(longest, tracker.budgets[i].Window)
 	}
-	k.losses = slices.DeleteFunc(k.losses, func(l loss) bool { return now-l.at >= longest })
+	tracker.losses = slices.DeleteFunc(tracker.losses, func(l loss) bool { return now-l.at >= longest })
 }
 
 // Status of a budget, for people.
@@ -343,19 +347,20 @@
 }
 
 // Status tells how all budgets stand.
-func (k *Tracker) Status(now time.Duration) []Status {
-	k.expire(now)
-	out := make([]Status, 0, len(k.budgets))
-	for i := range k.budgets {
-		b := &k.budgets[i]
-		u := k.used(b)
-		most, bound := b.tasks(u.running)
-		if !bound {
-			most = -1
+func (tracker *Tracker) Status(now time.Duration) []Status {
+	tracker.expire(now)
+	out := make([]Status, 0, len(tracker.budgets))
+	for i := range tracker.budgets {
+		b := &tracker.budgets[i]
+		usage := tracker.usageOf(b)
+		limit, limited := b.taskLimit(usage.running)
+		if !limited {
+			limit = -1
 		}
-		lost, _ := k.lostIn(now, b)
-		out = append(out, Status{Budget: *b, Running: u.running, Tasks: u.tasks, TaskLimit: most, CPU: u.cpu, LostCPU: lost,
-			ByCause: u.by})
+		lost, _ := tracker.lostCPUSeconds(now, b)
+		out = append(out, Status{Budget: *b, Running: usage.running, Tasks: usage.tasks, TaskLimit: limit, CPU: usage.cpu,
+			LostCPU: lost,
+			ByCause: usage.byCause})
 	}
 	slices.SortStableFunc(out, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -53,47 +53,49 @@
 
 // Engine is the state machine.
 type Engine struct {
-	p      Params
-	plans  map[string]*Plan
-	uids   uint64
-	price  map[model.MachineID]bool // drained for their price
-	giving map[model.MachineID]bool // of price: being given back
-	barred map[model.MachineID]bool // as last told
-	seen   map[model.MachineID]seen
-	asked  map[model.MachineID]asked // Look
-	looks  uint64
-	turns  int                           // of plans
-	packs  bool                          // records that would be too large are packed
-	moved  map[model.JobID]time.Duration // services: when a replica was last moved
-	out    []Action
-	free   *rooms // for what moves in this tick, nil: not asked for yet
+	params           Params
+	plans            map[string]*Plan
+	lastUID          uint64
+	priceDrains      map[model.MachineID]bool // drained for their price
+	priceReturns     map[model.MachineID]bool // of price: being given back
+	cordoned         map[model.MachineID]bool // as last told
+	taskLists        map[model.MachineID]taskList
+	taskListRequests map[model.MachineID]taskListRequest // Look
+	lastListSeq      uint64
+	firstPlan        int                           // of plans
+	compression      bool                          // records that would be too large are packed
+	lastReplicaMove  map[model.JobID]time.Duration // services: when a replica was last moved
+	actions          []Action
+	moveCapacity     *freeCapacity // for what moves in this tick, nil: not asked for yet
 }
 
-// asked is the last question what runs on a machine.
-type asked struct {
-	at  time.Duration
-	seq uint64
+// taskListRequest is the last question what runs on a machine.
+type taskListRequest struct {
+	sentAt time.Duration
+	seq    uint64
 }
 
 // New returns an engine without plans.
 func New(p Params) *Engine {
-	return &Engine{p: p, plans: map[string]*Plan{}, price: map[model.MachineID]bool{}, giving: map[model.MachineID]bool{},
-		barred: map[model.MachineID]bool{}, seen: map[model.MachineID]seen{}, asked: map[model.MachineID]asked{},
-		moved: map[model.JobID]time.Duration{}}
+	return &Engine{params: p, plans: map[string]*Plan{}, priceDrains: map[model.MachineID]bool{},
+		priceReturns: map[model.MachineID]bool{},
+		cordoned:     map[model.MachineID]bool{}, taskLists: map[model.MachineID]taskList{},
+		taskListRequests: map[model.MachineID]taskListRequest{},
+		lastReplicaMove:  map[model.JobID]time.Duration{}}
 }
 
 // Idle tells that there is nothing to do: no plan that is not over, and no
 // machine drained for its price.
 func (e *Engine) Idle() bool {
 	for _, p := range e.plans {
-		if p.foreign == "" && (!p.ended() || !p.synced()) {
+		if p.unsupportedReason == "" && (!p.ended() || !p.synced()) {
 			return false
 		}
 	}
-	return len(e.price) == 0 && len(e.barred) == 0
+	return len(e.priceDrains) == 0 && len(e.cordoned) == 0
 }
 
-func (e *Engine) sorted() []*Plan {
+func (e *Engine) sortedPlans() []*Plan {
 	out := make([]*Plan, 0, len(e.plans))
 	for _, p := range e.plans {
 		out = append(out, p)
@@ -110,29 +112,29 @@
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Check tells whether a plan could be applied now.
-func (e *Engine) Check(s *Spec, source []byte, name func(model.MachineID) string) error {
-	if p := e.plans[s.Name]; p != nil && p.foreign != "" {
-		return refuse("name: plan %q is there already, %s", s.Name, p.foreign)
+func (e *Engine) Check(spec *Spec, source []byte, machineName func(model.MachineID) string) error {
+	if p := e.plans[spec.Name]; p != nil && p.unsupportedReason != "" {
+		return refuse("name: plan %q is there already, %s", spec.Name, p.unsupportedReason)
 	} else if p != nil && !p.ended() {
-		return refuse("name: plan %q is %s", s.Name, p.Phase)
+		return refuse("name: plan %q is %s", spec.Name, p.Phase)
 	}
-	if len(s.Machines) == 0 {
+	if len(spec.Machines) == 0 {
 		return refuse("machines: none is like that now")
 	}
-	if len(s.Machines) > e.p.MaxMachines {
-		return refuse("machines: %d, a plan holds %d at most: split it", len(s.Machines), e.p.MaxMachines)
+	if len(spec.Machines) > e.params.MaxMachines {
+		return refuse("machines: %d, a plan holds %d at most: split it", len(spec.Machines), e.params.MaxMachines)
 	}
-	if e.p.MaxRecordBytes > 0 {
-		if size := worst(s, source); size > e.p.MaxRecordBytes {
+	if e.params.MaxRecordBytes > 0 {
+		if size := maxRecordSize(spec, source); size > e.params.MaxRecordBytes {
 			return refuse("machines: %d, with a text of %d bytes, may take %d bytes to store, at most %d: split the plan",
-				len(s.Machines), len(source), size, e.p.MaxRecordBytes)
+				len(spec.Machines), len(source), size, e.params.MaxRecordBytes)
 		}
 	}
 	var errs []error
-	for _, p := range e.sorted() {
+	for _, p := range e.sortedPlans() {
 		for i := range p.Steps {
-			if id := p.Steps[i].Machine; !p.Steps[i].State.over() && slices.Contains(s.Machines, id) {
-				errs = append(errs, refuse("machines: %s is wanted by plan %q and by %q", name(id), p.Name, s.Name))
+			if id := p.Steps[i].Machine; !p.Steps[i].State.isFinal() && slices.Contains(spec.Machines, id) {
+				errs = append(errs, refuse("machines: %s is wanted by plan %q and by %q", machineName(id), p.Name, spec.Name))
 			}
 		}
 	}
@@ -140,46 +142,47 @@
 }
 
 // Apply begins a plan that Check took.
-func (e *Engine) Apply(now time.Duration, wall time.Time, s *Spec, source []byte, by string) *Plan {
-	e.uids++
-	p := &Plan{Spec: *s, UID: fmt.Sprintf("%d-%d", e.p.Term, e.uids), Source: source, By: by, At: wall, Phase: Active,
-		gen: 1}
-	for _, id := range s.Machines {
+func (e *Engine) Apply(now time.Duration, wall time.Time, spec *Spec, source []byte, by string) *Plan {
+	e.lastUID++
+	p := &Plan{Spec: *spec, UID: fmt.Sprintf("%d-%d", e.params.Term, e.lastUID), Source: source, By: by, At: wall,
+		Phase:      Active,
+		generation: 1}
+	for _, id := range spec.Machines {
 		p.Steps = append(p.Steps, Step{Machine: id})
-		delete(e.price, id) // the plan decides from now on
+		delete(e.priceDrains, id) // the plan decides from now on
 	}
-	p.rt = make([]runtime, len(p.Steps))
-	for i := range p.rt {
-		p.rt[i].since = now
+	p.runtime = make([]stepRuntime, len(p.Steps))
+	for i := range p.runtime {
+		p.runtime[i].stateSince = now
 	}
-	if old := e.plans[s.Name]; old != nil {
-		p.version = old.version
+	if old := e.plans[spec.Name]; old != nil {
+		p.storeVersion = old.storeVersion
 	}
-	e.plans[s.Name] = p
+	e.plans[spec.Name] = p
 	return p
 }
 
-// plan finds one that can be changed.
-func (e *Engine) plan(name string) (*Plan, error) {
+// editablePlan finds one that can be changed.
+func (e *Engine) editablePlan(name string) (*Plan, error) {
 	p := e.plans[name]
 	switch {
 	case p == nil:
 		return nil, refuse("no plan is named %q", name)
-	case p.foreign != "":
-		return nil, refuse("plan %q can't be changed here: %s", name, p.foreign)
+	case p.unsupportedReason != "":
+		return nil, refuse("plan %q can't be changed here: %s", name, p.unsupportedReason)
 	}
 	return p, nil
 }
 
 // Pause stops a plan: no step begins and nothing moves. What is being drained
 // gets no tasks still.
-func (e *Engine) Pause(name string) error { return e.turn(name, Active, Paused) }
+func (e *Engine) Pause(name string) error { return e.switchPhase(name, Active, Paused) }
 
 // Resume lets a paused plan go on.
-func (e *Engine) Resume(name string) error { return e.turn(name, Paused, Active) }
+func (e *Engine) Resume(name string) error { return e.switchPhase(name, Paused, Active) }
 
-func (e *Engine) turn(name string, from, to Phase) error {
-	p, err := e.plan(name)
+func (e *Engine) switchPhase(name string, from, to Phase) error {
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -191,17 +194,17 @@
 	}
 	if to == Active && p.GateClosedReason != "" { // the operator's word for the gate
 		p.GateClosedReason = ""
-		p.pass(p.PassedWaves)
+		p.passWave(p.PassedWaves)
 	}
 	p.Phase = to
-	p.gen++
+	p.generation++
 	return nil
 }
 
 // Cancel ends a plan: its machines are wanted again, but for those that are being
 // given back, which can't be undone.
 func (e *Engine) Cancel(now time.Duration, name string) error {
-	p, err := e.plan(name)
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -211,27 +214,27 @@
 	if p.Phase == Done || p.ended() {
 		return refuse("plan %q is %s", name, p.Phase)
 	}
-	e.end(now, p, Cancelled)
+	e.endPlan(now, p, Cancelled)
 	return nil
 }
 
-// end lets go of all steps that can still be undone.
-func (e *Engine) end(now time.Duration, p *Plan, to Phase) {
+// endPlan lets go of all steps that can still be undone.
+func (e *Engine) endPlan(now time.Duration, p *Plan, to Phase) {
 	p.Phase = to
-	p.gen++
+	p.generation++
 	for i := range p.Steps {
 		s := p.Steps[i].State
-		if s.over() || s == Returning || to == Overdue && s != Waiting && s != Renting {
+		if s.isFinal() || s == Returning || to == Overdue && s != Waiting && s != Renting {
 			continue
 		}
-		p.set(now, i, Abandoned)
+		p.setState(now, i, Abandoned)
 	}
 }
 
 // Patched takes an operator's word that a machine of a plan is patched: it is
 // wanted again.
 func (e *Engine) Patched(now time.Duration, name string, id model.MachineID, machine string) error {
-	p, err := e.plan(name)
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -243,7 +246,7 @@
 		case Finished:
 			return nil
 		case Patching:
-			p.set(now, i, Finished)
+			p.setState(now, i, Finished)
 			return nil
 		}
 		return refuse("%s is %s: only a machine that is patching can be patched", machine, p.Steps[i].State)
@@ -254,10 +257,10 @@
 // DrainForPrice drains machines for their price: they go once they are empty. That is
 // not stored: a new leader judges prices anew.
 func (e *Engine) DrainForPrice(ids []model.MachineID) {
-	wanted := e.wanted()
+	wanted := e.machinesInPlans()
 	for _, id := range ids {
 		if !wanted[id] {
-			e.price[id] = true
+			e.priceDrains[id] = true
 		}
 	}
 }
@@ -265,23 +268,23 @@
 // CancelPriceDrain wants machines again that were drained for their price.
 func (e *Engine) CancelPriceDrain(ids []model.MachineID) {
 	for _, id := range ids {
-		if !e.giving[id] {
-			delete(e.price, id)
+		if !e.priceReturns[id] {
+			delete(e.priceDrains, id)
 		}
 	}
 }
 
-// wanted are the machines that plans have, and the replacements of those that are not emptied
+// machinesInPlans are the machines that plans have, and the replacements of those that are not emptied
 // yet: their tasks are to move there.
-func (e *Engine) wanted() map[model.MachineID]bool {
+func (e *Engine) machinesInPlans() map[model.MachineID]bool {
 	out := map[model.MachineID]bool{}
 	for _, p := range e.plans {
 		for i := range p.Steps {
-			if p.Steps[i].State.over() {
+			if p.Steps[i].State.isFinal() {
 				continue
 			}
 			out[p.Steps[i].Machine] = true
-			if id := p.rt[i].renewed; id != 0 {
+			if id := p.runtime[i].replacement; id != 0 {
 				out[id] = true
 			}
 		}
@@ -292,81 +295,81 @@
 // MachinePlans tells whether a plan drains a machine now, and whether one has it at all, or rented it
 // for one that it has.
 func (e *Engine) MachinePlans() func(model.MachineID) (drains, wants bool) {
-	wanted := e.wanted()
-	return func(id model.MachineID) (bool, bool) { return e.barred[id] && wanted[id], wanted[id] }
+	wanted := e.machinesInPlans()
+	return func(id model.MachineID) (bool, bool) { return e.cordoned[id] && wanted[id], wanted[id] }
 }
 
 // TasksListed takes what a machine's owner told of its tasks, in answer to the Look of
 // that number. Only the answer to the newest counts: one that was asked before
 // the machine was barred proves nothing of after.
-func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, on []model.PlacedTask,
-	spec func(model.JobID) *model.Spec) {
-	if a, ok := e.asked[id]; !ok || a.seq != seq {
+func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, tasks []model.PlacedTask,
+	specOf func(model.JobID) *model.Spec) {
+	if a, ok := e.taskListRequests[id]; !ok || a.seq != seq {
 		return
 	}
-	s := seen{at: now, none: len(on) == 0}
-	for _, t := range on {
-		if sp := spec(t.Task.Job); sp != nil {
-			s.tasks = append(s.tasks, task{t, sp})
+	list := taskList{receivedAt: now, empty: len(tasks) == 0}
+	for _, t := range tasks {
+		if spec := specOf(t.Task.Job); spec != nil {
+			list.tasks = append(list.tasks, runningTask{t, spec})
 		}
 	}
-	e.seen[id] = s
+	e.taskLists[id] = list
 }
 
 // MachineRented takes the outcome of a rental: the machine, or why there is none.
-func (e *Engine) MachineRented(now time.Duration, a Action, got []model.MachineID, refused bool) {
+func (e *Engine) MachineRented(now time.Duration, a Action, rented []model.MachineID, refused bool) {
 	p := e.plans[a.Plan]
-	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.request(a.Step) {
+	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.rentRequest(a.Step) {
 		return
 	}
-	r := &p.rt[a.Step]
-	r.asking, r.asked = false, now
+	r := &p.runtime[a.Step]
+	r.requestPending, r.lastRequestAt = false, now
 	switch {
-	case len(got) > 0:
-		r.renewed = got[0]
-		e.CancelPriceDrain(got[:1]) // it may be drained for its price by a leader that did not know whose it is
+	case len(rented) > 0:
+		r.replacement = rented[0]
+		e.CancelPriceDrain(rented[:1]) // it may be drained for its price by a leader that did not know whose it is
 	case refused:
-		r.held = "the cloud has no machine to replace it"
+		r.blockedReason = "the cloud has no machine to replace it"
 	default:
-		r.held = "the cloud does not answer"
+		r.blockedReason = "the cloud does not answer"
 	}
 }
 
 // MachineReturned takes the outcome of a return.
 func (e *Engine) MachineReturned(now time.Duration, id model.MachineID, ok bool) {
-	if e.price[id] {
-		delete(e.giving, id)
+	if e.priceDrains[id] {
+		delete(e.priceReturns, id)
 		if ok {
-			delete(e.price, id)
-			delete(e.barred, id)
+			delete(e.priceDrains, id)
+			delete(e.cordoned, id)
 		}
 		return
 	}
-	for _, p := range e.sorted() {
+	for _, p := range e.sortedPlans() {
 		for i := range p.Steps {
 			if p.Steps[i].Machine != id || p.Steps[i].State != Returning {
 				continue
 			}
-			p.rt[i].asking, p.rt[i].asked = false, now
+			p.runtime[i].requestPending, p.runtime[i].lastRequestAt = false, now
 			if ok {
-				p.set(now, i, Finished)
+				p.setState(now, i, Finished)
 			} else {
-				p.rt[i].held = "the cloud does not take it back"
+				p.runtime[i].blockedReason = "the cloud does not take it back"
 			}
 		}
 	}
 }
 
-// request is the name under which a step's replacement is asked for: the same for
+// rentRequest is the name under which a step's replacement is asked for: the same for
 // every leader, so that it is rented once.
-func (p *Plan) request(i int) string {
+func (p *Plan) rentRequest(i int) string {
 	return fmt.Sprintf("drain-%s-%d-%d", p.UID, i, p.Steps[i].RentAttempt)
 }
 
-func (e *Engine) act(a Action) { e.out = append(e.out, a) }
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// names joins a few names for people.
-func names(all []string) string {
+// joinNames joins a few names for people.
+func joinNames(all []string) string {
 	if len(all) > 3 {
 		return strings.Join(all[:3], ", ") + fmt.Sprintf(" and %d more", len(all)-3)
 	}
--- a/internal/core/drain/harness_test.go
+++ b/internal/core/drain/harness_test.go
@@ -12,105 +12,107 @@
 	"honeylock/internal/wire"
 )
 
-// rig is a scripted cluster round an engine: machines with tasks, a store that
+// harness is a scripted cluster round an engine: machines with tasks, a store that
 // may lose answers, and a cloud that may refuse.
-type rig struct {
-	e      *Engine
-	now    time.Duration
-	wall   time.Time
-	term   uint64
-	ms     map[model.MachineID]*rigMachine
-	jobs   map[model.JobID]*Job
-	stored map[string]StoredPlan // the store
-	rev    uint64
-	spec   *Spec
-	loses  bool // the store's answers are lost, though it writes
-	mute   bool // owners do not tell what runs on their machines
-	refuse bool // the cloud has nothing, and takes nothing back
-	rented map[string]model.MachineID
-	given  map[model.MachineID]int
-	recall []model.Task
-	broken []string
-	names  int
-	judge  func(rollout.Gate, []model.MachineID) rollout.Verdict
+type harness struct {
+	engine             *Engine
+	now                time.Duration
+	wall               time.Time
+	term               uint64
+	machines           map[model.MachineID]*harnessMachine
+	jobs               map[model.JobID]*Job
+	stored             map[string]StoredPlan // the store
+	rev                uint64
+	spec               *Spec
+	storeLosesAnswers  bool // the store's answers are lost, though it writes
+	ownersUnresponsive bool // owners do not tell what runs on their machines
+	cloudRefuses       bool // the cloud has nothing, and takes nothing back
+	rented             map[string]model.MachineID
+	returned           map[model.MachineID]int
+	recalled           []model.Task
+	violations         []string
+	rentals            int
+	evaluateGate       func(rollout.Gate, []model.MachineID) rollout.Verdict
 }
 
-type rigMachine struct {
+type harnessMachine struct {
 	model.Machine
-	barred bool
-	tasks  []model.PlacedTask
-	boots  int // ticks until it is up
-	since  time.Duration
-	deaf   bool // its owner does not tell how it is
+	cordoned   bool
+	tasks      []model.PlacedTask
+	bootTicks  int // ticks until it is up
+	knownSince time.Duration
+	unreported bool // its owner does not tell how it is
 }
 
 const gb = 1000
 
-func newRig() *rig {
-	r := &rig{wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), ms: map[model.MachineID]*rigMachine{},
+func newHarness() *harness {
+	h := &harness{wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), machines: map[model.MachineID]*harnessMachine{},
 		jobs:   map[model.JobID]*Job{},
-		stored: map[string]StoredPlan{}, rented: map[string]model.MachineID{}, given: map[model.MachineID]int{}}
-	r.lead()
-	return r
+		stored: map[string]StoredPlan{}, rented: map[string]model.MachineID{}, returned: map[model.MachineID]int{}}
+	h.startLeader()
+	return h
 }
 
-// lead begins a term with what is stored.
-func (r *rig) lead() {
-	r.term++
-	r.e = New(Params{Term: r.term, ReportInterval: time.Second, RetryInterval: 5 * time.Second, MaxMachines: 100})
-	for _, m := range r.ms {
-		m.barred = false // another leader, other books
+// startLeader begins a term with what is stored.
+func (h *harness) startLeader() {
+	h.term++
+	h.engine = New(Params{Term: h.term, ReportInterval: time.Second, RetryInterval: 5 * time.Second, MaxMachines: 100})
+	for _, m := range h.machines {
+		m.cordoned = false // another leader, other books
 	}
-	for _, s := range r.stored {
-		r.e.Load(r.now, s, func([]byte) (*Spec, error) { c := *r.spec; c.Machines = nil; return &c, nil })
+	for _, s := range h.stored {
+		h.engine.Load(h.now, s, func([]byte) (*Spec, error) { c := *h.spec; c.Machines = nil; return &c, nil })
 	}
-	for _, a := range r.e.Cordons() {
-		r.do(a)
+	for _, a := range h.engine.Cordons() {
+		h.carryOut(a)
 	}
 }
 
-func (r *rig) machine(id model.MachineID, zone model.Name) *rigMachine {
-	m := &rigMachine{Machine: model.Machine{ID: id, Zone: zone, Cap: model.Resources{CPU: 8000, Mem: 32 * gb}},
-		since: r.now}
-	r.ms[id] = m
+func (h *harness) addMachine(id model.MachineID, zone model.Name) *harnessMachine {
+	m := &harnessMachine{Machine: model.Machine{ID: id, Zone: zone, Cap: model.Resources{CPU: 8000, Mem: 32 * gb}},
+		knownSince: h.now}
+	h.machines[id] = m
 	return m
 }
 
-// job adds one with a task of 2 CPUs on each of the machines.
-func (r *rig) job(sp model.Spec, on ...model.MachineID) *Job {
+// addJob adds one with a task of 2 CPUs on each of the machines.
+func (h *harness) addJob(sp model.Spec, on ...model.MachineID) *Job {
 	sp.PerTask, sp.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
 	sp.Zone = model.None
 	if sp.SubmittedMS == 0 {
-		sp.SubmittedMS = r.wall.UnixMilli()
+		sp.SubmittedMS = h.wall.UnixMilli()
 	}
 	j := &Job{Spec: &sp, UnfinishedTasks: len(on), RunningTasks: len(on)}
-	r.jobs[sp.ID] = j
+	h.jobs[sp.ID] = j
 	for i, id := range on {
-		r.ms[id].tasks = append(r.ms[id].tasks, model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)},
+		h.machines[id].tasks = append(h.machines[id].tasks, model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)},
 			Stage: model.Running})
 	}
 	return j
 }
 
-func (m *rigMachine) free(r *rig) model.Resources {
+func (m *harnessMachine) free(h *harness) model.Resources {
 	f := m.Cap
 	for _, t := range m.tasks {
-		f = f.Sub(r.jobs[t.Task.Job].Spec.PerTask)
+		f = f.Sub(h.jobs[t.Task.Job].Spec.PerTask)
 	}
 	return f
 }
 
-func (r *rig) view() *View {
-	v := &View{Now: r.now, Wall: r.wall.Add(r.now), Machines: map[model.MachineID]Machine{}, Recovered: true,
+func (h *harness) view() *View {
+	v := &View{Now: h.now, Wall: h.wall.Add(h.now), Machines: map[model.MachineID]Machine{}, Recovered: true,
 		RunTimeFactor: func(_ model.Name, part float64) float64 {
 			return 0.5 +
 				part
-		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName, EvaluateGate: r.judge}
-	for id, m := range r.ms {
-		st := model.MachineStatus{Machine: m.Machine, Avail: m.free(r), Ready: !m.barred && m.boots == 0, Slots: len(m.tasks)}
-		v.Machines[id] = Machine{MachineStatus: st, Reported: m.boots == 0 && !m.deaf, KnownSince: m.since}
+		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName,
+		EvaluateGate: h.evaluateGate}
+	for id, m := range h.machines {
+		st := model.MachineStatus{Machine: m.Machine, Avail: m.free(h), Ready: !m.cordoned && m.bootTicks == 0,
+			Slots: len(m.tasks)}
+		v.Machines[id] = Machine{MachineStatus: st, Reported: m.bootTicks == 0 && !m.unreported, KnownSince: m.knownSince}
 	}
-	for _, j := range r.jobs {
+	for _, j := range h.jobs {
 		v.Jobs = append(v.Jobs, *j)
 	}
 	slices.SortFunc(v.Jobs, func(a, b Job) int { return int(a.Spec.ID) - int(b.Spec.ID) })
@@ -118,64 +120,64 @@
 }
 
 // replacement is the only machine that was rented.
-func (r *rig) replacement(t *testing.T) model.MachineID {
+func (h *harness) replacement(t *testing.T) model.MachineID {
 	t.Helper()
-	if len(r.rented) != 1 {
-		t.Fatalf("rented %v, want one machine", r.rented)
+	if len(h.rented) != 1 {
+		t.Fatalf("rented %v, want one machine", h.rented)
 	}
-	for _, id := range r.rented {
+	for _, id := range h.rented {
 		return id
 	}
 	return 0
 }
 
 // tick lets half a second go by.
-func (r *rig) tick() {
-	r.now += 500 * time.Millisecond
-	for _, m := range r.ms {
-		m.boots = max(0, m.boots-1)
+func (h *harness) tick() {
+	h.now += 500 * time.Millisecond
+	for _, m := range h.machines {
+		m.bootTicks = max(0, m.bootTicks-1)
 		for i := range m.tasks {
 			m.tasks[i].RunTime += 500 * time.Millisecond
 		}
 	}
-	for _, a := range r.e.Tick(r.view()) {
-		r.do(a)
+	for _, a := range h.engine.Tick(h.view()) {
+		h.carryOut(a)
 	}
-	for _, w := range r.e.Writes(4) {
-		r.write(w)
+	for _, w := range h.engine.Writes(4) {
+		h.write(w)
 	}
 }
 
-func (r *rig) ticks(n int) {
+func (h *harness) ticks(n int) {
 	for range n {
-		r.tick()
+		h.tick()
 	}
 }
 
-func (r *rig) write(w Write) {
-	if s := r.stored[w.Name]; s.Version != w.Version {
-		r.e.WriteDone(w, 0, false, true, s.Version)
+func (h *harness) write(w Write) {
+	if s := h.stored[w.Name]; s.Version != w.Version {
+		h.engine.WriteDone(w, 0, false, true, s.Version)
 		return
 	}
-	r.rev++
+	h.rev++
 	if w.Value == nil {
-		delete(r.stored, w.Name)
+		delete(h.stored, w.Name)
 	} else {
-		r.stored[w.Name] = StoredPlan{w.Name, w.Value, r.rev}
+		h.stored[w.Name] = StoredPlan{w.Name, w.Value, h.rev}
 	}
-	if r.loses {
-		r.e.WriteDone(w, 0, false, false, 0)
+	if h.storeLosesAnswers {
+		h.engine.WriteDone(w, 0, false, false, 0)
 		return
 	}
-	r.e.WriteDone(w, r.rev, true, false, 0)
+	h.engine.WriteDone(w, h.rev, true, false, 0)
 }
 
 // state is what the store says of a machine's step.
-func (r *rig) state(plan string, id model.MachineID) State {
+func (h *harness) state(plan string, id model.MachineID) State {
 	var rec record
-	_ = json.Unmarshal(r.stored[plan].Value, &rec)
+	_ = json.Unmarshal(h.stored[plan].Value, &rec)
 	p := &Plan{Spec: Spec{Name: plan}}
-	if p.decode(0, r.stored[plan].Value, func([]byte) (*Spec, error) { return &Spec{}, nil }) != nil {
+	if p.decode(0, h.stored[plan].Value, func([]byte) (*Spec, error) { return &Spec{}, nil }) != nil {
 		return 255
 	}
 	for _, s := range p.Steps {
@@ -186,82 +188,83 @@
 	return 255
 }
 
-func (r *rig) breaks(format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf("%v: ", r.now)+fmt.Sprintf(format, args...))
+func (h *harness) recordViolation(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, args...))
 }
 
-// do carries an action out and checks that its conditions hold.
-func (r *rig) do(a Action) {
-	m := r.ms[a.Machine]
-	planned := r.spec != nil && slices.Contains(r.spec.Machines, a.Machine)
+// carryOut carries an action out and checks that its conditions hold.
+func (h *harness) carryOut(a Action) {
+	m := h.machines[a.Machine]
+	planned := h.spec != nil && slices.Contains(h.spec.Machines, a.Machine)
 	switch a.Kind {
 	case Cordon:
-		if s := r.state("p", a.Machine); planned && !s.barred() {
-			r.breaks("machine %d is drained while it is stored as %v", a.Machine, s)
+		if s := h.state("p", a.Machine); planned && !s.isCordoned() {
+			h.recordViolation("machine %d is drained while it is stored as %v", a.Machine, s)
 		}
 		if m != nil {
-			m.barred = true
+			m.cordoned = true
 		}
 	case Uncordon:
 		if m != nil {
-			m.barred = false
+			m.cordoned = false
 		}
 	case ListTasks:
-		if m != nil && !r.mute && m.boots == 0 {
-			r.e.TasksListed(r.now, a.Machine, a.Seq, slices.Clone(m.tasks), func(id model.JobID) *model.Spec {
-				if j := r.jobs[id]; j != nil {
+		if m != nil && !h.ownersUnresponsive && m.bootTicks == 0 {
+			h.engine.TasksListed(h.now, a.Machine, a.Seq, slices.Clone(m.tasks), func(id model.JobID) *model.Spec {
+				if j := h.jobs[id]; j != nil {
 					return j.Spec
 				}
 				return nil
 			})
 		}
 	case Recall:
-		r.recall = append(r.recall, a.Task)
-		r.move(a.Machine, a.Task)
+		h.recalled = append(h.recalled, a.Task)
+		h.moveTask(a.Machine, a.Task)
 	case Rent:
-		id, ok := r.rented[a.Request]
-		if !ok && !r.refuse {
-			r.names++
-			id = model.MachineID(1000 + r.names)
-			r.rented[a.Request] = id
-			r.machine(id, m.Zone).boots = 6
+		id, ok := h.rented[a.Request]
+		if !ok && !h.cloudRefuses {
+			h.rentals++
+			id = model.MachineID(1000 + h.rentals)
+			h.rented[a.Request] = id
+			h.addMachine(id, m.Zone).bootTicks = 6
 			ok = true
 		}
 		if ok {
-			r.e.MachineRented(r.now, a, []model.MachineID{id}, false)
+			h.engine.MachineRented(h.now, a, []model.MachineID{id}, false)
 		} else {
-			r.e.MachineRented(r.now, a, nil, true)
+			h.engine.MachineRented(h.now, a, nil, true)
 		}
 	case ReturnMachine:
-		r.give(a, m, planned)
+		h.returnMachine(a, m, planned)
 	}
 }
 
-func (r *rig) give(a Action, m *rigMachine, planned bool) {
-	if m != nil && (len(m.tasks) > 0 || !m.barred) {
-		r.breaks("machine %d is given back with %d tasks, barred: %v", a.Machine, len(m.tasks), m.barred)
+func (h *harness) returnMachine(a Action, m *harnessMachine, planned bool) {
+	if m != nil && (len(m.tasks) > 0 || !m.cordoned) {
+		h.recordViolation("machine %d is given back with %d tasks, barred: %v", a.Machine, len(m.tasks), m.cordoned)
 	}
-	if planned && r.state("p", a.Machine) != Returning {
-		r.breaks("machine %d is given back while it is stored as %v", a.Machine, r.state("p", a.Machine))
+	if planned && h.state("p", a.Machine) != Returning {
+		h.recordViolation("machine %d is given back while it is stored as %v", a.Machine, h.state("p", a.Machine))
 	}
-	if !r.refuse {
-		r.given[a.Machine]++
-		delete(r.ms, a.Machine)
+	if !h.cloudRefuses {
+		h.returned[a.Machine]++
+		delete(h.machines, a.Machine)
 	}
-	r.e.MachineReturned(r.now, a.Machine, !r.refuse)
+	h.engine.MachineReturned(h.now, a.Machine, !h.cloudRefuses)
 }
 
-// move stops a task here and places it where there is room, if there is any.
-func (r *rig) move(from model.MachineID, t model.Task) {
-	m := r.ms[from]
+// moveTask stops a task here and places it where there is room, if there is any.
+func (h *harness) moveTask(from model.MachineID, t model.Task) {
+	m := h.machines[from]
 	i := slices.IndexFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task == t })
 	if i < 0 {
 		return
 	}
 	m.tasks = slices.Delete(m.tasks, i, i+1)
-	j := r.jobs[t.Job]
-	for _, id := range r.ids() {
-		if o := r.ms[id]; !o.barred && o.boots == 0 && j.Spec.PerTask.Fits(o.free(r)) && j.Spec.Allows(&o.Machine) {
+	j := h.jobs[t.Job]
+	for _, id := range h.ids() {
+		if o := h.machines[id]; !o.cordoned && o.bootTicks == 0 && j.Spec.PerTask.Fits(o.free(h)) &&
+			j.Spec.Allows(&o.Machine) {
 			o.tasks = append(o.tasks, model.PlacedTask{Task: t, Stage: model.Running})
 			return
 		}
@@ -269,51 +272,51 @@
 	j.RunningTasks--
 }
 
-func (r *rig) ids() []model.MachineID {
+func (h *harness) ids() []model.MachineID {
 	out := map[model.MachineID]bool{}
-	for id := range r.ms {
+	for id := range h.machines {
 		out[id] = true
 	}
 	return sortedIDs(out)
 }
 
-// finish ends a job's tasks.
-func (r *rig) finish(id model.JobID) {
-	for _, m := range r.ms {
+// finishJob ends a job's tasks.
+func (h *harness) finishJob(id model.JobID) {
+	for _, m := range h.machines {
 		m.tasks = slices.DeleteFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task.Job == id })
 	}
-	delete(r.jobs, id)
+	delete(h.jobs, id)
 }
 
-// lose lets a machine stop with all that is on it.
-func (r *rig) lose(id model.MachineID) {
-	if m := r.ms[id]; m != nil {
+// loseMachine lets a machine stop with all that is on it.
+func (h *harness) loseMachine(id model.MachineID) {
+	if m := h.machines[id]; m != nil {
 		for _, t := range m.tasks {
-			if j := r.jobs[t.Task.Job]; j != nil {
+			if j := h.jobs[t.Task.Job]; j != nil {
 				j.RunningTasks--
 			}
 		}
-		delete(r.ms, id)
+		delete(h.machines, id)
 	}
 }
 
-func (r *rig) apply(s Spec) error {
+func (h *harness) apply(s Spec) error {
 	s.Name = "p"
 	if s.MaxConcurrent == 0 {
 		s.MaxConcurrent = 1
 	}
-	r.spec = &s
-	if err := r.e.Check(&s, []byte("source"), func(id model.MachineID) string { return fmt.Sprint(id) }); err != nil {
+	h.spec = &s
+	if err := h.engine.Check(&s, []byte("source"), func(id model.MachineID) string { return fmt.Sprint(id) }); err != nil {
 		return err
 	}
-	r.e.Apply(r.now, r.wall.Add(r.now), &s, []byte("source"), "ops")
+	h.engine.Apply(h.now, h.wall.Add(h.now), &s, []byte("source"), "ops")
 	return nil
 }
 
-// held is what the plan waits for.
-func (r *rig) held() string { return r.e.Status(r.now, "p").brief() }
+// blockedReason is what the plan waits for.
+func (h *harness) blockedReason() string { return h.engine.Status(h.now, "p").firstBlockedReason() }
 
-func (s *Status) brief() string {
+func (s *Status) firstBlockedReason() string {
 	for _, t := range s.Steps {
 		if t.BlockedReason != "" {
 			return t.BlockedReason
--- a/internal/core/drain/packed_test.go
+++ b/internal/core/drain/packed_test.go
@@ -11,7 +11,7 @@
 
 // A plan of 1,300 machines fits into 2 KiB in whatever states its steps are, any leader
 // reads it again, and what would not fit is refused with what it takes.
-func TestLargePlanIsPacked(t *testing.T) {
+func TestLargePlanIsCompressed(t *testing.T) {
 	e := New(Params{Term: 1, MaxMachines: 9000, MaxRecordBytes: 2048})
 	spec := &Spec{Name: "patch"}
 	for i := range model.MachineID(1300) {
@@ -29,7 +29,7 @@
 	if w := e.Writes(1); len(w) != 1 || len(w[0].Value) < 2048 {
 		t.Fatalf("packed before all can read it: %d bytes", len(w[0].Value))
 	}
-	p.sending = 0
+	p.writingGeneration = 0
 	e.EnableCompression()
 	w := e.Writes(1)
 	if len(w) != 1 || len(w[0].Value) > 2048 {
@@ -39,8 +39,8 @@
 	next.Load(0, StoredPlan{Name: "patch", Value: w[0].Value, Version: 7},
 		func([]byte) (*Spec, error) { return &Spec{Name: "patch"}, nil })
 	got := next.plans["patch"]
-	if got.foreign != "" || len(got.Steps) != len(p.Steps) {
-		t.Fatalf("%q, %d steps", got.foreign, len(got.Steps))
+	if got.unsupportedReason != "" || len(got.Steps) != len(p.Steps) {
+		t.Fatalf("%q, %d steps", got.unsupportedReason, len(got.Steps))
 	}
 	for i := range got.Steps {
 		if got.Steps[i] != p.Steps[i] {
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -47,21 +47,21 @@
 	Name     string         // for people
 }
 
-// covers tells whether the window is about a job.
-func (w *Window) covers(sp *model.Spec) bool {
+// appliesTo tells whether the window is about a job.
+func (w *Window) appliesTo(spec *model.Spec) bool {
 	for _, c := range w.Classes {
-		if c == sp.Class {
+		if c == spec.Class {
 			return true
 		}
 	}
 	return len(w.Classes) == 0
 }
 
-// limit is the time that a job may not be pushed past, if there is one.
-func (w *Window) limit(sp *model.Spec) (time.Time, bool) {
-	submitted := time.UnixMilli(sp.SubmittedMS)
+// limitFor is the time that a job may not be pushed past, if there is one.
+func (w *Window) limitFor(spec *model.Spec) (time.Time, bool) {
+	submitted := time.UnixMilli(spec.SubmittedMS)
 	if w.Deadline {
-		return submitted.Add(sp.Deadline), sp.Deadline > 0
+		return submitted.Add(spec.Deadline), spec.Deadline > 0
 	}
 	in := submitted.In(w.Location)
 	h, m := int(w.Clock/time.Hour), int(w.Clock/time.Minute)%60
@@ -98,46 +98,46 @@
 
 // Limit is the earliest time that the plan's windows let no job like this be
 // pushed past, and which window says so.
-func (s *Spec) Limit(sp *model.Spec) (limit time.Time, window string, ok bool) {
+func (s *Spec) Limit(spec *model.Spec) (limit time.Time, window string, ok bool) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
-		if at, is := w.limit(sp); is && w.covers(sp) && (!ok || at.Before(limit)) {
+		if at, is := w.limitFor(spec); is && w.appliesTo(spec) && (!ok || at.Before(limit)) {
 			limit, window, ok = at, w.Name, true
 		}
 	}
 	return limit, window, ok
 }
 
-// pushes finds a window still to come that a job which ends at the one time keeps,
+// missedWindow finds a window still to come that a job which ends at the one time keeps,
 // and at the other misses; nil if there is none.
-func (s *Spec) pushes(now time.Time, sp *model.Spec, kept, missed time.Time) (*Window, time.Time) {
+func (s *Spec) missedWindow(now time.Time, spec *model.Spec, kept, missed time.Time) (*Window, time.Time) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
-		limit, ok := w.limit(sp)
-		if ok && w.covers(sp) && !now.After(limit) && missed.After(limit) && !kept.After(limit) {
+		limit, ok := w.limitFor(spec)
+		if ok && w.appliesTo(spec) && !now.After(limit) && missed.After(limit) && !kept.After(limit) {
 			return w, limit
 		}
 	}
 	return nil, time.Time{}
 }
 
-// how a task of the job leaves. A replica never ends by itself, so it moves.
-func (s *Spec) how(sp *model.Spec) How {
-	if sp.Daemon {
+// leaveMode a task of the job leaves. A replica never ends by itself, so it moves.
+func (s *Spec) leaveMode(spec *model.Spec) How {
+	if spec.Daemon {
 		return Move
 	}
 	for _, r := range s.Rules {
-		if (r.Class == model.None || r.Class == sp.Class) && (r.Rank < 0 || r.Rank == int(sp.Rank)) {
+		if (r.Class == model.None || r.Class == spec.Class) && (r.Rank < 0 || r.Rank == int(spec.Rank)) {
 			return r.How
 		}
 	}
 	return s.Default
 }
 
-// moves tells whether the plan moves a running task of the job.
-func (s *Spec) moves(sp *model.Spec) bool {
-	h := s.how(sp)
-	return h == Move || h == MoveSaved && sp.CheckpointInterval > 0
+// movesTasksOf tells whether the plan moves a running task of the job.
+func (s *Spec) movesTasksOf(spec *model.Spec) bool {
+	h := s.leaveMode(spec)
+	return h == Move || h == MoveSaved && spec.CheckpointInterval > 0
 }
 
 // Phase of a plan.
@@ -172,10 +172,10 @@
 	return [...]string{"waiting", "renting", "draining", "giving-back", "patching", "finished", "gone", "left"}[s]
 }
 
-func (s State) over() bool { return s >= Finished }
+func (s State) isFinal() bool { return s >= Finished }
 
-// barred tells whether the machine gets no tasks in this state.
-func (s State) barred() bool { return s == Draining || s == Returning || s == Patching }
+// isCordoned tells whether the machine gets no tasks in this state.
+func (s State) isCordoned() bool { return s == Draining || s == Returning || s == Patching }
 
 // Step is one machine of a plan.
 type Step struct {
@@ -196,41 +196,41 @@
 	PassedWaves      int    // waves after which the plan may go on
 	GateClosedReason string // why a gate has paused it
 
-	version uint64 // of the stored record, 0: none
-	gen     uint64 // grows with every change
-	stored  uint64 // the newest that is surely stored
-	sending uint64 // being stored, 0: none
-	foreign string // why this release does not touch it
-	rt      []runtime
-	soaking time.Duration // since when the first wave that is not passed is done with, 0: it is not
+	storeVersion      uint64 // of the stored record, 0: none
+	generation        uint64 // grows with every change
+	storedGeneration  uint64 // the newest that is surely stored
+	writingGeneration uint64 // being stored, 0: none
+	unsupportedReason string // why this release does not touch it
+	runtime           []stepRuntime
+	soakingSince      time.Duration // since when the first wave that is not passed is done with, 0: it is not
 }
 
-// runtime is what is known of a step in this term only.
-type runtime struct {
-	since   time.Duration // in its state, as far as this leader knows
-	held    string        // why it does not go on
-	asked   time.Duration // rentals and returns: the last
-	asking  bool
-	renewed model.MachineID // its replacement, once rented
+// stepRuntime is what is known of a step in this term only.
+type stepRuntime struct {
+	stateSince     time.Duration // in its state, as far as this leader knows
+	blockedReason  string        // why it does not go on
+	lastRequestAt  time.Duration // rentals and returns: the last
+	requestPending bool
+	replacement    model.MachineID // its replacement, once rented
 }
 
 // synced tells whether all of the plan is surely stored: only then it acts.
-func (p *Plan) synced() bool { return p.stored == p.gen }
+func (p *Plan) synced() bool { return p.storedGeneration == p.generation }
 
 func (p *Plan) ended() bool {
 	if p.Phase == Active || p.Phase == Paused {
 		return false
 	}
 	for i := range p.Steps {
-		if !p.Steps[i].State.over() {
+		if !p.Steps[i].State.isFinal() {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *Plan) set(now time.Duration, i int, s State) {
+func (p *Plan) setState(now time.Duration, i int, s State) {
 	p.Steps[i].State = s
-	p.rt[i] = runtime{since: now, renewed: p.rt[i].renewed}
-	p.gen++
+	p.runtime[i] = stepRuntime{stateSince: now, replacement: p.runtime[i].replacement}
+	p.generation++
 }
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -19,12 +19,12 @@
 // Versions of stored plans. A leader leaves alone what it does not know. A packed
 // record holds one of version 1, deflated.
 const (
-	recordVersion = 1
-	packedVersion = 2
+	recordVersion     = 1
+	compressedVersion = 2
 )
 
-// packed is how a record is stored that would be too large for a value.
-type packed struct {
+// compressedRecord is how a record is stored that would be too large for a value.
+type compressedRecord struct {
 	V int    `json:"v"`
 	Z []byte `json:"z"`
 }
@@ -33,28 +33,28 @@
 // the one before (zigzag, varint), and the states are a byte each, so that 1,600
 // machines take 8 KiB.
 type record struct {
-	V        int         `json:"v"`
-	Name     string      `json:"name"`
-	UID      string      `json:"uid"`
-	By       string      `json:"by"`
-	AtMS     int64       `json:"at_ms"`
-	Phase    Phase       `json:"phase"`
-	Source   []byte      `json:"source"`
-	Machines []byte      `json:"machines"`
-	States   []byte      `json:"states"`
-	Tries    map[int]int `json:"tries,omitempty"` // of steps that rent
-	Passed   int         `json:"passed,omitempty"`
-	Closed   string      `json:"closed,omitempty"`
+	V                int         `json:"v"`
+	Name             string      `json:"name"`
+	UID              string      `json:"uid"`
+	By               string      `json:"by"`
+	AtMS             int64       `json:"at_ms"`
+	Phase            Phase       `json:"phase"`
+	Source           []byte      `json:"source"`
+	Machines         []byte      `json:"machines"`
+	States           []byte      `json:"states"`
+	RentAttempts     map[int]int `json:"tries,omitempty"` // of steps that rent
+	PassedWaves      int         `json:"passed,omitempty"`
+	GateClosedReason string      `json:"closed,omitempty"`
 }
 
 // encode makes a plan's record, packed if it has more than so many bytes; 0: never.
-func (p *Plan) encode(most int) ([]byte, error) {
-	b, err := p.plain()
-	if err != nil || most == 0 || len(b) <= most {
+func (p *Plan) encode(maxPlainBytes int) ([]byte, error) {
+	b, err := p.encodePlain()
+	if err != nil || maxPlainBytes == 0 || len(b) <= maxPlainBytes {
 		return b, err
 	}
-	var z bytes.Buffer
-	w, err := flate.NewWriter(&z, flate.BestCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err != nil {
 		return nil, fmt.Errorf("pack plan %s: %w", p.Name, err)
 	}
@@ -62,19 +62,19 @@
 	if err = errors.Join(err, w.Close()); err != nil {
 		return nil, fmt.Errorf("pack plan %s: %w", p.Name, err)
 	}
-	if b, err = json.Marshal(packed{packedVersion, z.Bytes()}); err != nil {
+	if b, err = json.Marshal(compressedRecord{compressedVersion, compressed.Bytes()}); err != nil {
 		return nil, fmt.Errorf("encode plan %s: %w", p.Name, err)
 	}
 	return b, nil
 }
 
-// unpack returns the plain record of a stored one.
-func unpack(value []byte) ([]byte, error) {
-	var p packed
+// decompress returns the plain record of a stored one.
+func decompress(value []byte) ([]byte, error) {
+	var p compressedRecord
 	if err := json.Unmarshal(value, &p); err != nil {
 		return nil, fmt.Errorf("its record is unreadable: %w", err)
 	}
-	if p.V != packedVersion {
+	if p.V != compressedVersion {
 		return value, nil
 	}
 	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Z)), 1<<20))
@@ -84,13 +84,14 @@
 	return b, nil
 }
 
-// worst is about the most bytes that a plan's packed record may come to have while its
+// maxRecordSize is about the most bytes that a plan's packed record may come to have while its
 // steps are in states that have nothing to do with each other.
-func worst(s *Spec, source []byte) int {
-	p := Plan{Spec: *s, UID: "18446744073709551615-1", Source: source, By: "somebody-with-a-name", At: time.Unix(1<<31, 0),
+func maxRecordSize(spec *Spec, source []byte) int {
+	p := Plan{Spec: *spec, UID: "18446744073709551615-1", Source: source, By: "somebody-with-a-name",
+		At:               time.Unix(1<<31, 0),
 		GateClosedReason: "tasks take 10.00 times as long on machines of its waves as elsewhere (10000 tasks)"}
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, id := range s.Machines {
+	for _, id := range spec.Machines {
 		p.Steps = append(p.Steps, Step{Machine: id, State: State(rng.IntN(int(Abandoned) + 1))})
 	}
 	b, err := p.encode(1)
@@ -102,28 +103,28 @@
 
 // EnableCompression has records packed from here on that would be too large for the values to come:
 // every controller can read them.
-func (e *Engine) EnableCompression() { e.packs = true }
+func (e *Engine) EnableCompression() { e.compression = true }
 
-func (e *Engine) most() int {
-	if !e.packs {
+func (e *Engine) maxPlainBytes() int {
+	if !e.compression {
 		return 0
 	}
-	return e.p.MaxRecordBytes
+	return e.params.MaxRecordBytes
 }
 
-func (p *Plan) plain() ([]byte, error) {
+func (p *Plan) encodePlain() ([]byte, error) {
 	r := record{V: recordVersion, Name: p.Name, UID: p.UID, By: p.By, AtMS: p.At.UnixMilli(), Phase: p.Phase,
-		Source: p.Source, Passed: p.PassedWaves, Closed: p.GateClosedReason}
+		Source: p.Source, PassedWaves: p.PassedWaves, GateClosedReason: p.GateClosedReason}
 	last := int64(0)
 	for i, s := range p.Steps {
 		r.Machines = binary.AppendVarint(r.Machines, int64(s.Machine)-last)
 		last = int64(s.Machine)
 		r.States = append(r.States, byte(s.State))
 		if s.RentAttempt > 0 {
-			if r.Tries == nil {
-				r.Tries = map[int]int{}
+			if r.RentAttempts == nil {
+				r.RentAttempts = map[int]int{}
 			}
-			r.Tries[i] = s.RentAttempt
+			r.RentAttempts[i] = s.RentAttempt
 		}
 	}
 	b, err := json.Marshal(r)
@@ -144,15 +145,15 @@
 // that can't be understood, or that a newer release wrote, is kept as it is, and
 // told.
 func (e *Engine) Load(now time.Duration, s StoredPlan, resolve func(source []byte) (*Spec, error)) {
-	p := &Plan{Spec: Spec{Name: s.Name}, version: s.Version}
+	p := &Plan{Spec: Spec{Name: s.Name}, storeVersion: s.Version}
 	if err := p.decode(now, s.Value, resolve); err != nil {
-		p = &Plan{Spec: Spec{Name: s.Name}, version: s.Version, foreign: err.Error()}
+		p = &Plan{Spec: Spec{Name: s.Name}, storeVersion: s.Version, unsupportedReason: err.Error()}
 	}
 	e.plans[s.Name] = p
 }
 
 func (p *Plan) decode(now time.Duration, value []byte, resolve func([]byte) (*Spec, error)) error {
-	value, err := unpack(value)
+	value, err := decompress(value)
 	if err != nil {
 		return err
 	}
@@ -170,56 +171,56 @@
 	name := p.Name
 	p.Spec = *spec
 	p.Name, p.UID, p.By, p.At, p.Phase, p.Source = name, r.UID, r.By, time.UnixMilli(r.AtMS), r.Phase, r.Source
-	p.PassedWaves, p.GateClosedReason = r.Passed, r.Closed
-	last, left := int64(0), r.Machines
-	for i, st := range r.States {
-		d, n := binary.Varint(left)
-		if n <= 0 || State(st) > Abandoned {
+	p.PassedWaves, p.GateClosedReason = r.PassedWaves, r.GateClosedReason
+	last, rest := int64(0), r.Machines
+	for i, state := range r.States {
+		d, n := binary.Varint(rest)
+		if n <= 0 || State(state) > Abandoned {
 			return fmt.Errorf("its record is damaged at step %d", i)
 		}
-		left, last = left[n:], last+d
+		rest, last = rest[n:], last+d
 		p.Machines = append(p.Machines, model.MachineID(last))
-		p.Steps = append(p.Steps, Step{Machine: model.MachineID(last), State: State(st), RentAttempt: r.Tries[i]})
+		p.Steps = append(p.Steps, Step{Machine: model.MachineID(last), State: State(state), RentAttempt: r.RentAttempts[i]})
 	}
-	p.rt = make([]runtime, len(p.Steps))
-	for i := range p.rt {
-		p.rt[i].since = now
+	p.runtime = make([]stepRuntime, len(p.Steps))
+	for i := range p.runtime {
+		p.runtime[i].stateSince = now
 	}
 	return nil
 }
 
 // Export is a plan under way as it would be stored now, for a forecast.
 func (e *Engine) Export(name string) (StoredPlan, *Spec, error) {
-	p, err := e.plan(name)
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return StoredPlan{}, nil, err
 	}
 	if p.ended() {
 		return StoredPlan{}, nil, refuse("plan %q is %s", name, p.Phase)
 	}
-	b, err := p.encode(0)
+	value, err := p.encode(0)
 	spec := p.Spec
-	return StoredPlan{Name: name, Value: b, Version: 1}, &spec, err
+	return StoredPlan{Name: name, Value: value, Version: 1}, &spec, err
 }
 
 // Write is a change for the state service. It comes back through Wrote.
 type Write struct {
-	Name    string
-	Version uint64 // of the record that it replaces, 0: none
-	Value   []byte // nil: the record goes
-	uid     string
-	gen     uint64
+	Name       string
+	Version    uint64 // of the record that it replaces, 0: none
+	Value      []byte // nil: the record goes
+	uid        string
+	generation uint64
 }
 
-// keptPlans that have ended; older ones go.
-const keptPlans = 32
+// maxEndedPlans that have ended; older ones go.
+const maxEndedPlans = 32
 
 // Writes returns at most n records to be stored.
 func (e *Engine) Writes(n int) []Write {
 	var out []Write
 	var ended []*Plan
-	for _, p := range e.sorted() {
-		if p.foreign != "" || p.sending != 0 {
+	for _, p := range e.sortedPlans() {
+		if p.unsupportedReason != "" || p.writingGeneration != 0 {
 			continue
 		}
 		if p.ended() && p.synced() {
@@ -228,35 +229,36 @@
 		if p.synced() || len(out) >= n {
 			continue
 		}
-		b, err := p.encode(e.most())
+		value, err := p.encode(e.maxPlainBytes())
 		if err != nil {
 			continue // a record of plain values always encodes
 		}
-		p.sending = p.gen
-		out = append(out, Write{Name: p.Name, Version: p.version, Value: b, uid: p.UID, gen: p.gen})
+		p.writingGeneration = p.generation
+		out = append(out, Write{Name: p.Name, Version: p.storeVersion, Value: value, uid: p.UID, generation: p.generation})
 	}
-	if len(ended) > keptPlans && len(out) < n {
-		old := slices.MinFunc(ended, func(a, b *Plan) int { return a.At.Compare(b.At) })
-		old.sending = old.gen
-		out = append(out, Write{Name: old.Name, Version: old.version, uid: old.UID, gen: old.gen})
+	if len(ended) > maxEndedPlans && len(out) < n {
+		oldest := slices.MinFunc(ended, func(a, value *Plan) int { return a.At.Compare(value.At) })
+		oldest.writingGeneration = oldest.generation
+		out = append(out, Write{Name: oldest.Name, Version: oldest.storeVersion, uid: oldest.UID,
+			generation: oldest.generation})
 	}
 	return out
 }
 
 // WriteDone takes a write's outcome. conflict tells that the record is at version at:
 // a write of this leader's without an answer got through after all.
-func (e *Engine) WriteDone(w Write, rev uint64, ok, conflict bool, at uint64) {
+func (e *Engine) WriteDone(w Write, newVersion uint64, ok, conflict bool, currentVersion uint64) {
 	p := e.plans[w.Name]
-	if p == nil || p.UID != w.uid || p.sending != w.gen {
+	if p == nil || p.UID != w.uid || p.writingGeneration != w.generation {
 		return
 	}
-	p.sending = 0
+	p.writingGeneration = 0
 	switch {
 	case ok && w.Value == nil:
 		delete(e.plans, w.Name)
 	case ok:
-		p.version, p.stored = rev, w.gen
+		p.storeVersion, p.storedGeneration = newVersion, w.generation
 	case conflict:
-		p.version = at
+		p.storeVersion = currentVersion
 	}
 }
--- a/internal/core/drain/status.go
+++ b/internal/core/drain/status.go
@@ -31,7 +31,7 @@
 	Replacement   model.MachineID
 }
 
-const behindAfter = time.Minute
+const slowestAfter = time.Minute
 
 // Status returns how a plan stands, nil if there is none of that name.
 func (e *Engine) Status(now time.Duration, name string) *Status {
@@ -39,11 +39,11 @@
 	if p == nil {
 		return nil
 	}
-	s := p.brief(now)
+	s := p.summary(now)
 	for i := range p.Steps {
 		s.Steps = append(s.Steps, StepStatus{Machine: p.Steps[i].Machine, State: p.Steps[i].State.String(),
-			BlockedReason: p.rt[i].held,
-			InStateFor:    now - p.rt[i].since, Replacement: p.rt[i].renewed})
+			BlockedReason: p.runtime[i].blockedReason,
+			InStateFor:    now - p.runtime[i].stateSince, Replacement: p.runtime[i].replacement})
 	}
 	return &s
 }
@@ -51,15 +51,15 @@
 // List returns how all plans stand, without their steps.
 func (e *Engine) List(now time.Duration) []Status {
 	var out []Status
-	for _, p := range e.sorted() {
-		out = append(out, p.brief(now))
+	for _, p := range e.sortedPlans() {
+		out = append(out, p.summary(now))
 	}
 	return out
 }
 
-func (p *Plan) brief(now time.Duration) Status {
-	s := Status{Name: p.Name, Phase: p.Phase, By: p.By, At: p.At, Note: p.foreign, Counts: map[string]int{}}
-	if p.foreign != "" {
+func (p *Plan) summary(now time.Duration) Status {
+	s := Status{Name: p.Name, Phase: p.Phase, By: p.By, At: p.At, Note: p.unsupportedReason, Counts: map[string]int{}}
+	if p.unsupportedReason != "" {
 		return s
 	}
 	s.Note = p.GateClosedReason
@@ -68,13 +68,13 @@
 	}
 	for i := range p.Steps {
 		s.Counts[p.Steps[i].State.String()]++
-		if s.BlockedReason == "" && !p.Steps[i].State.over() && p.rt[i].held != "" {
-			s.BlockedReason = p.rt[i].held
+		if s.BlockedReason == "" && !p.Steps[i].State.isFinal() && p.runtime[i].blockedReason != "" {
+			s.BlockedReason = p.runtime[i].blockedReason
 		}
-		if st := p.Steps[i].State; st == Waiting || st.over() {
+		if st := p.Steps[i].State; st == Waiting || st.isFinal() {
 			continue
 		}
-		if d := now - p.rt[i].since; d > max(behindAfter, s.SlowestFor) {
+		if d := now - p.runtime[i].stateSince; d > max(slowestAfter, s.SlowestFor) {
 			s.SlowestMachine, s.SlowestFor = p.Steps[i].Machine, d
 		}
 	}
@@ -90,7 +90,7 @@
 // AllSynced tells whether all plans are surely stored.
 func (e *Engine) AllSynced() bool {
 	for _, p := range e.plans {
-		if p.foreign == "" && !p.synced() {
+		if p.unsupportedReason == "" && !p.synced() {
 			return false
 		}
 	}
@@ -101,12 +101,12 @@
 // from tasks.
 func (e *Engine) ActiveCounts() (plans, machines int) {
 	for _, p := range e.plans {
-		if p.foreign == "" && !p.ended() {
+		if p.unsupportedReason == "" && !p.ended() {
 			plans++
 		}
 	}
-	for id := range e.barred {
-		if !e.price[id] {
+	for id := range e.cordoned {
+		if !e.priceDrains[id] {
 			machines++
 		}
 	}
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -10,48 +10,48 @@
 
 // Tick moves the plans on and returns what to do.
 func (e *Engine) Tick(v *View) []Action {
-	e.out, e.free = nil, nil
-	plans := e.sorted()
+	e.actions, e.moveCapacity = nil, nil
+	plans := e.sortedPlans()
 	for i := range plans {
 		// By turns: what is left of a budget is not always the first one's.
-		p := plans[(i+e.turns)%len(plans)]
-		if p.foreign == "" && !p.ended() {
-			e.step(v, p)
+		p := plans[(i+e.firstPlan)%len(plans)]
+		if p.unsupportedReason == "" && !p.ended() {
+			e.advancePlan(v, p)
 		}
 	}
 	if v.RequestMove != nil {
-		e.turns++
+		e.firstPlan++
 	}
-	e.drainPrice(v)
-	e.bars()
-	return e.out
+	e.advancePriceDrains(v)
+	e.updateCordons()
+	return e.actions
 }
 
 // Cordons tells which machines get no tasks, before the first Tick: a new leader
 // must not place anything there meanwhile.
 func (e *Engine) Cordons() []Action {
-	e.out = nil
-	e.bars()
-	return e.out
+	e.actions = nil
+	e.updateCordons()
+	return e.actions
 }
 
-// bars tells what has changed about which machines get tasks. What lets a machine
+// updateCordons tells what has changed about which machines get tasks. What lets a machine
 // have tasks again counts at once; what keeps it from them, once it is stored.
-func (e *Engine) bars() {
-	want := e.keep(func(p *Plan, id model.MachineID) bool { return p.synced() || e.barred[id] })
-	for _, id := range sortedIDs(want) {
-		if !e.barred[id] {
-			e.act(Action{Kind: Cordon, Machine: id})
-			e.unlook(id)
+func (e *Engine) updateCordons() {
+	wanted := e.machinesToCordon(func(p *Plan, id model.MachineID) bool { return p.synced() || e.cordoned[id] })
+	for _, id := range sortedIDs(wanted) {
+		if !e.cordoned[id] {
+			e.emit(Action{Kind: Cordon, Machine: id})
+			e.forgetTaskList(id)
 		}
 	}
-	for _, id := range sortedIDs(e.barred) {
-		if !want[id] {
-			e.act(Action{Kind: Uncordon, Machine: id})
-			e.unlook(id)
+	for _, id := range sortedIDs(e.cordoned) {
+		if !wanted[id] {
+			e.emit(Action{Kind: Uncordon, Machine: id})
+			e.forgetTaskList(id)
 		}
 	}
-	e.barred = want
+	e.cordoned = wanted
 }
 
 func sortedIDs[V any](m map[model.MachineID]V) []model.MachineID {
@@ -63,18 +63,18 @@
 	return out
 }
 
-// drainPrice gives back what was drained for its price and is empty.
-func (e *Engine) drainPrice(v *View) {
-	for _, id := range sortedIDs(e.price) {
+// advancePriceDrains gives back what was drained for its price and is empty.
+func (e *Engine) advancePriceDrains(v *View) {
+	for _, id := range sortedIDs(e.priceDrains) {
 		m, ok := v.Machines[id]
 		switch {
 		case !ok && v.Recovered:
-			delete(e.price, id)
-			delete(e.giving, id)
-		case ok && !e.giving[id] && e.empty(v.Now, &m):
-			e.giving[id] = true
-			e.act(Action{Kind: ReturnMachine, Machine: id})
-		case ok && m.Reported && m.Slots > 0 && e.barred[id]:
+			delete(e.priceDrains, id)
+			delete(e.priceReturns, id)
+		case ok && !e.priceReturns[id] && e.isEmpty(v.Now, &m):
+			e.priceReturns[id] = true
+			e.emit(Action{Kind: ReturnMachine, Machine: id})
+		case ok && m.Reported && m.Slots > 0 && e.cordoned[id]:
 			e.consolidate(v, id)
 		}
 	}
@@ -83,119 +83,120 @@
 // consolidate moves what can save its progress from a machine that costs too much
 // to one with room, where it would hold the machine for long.
 func (e *Engine) consolidate(v *View, id model.MachineID) {
-	told, fresh := e.fresh(v.Now, id)
+	list, fresh := e.freshTaskList(v.Now, id)
 	if !fresh {
 		return
 	}
-	room := e.room(v)
-	for i := range told.tasks {
-		t := &told.tasks[i]
-		long := v.left(t, likely) > 2*(t.sp.CheckpointTime+5*time.Second)
-		if t.Stopping || t.sp.Daemon || t.sp.CheckpointInterval == 0 || t.sp.Rank >= model.Urgent || !long || !room.take(t.sp) {
+	capacity := e.capacityForMoves(v)
+	for i := range list.tasks {
+		t := &list.tasks[i]
+		worthMoving := v.remainingRunTime(t, medianQuantile) > 2*(t.spec.CheckpointTime+5*time.Second)
+		if t.Stopping || t.spec.Daemon || t.spec.CheckpointInterval == 0 || t.spec.Rank >= model.Urgent || !worthMoving ||
+			!capacity.reserve(t.spec) {
 			continue
 		}
-		if v.draws(t, true) != "" {
+		if v.requestMove(t, true) != "" {
 			continue
 		}
 		t.Stopping = true
-		e.act(Action{Kind: Recall, Machine: id, Task: t.Task})
+		e.emit(Action{Kind: Recall, Machine: id, Task: t.Task})
 	}
 }
 
-// step moves one plan on.
-func (e *Engine) step(v *View, p *Plan) {
+// advancePlan moves one plan on.
+func (e *Engine) advancePlan(v *View, p *Plan) {
 	if p.Phase == Active && !p.LatestEnd.IsZero() && v.Wall.After(p.LatestEnd) {
-		e.end(v.Now, p, Overdue)
+		e.endPlan(v.Now, p, Overdue)
 	}
 	for i := range p.Steps {
-		if _, ok := v.Machines[p.Steps[i].Machine]; !ok && v.Recovered && !p.Steps[i].State.over() {
-			p.set(v.Now, i, Gone)
+		if _, ok := v.Machines[p.Steps[i].Machine]; !ok && v.Recovered && !p.Steps[i].State.isFinal() {
+			p.setState(v.Now, i, Gone)
 		}
 	}
 	if !p.synced() {
 		return // nothing is done before it is stored
 	}
-	e.begin(v, p)
+	e.startSteps(v, p)
 	for i := range p.Steps {
 		switch p.Steps[i].State {
 		case Renting:
-			e.renting(v, p, i)
+			e.advanceRenting(v, p, i)
 		case Draining:
-			e.draining(v, p, i)
+			e.advanceDraining(v, p, i)
 		case Returning:
-			e.giveBack(v, p, i)
+			e.advanceReturning(v, p, i)
 		}
 	}
-	if p.Phase == Active && !slices.ContainsFunc(p.Steps, func(s Step) bool { return !s.State.over() }) {
+	if p.Phase == Active && !slices.ContainsFunc(p.Steps, func(s Step) bool { return !s.State.isFinal() }) {
 		p.Phase = Done
-		p.gen++
+		p.generation++
 	}
 }
 
-// begin begins as many steps as may be under way, if nothing speaks against it.
-func (e *Engine) begin(v *View, p *Plan) {
+// startSteps begins as many steps as may be under way, if nothing speaks against it.
+func (e *Engine) startSteps(v *View, p *Plan) {
 	if p.Phase != Active {
 		return
 	}
 	busy, zones := 0, map[model.Name]int{}
 	for i := range p.Steps {
-		if s := p.Steps[i].State; !s.over() && s != Waiting {
+		if s := p.Steps[i].State; !s.isFinal() && s != Waiting {
 			busy++
 			zones[v.Machines[p.Steps[i].Machine].Machine.Zone]++
 		}
 	}
-	limit, why := e.until(v, p)
+	limit, reason := e.stepLimit(v, p)
 	if p.Phase != Active || !p.synced() {
 		return // a gate closed, or a wave was passed: stored first
 	}
-	var r *rooms
+	var capacity *freeCapacity
 	for i := range p.Steps {
 		s := &p.Steps[i]
 		if s.State != Waiting {
 			continue
 		}
 		if i >= limit {
-			p.rt[i].held = why
+			p.runtime[i].blockedReason = reason
 			return
 		}
 		m := v.Machines[s.Machine]
 		if busy >= p.MaxConcurrent {
-			p.rt[i].held = ""
+			p.runtime[i].blockedReason = ""
 			return
 		}
 		if p.MaxPerZone > 0 && zones[m.Machine.Zone] >= p.MaxPerZone {
-			p.rt[i].held = "enough machines of its zone are being drained"
+			p.runtime[i].blockedReason = "enough machines of its zone are being drained"
 			continue
 		}
 		next := Draining
-		if r == nil {
-			r = v.rooms(e.planned())
+		if capacity == nil {
+			capacity = v.freeCapacity(e.plannedCordons())
 		}
 		if p.RentFirst {
 			next = Renting
-		} else if why := e.hold(v, p, s.Machine, r); why != "" {
-			p.rt[i].held = why
+		} else if reason := e.blockedReason(v, p, s.Machine, capacity); reason != "" {
+			p.runtime[i].blockedReason = reason
 			return // in the order of the plan
 		}
 		busy++
 		zones[m.Machine.Zone]++
-		r.drop(s.Machine)
-		p.set(v.Now, i, next)
+		capacity.remove(s.Machine)
+		p.setState(v.Now, i, next)
 	}
 }
 
-// planned are the machines that no task will be given, stored or not.
-func (e *Engine) planned() map[model.MachineID]bool {
-	return e.keep(func(*Plan, model.MachineID) bool { return true })
+// plannedCordons are the machines that no task will be given, stored or not.
+func (e *Engine) plannedCordons() map[model.MachineID]bool {
+	return e.machinesToCordon(func(*Plan, model.MachineID) bool { return true })
 }
 
-// keep are the machines that are to be kept from tasks: for their price, and those
+// machinesToCordon are the machines that are to be kept from tasks: for their price, and those
 // of plans that the condition holds for.
-func (e *Engine) keep(when func(*Plan, model.MachineID) bool) map[model.MachineID]bool {
-	out := maps.Clone(e.price)
+func (e *Engine) machinesToCordon(include func(*Plan, model.MachineID) bool) map[model.MachineID]bool {
+	out := maps.Clone(e.priceDrains)
 	for _, p := range e.plans {
 		for i := range p.Steps {
-			if s := &p.Steps[i]; s.State.barred() && when(p, s.Machine) {
+			if s := &p.Steps[i]; s.State.isCordoned() && include(p, s.Machine) {
 				out[s.Machine] = true
 			}
 		}
@@ -203,52 +204,53 @@
 	return out
 }
 
-// renting waits for a step's replacement.
-func (e *Engine) renting(v *View, p *Plan, i int) {
-	r, s := &p.rt[i], &p.Steps[i]
+// advanceRenting waits for a step's replacement.
+func (e *Engine) advanceRenting(v *View, p *Plan, i int) {
+	r, s := &p.runtime[i], &p.Steps[i]
 	m := v.Machines[s.Machine].Machine
-	if r.renewed != 0 {
-		n, ok := v.Machines[r.renewed]
+	if r.replacement != 0 {
+		replacement, ok := v.Machines[r.replacement]
 		switch {
 		case p.Phase != Active:
-		case ok && n.Reported && n.Ready:
-			if why := e.hold(v, p, s.Machine, v.rooms(e.planned())); why != "" {
-				r.held = why
+		case ok && replacement.Reported && replacement.Ready:
+			if why := e.blockedReason(v, p, s.Machine, v.freeCapacity(e.plannedCordons())); why != "" {
+				r.blockedReason = why
 				return
 			}
-			p.set(v.Now, i, Draining)
-		case v.Now-r.asked > 4*v.BootTime(m.Type)+20*time.Second:
+			p.setState(v.Now, i, Draining)
+		case v.Now-r.lastRequestAt > 4*v.BootTime(m.Type)+20*time.Second:
 			// It never came up, or is gone: another.
 			s.RentAttempt++
-			p.set(v.Now, i, Renting)
-			p.rt[i].renewed = 0
+			p.setState(v.Now, i, Renting)
+			p.runtime[i].replacement = 0
 		default:
-			r.held = "its replacement has not come up yet"
+			r.blockedReason = "its replacement has not come up yet"
 		}
 		return
 	}
-	if !r.asking && p.Phase == Active && (r.asked == 0 || v.Now-r.asked >= e.p.RetryInterval) {
-		r.asking = true
-		e.act(Action{Kind: Rent, Machine: s.Machine, Template: m, Plan: p.Name, Step: i, Request: p.request(i)})
+	if !r.requestPending && p.Phase == Active && (r.lastRequestAt == 0 ||
+		v.Now-r.lastRequestAt >= e.params.RetryInterval) {
+		r.requestPending = true
+		e.emit(Action{Kind: Rent, Machine: s.Machine, Template: m, Plan: p.Name, Step: i, Request: p.rentRequest(i)})
 	}
 }
 
-// giveBack returns a machine until the cloud has it. A leader that comes in
+// advanceReturning returns a machine until the cloud has it. A leader that comes in
 // between can't know what was placed there before it had heard of the plan: it
 // looks once more, and drains the machine again if it must.
-func (e *Engine) giveBack(v *View, p *Plan, i int) {
-	r := &p.rt[i]
+func (e *Engine) advanceReturning(v *View, p *Plan, i int) {
+	r := &p.runtime[i]
 	m := v.Machines[p.Steps[i].Machine]
 	switch {
-	case r.asking:
+	case r.requestPending:
 	case m.Reported && m.Slots > 0 && p.Phase == Cancelled:
-		p.set(v.Now, i, Abandoned)
+		p.setState(v.Now, i, Abandoned)
 	case m.Reported && m.Slots > 0:
-		p.set(v.Now, i, Draining)
-	case !e.empty(v.Now, &m):
-		r.held = "its controller has not told that it is empty"
-	case r.asked == 0 || v.Now-r.asked >= time.Second:
-		r.asking = true
-		e.act(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
+		p.setState(v.Now, i, Draining)
+	case !e.isEmpty(v.Now, &m):
+		r.blockedReason = "its controller has not told that it is empty"
+	case r.lastRequestAt == 0 || v.Now-r.lastRequestAt >= time.Second:
+		r.requestPending = true
+		e.emit(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
 	}
 }
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -53,122 +53,126 @@
 	Ran, Remaining time.Duration // so far, and likely to come
 }
 
-// draws asks for a task to be moved.
-func (v *View) draws(t *task, price bool) string {
+// requestMove asks for a task to be moved.
+func (v *View) requestMove(task *runningTask, forPrice bool) string {
 	if v.RequestMove == nil {
 		return ""
 	}
-	return v.RequestMove(MoveRequest{Task: t.Task, Spec: t.sp, ForPrice: price, Ran: t.RunTime, Remaining: v.left(t, likely)})
+	return v.RequestMove(MoveRequest{Task: task.Task, Spec: task.spec, ForPrice: forPrice, Ran: task.RunTime,
+		Remaining: v.remainingRunTime(task, medianQuantile)})
 }
 
-// task is what runs on a machine, with its job.
-type task struct {
+// runningTask is what runs on a machine, with its job.
+type runningTask struct {
 	model.PlacedTask
-	sp *model.Spec
+	spec *model.Spec
 }
 
-// seen is what a machine's owner last told of its tasks.
-type seen struct {
-	at    time.Duration
-	none  bool // nothing runs there
-	tasks []task
+// taskList is what a machine's owner last told of its tasks.
+type taskList struct {
+	receivedAt time.Duration
+	empty      bool // nothing runs there
+	tasks      []runningTask
 }
 
-// left is how long a task runs on where it is, at a part of all.
-func (v *View) left(t *task, part float64) time.Duration {
-	return max(0, v.whole(t.sp, part)-t.RunTime)
+// remainingRunTime is how long a task runs on where it is, at a part of all.
+func (v *View) remainingRunTime(task *runningTask, quantile float64) time.Duration {
+	return max(0, v.totalRunTime(task.spec, quantile)-task.RunTime)
 }
 
-// whole is how long a task of the job takes, at a part of all.
-func (v *View) whole(sp *model.Spec, part float64) time.Duration {
-	return time.Duration(float64(sp.Estimate) * v.RunTimeFactor(sp.Class, part))
+// totalRunTime is how long a task of the job takes, at a part of all.
+func (v *View) totalRunTime(spec *model.Spec, quantile float64) time.Duration {
+	return time.Duration(float64(spec.Estimate) * v.RunTimeFactor(spec.Class, quantile))
 }
 
-// anew is how long it takes elsewhere once it is there.
-func (v *View) anew(t *task, part float64) time.Duration {
-	if t.sp.CheckpointInterval > 0 { // it saves when it is stopped
-		return v.left(t, part) + t.sp.CheckpointTime
+// runTimeElsewhere is how long it takes elsewhere once it is there.
+func (v *View) runTimeElsewhere(task *runningTask, quantile float64) time.Duration {
+	if task.spec.CheckpointInterval > 0 { // it saves when it is stopped
+		return v.remainingRunTime(task, quantile) + task.spec.CheckpointTime
 	}
-	return v.whole(t.sp, part)
+	return v.totalRunTime(task.spec, quantile)
 }
 
-// kind of machines: what a job may ask for.
-type kind struct {
-	typ, zone model.Name
-	spot      bool
-	each      model.Resources
+// machineKind of machines: what a job may ask for.
+type machineKind struct {
+	machineType, zone model.Name
+	spot              bool
+	total             model.Resources
 }
 
-// rooms is the machines' room outside a set, for machines that may get tasks. It
+// freeCapacity is the machines' room outside a set, for machines that may get tasks. It
 // is made once for all questions of a tick.
-type rooms struct {
-	free  map[model.MachineID]model.Resources
-	order []model.MachineID
-	kinds map[kind]int64
-	sum   int64 // of free CPU
-	v     *View
+type freeCapacity struct {
+	free           map[model.MachineID]model.Resources
+	order          []model.MachineID
+	machinesByKind map[machineKind]int64
+	freeCPU        int64 // of free CPU
+	view           *View
 }
 
-func (v *View) rooms(barred map[model.MachineID]bool) *rooms {
-	r := &rooms{free: make(map[model.MachineID]model.Resources, len(v.Machines)), kinds: map[kind]int64{}, v: v}
+func (v *View) freeCapacity(cordoned map[model.MachineID]bool) *freeCapacity {
+	capacity := &freeCapacity{free: make(map[model.MachineID]model.Resources, len(v.Machines)),
+		machinesByKind: map[machineKind]int64{}, view: v}
 	for id, m := range v.Machines {
-		if m.Reported && m.Ready && !m.Draining && !m.Faulty && !barred[id] {
-			r.free[id] = m.Avail
-			r.kinds[kindOf(&m.Machine)]++
-			r.sum += max(0, m.Avail.CPU)
+		if m.Reported && m.Ready && !m.Draining && !m.Faulty && !cordoned[id] {
+			capacity.free[id] = m.Avail
+			capacity.machinesByKind[kindOf(&m.Machine)]++
+			capacity.freeCPU += max(0, m.Avail.CPU)
 		}
 	}
-	return r
+	return capacity
 }
 
-func kindOf(m *model.Machine) kind { return kind{m.Type, m.Zone, m.Spot, m.Cap} }
+func kindOf(m *model.Machine) machineKind { return machineKind{m.Type, m.Zone, m.Spot, m.Cap} }
 
-// drop takes a machine out.
-func (r *rooms) drop(id model.MachineID) {
-	if f, ok := r.free[id]; ok {
-		m := r.v.Machines[id].Machine
-		delete(r.free, id)
-		r.kinds[kindOf(&m)]--
-		r.sum -= max(0, f.CPU)
+// remove takes a machine out.
+func (c *freeCapacity) remove(id model.MachineID) {
+	if free, ok := c.free[id]; ok {
+		m := c.view.Machines[id].Machine
+		delete(c.free, id)
+		c.machinesByKind[kindOf(&m)]--
+		c.freeCPU -= max(0, free.CPU)
 	}
 }
 
-// without is all free CPU but for one machine's.
-func (r *rooms) without(id model.MachineID) int64 { return r.sum - max(0, r.free[id].CPU) }
+// freeCPUWithout is all free CPU but for one machine's.
+func (c *freeCapacity) freeCPUWithout(id model.MachineID) int64 {
+	return c.freeCPU - max(0, c.free[id].CPU)
+}
 
-// take finds room for a task of the job, and takes it.
-func (r *rooms) take(sp *model.Spec) bool {
-	if r.order == nil {
-		for id := range r.free {
-			r.order = append(r.order, id)
+// reserve finds room for a task of the job, and takes it.
+func (c *freeCapacity) reserve(spec *model.Spec) bool {
+	if c.order == nil {
+		for id := range c.free {
+			c.order = append(c.order, id)
 		}
-		slices.Sort(r.order)
+		slices.Sort(c.order)
 	}
-	for _, id := range r.order {
-		f, ok := r.free[id]
-		if !ok || !sp.PerTask.Fits(f) {
+	for _, id := range c.order {
+		free, ok := c.free[id]
+		if !ok || !spec.PerTask.Fits(free) {
 			continue
 		}
-		if m := r.v.Machines[id].Machine; sp.Allows(&m) {
-			r.free[id] = f.Sub(sp.PerTask)
+		if m := c.view.Machines[id].Machine; spec.Allows(&m) {
+			c.free[id] = free.Sub(spec.PerTask)
 			return true
 		}
 	}
 	return false
 }
 
-// holds counts the job's tasks that the machines could hold at a time, were they
+// maxTasks counts the job's tasks that the machines could hold at a time, were they
 // empty, without one of them (0: with all).
-func (r *rooms) holds(sp *model.Spec, not model.MachineID) int64 {
+func (c *freeCapacity) maxTasks(spec *model.Spec, excluded model.MachineID) int64 {
 	var n int64
-	for k, count := range r.kinds {
-		if _, in := r.free[not]; in && not != 0 {
-			if m := r.v.Machines[not].Machine; kindOf(&m) == k {
+	for kind, count := range c.machinesByKind {
+		if _, in := c.free[excluded]; in && excluded != 0 {
+			if m := c.view.Machines[excluded].Machine; kindOf(&m) == kind {
 				count--
 			}
 		}
-		if count > 0 && sp.Allows(&model.Machine{Type: k.typ, Zone: k.zone, Spot: k.spot}) {
-			n += count * sp.PerTask.Count(k.each)
+		if count > 0 && spec.Allows(&model.Machine{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot}) {
+			n += count * spec.PerTask.Count(kind.total)
 		}
 	}
 	return n
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -60,72 +60,72 @@
 
 // Forecast is played on bit by bit, so that it holds nothing up.
 type Forecast struct {
-	p     Params
-	s     *Snapshot
-	plan  StartPlan
-	spec  *drain.Spec
-	play  int
-	base  *run // of the present play, nil: not begun
-	with  *run
-	ends  [][2]map[model.JobID]time.Duration // of each play: without and with
-	costs []map[model.JobID]cost
-	took  []time.Duration
-	held  string
-	waits [][2][]time.Duration // of each play: the longest wait within guarantees, by team
-	err   error
+	params         Params
+	snapshot       *Snapshot
+	startPlan      StartPlan
+	spec           *drain.Spec
+	runIndex       int
+	baseline       *run // of the present play, nil: not begun
+	withPlan       *run
+	ends           [][2]map[model.JobID]time.Duration // of each play: without and with
+	costs          []map[model.JobID]cost
+	durations      []time.Duration
+	unfinished     string
+	guaranteeWaits [][2][]time.Duration // of each play: the longest wait within guarantees, by team
+	err            error
 }
 
 // New prepares a forecast of a plan.
 func New(p Params, s *Snapshot, spec *drain.Spec, plan StartPlan) *Forecast {
-	return &Forecast{p: p, s: s, plan: plan, spec: spec}
+	return &Forecast{params: p, snapshot: s, startPlan: plan, spec: spec}
 }
 
 // Advance plays on a little; true tells that the forecast is complete.
 func (f *Forecast) Advance() (done bool) {
 	switch {
-	case f.err != nil || f.play >= f.p.Runs:
+	case f.err != nil || f.runIndex >= f.params.Runs:
 		return true
-	case f.base == nil:
-		f.base = newRun(f, nil)
-	case !f.base.over:
-		f.base.step()
-	case f.with == nil:
-		f.base.r = nil // its books are large
-		f.with = newRun(f, f.plan)
-	case !f.with.over:
-		f.with.step()
+	case f.baseline == nil:
+		f.baseline = newRun(f, nil)
+	case !f.baseline.done:
+		f.baseline.step()
+	case f.withPlan == nil:
+		f.baseline.simulation = nil // its books are large
+		f.withPlan = newRun(f, f.startPlan)
+	case !f.withPlan.done:
+		f.withPlan.step()
 	default:
-		f.ends = append(f.ends, [2]map[model.JobID]time.Duration{f.base.ends, f.with.ends})
-		f.costs = append(f.costs, f.with.costs)
-		f.waits = append(f.waits, [2][]time.Duration{f.base.waits, f.with.waits})
-		f.took = append(f.took, f.with.planEnd)
-		f.held = f.with.held
-		f.base, f.with = nil, nil
-		f.play++
+		f.ends = append(f.ends, [2]map[model.JobID]time.Duration{f.baseline.jobEnds, f.withPlan.jobEnds})
+		f.costs = append(f.costs, f.withPlan.costs)
+		f.guaranteeWaits = append(f.guaranteeWaits, [2][]time.Duration{f.baseline.guaranteeWaits, f.withPlan.guaranteeWaits})
+		f.durations = append(f.durations, f.withPlan.planDuration)
+		f.unfinished = f.withPlan.blockedReason
+		f.baseline, f.withPlan = nil, nil
+		f.runIndex++
 	}
-	return f.err != nil || f.play >= f.p.Runs
+	return f.err != nil || f.runIndex >= f.params.Runs
 }
 
 // Progress is how much has been played, 0 to 1.
 func (f *Forecast) Progress() float64 {
-	part := 0.0
-	if f.base != nil {
-		part += 0.5 * f.base.part()
+	fraction := 0.0
+	if f.baseline != nil {
+		fraction += 0.5 * f.baseline.progress()
 	}
-	if f.with != nil {
-		part += 0.5 * f.with.part()
+	if f.withPlan != nil {
+		fraction += 0.5 * f.withPlan.progress()
 	}
-	return min(1, (float64(f.play)+part)/float64(max(1, f.p.Runs)))
+	return min(1, (float64(f.runIndex)+fraction)/float64(max(1, f.params.Runs)))
 }
 
 // Err is why the plan can't be played.
 func (f *Forecast) Err() error { return f.err }
 
-// luck is a number of 0 to 1 for a task in a play: the same without and with the
+// randomQuantile is a number of 0 to 1 for a task in a play: the same without and with the
 // plan, so that they differ by the plan alone.
-func (f *Forecast) luck(t model.Task) float64 {
-	h := rand.New(rand.NewPCG(f.p.Seed+uint64(f.play)*7919, uint64(t.Job)<<20^uint64(t.Index)))
-	return h.Float64()
+func (f *Forecast) randomQuantile(t model.Task) float64 {
+	rng := rand.New(rand.NewPCG(f.params.Seed+uint64(f.runIndex)*7919, uint64(t.Job)<<20^uint64(t.Index)))
+	return rng.Float64()
 }
 
 // cost is what a plan does to a job's tasks.
@@ -161,27 +161,28 @@
 	Runs       int
 }
 
-// three are the least, the middle and the most.
-func three(v []time.Duration) [3]time.Duration {
-	if len(v) == 0 {
+// minMedianMax are the least, the middle and the most.
+func minMedianMax(durations []time.Duration) [3]time.Duration {
+	if len(durations) == 0 {
 		return [3]time.Duration{}
 	}
-	slices.Sort(v)
-	return [3]time.Duration{v[0], v[len(v)/2], v[len(v)-1]}
+	slices.Sort(durations)
+	return [3]time.Duration{durations[0], durations[len(durations)/2], durations[len(durations)-1]}
 }
 
 // Result sums up what was played.
 func (f *Forecast) Result() *Result {
-	out := &Result{Runs: len(f.ends), Jobs: len(f.s.Jobs), Duration: three(slices.Clone(f.took)), Unfinished: f.held}
-	for i := range f.s.Jobs {
-		if l, ok := f.late(f.s.Jobs[i].Spec); ok {
+	out := &Result{Runs: len(f.ends), Jobs: len(f.snapshot.Jobs), Duration: minMedianMax(slices.Clone(f.durations)),
+		Unfinished: f.unfinished}
+	for i := range f.snapshot.Jobs {
+		if l, ok := f.delayOf(f.snapshot.Jobs[i].Spec); ok {
 			out.Delayed = append(out.Delayed, l)
 		}
 	}
 	slices.SortStableFunc(out.Delayed, func(a, b DelayedJob) int { return cmp.Compare(b.Delay[1], a.Delay[1]) })
-	for t := range f.s.Teams {
+	for t := range f.snapshot.Teams {
 		g := GuaranteeWait{Team: model.Name(t)}
-		for _, w := range f.waits {
+		for _, w := range f.guaranteeWaits {
 			g.Without, g.With = max(g.Without, w[0][t]), max(g.With, w[1][t])
 		}
 		if g.With > 2*g.Without+5*time.Second {
@@ -191,48 +192,48 @@
 	return out
 }
 
-// lateFrom is the delay that a job counts as late from: less is luck.
-const lateFrom = 2 * time.Second
+// minDelay is the delay that a job counts as late from: less is luck.
+const minDelay = 2 * time.Second
 
-// late sums up one job; false tells that the plan does not delay it.
-func (f *Forecast) late(sp *model.Spec) (DelayedJob, bool) {
-	l := DelayedJob{Spec: sp}
+// delayOf sums up one job; false tells that the plan does not delay it.
+func (f *Forecast) delayOf(sp *model.Spec) (DelayedJob, bool) {
+	delayed := DelayedJob{Spec: sp}
 	var ends, delays []time.Duration
-	var sum cost
-	missed, past := 0, 0
+	var total cost
+	missed, pastWindow := 0, 0
 	deadline := f.deadline(sp)
 	limit, window, _ := f.spec.Limit(sp)
-	until := f.s.now(limit)
+	until := f.snapshot.sinceStart(limit)
 	for i, e := range f.ends {
-		without, ok1 := e[0][sp.ID]
-		with, ok2 := e[1][sp.ID]
-		if !ok1 {
+		without, endsWithout := e[0][sp.ID]
+		with, endsWith := e[1][sp.ID]
+		if !endsWithout {
 			continue // nothing can be said
 		}
-		if !ok2 {
-			with = f.p.MaxDuration // it did not end while it was played
+		if !endsWith {
+			with = f.params.MaxDuration // it did not end while it was played
 		}
 		ends, delays = append(ends, with), append(delays, with-without)
 		c := f.costs[i][sp.ID]
-		sum = cost{sum.moved + c.moved, sum.lost + c.lost, sum.refetch + c.refetch}
+		total = cost{total.moved + c.moved, total.lost + c.lost, total.refetch + c.refetch}
 		if deadline > 0 && with > deadline && without <= deadline {
 			missed++
 		}
 		if window != "" && with > until && without <= until {
-			past++
+			pastWindow++
 		}
 	}
-	if 2*past > len(delays) {
-		l.Window = window
+	if 2*pastWindow > len(delays) {
+		delayed.Window = window
 	}
 	if len(delays) == 0 {
-		return l, false
+		return delayed, false
 	}
-	l.End, l.Delay = three(ends), three(delays)
-	l.MovedTasks = sum.moved / len(delays)
-	l.MissesDeadline = 2*missed > len(delays)
-	l.Reason = sum.why()
-	return l, l.Delay[1] >= lateFrom
+	delayed.End, delayed.Delay = minMedianMax(ends), minMedianMax(delays)
+	delayed.MovedTasks = total.moved / len(delays)
+	delayed.MissesDeadline = 2*missed > len(delays)
+	delayed.Reason = total.delayReason()
+	return delayed, delayed.Delay[1] >= minDelay
 }
 
 // deadline of a job, from now; 0: none.
@@ -240,14 +241,14 @@
 	if sp.Deadline == 0 {
 		return 0
 	}
-	return max(1, f.s.now(time.UnixMilli(sp.SubmittedMS).Add(sp.Deadline)))
+	return max(1, f.snapshot.sinceStart(time.UnixMilli(sp.SubmittedMS).Add(sp.Deadline)))
 }
 
-// now is how long after the snapshot a time of day is.
-func (s *Snapshot) now(t time.Time) time.Duration { return t.Sub(s.Wall) }
+// sinceStart is how long after the snapshot a time of day is.
+func (s *Snapshot) sinceStart(t time.Time) time.Duration { return t.Sub(s.Wall) }
 
-// why a job is late: what costs its tasks most.
-func (c cost) why() string {
+// delayReason a job is late: what costs its tasks most.
+func (c cost) delayReason() string {
 	switch {
 	case c.moved == 0:
 		return "waits for room"
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -16,12 +16,12 @@
 	return Params{Runs: 1, Step: time.Second, MaxDuration: time.Hour, PatchTime: time.Minute, Seed: 1}
 }
 
-// exact is an owner whose estimates are right.
-func exact(model.Name, float64) float64 { return 1 }
+// exactFactor is an owner whose estimates are right.
+func exactFactor(model.Name, float64) float64 { return 1 }
 
 // snapshot is a cluster of machines with 8 CPUs.
 func snapshot(machines int) *Snapshot {
-	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), RunTimeFactor: exact,
+	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), RunTimeFactor: exactFactor,
 		Teams:    []dispatcher.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
 		JobName:  wire.JobName,
 		BootTime: func(model.Name) time.Duration { return 10 * time.Second },
@@ -34,8 +34,8 @@
 	return s
 }
 
-// job adds one with a task of 2 CPUs for each of the machines, and more waiting.
-func (s *Snapshot) job(sp model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
+// addJob adds one with a task of 2 CPUs for each of the machines, and more waiting.
+func (s *Snapshot) addJob(sp model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
 	sp.PerTask, sp.Zone, sp.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
 	sp.SubmittedMS = s.Wall.UnixMilli()
 	for i, m := range on {
@@ -46,7 +46,7 @@
 	return &sp
 }
 
-func (s *Snapshot) play(t testing.TB, p Params, spec drain.Spec) *Result {
+func (s *Snapshot) forecast(t testing.TB, p Params, spec drain.Spec) *Result {
 	t.Helper()
 	spec.Name = "p"
 	if spec.MaxConcurrent == 0 {
@@ -64,16 +64,16 @@
 	return f.Result()
 }
 
-func near(t *testing.T, what string, got, want, off time.Duration) {
+func wantNear(t *testing.T, what string, got, want, tolerance time.Duration) {
 	t.Helper()
-	if got < want-off || got > want+off {
+	if got < want-tolerance || got > want+tolerance {
 		t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
 // Work that moves without saving begins anew, and fetches its image again; what
 // saves loses next to nothing; what is let finish loses nothing.
-func TestDelaysHaveTheirReasons(t *testing.T) {
+func TestDelayReasons(t *testing.T) {
 	ids := []model.MachineID{1}
 	for name, c := range map[string]struct {
 		how   drain.How
@@ -90,102 +90,105 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := snapshot(3)
-			s.job(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.saves, ImageGB: c.image}, 0, 100*time.Second, 1)
-			r := s.play(t, params(), drain.Spec{Machines: ids, Default: c.how})
+			s.addJob(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.saves, ImageGB: c.image}, 0,
+				100*time.Second, 1)
+			r := s.forecast(t, params(), drain.Spec{Machines: ids, Default: c.how})
 			if c.late == 0 {
 				if len(r.Delayed) != 0 {
 					t.Fatalf("%+v", r.Delayed)
 				}
-				near(t, "the plan", r.Duration[1], 100*time.Second, 6*time.Second)
+				wantNear(t, "the plan", r.Duration[1], 100*time.Second, 6*time.Second)
 				return
 			}
 			if len(r.Delayed) != 1 || r.Delayed[0].Reason != c.why {
 				t.Fatalf("%+v, want one that %s", r.Delayed, c.why)
 			}
-			near(t, "delay", r.Delayed[0].Delay[1], c.late, 6*time.Second)
+			wantNear(t, "delay", r.Delayed[0].Delay[1], c.late, 6*time.Second)
 		})
 	}
 }
 
 // With less room, what waits does so longer: the plan takes half of all machines,
 // so the second half of the job's tasks ends a round later.
-func TestLessRoomIsForeseen(t *testing.T) {
+func TestWaitingTasksAreDelayedByLessCapacity(t *testing.T) {
 	s := snapshot(4)
-	s.job(model.Spec{ID: 5, Estimate: 60 * time.Second, Deadline: 130 * time.Second}, 32, 0)
-	s.job(model.Spec{ID: 6, Estimate: 10 * time.Second}, 0, 0, 1, 2, 3, 4)
-	r := s.play(t, params(), drain.Spec{Machines: []model.MachineID{1, 2}, MaxConcurrent: 2})
-	if len(r.Delayed) != 1 || r.Delayed[0].Spec.ID != 5 || r.Delayed[0].Reason != "waits for room" || !r.Delayed[0].MissesDeadline {
+	s.addJob(model.Spec{ID: 5, Estimate: 60 * time.Second, Deadline: 130 * time.Second}, 32, 0)
+	s.addJob(model.Spec{ID: 6, Estimate: 10 * time.Second}, 0, 0, 1, 2, 3, 4)
+	r := s.forecast(t, params(), drain.Spec{Machines: []model.MachineID{1, 2}, MaxConcurrent: 2})
+	if len(r.Delayed) != 1 || r.Delayed[0].Spec.ID != 5 || r.Delayed[0].Reason != "waits for room" ||
+		!r.Delayed[0].MissesDeadline {
 		t.Fatalf("%+v", r.Delayed)
 	}
-	near(t, "delay", r.Delayed[0].Delay[1], 120*time.Second, 62*time.Second)
+	wantNear(t, "delay", r.Delayed[0].Delay[1], 120*time.Second, 62*time.Second)
 }
 
 // A batch that a plan would push past its window is named with the window.
-func TestWindowsAreForeseen(t *testing.T) {
+func TestWindowsAreObservedByThePlan(t *testing.T) {
 	s := snapshot(2)
-	s.job(model.Spec{ID: 5, Class: 3, Estimate: 8 * time.Minute}, 0, 4*time.Minute, 1, 1)
+	s.addJob(model.Spec{ID: 5, Class: 3, Estimate: 8 * time.Minute}, 0, 4*time.Minute, 1, 1)
 	w := drain.Window{Classes: []model.Name{3}, Clock: 12*time.Hour + 5*time.Minute, Location: time.UTC,
 		Name: "the window"}
-	r := s.play(t, params(), drain.Spec{Machines: []model.MachineID{1}, Windows: []drain.Window{w}, Default: drain.Move})
+	r := s.forecast(t, params(), drain.Spec{Machines: []model.MachineID{1}, Windows: []drain.Window{w},
+		Default: drain.Move})
 	if len(r.Delayed) != 0 || r.Unfinished != "" {
 		t.Errorf("%+v: the engine holds the step until the batch is done", r)
 	}
 	// Without the window's hold the same plan pushes it past.
-	r = s.play(t, params(), drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move})
+	r = s.forecast(t, params(), drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move})
 	if len(r.Delayed) != 1 || r.Delayed[0].Delay[1] < 3*time.Minute {
 		t.Errorf("%+v", r.Delayed)
 	}
 }
 
 // What a plan waits for without end is told.
-func TestPlansWithoutEndAreForeseen(t *testing.T) {
+func TestPlanThatCannotEndIsReported(t *testing.T) {
 	s := snapshot(2)
 	s.Machines[0].Type = 7
-	s.job(model.Spec{ID: 5, Daemon: true, Types: []model.Name{7}}, 0, 0, 1)
+	s.addJob(model.Spec{ID: 5, Daemon: true, Types: []model.Name{7}}, 0, 0, 1)
 	p := params()
 	p.MaxDuration = 2 * time.Minute
-	if r := s.play(t, p, drain.Spec{Machines: []model.MachineID{1}}); r.Unfinished != "no other machine could run job-000005" {
+	if r := s.forecast(t, p, drain.Spec{Machines: []model.MachineID{1}}); r.Unfinished != "no other machine could run job-000005" {
 		t.Errorf("%+v", r)
 	}
 }
 
 // Work within its team's guarantee that would wait for room because of the plan is
 // told with its team.
-func TestGuaranteesThatWouldNotHoldAreForeseen(t *testing.T) {
+func TestMissedGuaranteesAreReported(t *testing.T) {
 	s := snapshot(2)
 	s.Teams = append(s.Teams, dispatcher.Team{Limit: model.Capacity(1e6, 0, 0)})
-	s.job(model.Spec{ID: 6, Team: 1, Estimate: 5 * time.Minute, Rank: model.Prod}, 0, 0, 2, 2, 2, 2)
-	s.job(model.Spec{ID: 5, Estimate: 60 * time.Second}, 12, 0)
+	s.addJob(model.Spec{ID: 6, Team: 1, Estimate: 5 * time.Minute, Rank: model.Prod}, 0, 0, 2, 2, 2, 2)
+	s.addJob(model.Spec{ID: 5, Estimate: 60 * time.Second}, 12, 0)
 	w := drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move}
-	if r := s.play(t, params(), w); len(r.Guarantees) != 1 || r.Guarantees[0].Team != 0 ||
+	if r := s.forecast(t, params(), w); len(r.Guarantees) != 1 || r.Guarantees[0].Team != 0 ||
 		r.Guarantees[0].With <= r.Guarantees[0].Without {
 		t.Errorf("%+v", r.Guarantees)
 	}
 	s.Jobs = s.Jobs[:1]
-	if r := s.play(t, params(), w); len(r.Guarantees) != 0 {
+	if r := s.forecast(t, params(), w); len(r.Guarantees) != 0 {
 		t.Errorf("%+v with nothing that waits", r.Guarantees)
 	}
 }
 
 // What a new leader finds running has run for a while, nobody knows how long: a
 // forecast that let it begin when it was found was a whole run time too long.
-func TestAdoptedTasksHaveRunBefore(t *testing.T) {
+func TestAdoptedTasksHaveUnknownRunTime(t *testing.T) {
 	ends := func(adopted bool) time.Duration {
 		s := snapshot(2)
-		s.job(model.Spec{ID: 5, Estimate: 100 * time.Second}, 0, 0, 1, 1, 1)
+		s.addJob(model.Spec{ID: 5, Estimate: 100 * time.Second}, 0, 0, 1, 1, 1)
 		for i := range s.Machines[0].Tasks {
 			s.Machines[0].Tasks[i].Adopted = adopted
 		}
 		p := params()
 		p.Runs = 9
-		return s.play(t, p, drain.Spec{Machines: []model.MachineID{1}}).Duration[1]
+		return s.forecast(t, p, drain.Spec{Machines: []model.MachineID{1}}).Duration[1]
 	}
-	near(t, "seen from the beginning", ends(false), 100*time.Second, 6*time.Second)
-	near(t, "adopted", ends(true), 75*time.Second, 22*time.Second)
+	wantNear(t, "seen from the beginning", ends(false), 100*time.Second, 6*time.Second)
+	wantNear(t, "adopted", ends(true), 75*time.Second, 22*time.Second)
 }
 
-// grown is a cluster of the size of the largest known deployment.
-func grown() *Snapshot {
+// largestDeployment is a cluster of the size of the largest known deployment.
+func largestDeployment() *Snapshot {
 	const machines, tasksEach, jobs = 1636, 24, 800
 	s := snapshot(0)
 	for id := range machines {
@@ -199,7 +202,7 @@
 		on[j] = append(on[j], i%machines+1)
 	}
 	for j := range on {
-		s.job(model.Spec{ID: model.JobID(j + 1), Class: model.Name(j % 5), Estimate: time.Duration(40+j%60) * time.Second,
+		s.addJob(model.Spec{ID: model.JobID(j + 1), Class: model.Name(j % 5), Estimate: time.Duration(40+j%60) * time.Second,
 			ImageGB:            1,
 			CheckpointInterval: time.Duration(j%2) * 20 * time.Second}, 2, time.Duration(j%40)*time.Second, on[j]...)
 	}
@@ -207,10 +210,10 @@
 	return s
 }
 
-// BenchmarkGrown forecasts a plan of 100 machines on 1,636 machines with 40,864
+// BenchmarkLargestDeployment forecasts a plan of 100 machines on 1,636 machines with 40,864
 // tasks: under 2 s of processor time and 40 MB, no step longer than 50 ms.
-func BenchmarkGrown(b *testing.B) {
-	s := grown()
+func BenchmarkLargestDeployment(b *testing.B) {
+	s := largestDeployment()
 	for b.Loop() {
 		var ids []model.MachineID
 		for id := range 100 {
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -9,97 +9,99 @@
 	"honeylock/internal/core/model"
 )
 
-// arrivals brings up the machines that the plan has rented, and takes an
+// updateMachines brings up the machines that the plan has rented, and takes an
 // operator's word for those that are patched by now.
-func (x *run) arrivals() {
-	x.booting = slices.DeleteFunc(x.booting, func(b boot) bool {
-		if b.at > x.now {
+func (r *run) updateMachines() {
+	r.booting = slices.DeleteFunc(r.booting, func(b bootingMachine) bool {
+		if b.upAt > r.now {
 			return false
 		}
-		x.r.AddMachine(x.now, b.m, true)
+		r.simulation.AddMachine(r.now, b.machine, true)
 		return true
 	})
-	for id, at := range x.patched {
-		if x.now >= at && x.e.Patched(x.now, x.f.spec.Name, id, "") == nil {
-			delete(x.patched, id)
+	for id, at := range r.patchedAt {
+		if r.now >= at && r.engine.Patched(r.now, r.forecast.spec.Name, id, "") == nil {
+			delete(r.patchedAt, id)
 		}
 	}
 }
 
 // view is the played present, for the engine.
-func (x *run) view() *drain.View {
-	s := x.f.s
-	v := &drain.View{Now: x.now, Wall: s.Wall.Add(x.now - s.Now),
+func (r *run) view() *drain.View {
+	s := r.forecast.snapshot
+	v := &drain.View{Now: r.now, Wall: s.Wall.Add(r.now - s.Now),
 		Machines:  make(map[model.MachineID]drain.Machine, len(s.Machines)),
-		Recovered: true, RunTimeFactor: s.RunTimeFactor, BootTime: s.BootTime, JobName: s.JobName, UnusedGuaranteeCPU: dispatcher.UnusedGuarantees(s.Teams, x.usage)}
-	x.r.ForEachMachine(x.now, func(st model.MachineStatus) {
+		Recovered: true, RunTimeFactor: s.RunTimeFactor, BootTime: s.BootTime, JobName: s.JobName,
+		UnusedGuaranteeCPU: dispatcher.UnusedGuarantees(s.Teams, r.usage)}
+	r.simulation.ForEachMachine(r.now, func(st model.MachineStatus) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st,
 			Reported: true}
 	})
-	for _, b := range x.booting {
-		v.Machines[b.m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: b.m}}
+	for _, b := range r.booting {
+		v.Machines[b.machine.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: b.machine}}
 	}
-	for _, j := range x.jobs {
-		if j.left > 0 {
-			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, UnfinishedTasks: j.left, RunningTasks: j.running})
+	for _, j := range r.jobs {
+		if j.unfinished > 0 {
+			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, UnfinishedTasks: j.unfinished, RunningTasks: j.running})
 		}
 	}
 	return v
 }
 
-// drain lets the engine decide on the played present, and carries it out.
-func (x *run) drain() {
-	if x.planEnd > 0 {
+// advancePlan lets the engine decide on the played present, and carries it out.
+func (r *run) advancePlan() {
+	if r.planDuration > 0 {
 		return
 	}
-	for _, a := range x.e.Tick(x.view()) {
-		x.do(a)
+	for _, a := range r.engine.Tick(r.view()) {
+		r.execute(a)
 	}
-	for _, w := range x.e.Writes(64) {
-		x.e.WriteDone(w, 1, true, false, 0)
+	for _, w := range r.engine.Writes(64) {
+		r.engine.WriteDone(w, 1, true, false, 0)
 	}
-	if st := x.e.Status(x.now, x.f.spec.Name); st != nil {
+	if st := r.engine.Status(r.now, r.forecast.spec.Name); st != nil {
 		for _, t := range st.Steps {
-			if _, ok := x.patched[t.Machine]; !ok && t.State == drain.Patching.String() {
-				x.patched[t.Machine] = x.now + x.f.p.PatchTime
+			if _, ok := r.patchedAt[t.Machine]; !ok && t.State == drain.Patching.String() {
+				r.patchedAt[t.Machine] = r.now + r.forecast.params.PatchTime
 			}
 		}
-		if st.Phase != drain.Active && st.Phase != drain.Paused && x.e.Idle() {
-			x.planEnd = max(1, x.now-x.f.s.Now)
+		if st.Phase != drain.Active && st.Phase != drain.Paused && r.engine.Idle() {
+			r.planDuration = max(1, r.now-r.forecast.snapshot.Now)
 		}
 	}
 }
 
-func (x *run) do(a drain.Action) {
+func (r *run) execute(a drain.Action) {
 	switch a.Kind {
 	case drain.Cordon, drain.Uncordon:
-		x.r.SetUsable(x.now, a.Machine, a.Kind == drain.Uncordon)
+		r.simulation.SetUsable(r.now, a.Machine, a.Kind == drain.Uncordon)
 	case drain.ListTasks:
-		x.e.TasksListed(x.now, a.Machine, a.Seq, x.r.TasksOn(x.now, a.Machine), func(id model.JobID) *model.Spec {
-			if j := x.byID[id]; j != nil {
-				return j.Spec
-			}
-			return nil
-		})
+		r.engine.TasksListed(r.now, a.Machine, a.Seq, r.simulation.TasksOn(r.now, a.Machine),
+			func(id model.JobID) *model.Spec {
+				if j := r.byID[id]; j != nil {
+					return j.Spec
+				}
+				return nil
+			})
 	case drain.Recall:
-		if s, ok := x.r.Recall(x.now, a.Machine, a.Task); ok {
-			x.stopped(s, true)
+		if s, ok := r.simulation.Recall(r.now, a.Machine, a.Task); ok {
+			r.taskStopped(s, true)
 		}
 	case drain.ReturnMachine:
-		x.r.RemoveMachine(a.Machine)
-		x.e.MachineReturned(x.now, a.Machine, true)
+		r.simulation.RemoveMachine(a.Machine)
+		r.engine.MachineReturned(r.now, a.Machine, true)
 	case drain.Rent:
 		m := a.Template
-		x.next++
-		m.ID = x.next
-		x.booting = append(x.booting, boot{x.now + x.f.s.BootTime(m.Type), m})
-		x.e.MachineRented(x.now, a, []model.MachineID{m.ID}, false)
+		r.nextMachineID++
+		m.ID = r.nextMachineID
+		r.booting = append(r.booting, bootingMachine{r.now + r.forecast.snapshot.BootTime(m.Type), m})
+		r.engine.MachineRented(r.now, a, []model.MachineID{m.ID}, false)
 	}
 }
 
-// waitsFor is what a plan that does not end waits for.
-func (x *run) waitsFor() string {
-	if st := x.e.Status(x.now, x.f.spec.Name); st != nil {
+// planBlocker is what a plan that does not end waits for.
+func (r *run) planBlocker() string {
+	if st := r.engine.Status(r.now, r.forecast.spec.Name); st != nil {
 		for _, t := range st.Steps {
 			if t.BlockedReason != "" {
 				return t.BlockedReason
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -13,22 +13,22 @@
 	"honeylock/internal/core/shard"
 )
 
-// ending is a task that completes then, if it has not been stopped before.
-type ending struct {
-	at      time.Duration
+// completion is a task that completes then, if it has not been stopped before.
+type completion struct {
+	endsAt  time.Duration
 	task    model.Task
 	attempt uint64
 }
 
-type endings []ending
+type completionHeap []completion
 
-func (h endings) Len() int { return len(h) }
-func (h endings) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), h[i].task.Compare(h[j].task)) < 0
+func (h completionHeap) Len() int { return len(h) }
+func (h completionHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].endsAt, h[j].endsAt), h[i].task.Compare(h[j].task)) < 0
 }
-func (h endings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *endings) Push(x any)   { *h = append(*h, x.(ending)) }
-func (h *endings) Pop() any {
+func (h completionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)   { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -38,228 +38,232 @@
 // job while it is played.
 type job struct {
 	*Job
-	left    int     // tasks not done
-	undealt []int32 // tasks not given to the shard yet
-	running int
-	price   float64
-	within  bool
-	waited  time.Duration // within its guarantee without room since, 0: it does not wait
-	zones   int           // of a job that spreads: the next
-	saved   map[int32]time.Duration
+	unfinished      int     // tasks not done
+	undispatched    []int32 // tasks not given to the shard yet
+	running         int
+	price           float64
+	withinGuarantee bool
+	waitingSince    time.Duration // within its guarantee without room since, 0: it does not wait
+	zoneIndex       int           // of a job that spreads: the next
+	saved           map[int32]time.Duration
 }
 
 // run is one play, without or with the plan.
 type run struct {
-	f       *Forecast
-	r       *shard.Simulation
-	e       *drain.Engine // nil: without the plan
-	now     time.Duration
-	over    bool
-	jobs    []*job
-	byID    map[model.JobID]*job
-	open    int // jobs that will end
-	usage   []model.Resources
-	heap    endings
-	zones   []model.Name
-	booting []boot
-	patched map[model.MachineID]time.Duration
-	next    model.MachineID
-	priced  time.Duration
-	loaded  int                            // machines of the snapshot brought in
-	on      map[model.JobID]map[int32]bool // tasks that run, while that is done
+	forecast       *Forecast
+	simulation     *shard.Simulation
+	engine         *drain.Engine // nil: without the plan
+	now            time.Duration
+	done           bool
+	jobs           []*job
+	byID           map[model.JobID]*job
+	unfinishedJobs int // jobs that will end
+	usage          []model.Resources
+	completions    completionHeap
+	zones          []model.Name
+	booting        []bootingMachine
+	patchedAt      map[model.MachineID]time.Duration
+	nextMachineID  model.MachineID
+	repricedAt     time.Duration
+	loadedMachines int                            // machines of the snapshot brought in
+	runningTasks   map[model.JobID]map[int32]bool // tasks that run, while that is done
 
-	ends    map[model.JobID]time.Duration
-	costs   map[model.JobID]cost
-	waits   []time.Duration
-	planEnd time.Duration
-	held    string
+	jobEnds        map[model.JobID]time.Duration
+	costs          map[model.JobID]cost
+	guaranteeWaits []time.Duration
+	planDuration   time.Duration
+	blockedReason  string
 }
 
-type boot struct {
-	at time.Duration
-	m  model.Machine
+type bootingMachine struct {
+	upAt    time.Duration
+	machine model.Machine
 }
 
 func newRun(f *Forecast, plan StartPlan) *run {
-	s := f.s
-	x := &run{f: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
-		usage: make([]model.Resources, len(s.Teams)), on: map[model.JobID]map[int32]bool{},
-		patched: map[model.MachineID]time.Duration{}, next: 1 << 40,
-		ends: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{}, waits: make([]time.Duration, len(s.Teams)),
-		r: shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.p.Seed, uint64(f.play))))}
+	s := f.snapshot
+	x := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
+		usage: make([]model.Resources, len(s.Teams)), runningTasks: map[model.JobID]map[int32]bool{},
+		patchedAt: map[model.MachineID]time.Duration{}, nextMachineID: 1 << 40,
+		jobEnds: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{},
+		guaranteeWaits: make([]time.Duration, len(s.Teams)),
+		simulation:     shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.params.Seed, uint64(f.runIndex))))}
 	for i := range s.Jobs {
-		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
+		j := &job{Job: &s.Jobs[i], unfinished: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
 		x.jobs = append(x.jobs, j)
 		x.byID[j.Spec.ID] = j
 		if !j.Spec.Daemon {
-			x.open++
+			x.unfinishedJobs++
 		}
 	}
-	x.reprice()
+	x.repriceJobs()
 	if plan != nil {
-		x.e = drain.New(drain.Params{Term: 1, ReportInterval: f.p.Step, RetryInterval: 15 * time.Second, MaxMachines: len(s.Machines) + 1})
-		f.err = plan(x.e, x.now, s.Wall)
-		x.over = f.err != nil
+		x.engine = drain.New(drain.Params{Term: 1, ReportInterval: f.params.Step, RetryInterval: 15 * time.Second,
+			MaxMachines: len(s.Machines) + 1})
+		f.err = plan(x.engine, x.now, s.Wall)
+		x.done = f.err != nil
 	}
 	return x
 }
 
-// loadAtOnce machines are brought in at a time: all 1,636 of the largest known
+// machinesPerStep machines are brought in at a time: all 1,636 of the largest known
 // deployment, with 40,000 tasks, take 100 ms.
-const loadAtOnce = 200
+const machinesPerStep = 200
 
-// load brings some of the snapshot's machines in, with what runs there; false
+// loadMachines brings some of the snapshot's machines in, with what runs there; false
 // tells that all are.
-func (x *run) load() bool {
-	all := x.f.s.Machines
-	if x.loaded == len(all) {
+func (r *run) loadMachines() bool {
+	all := r.forecast.snapshot.Machines
+	if r.loadedMachines == len(all) {
 		return false
 	}
-	next := min(len(all), x.loaded+loadAtOnce)
-	for i := x.loaded; i < next; i++ {
-		x.machine(&all[i])
+	next := min(len(all), r.loadedMachines+machinesPerStep)
+	for i := r.loadedMachines; i < next; i++ {
+		r.loadMachine(&all[i])
 	}
-	if x.loaded = next; x.loaded == len(all) {
-		x.rest()
+	if r.loadedMachines = next; r.loadedMachines == len(all) {
+		r.queueWaiting()
 	}
 	return true
 }
 
-func (x *run) machine(m *Machine) {
-	x.r.AddMachine(x.now, m.Machine, m.Usable)
-	if !slices.Contains(x.zones, m.Zone) {
-		x.zones = append(x.zones, m.Zone)
+func (r *run) loadMachine(m *Machine) {
+	r.simulation.AddMachine(r.now, m.Machine, m.Usable)
+	if !slices.Contains(r.zones, m.Zone) {
+		r.zones = append(r.zones, m.Zone)
 	}
 	for _, t := range m.Tasks {
-		j := x.byID[t.Task.Job]
-		if j == nil || x.on[t.Task.Job][t.Task.Index] {
+		j := r.byID[t.Task.Job]
+		if j == nil || r.runningTasks[t.Task.Job][t.Task.Index] {
 			continue
 		}
-		if x.on[t.Task.Job] == nil {
-			x.on[t.Task.Job] = map[int32]bool{}
+		if r.runningTasks[t.Task.Job] == nil {
+			r.runningTasks[t.Task.Job] = map[int32]bool{}
 		}
-		x.on[t.Task.Job][t.Task.Index] = true
-		b := x.r.AddRunning(x.now, m.ID, x.deal(j, t.Task.Index, model.None), t.RunTime)
+		r.runningTasks[t.Task.Job][t.Task.Index] = true
+		b := r.simulation.AddRunning(r.now, m.ID, r.assignment(j, t.Task.Index, model.None), t.RunTime)
 		j.running++
-		x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Add(j.Spec.PerTask)
-		left := x.whole(j, t.Task, t.RunTime) - t.RunTime
+		r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Add(j.Spec.PerTask)
+		remaining := r.totalRunTime(j, t.Task, t.RunTime) - t.RunTime
 		if t.Adopted { // it has run for some part of that already
-			left = time.Duration(float64(left) * x.f.luck(model.Task{Job: ^t.Task.Job, Index: t.Task.Index}))
+			remaining = time.Duration(float64(remaining) * r.forecast.randomQuantile(model.Task{Job: ^t.Task.Job,
+				Index: t.Task.Index}))
 		}
-		x.schedule(j, b, left)
+		r.scheduleCompletion(j, b, remaining)
 	}
 }
 
-// rest lets the tasks wait that run nowhere.
-func (x *run) rest() {
-	for _, j := range x.jobs {
-		n := j.left - len(x.on[j.Spec.ID])
-		for no := int32(0); n > 0; no++ {
-			if !x.on[j.Spec.ID][no] {
-				j.undealt = append(j.undealt, no)
-				n--
+// queueWaiting lets the tasks wait that run nowhere.
+func (r *run) queueWaiting() {
+	for _, j := range r.jobs {
+		waiting := j.unfinished - len(r.runningTasks[j.Spec.ID])
+		for index := int32(0); waiting > 0; index++ {
+			if !r.runningTasks[j.Spec.ID][index] {
+				j.undispatched = append(j.undispatched, index)
+				waiting--
 			}
 		}
 	}
-	x.on = nil
+	r.runningTasks = nil
 }
 
-func (x *run) deal(j *job, no int32, zone model.Name) model.Assignment {
-	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: no}, Spec: j.Spec, Price: j.price, Zone: zone, WaitingSince: j.Since}
+func (r *run) assignment(j *job, index int32, zone model.Name) model.Assignment {
+	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: index}, Spec: j.Spec, Price: j.price, Zone: zone,
+		WaitingSince: j.Since}
 }
 
-// whole is a task's run time in this play; one that has run for long is known to
+// totalRunTime is a task's run time in this play; one that has run for long is known to
 // take longer.
-func (x *run) whole(j *job, t model.Task, ran time.Duration) time.Duration {
-	part := x.f.luck(t)
+func (r *run) totalRunTime(j *job, t model.Task, elapsed time.Duration) time.Duration {
+	quantile := r.forecast.randomQuantile(t)
 	for range 8 {
-		d := time.Duration(float64(j.Spec.Estimate) * x.f.s.RunTimeFactor(j.Spec.Class, part))
-		if d > ran {
+		d := time.Duration(float64(j.Spec.Estimate) * r.forecast.snapshot.RunTimeFactor(j.Spec.Class, quantile))
+		if d > elapsed {
 			return d
 		}
-		part = (part + 1) / 2
+		quantile = (quantile + 1) / 2
 	}
-	return ran + j.Spec.Estimate/20 + time.Millisecond
+	return elapsed + j.Spec.Estimate/20 + time.Millisecond
 }
 
-// schedule lets a task that runs come to its end.
-func (x *run) schedule(j *job, b shard.StartedTask, left time.Duration) {
+// scheduleCompletion lets a task that runs come to its end.
+func (r *run) scheduleCompletion(j *job, b shard.StartedTask, remaining time.Duration) {
 	if !j.Spec.Daemon {
-		heap.Push(&x.heap, ending{x.now + b.FetchTime + max(left, time.Millisecond), b.Task, b.Attempt})
+		heap.Push(&r.completions, completion{r.now + b.FetchTime + max(remaining, time.Millisecond), b.Task, b.Attempt})
 	}
 }
 
 // step plays one step of time.
-func (x *run) step() {
-	if x.load() {
+func (r *run) step() {
+	if r.loadMachines() {
 		return
 	}
-	x.now += x.f.p.Step
-	for len(x.heap) > 0 && x.heap[0].at <= x.now {
-		x.ended(heap.Pop(&x.heap).(ending))
+	r.now += r.forecast.params.Step
+	for len(r.completions) > 0 && r.completions[0].endsAt <= r.now {
+		r.completeTask(heap.Pop(&r.completions).(completion))
 	}
-	if x.now-x.priced >= 5*time.Second {
-		x.reprice()
+	if r.now-r.repricedAt >= 5*time.Second {
+		r.repriceJobs()
 	}
-	x.arrivals()
-	if x.e != nil {
-		x.drain()
+	r.updateMachines()
+	if r.engine != nil {
+		r.advancePlan()
 	}
-	x.dealAll()
-	begun, stopped := x.r.Place(x.now)
+	r.dispatchAll()
+	started, stopped := r.simulation.Place(r.now)
 	for _, s := range stopped {
-		x.stopped(s, false)
+		r.taskStopped(s, false)
 	}
-	for _, b := range begun {
-		x.begun(b)
+	for _, b := range started {
+		r.taskStarted(b)
 	}
-	x.wait()
-	planned := x.e == nil || x.planEnd > 0
-	if x.open == 0 && planned || x.now-x.f.s.Now >= x.f.p.MaxDuration {
-		x.over = true
-		if x.e != nil && x.planEnd == 0 {
-			x.planEnd, x.held = x.f.p.MaxDuration, x.waitsFor()
+	r.recordWaits()
+	planEnded := r.engine == nil || r.planDuration > 0
+	if r.unfinishedJobs == 0 && planEnded || r.now-r.forecast.snapshot.Now >= r.forecast.params.MaxDuration {
+		r.done = true
+		if r.engine != nil && r.planDuration == 0 {
+			r.planDuration, r.blockedReason = r.forecast.params.MaxDuration, r.planBlocker()
 		}
 	}
 }
 
-// part is how much of this run is played, at a guess.
-func (x *run) part() float64 {
-	if x.over || len(x.jobs) == 0 {
+// progress is how much of this run is played, at a guess.
+func (r *run) progress() float64 {
+	if r.done || len(r.jobs) == 0 {
 		return 1
 	}
-	return 1 - float64(x.open)/float64(len(x.jobs)+1)
+	return 1 - float64(r.unfinishedJobs)/float64(len(r.jobs)+1)
 }
 
-func (x *run) ended(e ending) {
-	j := x.byID[e.task.Job]
-	if j == nil || !x.r.FinishTask(x.now, e.task, e.attempt) {
+func (r *run) completeTask(e completion) {
+	j := r.byID[e.task.Job]
+	if j == nil || !r.simulation.FinishTask(r.now, e.task, e.attempt) {
 		return
 	}
-	j.left--
+	j.unfinished--
 	j.running--
-	x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Sub(j.Spec.PerTask)
-	if j.left == 0 {
-		x.ends[j.Spec.ID] = e.at - x.f.s.Now
-		x.open--
+	r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Sub(j.Spec.PerTask)
+	if j.unfinished == 0 {
+		r.jobEnds[j.Spec.ID] = e.endsAt - r.forecast.snapshot.Now
+		r.unfinishedJobs--
 	}
 }
 
-func (x *run) begun(b shard.StartedTask) {
-	j := x.byID[b.Task.Job]
+func (r *run) taskStarted(b shard.StartedTask) {
+	j := r.byID[b.Task.Job]
 	j.running++
-	left := x.whole(j, b.Task, 0) - j.saved[b.Task.Index]
-	x.schedule(j, b, left)
-	if c, ok := x.costs[b.Task.Job]; ok && x.e != nil && c.moved > 0 {
+	remaining := r.totalRunTime(j, b.Task, 0) - j.saved[b.Task.Index]
+	r.scheduleCompletion(j, b, remaining)
+	if c, ok := r.costs[b.Task.Job]; ok && r.engine != nil && c.moved > 0 {
 		c.refetch += b.FetchTime
-		x.costs[b.Task.Job] = c
+		r.costs[b.Task.Job] = c
 	}
 }
 
-// stopped keeps what a task has saved: all where it was given time to, else what
+// taskStopped keeps what a task has saved: all where it was given time to, else what
 // it saved by itself.
-func (x *run) stopped(s shard.StoppedTask, moved bool) {
-	j := x.byID[s.Task.Job]
+func (r *run) taskStopped(s shard.StoppedTask, moved bool) {
+	j := r.byID[s.Task.Job]
 	j.running--
 	ran := max(0, s.RunTime)
 	kept := time.Duration(0)
@@ -275,74 +279,74 @@
 		j.saved[s.Task.Index] += kept
 	}
 	if moved {
-		c := x.costs[s.Task.Job]
+		c := r.costs[s.Task.Job]
 		c.moved++
 		c.lost += ran - kept
-		x.costs[s.Task.Job] = c
+		r.costs[s.Task.Job] = c
 	}
 }
 
-// reprice tells which jobs fit into their team's guarantee.
-func (x *run) reprice() {
-	x.priced = x.now
-	g := dispatcher.NewGuaranteeChecker(x.f.s.Teams)
-	for _, j := range x.jobs {
-		if j.left == 0 {
+// repriceJobs tells which jobs fit into their team's guarantee.
+func (r *run) repriceJobs() {
+	r.repricedAt = r.now
+	g := dispatcher.NewGuaranteeChecker(r.forecast.snapshot.Teams)
+	for _, j := range r.jobs {
+		if j.unfinished == 0 {
 			continue
 		}
-		j.within = g.Fits(j.Spec, int64(j.left))
-		if p := dispatcher.Price(j.Spec.Rank, j.within); p != j.price {
+		j.withinGuarantee = g.Fits(j.Spec, int64(j.unfinished))
+		if p := dispatcher.Price(j.Spec.Rank, j.withinGuarantee); p != j.price {
 			j.price = p
-			x.r.RepriceJob(j.Spec.ID, p)
+			r.simulation.RepriceJob(j.Spec.ID, p)
 		}
 	}
 }
 
-// dealAll gives the shard what teams' limits allow, the highest price times wait
+// dispatchAll gives the shard what teams' limits allow, the highest price times wait
 // first.
-func (x *run) dealAll() {
+func (r *run) dispatchAll() {
 	var jobs []*job
-	for _, j := range x.jobs {
-		if len(j.undealt) > 0 {
+	for _, j := range r.jobs {
+		if len(j.undispatched) > 0 {
 			jobs = append(jobs, j)
 		}
 	}
-	score := func(j *job) float64 { return j.Spec.Score(j.price, x.now-j.Since) }
+	score := func(j *job) float64 { return j.Spec.Score(j.price, r.now-j.Since) }
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
-		n := min(int64(len(j.undealt)), j.Spec.PerTask.Count(x.f.s.Teams[team].Remaining(x.usage[team])))
-		for _, no := range j.undealt[:n] {
-			x.r.AddWaiting(x.now, x.deal(j, no, x.zone(j)))
+		n := min(int64(len(j.undispatched)), j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
+		for _, index := range j.undispatched[:n] {
+			r.simulation.AddWaiting(r.now, r.assignment(j, index, r.nextZone(j)))
 		}
-		j.undealt = j.undealt[n:]
-		x.usage[team] = x.usage[team].Add(j.Spec.PerTask.Times(n))
+		j.undispatched = j.undispatched[n:]
+		r.usage[team] = r.usage[team].Add(j.Spec.PerTask.Times(n))
 	}
 }
 
-// zone is where a job whose tasks' zones depend on each other goes next: all to
+// nextZone is where a job whose tasks' zones depend on each other goes next: all to
 // one, or to all in turn.
-func (x *run) zone(j *job) model.Name {
+func (r *run) nextZone(j *job) model.Name {
 	switch {
-	case len(x.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
+	case len(r.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
 		return model.None
 	case j.Spec.Spread:
-		j.zones++
+		j.zoneIndex++
 	}
-	return x.zones[(int(j.Spec.ID)+j.zones)%len(x.zones)]
+	return r.zones[(int(j.Spec.ID)+j.zoneIndex)%len(r.zones)]
 }
 
-// wait notes for how long work within its guarantee has had no room.
-func (x *run) wait() {
-	waiting := x.r.WaitingJobs()
-	for _, j := range x.jobs {
-		if j.left == 0 || !j.within || !waiting[j.Spec.ID] {
-			j.waited = 0
+// recordWaits notes for how long work within its guarantee has had no room.
+func (r *run) recordWaits() {
+	waiting := r.simulation.WaitingJobs()
+	for _, j := range r.jobs {
+		if j.unfinished == 0 || !j.withinGuarantee || !waiting[j.Spec.ID] {
+			j.waitingSince = 0
 			continue
 		}
-		if j.waited == 0 {
-			j.waited = x.now
+		if j.waitingSince == 0 {
+			j.waitingSince = r.now
 		}
-		x.waits[j.Spec.Team] = max(x.waits[j.Spec.Team], x.now-j.waited)
+		r.guaranteeWaits[j.Spec.Team] = max(r.guaranteeWaits[j.Spec.Team], r.now-j.waitingSince)
 	}
 }
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -2,70 +2,72 @@
 
 import "honeylock/internal/core/model"
 
-// awaited is what a submission knows of the jobs that it awaits.
-type awaited struct {
-	jobs    []model.JobID
-	open    map[model.JobID]uint64 // versions of those that were seen open
-	at      int                    // of jobs: the next to be looked at
-	most    int                    // guards that one transaction takes
-	doomed  bool                   // one of them is cancelled
-	unknown model.JobID            // has neither record
+// dependencies is what a submission knows of the jobs that it awaits.
+type dependencies struct {
+	jobs          []model.JobID
+	openVersions  map[model.JobID]uint64 // versions of those that were seen open
+	index         int                    // of jobs: the next to be looked at
+	maxGuards     int                    // guards that one transaction takes
+	cancelled     bool                   // one of them is cancelled
+	neverAccepted model.JobID            // has neither record
 }
 
-func (a *awaited) any() bool { return len(a.jobs) > 0 }
+func (d *dependencies) exist() bool { return len(d.jobs) > 0 }
 
 // NewWithDependencies starts a submission that awaits jobs. open are the versions of open
 // records that were seen earlier: they need not be read, for the transaction tells
 // whether they still stand. At most so many of them are its guards; what ends between
 // the look and the transaction beyond that, the leader finds.
-func NewWithDependencies(job model.JobID, awaits []model.JobID, open map[model.JobID]uint64, most int) (*Request, Op) {
-	r := &Request{kind: Submit, job: job, awaits: awaited{jobs: awaits, open: open, most: most}}
-	return r, r.awaits.next(job)
+func NewWithDependencies(job model.JobID, dependsOn []model.JobID, openVersions map[model.JobID]uint64,
+	maxGuards int) (*Request, Op) {
+	r := &Request{kind: Submit, job: job, dependencies: dependencies{jobs: dependsOn, openVersions: openVersions,
+		maxGuards: maxGuards}}
+	return r, r.dependencies.nextOp(job)
 }
 
-// first begins once more, with nothing seen.
-func (a *awaited) first(job model.JobID) Op {
-	a.open, a.at, a.doomed = map[model.JobID]uint64{}, 0, false
-	return a.next(job)
+// restart begins once more, with nothing seen.
+func (d *dependencies) restart(job model.JobID) Op {
+	d.openVersions, d.index, d.cancelled = map[model.JobID]uint64{}, 0, false
+	return d.nextOp(job)
 }
 
-// next reads what has not been seen, then creates the job.
-func (a *awaited) next(job model.JobID) Op {
-	for ; a.at < len(a.jobs); a.at++ {
-		if a.open[a.jobs[a.at]] == 0 {
-			return Op{Kind: ReadOpen, Job: a.jobs[a.at]}
+// nextOp reads what has not been seen, then creates the job.
+func (d *dependencies) nextOp(job model.JobID) Op {
+	for ; d.index < len(d.jobs); d.index++ {
+		if d.openVersions[d.jobs[d.index]] == 0 {
+			return Op{Kind: ReadOpen, Job: d.jobs[d.index]}
 		}
 	}
 	op := Op{Kind: Create, Job: job}
-	if a.doomed {
+	if d.cancelled {
 		op.Stage = Cancelled
 		return op
 	}
-	for _, id := range a.jobs {
-		if v := a.open[id]; v != 0 && len(op.Guards) < a.most {
-			op.Guards = append(op.Guards, Guard{Job: id, Version: v})
+	for _, id := range d.jobs {
+		if version := d.openVersions[id]; version != 0 && len(op.Guards) < d.maxGuards {
+			op.Guards = append(op.Guards, Guard{Job: id, Version: version})
 		}
 	}
 	return op
 }
 
-// look takes what was read of a job that is awaited. Open is read before final, so
+// handleDependency takes what was read of a job that is awaited. Open is read before final, so
 // that one which ends in between is found; with neither it was not accepted when this
 // submission came in.
-func (r *Request) look(op Op, res Result) Op {
-	a := &r.awaits
+func (r *Request) handleDependency(op Op, res Result) Op {
+	deps := &r.dependencies
 	switch {
 	case op.Kind == ReadOpen && res.Outcome == Missing:
 		return Op{Kind: ReadFinal, Job: op.Job}
 	case op.Kind == ReadOpen:
-		a.open[op.Job] = res.Version
+		deps.openVersions[op.Job] = res.Version
 	case res.Outcome == Missing:
 		// If this is an accepted submission once more, it stays accepted.
-		r.unknown, a.unknown = true, op.Job
+		r.dependencyUnknown, deps.neverAccepted = true, op.Job
 		return Op{Kind: ReadOpen, Job: r.job}
 	default:
-		a.doomed = a.doomed || res.Stage == Cancelled
+		deps.cancelled = deps.cancelled || res.Stage == Cancelled
 	}
-	a.at++
-	return a.next(r.job)
+	deps.index++
+	return deps.nextOp(r.job)
 }
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -8,8 +8,8 @@
 	"honeylock/internal/core/model"
 )
 
-// shelf is a store of scripted records: a job is open at a version, or has a stage.
-type shelf struct {
+// fakeStore is a store of scripted records: a job is open at a version, or has a stage.
+type fakeStore struct {
 	open  map[model.JobID]uint64
 	final map[model.JobID]Stage
 	// before is called for each operation.
@@ -17,7 +17,7 @@
 	ops    []Op
 }
 
-func (s *shelf) do(op Op) Result {
+func (s *fakeStore) execute(op Op) Result {
 	s.ops = append(s.ops, op)
 	if s.before != nil {
 		s.before(op)
@@ -28,8 +28,8 @@
 			return Result{Version: v}
 		}
 	case ReadFinal:
-		if st := s.final[op.Job]; st != "" {
-			return Result{Stage: st}
+		if stage := s.final[op.Job]; stage != "" {
+			return Result{Stage: stage}
 		}
 	case Create:
 		if s.open[op.Job] != 0 || s.final[op.Job] != "" || slices.ContainsFunc(op.Guards, func(g Guard) bool {
@@ -47,13 +47,13 @@
 	return Result{Outcome: Missing}
 }
 
-func (s *shelf) submit(t *testing.T, seen map[model.JobID]uint64, awaits ...model.JobID) Answer {
+func (s *fakeStore) submit(t *testing.T, openVersions map[model.JobID]uint64, dependsOn ...model.JobID) Answer {
 	t.Helper()
-	req, op := NewWithDependencies(1, awaits, seen, 2)
+	req, op := NewWithDependencies(1, dependsOn, openVersions, 2)
 	for range 40 {
-		next, a := req.Next(op, s.do(op))
-		if a != nil {
-			return *a
+		next, answer := req.Next(op, s.execute(op))
+		if answer != nil {
+			return *answer
 		}
 		op = next
 	}
@@ -61,7 +61,7 @@
 	return Answer{}
 }
 
-func TestSubmissionThatAwaits(t *testing.T) {
+func TestSubmissionWithDependencies(t *testing.T) {
 	open, final := map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, map[model.JobID]Stage{5: Done, 6: Cancelled}
 	for name, c := range map[string]struct {
 		seen   map[model.JobID]uint64
@@ -82,7 +82,7 @@
 			http.StatusCreated, Queued, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &shelf{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{}}
+			s := &fakeStore{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{}}
 			for id, v := range open {
 				s.open[id] = v
 			}
@@ -101,12 +101,12 @@
 }
 
 // An accepted submission once more has its job's state, whatever it names now.
-func TestKnownJobThatAwaitsStaysKnown(t *testing.T) {
-	s := &shelf{open: map[model.JobID]uint64{1: 50}, final: map[model.JobID]Stage{}}
+func TestResubmissionKeepsJobState(t *testing.T) {
+	s := &fakeStore{open: map[model.JobID]uint64{1: 50}, final: map[model.JobID]Stage{}}
 	if a := s.submit(t, nil, 99); a.Status != http.StatusOK || a.Stage != Queued {
 		t.Errorf("%+v for a job that is open", a)
 	}
-	s = &shelf{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{1: Done}}
+	s = &fakeStore{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{1: Done}}
 	if a := s.submit(t, nil, 99); a.Status != http.StatusOK || a.Stage != Done {
 		t.Errorf("%+v for a job that is done", a)
 	}
@@ -115,8 +115,8 @@
 // What is awaited is cancelled between the look and the transaction: the transaction
 // fails, and the next one takes the job as cancelled. Without the guard it would be
 // called queued for as long as no leader looks.
-func TestCancellationBetweenLookAndTransaction(t *testing.T) {
-	s := &shelf{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
+func TestDependencyCancelledBeforeTransaction(t *testing.T) {
+	s := &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
 		if op.Kind == Create && s.open[2] != 0 {
 			delete(s.open, 2)
@@ -128,12 +128,12 @@
 		t.Errorf("%+v, open %v", a, s.open)
 	}
 	// It changes for ever: nothing is told.
-	n := uint64(7)
-	s = &shelf{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
+	version := uint64(7)
+	s = &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
 		if op.Kind == Create {
-			n++
-			s.open[2] = n
+			version++
+			s.open[2] = version
 		}
 	}
 	if a := s.submit(t, map[model.JobID]uint64{}, 2); a.Status != http.StatusServiceUnavailable {
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -116,16 +116,16 @@
 
 // Request is the state machine of one request.
 type Request struct {
-	kind  Kind
-	job   model.JobID
-	tries int
-	seen  bool // the open record
+	kind     Kind
+	job      model.JobID
+	tries    int
+	seenOpen bool // the open record
 	// believedEnded: the final record is read first, and says nothing if it is missing.
 	believedEnded bool
-	awaits        awaited
-	// unknown: a job that is awaited has neither record; it is still to be seen whether
+	dependencies  dependencies
+	// dependencyUnknown: a job that is awaited has neither record; it is still to be seen whether
 	// this is an accepted submission once more.
-	unknown bool
+	dependencyUnknown bool
 }
 
 // New starts a request about a job and returns its first operation. version is the
@@ -151,7 +151,7 @@
 
 var (
 	unavailable = &Answer{Status: http.StatusServiceUnavailable}
-	overRate    = &Answer{Status: http.StatusServiceUnavailable, RateLimited: true}
+	rateLimited = &Answer{Status: http.StatusServiceUnavailable, RateLimited: true}
 )
 
 // Next takes the result of an operation and returns the next one or the answer.
@@ -160,19 +160,19 @@
 	case Failed:
 		return Op{}, unavailable
 	case Busy:
-		return Op{}, overRate
+		return Op{}, rateLimited
 	}
 	if op.Job != r.job {
-		return r.look(op, res), nil
+		return r.handleDependency(op, res), nil
 	}
 	switch op.Kind {
 	case Create:
 		if res.Outcome == OK {
-			a := &Answer{Status: http.StatusCreated, Stage: Queued, Created: true}
+			answer := &Answer{Status: http.StatusCreated, Stage: Queued, Created: true}
 			if op.Stage != "" {
-				a.Stage = op.Stage
+				answer.Stage = op.Stage
 			}
-			return Op{}, a
+			return Op{}, answer
 		}
 		return Op{Kind: ReadOpen, Job: r.job}, nil
 	case CompareOpen:
@@ -182,7 +182,7 @@
 		if res.Stage.Ended() { // whoever compared knows of its end
 			return Op{}, &Answer{Status: http.StatusOK, Stage: res.Stage}
 		}
-		r.seen = true // it was open, so it has ended
+		r.seenOpen = true // it was open, so it has ended
 		return Op{Kind: ReadFinal, Job: r.job}, nil
 	case ReadOpen:
 		if res.Outcome == Missing {
@@ -202,14 +202,14 @@
 			r.believedEnded = false
 			return Op{Kind: ReadOpen, Job: r.job}, nil
 		}
-		if r.unknown {
-			return Op{}, &Answer{Status: http.StatusUnprocessableEntity, UnknownDependency: r.awaits.unknown}
+		if r.dependencyUnknown {
+			return Op{}, &Answer{Status: http.StatusUnprocessableEntity, UnknownDependency: r.dependencies.neverAccepted}
 		}
-		if r.kind == Submit && r.awaits.any() && r.again() {
+		if r.kind == Submit && r.dependencies.exist() && r.mayRetry() {
 			// A job that it awaits is no longer as it was seen.
-			return r.awaits.first(r.job), nil
+			return r.dependencies.restart(r.job), nil
 		}
-		if r.kind == Submit || r.seen {
+		if r.kind == Submit || r.seenOpen {
 			// Neither record, though one stood in the way: try once more later.
 			return Op{}, unavailable
 		}
@@ -219,7 +219,7 @@
 			return Op{}, &Answer{Status: http.StatusOK, Stage: Cancelled}
 		}
 		// It has ended meanwhile.
-		if !r.again() {
+		if !r.mayRetry() {
 			return Op{}, unavailable
 		}
 		return Op{Kind: ReadOpen, Job: r.job}, nil
@@ -227,5 +227,5 @@
 	return Op{}, unavailable
 }
 
-// again tells whether what has changed meanwhile is looked at once more.
-func (r *Request) again() bool { r.tries++; return r.tries <= 2 }
+// mayRetry tells whether what has changed meanwhile is looked at once more.
+func (r *Request) mayRetry() bool { r.tries++; return r.tries <= 2 }
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// script runs a request against scripted results.
-func script(t *testing.T, k Kind, steps ...Result) (Answer, []OpKind) {
+// runNew runs a request against scripted results.
+func runNew(t *testing.T, kind Kind, steps ...Result) (Answer, []OpKind) {
 	t.Helper()
-	req, op := New(k, 1, 0)
-	return play(t, req, op, steps)
+	req, op := New(kind, 1, 0)
+	return runSteps(t, req, op, steps)
 }
 
-// play gives a request its operations' results, one after the other.
-func play(t *testing.T, req *Request, op Op, steps []Result) (Answer, []OpKind) {
+// runSteps gives a request its operations' results, one after the other.
+func runSteps(t *testing.T, req *Request, op Op, steps []Result) (Answer, []OpKind) {
 	t.Helper()
 	var ops []OpKind
 	for _, s := range steps {
@@ -35,23 +35,28 @@
 		status int
 		stage  Stage
 	}{
-		"new job":                      {Submit, []Result{{}}, http.StatusCreated, Queued},
-		"known job":                    {Submit, []Result{{Outcome: Conflict}, {Version: 3}}, http.StatusOK, Queued},
-		"known job that is over":       {Submit, []Result{{Outcome: Conflict}, {Outcome: Missing}, {Stage: Done}}, http.StatusOK, Done},
-		"submission in doubt":          {Submit, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
-		"poll of an open job":          {Poll, []Result{{Version: 3}}, http.StatusOK, Queued},
-		"poll across the job's end":    {Poll, []Result{{Outcome: Missing}, {Stage: Done}}, http.StatusOK, Done},
-		"poll of nothing":              {Poll, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
-		"poll without the store":       {Poll, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
-		"poll, second read fails":      {Poll, []Result{{Outcome: Missing}, {Outcome: Failed}}, http.StatusServiceUnavailable, ""},
-		"cancel":                       {Withdraw, []Result{{Version: 3}, {}}, http.StatusOK, Cancelled},
-		"cancel of a job that is done": {Withdraw, []Result{{Version: 3}, {Outcome: Conflict}, {Outcome: Missing}, {Stage: Done}}, http.StatusOK, Done},
-		"cancel again":                 {Withdraw, []Result{{Outcome: Missing}, {Stage: Cancelled}}, http.StatusOK, Cancelled},
-		"cancel of nothing":            {Withdraw, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
-		"cancel in doubt":              {Withdraw, []Result{{Version: 3}, {Outcome: Failed}}, http.StatusServiceUnavailable, ""},
+		"new job":   {Submit, []Result{{}}, http.StatusCreated, Queued},
+		"known job": {Submit, []Result{{Outcome: Conflict}, {Version: 3}}, http.StatusOK, Queued},
+		"known job that is over": {Submit, []Result{{Outcome: Conflict}, {Outcome: Missing}, {Stage: Done}},
+			http.StatusOK, Done},
+		"submission in doubt":       {Submit, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
+		"poll of an open job":       {Poll, []Result{{Version: 3}}, http.StatusOK, Queued},
+		"poll across the job's end": {Poll, []Result{{Outcome: Missing}, {Stage: Done}}, http.StatusOK, Done},
+		"poll of nothing":           {Poll, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
+		"poll without the store":    {Poll, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
+		"poll, second read fails": {Poll, []Result{{Outcome: Missing}, {Outcome: Failed}},
+			http.StatusServiceUnavailable, ""},
+		"cancel": {Withdraw, []Result{{Version: 3}, {}}, http.StatusOK, Cancelled},
+		"cancel of a job that is done": {Withdraw, []Result{{Version: 3}, {Outcome: Conflict}, {Outcome: Missing},
+			{Stage: Done}}, http.StatusOK, Done},
+		"cancel again": {Withdraw, []Result{{Outcome: Missing}, {Stage: Cancelled}}, http.StatusOK,
+			Cancelled},
+		"cancel of nothing": {Withdraw, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
+		"cancel in doubt": {Withdraw, []Result{{Version: 3}, {Outcome: Failed}}, http.StatusServiceUnavailable,
+			""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, ops := script(t, c.kind, c.steps...)
+			a, ops := runNew(t, c.kind, c.steps...)
 			if a.Status != c.status || a.Stage != c.stage {
 				t.Errorf("answer %+v after %v, want %d %q", a, ops, c.status, c.stage)
 			}
@@ -69,7 +74,7 @@
 
 // An open record that was seen before is only compared, and many such polls
 // share one call; once it is gone, the records tell what became of the job.
-func TestPollOfASeenJobComparesOnly(t *testing.T) {
+func TestPollOfSeenJobOnlyCompares(t *testing.T) {
 	req, op := New(Poll, 1, 3)
 	if op.Kind != CompareOpen || op.Version != 3 {
 		t.Fatalf("asks %+v", op)
@@ -91,7 +96,7 @@
 
 // Where the state service serves one read of each attempt and refuses the next, the user of a
 // job that has ended is answered all the same, if the job is believed to have ended.
-func TestEndedJobIsToldByOneRead(t *testing.T) {
+func TestEndedJobIsAnsweredByOneRead(t *testing.T) {
 	for _, kind := range []Kind{Poll, Withdraw} {
 		req, op := NewEnded(kind, 1)
 		if op.Kind != ReadFinal {
@@ -104,7 +109,7 @@
 }
 
 // A job that was wrongly believed to have ended: nothing is told but what its records say.
-func TestBeliefInAnEndIsChecked(t *testing.T) {
+func TestWrongBeliefInAnEndIsCorrected(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   Kind
 		steps  []Result // after the final record, which is missing
@@ -122,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			req, op := NewEnded(c.kind, 1)
-			a, ops := play(t, req, op, append([]Result{{Outcome: Missing}}, c.steps...))
+			a, ops := runSteps(t, req, op, append([]Result{{Outcome: Missing}}, c.steps...))
 			if a.Status != c.status || a.Stage != c.stage {
 				t.Errorf("answer %+v after %v, want %d %q", a, ops, c.status, c.stage)
 			}
--- a/internal/core/pipeline/freshness.go
+++ b/internal/core/pipeline/freshness.go
@@ -13,20 +13,20 @@
 func (g *Graph) InDoubt() map[model.JobID]bool {
 	out := map[model.JobID]bool{}
 	var todo []*node
-	for _, n := range g.unknown {
+	for _, n := range g.unresolved {
 		todo = append(todo, n)
 	}
-	for id, n := range g.doomed {
+	for id, n := range g.toCancel {
 		out[id] = true
 		todo = append(todo, n)
 	}
 	for len(todo) > 0 {
 		n := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		for id, b := range n.after {
-			if b.open && !out[id] {
+		for id, dependent := range n.dependents {
+			if dependent.open && !out[id] {
 				out[id] = true
-				todo = append(todo, b)
+				todo = append(todo, dependent)
 			}
 		}
 	}
@@ -34,33 +34,37 @@
 }
 
 // CancelPending tells whether an open job needs one that is stored as cancelled.
-func (g *Graph) CancelPending(id model.JobID) bool { return g.doomed[id] != nil }
+func (g *Graph) CancelPending(id model.JobID) bool { return g.toCancel[id] != nil }
 
 // StatusFreshness judges whether an open job that waits for others may be called queued: only
 // while no cancellation of one of them that is older than Within can be unknown to who
 // says so.
 type StatusFreshness struct {
-	MaxAge  time.Duration
-	settled time.Duration
-	told    time.Duration
+	MaxAge            time.Duration
+	propagatedUntil   time.Duration
+	inDoubtKnownUntil time.Duration
 }
 
 // NewStatusFreshness vouches for nothing yet.
-func NewStatusFreshness(within time.Duration) *StatusFreshness {
-	return &StatusFreshness{MaxAge: within, settled: -time.Hour, told: -time.Hour}
+func NewStatusFreshness(maxAge time.Duration) *StatusFreshness {
+	return &StatusFreshness{MaxAge: maxAge, propagatedUntil: -time.Hour, inDoubtKnownUntil: -time.Hour}
 }
 
 // SetPropagated takes the moment up to which every cancellation has gone through to all jobs.
-func (v *StatusFreshness) SetPropagated(at time.Duration) { v.settled = max(v.settled, at) }
+func (f *StatusFreshness) SetPropagated(at time.Duration) {
+	f.propagatedUntil = max(f.propagatedUntil, at)
+}
 
 // SetInDoubtKnown takes the moment up to which the jobs in doubt are told: every cancellation until
 // then has gone through to all jobs that are not among them.
-func (v *StatusFreshness) SetInDoubtKnown(at time.Duration) { v.told = max(v.told, at) }
+func (f *StatusFreshness) SetInDoubtKnown(at time.Duration) {
+	f.inDoubtKnownUntil = max(f.inDoubtKnownUntil, at)
+}
 
 // MayReportQueued tells whether a waiting job may be called queued. told: it is among the jobs
 // that were told, and not in doubt.
-func (v *StatusFreshness) MayReportQueued(now time.Duration, told bool) bool {
-	return now-v.settled < v.MaxAge || told && now-v.told < v.MaxAge
+func (f *StatusFreshness) MayReportQueued(now time.Duration, known bool) bool {
+	return now-f.propagatedUntil < f.MaxAge || known && now-f.inDoubtKnownUntil < f.MaxAge
 }
 
 // InDoubtJobs are the jobs in doubt that a leader has told of, and since when.
@@ -71,10 +75,10 @@
 // Update brings them up to date: what it returns is told now.
 func (d *InDoubtJobs) Update(now time.Duration, g *Graph) map[model.JobID]bool {
 	in := g.InDoubt()
-	was := d.since
+	previous := d.since
 	d.since = make(map[model.JobID]time.Duration, len(in))
 	for id := range in {
-		at, ok := was[id]
+		at, ok := previous[id]
 		if !ok {
 			at = now
 		}
@@ -83,14 +87,14 @@
 	return in
 }
 
-// late is how much longer than a voucher's time a leader waits, for drifting clocks.
-const late = time.Second
+// clockDriftMargin is how much longer than a voucher's time a leader waits, for drifting clocks.
+const clockDriftMargin = time.Second
 
 // CertainlyCancelled tells whether a job may be called cancelled before its record says so: what it
 // needs is stored as cancelled, so it can never begin, and nobody may call it queued any
 // more. For whoever did knew less than the record that dooms it, which is older than what
 // was told.
-func (d *InDoubtJobs) CertainlyCancelled(now time.Duration, within time.Duration, g *Graph, id model.JobID) bool {
+func (d *InDoubtJobs) CertainlyCancelled(now time.Duration, maxAge time.Duration, g *Graph, id model.JobID) bool {
 	at, ok := d.since[id]
-	return ok && g.CancelPending(id) && now-at > within+within/500+late
+	return ok && g.CancelPending(id) && now-at > maxAge+maxAge/500+clockDriftMargin
 }
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -29,8 +29,8 @@
 	Absent                      // it has neither record: it is not open yet, as far as is known
 )
 
-// retry is when what could not be told is asked again.
-const retry = time.Second
+// lookupRetry is when what could not be told is asked again.
+const lookupRetry = time.Second
 
 // Job is an open job as the graph takes it.
 type Job struct {
@@ -59,41 +59,41 @@
 
 type node struct {
 	Job
-	open    bool
-	seen    bool // it was open while this graph looked on
-	needs   map[model.JobID]*node
-	after   map[model.JobID]*node // open jobs that await it
-	ranks   [model.Prod + 1]int32 // of after, as inherited: how many of each
-	aims    int32                 // of after
-	rank    model.Rank            // inherited
-	aimed   bool                  // inherited
-	doomed  bool                  // it is to be cancelled, or was
-	sending bool
-	due     time.Duration // a question or a cancellation may be sent
-	since   time.Duration // it is behind since
-	atMS    int64
-	fresh   bool
+	open                bool
+	observedOpen        bool // it was open while this graph looked on
+	dependencies        map[model.JobID]*node
+	dependents          map[model.JobID]*node // open jobs that await it
+	dependentRanks      [model.Prod + 1]int32 // of after, as inherited: how many of each
+	dependentObjectives int32                 // of after
+	effectiveRank       model.Rank            // inherited
+	effectiveObjective  bool                  // inherited
+	cancelPending       bool                  // it is to be cancelled, or was
+	inFlight            bool
+	notBefore           time.Duration // a question or a cancellation may be sent
+	behindSince         time.Duration // it is behind since
+	lastEndMS           int64
+	neverStarted        bool
 }
 
 // Graph is the state machine.
 type Graph struct {
-	nodes    map[model.JobID]*node
-	unknown  map[model.JobID]*node // to be asked about
-	doomed   map[model.JobID]*node // to be cancelled
-	changed  map[model.JobID]*node // inherit something else
-	released []Release
+	nodes            map[model.JobID]*node
+	unresolved       map[model.JobID]*node // to be asked about
+	toCancel         map[model.JobID]*node // to be cancelled
+	inheritedChanged map[model.JobID]*node // inherit something else
+	released         []Release
 }
 
 // New returns an empty graph.
 func New() *Graph {
-	return &Graph{nodes: map[model.JobID]*node{}, unknown: map[model.JobID]*node{},
-		doomed: map[model.JobID]*node{}, changed: map[model.JobID]*node{}}
+	return &Graph{nodes: map[model.JobID]*node{}, unresolved: map[model.JobID]*node{},
+		toCancel: map[model.JobID]*node{}, inheritedChanged: map[model.JobID]*node{}}
 }
 
 func (g *Graph) node(id model.JobID) *node {
 	n := g.nodes[id]
 	if n == nil {
-		n = &node{Job: Job{ID: id}, after: map[model.JobID]*node{}}
+		n = &node{Job: Job{ID: id}, dependents: map[model.JobID]*node{}}
 		g.nodes[id] = n
 	}
 	return n
@@ -102,158 +102,161 @@
 // Add takes an open job. held tells that it may not begin yet: Released or Doomed
 // will name it. What it awaits and nobody added counts as ended, in a way that is to
 // be asked about; since is when its end may have been told at the earliest.
-func (g *Graph) Add(j Job, since time.Duration) (held bool) {
+func (g *Graph) Add(j Job, since time.Duration) (blocked bool) {
 	n := g.node(j.ID)
 	if n.open {
-		return len(n.needs) > 0
+		return len(n.dependencies) > 0
 	}
-	n.Job, n.open, n.seen = j, true, true
-	delete(g.unknown, j.ID)
-	n.rank, n.aimed = j.Rank, j.HasObjective
-	g.inherit(n)
+	n.Job, n.open, n.observedOpen = j, true, true
+	delete(g.unresolved, j.ID)
+	n.effectiveRank, n.effectiveObjective = j.Rank, j.HasObjective
+	g.updateInherited(n)
 	for _, id := range j.DependsOn {
-		p := g.node(id)
-		if n.needs == nil {
-			n.needs = map[model.JobID]*node{}
+		dependency := g.node(id)
+		if n.dependencies == nil {
+			n.dependencies = map[model.JobID]*node{}
 		}
-		n.needs[id] = p
-		p.after[j.ID] = n
-		g.count(p, n.rank, n.aimed, 1)
+		n.dependencies[id] = dependency
+		dependency.dependents[j.ID] = n
+		g.countDependent(dependency, n.effectiveRank, n.effectiveObjective, 1)
 		switch {
-		case p.doomed:
-			g.doom(n, since)
-		case !p.open && g.unknown[id] == nil:
-			p.since = since
-			g.unknown[id] = p
+		case dependency.cancelPending:
+			g.markCancelPending(n, since)
+		case !dependency.open && g.unresolved[id] == nil:
+			dependency.behindSince = since
+			g.unresolved[id] = dependency
 		}
 	}
-	return len(n.needs) > 0
+	return len(n.dependencies) > 0
 }
 
 // JobEnded takes the news that a job is no longer open.
-func (g *Graph) JobEnded(id model.JobID, e FinalState, since time.Duration) {
+func (g *Graph) JobEnded(id model.JobID, final FinalState, since time.Duration) {
 	n := g.nodes[id]
 	if n == nil {
 		return
 	}
 	if n.open {
 		n.open = false
-		delete(g.doomed, id)
-		delete(g.changed, id)
-		for _, p := range n.needs {
-			g.leave(p, n)
+		delete(g.toCancel, id)
+		delete(g.inheritedChanged, id)
+		for _, dependency := range n.dependencies {
+			g.removeDependent(dependency, n)
 		}
-		n.needs = nil
+		n.dependencies = nil
 	}
-	if e == Unknown && n.doomed {
-		e = Cancelled // it was never let begin
+	if final == Unknown && n.cancelPending {
+		final = Cancelled // it was never let begin
 	}
-	if e == Unknown && len(n.after) > 0 {
-		n.since = since
-		g.unknown[id] = n
+	if final == Unknown && len(n.dependents) > 0 {
+		n.behindSince = since
+		g.unresolved[id] = n
 		return
 	}
-	g.tell(n, e, 0, since)
+	g.resolveEnd(n, final, 0, since)
 }
 
-// leave takes a job from those that await p.
-func (g *Graph) leave(p, n *node) {
-	delete(p.after, n.ID)
-	g.count(p, n.rank, n.aimed, -1)
-	g.tidy(p)
+// removeDependent takes a job from those that await p.
+func (g *Graph) removeDependent(dependency, n *node) {
+	delete(dependency.dependents, n.ID)
+	g.countDependent(dependency, n.effectiveRank, n.effectiveObjective, -1)
+	g.forgetIfUnused(dependency)
 }
 
-// tidy forgets an ended job that nobody awaits.
-func (g *Graph) tidy(n *node) {
-	if !n.open && len(n.after) == 0 {
+// forgetIfUnused forgets an ended job that nobody awaits.
+func (g *Graph) forgetIfUnused(n *node) {
+	if !n.open && len(n.dependents) == 0 {
 		delete(g.nodes, n.ID)
-		delete(g.unknown, n.ID)
+		delete(g.unresolved, n.ID)
 	}
 }
 
-// tell settles how a job ended with all that await it.
-func (g *Graph) tell(n *node, e FinalState, atMS int64, since time.Duration) {
-	delete(g.unknown, n.ID)
+// resolveEnd settles how a job ended with all that await it.
+func (g *Graph) resolveEnd(n *node, final FinalState, atMS int64, since time.Duration) {
+	delete(g.unresolved, n.ID)
 	// A cancelled one stays for as long as somebody awaits it: who comes later and
 	// names it is doomed too.
-	n.doomed = n.doomed || e == Cancelled
-	for _, id := range slices.Sorted(maps.Keys(n.after)) {
-		b := n.after[id]
-		if e == Cancelled {
-			g.doom(b, since)
+	n.cancelPending = n.cancelPending || final == Cancelled
+	for _, id := range slices.Sorted(maps.Keys(n.dependents)) {
+		dependent := n.dependents[id]
+		if final == Cancelled {
+			g.markCancelPending(dependent, since)
 			continue
 		}
-		delete(b.needs, n.ID)
-		b.atMS, b.fresh = max(b.atMS, atMS), b.fresh || n.seen
-		if len(b.needs) == 0 && !b.doomed {
-			g.released = append(g.released, Release{ID: b.ID, LastEndMS: b.atMS, NeverStarted: b.fresh})
+		delete(dependent.dependencies, n.ID)
+		dependent.lastEndMS, dependent.neverStarted = max(dependent.lastEndMS, atMS), dependent.neverStarted || n.observedOpen
+		if len(dependent.dependencies) == 0 && !dependent.cancelPending {
+			g.released = append(g.released, Release{ID: dependent.ID, LastEndMS: dependent.lastEndMS,
+				NeverStarted: dependent.neverStarted})
 		}
 	}
-	if e == Done {
-		clear(n.after)
+	if final == Done {
+		clear(n.dependents)
 	}
-	g.tidy(n)
+	g.forgetIfUnused(n)
 }
 
-// doom marks a job, and all that need it, to be cancelled.
-func (g *Graph) doom(n *node, since time.Duration) {
+// markCancelPending marks a job, and all that need it, to be cancelled.
+func (g *Graph) markCancelPending(n *node, since time.Duration) {
 	for todo := []*node{n}; len(todo) > 0; {
 		n := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		if n.doomed || !n.open {
+		if n.cancelPending || !n.open {
 			continue
 		}
-		n.doomed, n.since = true, since
-		g.doomed[n.ID] = n
-		for _, b := range n.after {
-			todo = append(todo, b)
+		n.cancelPending, n.behindSince = true, since
+		g.toCancel[n.ID] = n
+		for _, dependent := range n.dependents {
+			todo = append(todo, dependent)
 		}
 	}
 }
 
 // NextLookups returns at most n ended jobs whose final record is to be read. Each comes back
 // through Told.
-func (g *Graph) NextLookups(now time.Duration, n int) []model.JobID { return take(g.unknown, now, n) }
+func (g *Graph) NextLookups(now time.Duration, limit int) []model.JobID {
+	return takeDue(g.unresolved, now, limit)
+}
 
 // LookupDone takes what a final record tells, with the time of day of the end (0: it does
 // not tell). Unknown: the question failed.
-func (g *Graph) LookupDone(now time.Duration, id model.JobID, e FinalState, atMS int64) {
-	n := g.unknown[id]
+func (g *Graph) LookupDone(now time.Duration, id model.JobID, final FinalState, atMS int64) {
+	n := g.unresolved[id]
 	if n == nil {
 		return
 	}
-	n.sending = false
-	if e == Unknown || e == Absent {
-		n.due = now + retry
+	n.inFlight = false
+	if final == Unknown || final == Absent {
+		n.notBefore = now + lookupRetry
 		return
 	}
-	g.tell(n, e, atMS, n.since)
+	g.resolveEnd(n, final, atMS, n.behindSince)
 }
 
 // NextCancellations returns at most n jobs to be cancelled now. Each comes back through Ended,
 // or through Kept if it could not be.
-func (g *Graph) NextCancellations(now time.Duration, n int) []model.JobID {
-	return take(g.doomed, now, n)
+func (g *Graph) NextCancellations(now time.Duration, limit int) []model.JobID {
+	return takeDue(g.toCancel, now, limit)
 }
 
 // CancellationFailed takes the news that a job could not be cancelled yet.
 func (g *Graph) CancellationFailed(now time.Duration, id model.JobID) {
-	if n := g.doomed[id]; n != nil {
-		n.sending, n.due = false, now+retry/4
+	if n := g.toCancel[id]; n != nil {
+		n.inFlight, n.notBefore = false, now+lookupRetry/4
 	}
 }
 
-func take(from map[model.JobID]*node, now time.Duration, n int) []model.JobID {
+func takeDue(from map[model.JobID]*node, now time.Duration, limit int) []model.JobID {
 	var out []model.JobID
-	for id, x := range from {
-		if !x.sending && now >= x.due {
+	for id, node := range from {
+		if !node.inFlight && now >= node.notBefore {
 			out = append(out, id)
 		}
 	}
 	slices.Sort(out)
-	out = out[:min(len(out), max(0, n))]
+	out = out[:min(len(out), max(0, limit))]
 	for _, id := range out {
-		from[id].sending = true
+		from[id].inFlight = true
 	}
 	return out
 }
@@ -264,7 +267,7 @@
 	g.released = nil
 	return slices.DeleteFunc(out, func(r Release) bool {
 		n := g.nodes[r.ID]
-		return n == nil || !n.open || n.doomed
+		return n == nil || !n.open || n.cancelPending
 	})
 }
 
@@ -272,9 +275,9 @@
 // through to all that need the job; now if there is none.
 func (g *Graph) PropagatedUntil(now time.Duration) time.Duration {
 	at := now
-	for _, set := range []map[model.JobID]*node{g.unknown, g.doomed} {
+	for _, set := range []map[model.JobID]*node{g.unresolved, g.toCancel} {
 		for _, n := range set {
-			at = min(at, n.since)
+			at = min(at, n.behindSince)
 		}
 	}
 	return at
@@ -282,66 +285,66 @@
 
 // Counts tells how many open jobs await others, how many ends are to be asked about,
 // and how many jobs are to be cancelled.
-func (g *Graph) Counts() (awaiting, unknown, doomed int) {
+func (g *Graph) Counts() (blocked, unresolved, cancelPending int) {
 	for _, n := range g.nodes {
-		if n.open && len(n.needs) > 0 {
-			awaiting++
+		if n.open && len(n.dependencies) > 0 {
+			blocked++
 		}
 	}
-	return awaiting, len(g.unknown), len(g.doomed)
+	return blocked, len(g.unresolved), len(g.toCancel)
 }
 
 // TakeInherited takes away what jobs inherit now, where that is something else than before.
 func (g *Graph) TakeInherited() []Inherited {
-	if len(g.changed) == 0 {
+	if len(g.inheritedChanged) == 0 {
 		return nil
 	}
-	out := make([]Inherited, 0, len(g.changed))
-	for _, id := range slices.Sorted(maps.Keys(g.changed)) {
-		n := g.changed[id]
-		out = append(out, Inherited{ID: id, Rank: n.rank, HasObjective: n.aimed})
+	out := make([]Inherited, 0, len(g.inheritedChanged))
+	for _, id := range slices.Sorted(maps.Keys(g.inheritedChanged)) {
+		n := g.inheritedChanged[id]
+		out = append(out, Inherited{ID: id, Rank: n.effectiveRank, HasObjective: n.effectiveObjective})
 	}
-	clear(g.changed)
+	clear(g.inheritedChanged)
 	return out
 }
 
-// count notes that one more (or less) of those that await n has a rank and an aim.
-func (g *Graph) count(n *node, r model.Rank, aimed bool, by int32) {
-	n.ranks[r] += by
-	if aimed {
-		n.aims += by
+// countDependent notes that one more (or less) of those that await n has a rank and an aim.
+func (g *Graph) countDependent(n *node, rank model.Rank, objective bool, delta int32) {
+	n.dependentRanks[rank] += delta
+	if objective {
+		n.dependentObjectives += delta
 	}
-	g.inherit(n)
+	g.updateInherited(n)
 }
 
-// inherit works out what a job has from those that need it, and passes a change on to
+// updateInherited works out what a job has from those that need it, and passes a change on to
 // those that it needs.
-func (g *Graph) inherit(n *node) {
+func (g *Graph) updateInherited(n *node) {
 	if !n.open {
 		return
 	}
-	rank, aimed := n.Rank, n.HasObjective || n.aims > 0
+	rank, objective := n.Rank, n.HasObjective || n.dependentObjectives > 0
 	for r := model.Prod; r > rank; r-- {
-		if n.ranks[r] > 0 {
+		if n.dependentRanks[r] > 0 {
 			rank = r
 		}
 	}
-	if rank == n.rank && aimed == n.aimed {
+	if rank == n.effectiveRank && objective == n.effectiveObjective {
 		return
 	}
-	wasRank, wasAimed := n.rank, n.aimed
-	n.rank, n.aimed = rank, aimed
-	g.changed[n.ID] = n
-	for _, p := range n.needs {
-		p.ranks[wasRank]--
-		p.ranks[rank]++
-		if aimed != wasAimed {
-			if aimed {
-				p.aims++
+	oldRank, hadObjective := n.effectiveRank, n.effectiveObjective
+	n.effectiveRank, n.effectiveObjective = rank, objective
+	g.inheritedChanged[n.ID] = n
+	for _, dependency := range n.dependencies {
+		dependency.dependentRanks[oldRank]--
+		dependency.dependentRanks[rank]++
+		if objective != hadObjective {
+			if objective {
+				dependency.dependentObjectives++
 			} else {
-				p.aims--
+				dependency.dependentObjectives--
 			}
 		}
-		g.inherit(p)
+		g.updateInherited(dependency)
 	}
 }
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -10,7 +10,7 @@
 	"honeylock/internal/core/model"
 )
 
-func ids(rs []Release) (out []model.JobID) {
+func releasedIDs(rs []Release) (out []model.JobID) {
 	for _, r := range rs {
 		out = append(out, r.ID)
 	}
@@ -18,7 +18,7 @@
 	return out
 }
 
-func TestDiamondBeginsWhenBothSidesAreDone(t *testing.T) {
+func TestDiamondReleasesWhenBothBranchesAreDone(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
 	for _, j := range []Job{{ID: 2, DependsOn: []model.JobID{1}}, {ID: 3, DependsOn: []model.JobID{1}},
@@ -33,7 +33,7 @@
 		}
 	}
 	g.JobEnded(1, Done, 0)
-	if got := ids(g.TakeReleased()); !slices.Equal(got, []model.JobID{2, 3}) {
+	if got := releasedIDs(g.TakeReleased()); !slices.Equal(got, []model.JobID{2, 3}) {
 		t.Fatalf("released %v", got)
 	}
 	g.JobEnded(2, Done, 0)
@@ -48,11 +48,11 @@
 		t.Fatalf("asks about %v", ask)
 	}
 	g.LookupDone(0, 3, Unknown, 0)
-	if again := g.NextLookups(retry-1, 9); len(again) > 0 {
+	if again := g.NextLookups(lookupRetry-1, 9); len(again) > 0 {
 		t.Fatalf("asks again at once")
 	}
-	g.NextLookups(retry, 9)
-	g.LookupDone(retry, 3, Done, 5000)
+	g.NextLookups(lookupRetry, 9)
+	g.LookupDone(lookupRetry, 3, Done, 5000)
 	if got := g.TakeReleased(); len(got) != 1 || got[0] != (Release{ID: 4, LastEndMS: 5000, NeverStarted: true}) {
 		t.Fatalf("released %+v", got)
 	}
@@ -60,7 +60,7 @@
 
 // A cancellation goes through a whole tree, also to who comes while it does, and to
 // nobody else; what was inherited is taken back.
-func TestCancellationGoesThrough(t *testing.T) {
+func TestCancellationPropagatesToAllDependents(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
 	g.Add(Job{ID: 900}, 0)
@@ -70,25 +70,25 @@
 	g.Add(Job{ID: 60, Rank: model.Urgent, DependsOn: []model.JobID{900}}, 0)
 	g.TakeInherited()
 	g.JobEnded(1, Cancelled, 3)
-	if late := g.Add(Job{ID: 51, DependsOn: []model.JobID{25}}, 0); !late {
+	if blocked := g.Add(Job{ID: 51, DependsOn: []model.JobID{25}}, 0); !blocked {
 		t.Fatal("a job that names a doomed one may begin")
 	}
-	doomed := g.NextCancellations(0, 100)
-	if len(doomed) != 50 || doomed[0] != 2 || doomed[49] != 51 {
-		t.Fatalf("%d to be cancelled: %v", len(doomed), doomed)
+	pending := g.NextCancellations(0, 100)
+	if len(pending) != 50 || pending[0] != 2 || pending[49] != 51 {
+		t.Fatalf("%d to be cancelled: %v", len(pending), pending)
 	}
 	if len(g.NextCancellations(0, 100)) > 0 {
 		t.Error("cancels twice at once")
 	}
 	g.CancellationFailed(0, 2)
-	if again := g.NextCancellations(retry, 100); !slices.Equal(again, []model.JobID{2}) {
+	if again := g.NextCancellations(lookupRetry, 100); !slices.Equal(again, []model.JobID{2}) {
 		t.Errorf("tries %v again", again)
 	}
 	g.JobEnded(900, Done, 0)
-	if got := ids(g.TakeReleased()); !slices.Equal(got, []model.JobID{60}) {
+	if got := releasedIDs(g.TakeReleased()); !slices.Equal(got, []model.JobID{60}) {
 		t.Errorf("released %v beside a tree that is cancelled", got)
 	}
-	for _, id := range doomed {
+	for _, id := range pending {
 		if b := g.PropagatedUntil(9); b != 3 && b != 0 {
 			t.Fatalf("behind since %v with %d to go", b, id)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestInheritedRankIsTakenBack(t *testing.T) {
+func TestInheritedRankIsRevoked(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1, Rank: model.Idle}, 0)
 	g.Add(Job{ID: 2, Rank: model.Idle, DependsOn: []model.JobID{1}}, 0)
@@ -119,19 +119,19 @@
 // Random jobs, ends, answers and cancellations in any order: nothing begins before all
 // that it needs is done, nothing that needs a cancelled one begins at all, and once
 // everything is told nobody is left.
-func TestAnyOrder(t *testing.T) {
+func TestRandomOrderReleasesOnlySatisfiedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New()
 		n := model.JobID(rapid.IntRange(2, 12).Draw(t, "jobs"))
-		awaits := map[model.JobID][]model.JobID{}
+		dependsOn := map[model.JobID][]model.JobID{}
 		for id := range n {
 			for p := range id {
 				if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
-					awaits[id] = append(awaits[id], p)
+					dependsOn[id] = append(dependsOn[id], p)
 				}
 			}
 		}
-		end, begun, added := map[model.JobID]FinalState{}, map[model.JobID]bool{}, map[model.JobID]bool{}
+		end, released, added := map[model.JobID]FinalState{}, map[model.JobID]bool{}, map[model.JobID]bool{}
 		finish := func(id model.JobID, e FinalState) {
 			end[id] = e
 			if added[id] {
@@ -144,8 +144,8 @@
 		}
 		check := func() {
 			for _, r := range g.TakeReleased() {
-				begun[r.ID] = true
-				for _, p := range awaits[r.ID] {
+				released[r.ID] = true
+				for _, p := range dependsOn[r.ID] {
 					if end[p] != Done {
 						t.Fatalf("%d begins, %d is %v", r.ID, p, end[p])
 					}
@@ -158,23 +158,23 @@
 			switch {
 			case !added[id] && end[id] == Unknown:
 				added[id] = true
-				if !g.Add(Job{ID: id, Rank: model.Rank(id % 4), DependsOn: awaits[id]}, 0) {
-					begun[id] = true
+				if !g.Add(Job{ID: id, Rank: model.Rank(id % 4), DependsOn: dependsOn[id]}, 0) {
+					released[id] = true
 				}
 			case end[id] == Unknown && rapid.IntRange(0, 5).Draw(t, "cancel") == 0:
 				finish(id, Cancelled)
-			case end[id] == Unknown && begun[id]:
+			case end[id] == Unknown && released[id]:
 				finish(id, Done)
 			}
-			for _, id := range g.NextLookups(retry*4000*1000, 3) {
+			for _, id := range g.NextLookups(lookupRetry*4000*1000, 3) {
 				if e := end[id]; e == Unknown {
 					g.LookupDone(0, id, Absent, 0)
 				} else {
 					g.LookupDone(0, id, e, 0)
 				}
 			}
-			for _, id := range g.NextCancellations(retry*4000*1000, 2) {
-				if begun[id] {
+			for _, id := range g.NextCancellations(lookupRetry*4000*1000, 2) {
+				if released[id] {
 					t.Fatalf("step %d: %d is to be cancelled and has begun", step, id)
 				}
 				if end[id] == Unknown {
@@ -186,17 +186,17 @@
 		}
 		for id := range n {
 			if end[id] == Unknown {
-				t.Fatalf("%d is left: added %v, begun %v, awaits %v", id, added[id], begun[id], awaits[id])
+				t.Fatalf("%d is left: added %v, begun %v, awaits %v", id, added[id], released[id], dependsOn[id])
 			}
 		}
-		if len(g.nodes) > 0 || len(g.unknown) > 0 || len(g.doomed) > 0 {
+		if len(g.nodes) > 0 || len(g.unresolved) > 0 || len(g.toCancel) > 0 {
 			t.Fatalf("the graph keeps %d", len(g.nodes))
 		}
 	})
 }
 
 // What an end costs follows its successors, not the open jobs.
-func BenchmarkEnd(b *testing.B) {
+func BenchmarkJobEnded(b *testing.B) {
 	for _, open := range []int{100, 10_000} {
 		for name, end := range map[string]FinalState{"release": Done, "cancel": Cancelled} {
 			b.Run(fmt.Sprintf("%s/%d open", name, open), func(b *testing.B) {
@@ -230,21 +230,21 @@
 	}
 }
 
-// store is what leaders share: open records with what they await, and final ones.
-type store struct {
+// recordStore is what leaders share: open records with what they await, and final ones.
+type recordStore struct {
 	open  map[model.JobID][]model.JobID
 	final map[model.JobID]FinalState
 }
 
-// lead makes a leader's graph from the store, and has it cancel at most so many jobs;
+// runLeader makes a leader's graph from the store, and has it cancel at most so many jobs;
 // it returns how many it did.
-func (s *store) lead(t *testing.T, most int) (cancelled int) {
+func (s *recordStore) runLeader(t *testing.T, maxCancellations int) (cancelled int) {
 	t.Helper()
 	g := New()
-	for id, awaits := range s.open { // in any order, as records are listed
-		g.Add(Job{ID: id, DependsOn: awaits}, 0)
+	for id, dependencies := range s.open { // in any order, as records are listed
+		g.Add(Job{ID: id, DependsOn: dependencies}, 0)
 	}
-	for cancelled < most {
+	for cancelled < maxCancellations {
 		for _, id := range g.NextLookups(0, 50) {
 			e := s.final[id]
 			if e == Unknown {
@@ -272,8 +272,8 @@
 // A job with 300 successors, and theirs, is cancelled; each leader dies after one more
 // write than the one before. Any next one goes on, none repeats a write, and all are
 // cancelled in the end.
-func TestAnyLeaderGoesOnWithACancellation(t *testing.T) {
-	s := &store{open: map[model.JobID][]model.JobID{}, final: map[model.JobID]FinalState{1: Cancelled, 2: Done}}
+func TestNextLeaderContinuesCancellation(t *testing.T) {
+	s := &recordStore{open: map[model.JobID][]model.JobID{}, final: map[model.JobID]FinalState{1: Cancelled, 2: Done}}
 	for id := model.JobID(10); id < 310; id++ {
 		s.open[id] = []model.JobID{1, 2}
 		s.open[id+1000] = []model.JobID{id, 2}
@@ -281,7 +281,7 @@
 	s.open[5] = []model.JobID{2}
 	writes, leaders := 0, 0
 	for ; len(s.open) > 1; leaders++ {
-		n := s.lead(t, leaders%40)
+		n := s.runLeader(t, leaders%40)
 		if writes += n; leaders > 100 {
 			t.Fatalf("%d are left", len(s.open))
 		}
@@ -292,14 +292,14 @@
 }
 
 // 300 successors of one job are let begin at once, each once.
-func TestManySuccessorsBeginAtOnce(t *testing.T) {
+func TestManyDependentsAreReleasedAtOnce(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
 	for id := model.JobID(10); id < 310; id++ {
 		g.Add(Job{ID: id, DependsOn: []model.JobID{1}}, 0)
 	}
 	g.JobEnded(1, Done, 0)
-	if got := ids(g.TakeReleased()); len(got) != 300 || slices.Compact(got)[299] != 309 {
+	if got := releasedIDs(g.TakeReleased()); len(got) != 300 || slices.Compact(got)[299] != 309 {
 		t.Errorf("%d let begin", len(got))
 	}
 	if len(g.TakeReleased()) > 0 || len(g.nodes) != 300 {
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -19,29 +19,33 @@
 	MaxErrorIncrease float64 // so much larger a part of failures than elsewhere, and surely so, closes it
 }
 
-// sure is how many standard deviations a difference must be away from chance: one in
+// minDeviations is how many standard deviations a difference must be away from chance: one in
 // 700 gates closes without a reason.
-const sure = 3
+const minDeviations = 3
 
-// sums are of the logarithms of run times, as parts of their estimates.
-type sums struct{ n, sum, squares float64 }
+// logSums are of the logarithms of run times, as parts of their estimates.
+type logSums struct{ n, sum, squares float64 }
 
-func (s *sums) add(x float64) { s.n++; s.sum += x; s.squares += x * x }
+func (s *logSums) add(x float64) { s.n++; s.sum += x; s.squares += x * x }
 
-func (s sums) less(o sums) sums { return sums{s.n - o.n, s.sum - o.sum, s.squares - o.squares} }
+func (s logSums) minus(other logSums) logSums {
+	return logSums{s.n - other.n, s.sum - other.sum, s.squares - other.squares}
+}
 
-func (s sums) plus(o sums) sums { return sums{s.n + o.n, s.sum + o.sum, s.squares + o.squares} }
+func (s logSums) plus(other logSums) logSums {
+	return logSums{s.n + other.n, s.sum + other.sum, s.squares + other.squares}
+}
 
-func (s sums) mean() float64 { return s.sum / s.n }
+func (s logSums) mean() float64 { return s.sum / s.n }
 
 // variance is that of single tasks; never quite 0, for a few alike tell little.
-func (s sums) variance() float64 {
+func (s logSums) variance() float64 {
 	return max(0.01, (s.squares-s.sum*s.sum/s.n)/max(1, s.n-1))
 }
 
 type record struct {
 	done, failed float64
-	of           map[model.Name]*sums // by class
+	byClass      map[model.Name]*logSums // by class
 }
 
 // Evaluator is the state machine.
@@ -52,39 +56,39 @@
 
 // New returns a book without evidence.
 func New() *Evaluator {
-	return &Evaluator{machines: map[model.MachineID]*record{}, all: record{of: map[model.Name]*sums{}}}
+	return &Evaluator{machines: map[model.MachineID]*record{}, all: record{byClass: map[model.Name]*logSums{}}}
 }
 
-func (k *Evaluator) machine(id model.MachineID) *record {
-	r := k.machines[id]
+func (e *Evaluator) machineRecord(id model.MachineID) *record {
+	r := e.machines[id]
 	if r == nil {
-		r = &record{of: map[model.Name]*sums{}}
-		k.machines[id] = r
+		r = &record{byClass: map[model.Name]*logSums{}}
+		e.machines[id] = r
 	}
 	return r
 }
 
 // AddCompleted takes a task that completed on a machine after so long.
-func (k *Evaluator) AddCompleted(id model.MachineID, class model.Name, estimate, ran time.Duration) {
-	r := k.machine(id)
+func (e *Evaluator) AddCompleted(id model.MachineID, class model.Name, estimate, runTime time.Duration) {
+	r := e.machineRecord(id)
 	r.done++
-	k.all.done++
-	if estimate <= 0 || ran <= 0 {
+	e.all.done++
+	if estimate <= 0 || runTime <= 0 {
 		return
 	}
-	x := math.Log(float64(ran) / float64(estimate))
-	for _, of := range []map[model.Name]*sums{r.of, k.all.of} {
-		if of[class] == nil {
-			of[class] = &sums{}
+	x := math.Log(float64(runTime) / float64(estimate))
+	for _, byClass := range []map[model.Name]*logSums{r.byClass, e.all.byClass} {
+		if byClass[class] == nil {
+			byClass[class] = &logSums{}
 		}
-		of[class].add(x)
+		byClass[class].add(x)
 	}
 }
 
 // AddFailed takes a task that failed on a machine.
-func (k *Evaluator) AddFailed(id model.MachineID) {
-	k.machine(id).failed++
-	k.all.failed++
+func (e *Evaluator) AddFailed(id model.MachineID) {
+	e.machineRecord(id).failed++
+	e.all.failed++
 }
 
 // Verdict on a gate: open, closed with the reason, or neither, with what it waits for.
@@ -94,73 +98,73 @@
 }
 
 // Evaluate compares machines with all others.
-func (k *Evaluator) Evaluate(g Gate, ids []model.MachineID) Verdict {
-	these := record{of: map[model.Name]*sums{}}
+func (e *Evaluator) Evaluate(gate Gate, ids []model.MachineID) Verdict {
+	waveRecord := record{byClass: map[model.Name]*logSums{}}
 	for _, id := range ids {
-		r := k.machines[id]
+		r := e.machines[id]
 		if r == nil {
 			continue
 		}
-		these.done += r.done
-		these.failed += r.failed
-		for c, s := range r.of {
-			if these.of[c] == nil {
-				these.of[c] = &sums{}
+		waveRecord.done += r.done
+		waveRecord.failed += r.failed
+		for c, s := range r.byClass {
+			if waveRecord.byClass[c] == nil {
+				waveRecord.byClass[c] = &logSums{}
 			}
-			*these.of[c] = these.of[c].plus(*s)
+			*waveRecord.byClass[c] = waveRecord.byClass[c].plus(*s)
 		}
 	}
-	if why := k.failing(g, &these); why != "" {
-		return Verdict{Closed: true, Reason: why}
+	if reason := e.errorRateReason(gate, &waveRecord); reason != "" {
+		return Verdict{Closed: true, Reason: reason}
 	}
-	if n := int(these.done + these.failed); n < g.MinTasks {
-		return Verdict{Reason: fmt.Sprintf("%d of %d tasks have ended on machines of its waves", n, g.MinTasks)}
+	if n := int(waveRecord.done + waveRecord.failed); n < gate.MinTasks {
+		return Verdict{Reason: fmt.Sprintf("%d of %d tasks have ended on machines of its waves", n, gate.MinTasks)}
 	}
-	if why := k.slow(g, &these); why != "" {
-		return Verdict{Closed: true, Reason: why}
+	if reason := e.slowdownReason(gate, &waveRecord); reason != "" {
+		return Verdict{Closed: true, Reason: reason}
 	}
 	return Verdict{Open: true}
 }
 
-// failing compares the parts of tasks that failed.
-func (k *Evaluator) failing(g Gate, these *record) string {
-	n, others := these.done+these.failed, k.all.done+k.all.failed-these.done-these.failed
-	if these.failed < 3 {
+// errorRateReason compares the parts of tasks that failed.
+func (e *Evaluator) errorRateReason(gate Gate, wave *record) string {
+	total, others := wave.done+wave.failed, e.all.done+e.all.failed-wave.done-wave.failed
+	if wave.failed < 3 {
 		return "" // a few say nothing
 	}
-	here, there := these.failed/n, 0.0
+	waveRate, otherRate := wave.failed/total, 0.0
 	if others > 0 {
-		there = (k.all.failed - these.failed) / others
+		otherRate = (e.all.failed - wave.failed) / others
 	}
 	// As if one more had failed elsewhere: none at all would be sure of anything.
-	p := (k.all.failed + 1) / (n + others + 1)
-	z := (here - there) / math.Sqrt(p*(1-p)*(1/n+1/max(1, others)))
-	if here-there <= g.MaxErrorIncrease || z < sure {
+	pooledRate := (e.all.failed + 1) / (total + others + 1)
+	deviations := (waveRate - otherRate) / math.Sqrt(pooledRate*(1-pooledRate)*(1/total+1/max(1, others)))
+	if waveRate-otherRate <= gate.MaxErrorIncrease || deviations < minDeviations {
 		return ""
 	}
-	return fmt.Sprintf("%.0f of %.0f tasks failed on machines of its waves (%.1f%%), %.1f%% elsewhere", these.failed, n,
-		100*here, 100*there)
+	return fmt.Sprintf("%.0f of %.0f tasks failed on machines of its waves (%.1f%%), %.1f%% elsewhere", wave.failed, total,
+		100*waveRate, 100*otherRate)
 }
 
-// slow compares run times, class by class, weighted by the tasks on these machines.
-func (k *Evaluator) slow(g Gate, these *record) string {
-	var n, diff, variance float64
-	for c, s := range these.of {
-		o := k.all.of[c].less(*s)
-		if o.n < 3 || s.n < 1 {
+// slowdownReason compares run times, class by class, weighted by the tasks on these machines.
+func (e *Evaluator) slowdownReason(gate Gate, wave *record) string {
+	var tasks, diff, variance float64
+	for c, s := range wave.byClass {
+		others := e.all.byClass[c].minus(*s)
+		if others.n < 3 || s.n < 1 {
 			continue
 		}
-		v := k.all.of[c].variance()
-		n += s.n
-		diff += s.n * (s.mean() - o.mean())
-		variance += s.n * s.n * (v/s.n + v/o.n)
+		v := e.all.byClass[c].variance()
+		tasks += s.n
+		diff += s.n * (s.mean() - others.mean())
+		variance += s.n * s.n * (v/s.n + v/others.n)
 	}
-	if n == 0 {
+	if tasks == 0 {
 		return ""
 	}
-	times := math.Exp(diff / n)
-	if z := diff / math.Sqrt(variance); times <= g.MaxSlowdown || z < sure {
+	slowdown := math.Exp(diff / tasks)
+	if deviations := diff / math.Sqrt(variance); slowdown <= gate.MaxSlowdown || deviations < minDeviations {
 		return ""
 	}
-	return fmt.Sprintf("tasks take %.2f times as long on machines of its waves as elsewhere (%.0f tasks)", times, n)
+	return fmt.Sprintf("tasks take %.2f times as long on machines of its waves as elsewhere (%.0f tasks)", slowdown, tasks)
 }
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -11,27 +11,27 @@
 
 var gate = Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
 
-// play has tasks of two classes end on machines 0 to 9, of which 0 and 1 are new.
-func play(rng *rand.Rand, tasks int, slower, fails float64) *Evaluator {
-	k := New()
+// runTasks has tasks of two classes end on machines 0 to 9, of which 0 and 1 are new.
+func runTasks(rng *rand.Rand, tasks int, slowdown, errorRate float64) *Evaluator {
+	evaluator := New()
 	for range tasks {
 		id := model.MachineID(rng.IntN(10))
 		class := model.Name(rng.IntN(2))
-		fresh := id < 2
-		if p := 0.01; rng.Float64() < p || fresh && rng.Float64() < fails {
-			k.AddFailed(id)
+		renewed := id < 2
+		if p := 0.01; rng.Float64() < p || renewed && rng.Float64() < errorRate {
+			evaluator.AddFailed(id)
 			continue
 		}
 		ran := 20 * float64(time.Second) * (0.7 + 0.6*rng.Float64()) * (1 + float64(class))
-		if fresh {
-			ran *= slower
+		if renewed {
+			ran *= slowdown
 		}
-		k.AddCompleted(id, class, 20*time.Second, time.Duration(ran))
+		evaluator.AddCompleted(id, class, 20*time.Second, time.Duration(ran))
 	}
-	return k
+	return evaluator
 }
 
-func TestGates(t *testing.T) {
+func TestEvaluateGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		tasks         int
 		slower, fails float64
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				v := play(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slower, c.fails).Evaluate(gate, []model.MachineID{0, 1})
+				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slower, c.fails).Evaluate(gate, []model.MachineID{0, 1})
 				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.why) {
 					t.Fatalf("seed %d: %+v", seed, v)
 				}
@@ -57,10 +57,10 @@
 }
 
 // A gate without a reason to close stays open nearly always.
-func TestChanceClosesHardlyAnyGate(t *testing.T) {
+func TestGateRarelyClosesByChance(t *testing.T) {
 	closed := 0
 	for seed := range uint64(2000) {
-		if play(rand.New(rand.NewPCG(seed, 2)), 300, 1, 0).Evaluate(gate, []model.MachineID{0, 1}).Closed {
+		if runTasks(rand.New(rand.NewPCG(seed, 2)), 300, 1, 0).Evaluate(gate, []model.MachineID{0, 1}).Closed {
 			closed++
 		}
 	}
--- a/internal/core/writequota/writequota.go
+++ b/internal/core/writequota/writequota.go
@@ -21,45 +21,45 @@
 )
 
 const (
-	// patience is how long operators' records give way to everything else. Somebody waits for
+	// maxRecordsWait is how long operators' records give way to everything else. Somebody waits for
 	// the answer to a change, which is to be in force within seconds.
-	patience = 2 * time.Second
-	// recordsLeast is what progress leaves to records that have waited for so long: a record
+	maxRecordsWait = 2 * time.Second
+	// recordsReserve is what progress leaves to records that have waited for so long: a record
 	// with its audit entries. Progress takes whatever comes in else, for it has always more.
-	recordsLeast = 4
+	recordsReserve = 4
 )
 
 // Quota is the state machine. Its times are the steady clock's.
 type Quota struct {
-	l       *rate.Limiter
-	burst   float64
-	waiting [classes]time.Duration // since when a class was refused, 0: it was not
+	limiter      *rate.Limiter
+	burst        float64
+	blockedSince [classes]time.Duration // since when a class was refused, 0: it was not
 }
 
 // New returns a budget of so many changes a second, with a burst.
 func New(perSecond float64, burst int) *Quota {
-	return &Quota{l: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
+	return &Quota{limiter: rate.NewLimiter(rate.Limit(perSecond), burst), burst: float64(burst)}
 }
 
 // SetRate changes the changes a second.
-func (b *Quota) SetRate(now time.Duration, perSecond float64) {
-	if rate.Limit(perSecond) != b.l.Limit() {
-		b.l.SetLimitAt(at(now), rate.Limit(perSecond))
+func (q *Quota) SetRate(now time.Duration, perSecond float64) {
+	if rate.Limit(perSecond) != q.limiter.Limit() {
+		q.limiter.SetLimitAt(limiterTime(now), rate.Limit(perSecond))
 	}
 }
 
-func at(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
+func limiterTime(now time.Duration) time.Time { return time.Unix(1, 0).Add(now) }
 
 // Available is how many changes of a class may be made now. Records leave half of the
 // burst to the others, until they have waited for long; then progress leaves some to them.
-func (b *Quota) Available(now time.Duration, c Class) int {
-	left := b.l.TokensAt(at(now))
-	overdue := b.BlockedFor(now, OperatorRecords) >= patience
+func (q *Quota) Available(now time.Duration, class Class) int {
+	left := q.limiter.TokensAt(limiterTime(now))
+	overdue := q.BlockedFor(now, OperatorRecords) >= maxRecordsWait
 	switch {
-	case c == OperatorRecords && !overdue:
-		left -= b.burst / 2
-	case c == Progress && overdue:
-		left -= recordsLeast
+	case class == OperatorRecords && !overdue:
+		left -= q.burst / 2
+	case class == Progress && overdue:
+		left -= recordsReserve
 	}
 	return max(0, int(left))
 }
@@ -68,22 +68,22 @@
 // wait for as much longer. Counted by writes, however many changes each made, finals
 // and progress together once exceeded what the service takes, and the finals waited
 // behind progress in the client's queue.
-func (b *Quota) Spend(now time.Duration, c Class, n int) {
-	b.waiting[c] = 0
-	b.l.ReserveN(at(now), min(n, int(b.burst)))
+func (q *Quota) Spend(now time.Duration, class Class, changes int) {
+	q.blockedSince[class] = 0
+	q.limiter.ReserveN(limiterTime(now), min(changes, int(q.burst)))
 }
 
 // MarkBlocked notes that a class had more to write than was left.
-func (b *Quota) MarkBlocked(now time.Duration, c Class) {
-	if b.waiting[c] == 0 {
-		b.waiting[c] = max(1, now)
+func (q *Quota) MarkBlocked(now time.Duration, class Class) {
+	if q.blockedSince[class] == 0 {
+		q.blockedSince[class] = max(1, now)
 	}
 }
 
 // BlockedFor is for how long a class has had something to write and could not.
-func (b *Quota) BlockedFor(now time.Duration, c Class) time.Duration {
-	if b.waiting[c] == 0 {
+func (q *Quota) BlockedFor(now time.Duration, class Class) time.Duration {
+	if q.blockedSince[class] == 0 {
 		return 0
 	}
-	return now - b.waiting[c]
+	return now - q.blockedSince[class]
 }
