--- a/internal/core/disruption/disruption_test.go
+++ b/internal/core/disruption/disruption_test.go
@@ -27,9 +27,9 @@
 func TestEachBoundRefusesAndRecovers(t *testing.T) {
 	sp := spec()
 	for name, c := range map[string]struct {
-		b     Budget
-		moves int // that may be
-		why   string
+		b      Budget
+		moves  int // that may be
+		reason string
 	}{
 		"tasks": {Budget{MaxTasks: 2}, 2, "2 of 2 tasks are out of work (2 moved by plans)"},
 		"share": {Budget{MaxShare: 0.1}, 4, "4 of 4 tasks"},
@@ -41,24 +41,24 @@
 		t.Run(name, func(t *testing.T) {
 			tracker := newTracker(c.b, &TeamState{Running: 40})
 			for i := range int32(c.moves) {
-				if why := tracker.RequestMove(0, moveRequest(i, sp)); why != "" {
-					t.Fatalf("move %d: %s", i, why)
+				if reason := tracker.RequestMove(0, moveRequest(i, sp)); reason != "" {
+					t.Fatalf("move %d: %s", i, reason)
 				}
 			}
-			why := tracker.RequestMove(0, moveRequest(99, sp))
-			if !strings.Contains(why, c.why) {
-				t.Fatalf("%q does not tell %q", why, c.why)
+			reason := tracker.RequestMove(0, moveRequest(99, sp))
+			if !strings.Contains(reason, c.reason) {
+				t.Fatalf("%q does not tell %q", reason, c.reason)
 			}
 			if c.moves == 0 {
 				return
 			}
 			// Back at work is not enough: what was lost must be made up for.
 			tracker.TaskResumed(10*time.Second, model.Task{Job: 7, Index: 0})
-			if why := tracker.RequestMove(39*time.Second, moveRequest(99, sp)); why == "" {
+			if reason := tracker.RequestMove(39*time.Second, moveRequest(99, sp)); reason == "" {
 				t.Error("a task counts as back before it has made up for 30 s")
 			}
-			if why := tracker.RequestMove(61*time.Second, moveRequest(99, sp)); why != "" {
-				t.Errorf("still refused: %s", why)
+			if reason := tracker.RequestMove(61*time.Second, moveRequest(99, sp)); reason != "" {
+				t.Errorf("still refused: %s", reason)
 			}
 		})
 	}
@@ -68,9 +68,9 @@
 	sp := spec()
 	tracker := newTracker(Budget{MaxMoves: 2}, &TeamState{})
 	for i := range 3 {
-		why := tracker.RequestMove(0, moveRequest(1, sp))
-		if (why != "") != (i == 2) {
-			t.Errorf("move %d: %q", i, why)
+		reason := tracker.RequestMove(0, moveRequest(1, sp))
+		if (reason != "") != (i == 2) {
+			t.Errorf("move %d: %q", i, reason)
 		}
 	}
 	tracker.TaskDone(model.Task{Job: 7, Index: 1})
@@ -87,13 +87,13 @@
 	tracker := newTracker(Budget{MaxTasks: 3}, p)
 	tracker.TaskStopped(model.Task{Job: 7, Index: 1}, sp, Evicted, time.Second)
 	p.Orphaned, p.Unknown = 1, 1
-	why := tracker.RequestMove(0, moveRequest(9, sp))
-	if !strings.Contains(why, "1 evicted, 1 lost with their machines, 1 unknown since the change of leader") {
-		t.Errorf("%q", why)
+	reason := tracker.RequestMove(0, moveRequest(9, sp))
+	if !strings.Contains(reason, "1 evicted, 1 lost with their machines, 1 unknown since the change of leader") {
+		t.Errorf("%q", reason)
 	}
 	p.Orphaned = 0
-	if why := tracker.RequestMove(0, moveRequest(9, sp)); why != "" {
-		t.Error(why)
+	if reason := tracker.RequestMove(0, moveRequest(9, sp)); reason != "" {
+		t.Error(reason)
 	}
 	if tracker.Counts[0].Involuntary[Evicted] != 1 || tracker.Counts[0].Refused[PlanDrain] != 1 ||
 		tracker.Counts[0].Granted[PlanDrain] != 1 {
@@ -105,8 +105,8 @@
 		t.Error("a task that was moved counts as evicted")
 	}
 	tracker.Recovered = false
-	if why := tracker.RequestMove(0, moveRequest(10, sp)); !strings.Contains(why, "earlier terms") {
-		t.Errorf("%q", why)
+	if reason := tracker.RequestMove(0, moveRequest(10, sp)); !strings.Contains(reason, "earlier terms") {
+		t.Errorf("%q", reason)
 	}
 	tracker.Prune(func(model.JobID) bool { return false })
 	if len(tracker.outTasks) > 0 {
@@ -131,7 +131,7 @@
 	for i := int32(0); b.Loop(); i++ {
 		now += time.Second
 		a := moveRequest(i, sp)
-		if why := tracker.RequestMove(now, a); why == "" {
+		if reason := tracker.RequestMove(now, a); reason == "" {
 			tracker.TaskResumed(now, a.Task)
 		}
 	}
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -52,11 +52,11 @@
 	if !m.Reported {
 		return "no controller has told how it is"
 	}
-	if why := freeCapacityBlocker(v, p, capacity, id); why != "" {
-		return why
+	if reason := freeCapacityBlocker(v, p, capacity, id); reason != "" {
+		return reason
 	}
-	if why := strandedJobsBlocker(v, capacity, id); why != "" {
-		return why
+	if reason := strandedJobsBlocker(v, capacity, id); reason != "" {
+		return reason
 	}
 	if len(p.Windows) > 0 {
 		list, fresh := e.freshTaskList(v.Now, id)
@@ -67,8 +67,8 @@
 			if !p.movesTasksOf(list.tasks[i].spec) {
 				continue
 			}
-			if why := windowBlocker(v, p, &list.tasks[i]); why != "" {
-				return why
+			if reason := windowBlocker(v, p, &list.tasks[i]); reason != "" {
+				return reason
 			}
 		}
 		return waitingTasksBlocker(v, p, capacity, id)
@@ -202,23 +202,23 @@
 			moving[task.spec.ID] = moving[task.spec.ID] || task.Stopping
 			continue
 		}
-		why := ""
+		reason := ""
 		switch {
 		case task.spec.Daemon && (moving[task.spec.ID] || !allReplicasRun(v, task.spec) ||
 			e.movedRecently(v.Now, task.spec.ID)):
-			why = v.JobName(task.spec.ID) + ": its replicas move one at a time, once all run"
+			reason = v.JobName(task.spec.ID) + ": its replicas move one at a time, once all run"
 		default:
-			why = windowBlocker(v, p, task)
+			reason = windowBlocker(v, p, task)
 		}
-		if why == "" && !capacity.reserve(task.spec) {
-			why = "no room elsewhere for " + v.JobName(task.spec.ID)
+		if reason == "" && !capacity.reserve(task.spec) {
+			reason = "no room elsewhere for " + v.JobName(task.spec.ID)
 		}
-		if why == "" {
-			why = v.requestMove(task, false)
+		if reason == "" {
+			reason = v.requestMove(task, false)
 		}
-		if why != "" {
-			if !slices.Contains(blockers, why) {
-				blockers = append(blockers, why)
+		if reason != "" {
+			if !slices.Contains(blockers, reason) {
+				blockers = append(blockers, reason)
 			}
 			continue
 		}
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -121,7 +121,7 @@
 	}
 	for name, c := range map[string]struct {
 		plan    func(h *harness) Spec
-		why     string
+		reason  string
 		release func(h *harness)
 	}{
 		"a batch that would miss its window": {func(h *harness) Spec {
@@ -168,8 +168,8 @@
 				}
 			}
 			h.wantStates(t, Waiting)
-			if !strings.Contains(h.blockedReason(), c.why) {
-				t.Fatalf("held: %q, want %q", h.blockedReason(), c.why)
+			if !strings.Contains(h.blockedReason(), c.reason) {
+				t.Fatalf("held: %q, want %q", h.blockedReason(), c.reason)
 			}
 			c.release(h)
 			h.ticks(30)
@@ -369,12 +369,12 @@
 
 func TestInvalidPlansAreRefused(t *testing.T) {
 	h := threeMachines(t)
-	for why, s := range map[string]Spec{
+	for want, s := range map[string]Spec{
 		"none is like that": {},
 		"100 at most":       {Machines: make([]model.MachineID, 101)},
 	} {
-		if err := h.apply(s); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%v, want %q", err, why)
+		if err := h.apply(s); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%v, want %q", err, want)
 		}
 	}
 	if err := h.apply(Spec{Machines: []model.MachineID{1}, After: Patch}); err != nil {
--- a/internal/core/drain/harness_test.go
+++ b/internal/core/drain/harness_test.go
@@ -77,16 +77,16 @@
 }
 
 // addJob adds one with a task of 2 CPUs on each of the machines.
-func (h *harness) addJob(sp model.Spec, on ...model.MachineID) *Job {
-	sp.PerTask, sp.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
-	sp.Zone = model.None
-	if sp.SubmittedMS == 0 {
-		sp.SubmittedMS = h.wall.UnixMilli()
+func (h *harness) addJob(spec model.Spec, on ...model.MachineID) *Job {
+	spec.PerTask, spec.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
+	spec.Zone = model.None
+	if spec.SubmittedMS == 0 {
+		spec.SubmittedMS = h.wall.UnixMilli()
 	}
-	j := &Job{Spec: &sp, UnfinishedTasks: len(on), RunningTasks: len(on)}
-	h.jobs[sp.ID] = j
+	j := &Job{Spec: &spec, UnfinishedTasks: len(on), RunningTasks: len(on)}
+	h.jobs[spec.ID] = j
 	for i, id := range on {
-		h.machines[id].tasks = append(h.machines[id].tasks, model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)},
+		h.machines[id].tasks = append(h.machines[id].tasks, model.PlacedTask{Task: model.Task{Job: spec.ID, Index: int32(i)},
 			Stage: model.Running})
 	}
 	return j
--- a/internal/core/drain/property_test.go
+++ b/internal/core/drain/property_test.go
@@ -30,11 +30,11 @@
 		h.addMachine(99, 0) // where everything fits in the end
 		h.machines[99].Cap = model.Resources{CPU: 1 << 30, Mem: 1 << 30}
 		for j := range rapid.IntRange(0, 6).Draw(t, "jobs") {
-			sp := model.Spec{ID: model.JobID(j + 1), Estimate: time.Minute, Daemon: rapid.IntRange(0, 4).Draw(t, "daemon") == 0}
+			spec := model.Spec{ID: model.JobID(j + 1), Estimate: time.Minute, Daemon: rapid.IntRange(0, 4).Draw(t, "daemon") == 0}
 			if rapid.Bool().Draw(t, "saves") {
-				sp.CheckpointInterval = time.Second
+				spec.CheckpointInterval = time.Second
 			}
-			h.addJob(sp, model.MachineID(rapid.IntRange(1, n).Draw(t, "on")))
+			h.addJob(spec, model.MachineID(rapid.IntRange(1, n).Draw(t, "on")))
 		}
 		s := Spec{Machines: ids, MaxConcurrent: rapid.IntRange(1, 3).Draw(t, "at once"),
 			MaxPerZone: rapid.IntRange(0, 2).Draw(t, "per zone"),
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -213,8 +213,8 @@
 		switch {
 		case p.Phase != Active:
 		case ok && replacement.Reported && replacement.Ready:
-			if why := e.blockedReason(v, p, s.Machine, v.freeCapacity(e.plannedCordons())); why != "" {
-				r.blockedReason = why
+			if reason := e.blockedReason(v, p, s.Machine, v.freeCapacity(e.plannedCordons())); reason != "" {
+				r.blockedReason = reason
 				return
 			}
 			p.setState(v.Now, i, Draining)
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -196,17 +196,17 @@
 const minDelay = 2 * time.Second
 
 // delayOf sums up one job; false tells that the plan does not delay it.
-func (f *Forecast) delayOf(sp *model.Spec) (DelayedJob, bool) {
-	delayed := DelayedJob{Spec: sp}
+func (f *Forecast) delayOf(spec *model.Spec) (DelayedJob, bool) {
+	delayed := DelayedJob{Spec: spec}
 	var ends, delays []time.Duration
 	var total cost
 	missed, pastWindow := 0, 0
-	deadline := f.deadline(sp)
-	limit, window, _ := f.spec.Limit(sp)
+	deadline := f.deadline(spec)
+	limit, window, _ := f.spec.Limit(spec)
 	until := f.snapshot.sinceStart(limit)
 	for i, e := range f.ends {
-		without, endsWithout := e[0][sp.ID]
-		with, endsWith := e[1][sp.ID]
+		without, endsWithout := e[0][spec.ID]
+		with, endsWith := e[1][spec.ID]
 		if !endsWithout {
 			continue // nothing can be said
 		}
@@ -214,7 +214,7 @@
 			with = f.params.MaxDuration // it did not end while it was played
 		}
 		ends, delays = append(ends, with), append(delays, with-without)
-		c := f.costs[i][sp.ID]
+		c := f.costs[i][spec.ID]
 		total = cost{total.moved + c.moved, total.lost + c.lost, total.refetch + c.refetch}
 		if deadline > 0 && with > deadline && without <= deadline {
 			missed++
@@ -237,11 +237,11 @@
 }
 
 // deadline of a job, from now; 0: none.
-func (f *Forecast) deadline(sp *model.Spec) time.Duration {
-	if sp.Deadline == 0 {
+func (f *Forecast) deadline(spec *model.Spec) time.Duration {
+	if spec.Deadline == 0 {
 		return 0
 	}
-	return max(1, f.snapshot.sinceStart(time.UnixMilli(sp.SubmittedMS).Add(sp.Deadline)))
+	return max(1, f.snapshot.sinceStart(time.UnixMilli(spec.SubmittedMS).Add(spec.Deadline)))
 }
 
 // sinceStart is how long after the snapshot a time of day is.
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -35,15 +35,15 @@
 }
 
 // addJob adds one with a task of 2 CPUs for each of the machines, and more waiting.
-func (s *Snapshot) addJob(sp model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
-	sp.PerTask, sp.Zone, sp.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
-	sp.SubmittedMS = s.Wall.UnixMilli()
+func (s *Snapshot) addJob(spec model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
+	spec.PerTask, spec.Zone, spec.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
+	spec.SubmittedMS = s.Wall.UnixMilli()
 	for i, m := range on {
 		s.Machines[m-1].Tasks = append(s.Machines[m-1].Tasks,
-			model.PlacedTask{Task: model.Task{Job: sp.ID, Index: int32(i)}, Stage: model.Running, RunTime: ran})
+			model.PlacedTask{Task: model.Task{Job: spec.ID, Index: int32(i)}, Stage: model.Running, RunTime: ran})
 	}
-	s.Jobs = append(s.Jobs, Job{Spec: &sp, UnfinishedTasks: int(sp.Tasks), Since: s.Now})
-	return &sp
+	s.Jobs = append(s.Jobs, Job{Spec: &spec, UnfinishedTasks: int(spec.Tasks), Since: s.Now})
+	return &spec
 }
 
 func (s *Snapshot) forecast(t testing.TB, p Params, spec drain.Spec) *Result {
@@ -76,11 +76,11 @@
 func TestDelayReasons(t *testing.T) {
 	ids := []model.MachineID{1}
 	for name, c := range map[string]struct {
-		how   drain.How
-		saves time.Duration
-		image float64
-		late  time.Duration
-		why   string
+		how    drain.How
+		saves  time.Duration
+		image  float64
+		late   time.Duration
+		reason string
 	}{
 		"finish":           {drain.Finish, 0, 0, 0, ""},
 		"move":             {drain.Move, 0, 0, 100 * time.Second, "loses progress"},
@@ -100,8 +100,8 @@
 				wantNear(t, "the plan", r.Duration[1], 100*time.Second, 6*time.Second)
 				return
 			}
-			if len(r.Delayed) != 1 || r.Delayed[0].Reason != c.why {
-				t.Fatalf("%+v, want one that %s", r.Delayed, c.why)
+			if len(r.Delayed) != 1 || r.Delayed[0].Reason != c.reason {
+				t.Fatalf("%+v, want one that %s", r.Delayed, c.reason)
 			}
 			wantNear(t, "delay", r.Delayed[0].Delay[1], c.late, 6*time.Second)
 		})
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -36,7 +36,7 @@
 		tasks         int
 		slower, fails float64
 		open, closed  bool
-		why           string
+		reason        string
 	}{
 		"too few":      {60, 1, 0, false, false, "of 20 tasks have ended"},
 		"alike":        {400, 1, 0, true, false, ""},
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slower, c.fails).Evaluate(gate, []model.MachineID{0, 1})
-				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.why) {
+				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.reason) {
 					t.Fatalf("seed %d: %+v", seed, v)
 				}
 			}
