--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -8,10 +8,11 @@
 	"honeylock/internal/core/model"
 )
 
-// What is told of a machine counts for so many reports.
+// taskListMaxReports is how many report intervals a machine's task list counts as current.
 const taskListMaxReports = 5
 
-// requestTaskList asks the machine's owner now and then what runs there.
+// requestTaskList asks the machine's owner which tasks are on it, at most once in two report
+// intervals.
 func (e *Engine) requestTaskList(now time.Duration, id model.MachineID) {
 	if a, ok := e.taskListRequests[id]; !ok || now-a.sentAt >= 2*e.params.ReportInterval {
 		e.lastListSeq++
@@ -20,14 +21,14 @@
 	}
 }
 
-// forgetTaskList forgets what was told of a machine.
+// forgetTaskList drops a machine's task list and the request under way.
 func (e *Engine) forgetTaskList(id model.MachineID) {
 	delete(e.taskLists, id)
 	delete(e.taskListRequests, id)
 }
 
-// isEmpty tells that nothing is on a barred machine, and nothing will be: its owner
-// has said so after it heard that the machine gets no tasks.
+// isEmpty reports whether nothing is on a cordoned machine and nothing will be: its owner has listed
+// no tasks after the machine was cordoned.
 func (e *Engine) isEmpty(now time.Duration, m *Machine) bool {
 	id := m.Machine.ID
 	if !m.Reported || m.Slots > 0 || !e.cordoned[id] {
@@ -37,16 +38,16 @@
 	return fresh && s.empty
 }
 
-// freshTaskList is what runs on the machine, if that is known well enough; its owner is
-// asked again.
+// freshTaskList returns the machine's task list and whether it is recent enough, and requests a new
+// one.
 func (e *Engine) freshTaskList(now time.Duration, id model.MachineID) (taskList, bool) {
 	e.requestTaskList(now, id)
 	s, ok := e.taskLists[id]
 	return s, ok && now-s.receivedAt <= taskListMaxReports*e.params.ReportInterval
 }
 
-// blockedReason tells why a machine can't be drained at present, "" if it can. It is asked
-// anew every time, so a reason goes away by itself.
+// blockedReason returns why a machine can't be drained at present, "" if it can. It is evaluated again
+// in every tick, so that a reason lasts no longer than its cause.
 func (e *Engine) blockedReason(v *View, p *Plan, id model.MachineID, capacity *freeCapacity) string {
 	m := v.Machines[id]
 	if !m.Reported {
@@ -76,8 +77,8 @@
 	return ""
 }
 
-// freeCapacityBlocker: what teams have left of their guarantees stays free elsewhere, as far
-// as the plan asks for.
+// freeCapacityBlocker returns a reason if draining the machine left less CPU free elsewhere than the
+// plan's fraction of the teams' unused guarantees.
 func freeCapacityBlocker(v *View, p *Plan, capacity *freeCapacity, id model.MachineID) string {
 	required := int64(p.FreeCapacityFloor * float64(v.UnusedGuaranteeCPU))
 	if free := capacity.freeCPUWithout(id); free < required {
@@ -87,9 +88,10 @@
 	return ""
 }
 
+// cpus converts thousandths of a CPU to CPUs.
 func cpus(n int64) float64 { return float64(n) / 1000 }
 
-// strandedJobsBlocker: a job with open tasks must have some machine left that it may use.
+// strandedJobsBlocker returns a reason if a job with unfinished tasks could run on no other machine.
 func strandedJobsBlocker(v *View, capacity *freeCapacity, id model.MachineID) string {
 	m := v.Machines[id].Machine
 	var stranded []string
@@ -104,14 +106,15 @@
 	return ""
 }
 
-// Of all tasks of a class so many take no longer than is reckoned with.
+// Quantiles of run times: the fraction of a class's tasks that take no longer than the time reckoned
+// with.
 const (
 	pessimisticQuantile = 0.9
 	medianQuantile      = 0.5
 )
 
-// windowBlocker: a task that is stopped here and goes on elsewhere ends past a window that
-// it would have kept where it is.
+// windowBlocker returns a reason if a task that is stopped here and continues elsewhere would end past
+// a window that it would meet where it is.
 func windowBlocker(v *View, p *Plan, task *runningTask) string {
 	movedEnd := v.Wall.Add(v.runTimeElsewhere(task, pessimisticQuantile))
 	w, limit := p.missedWindow(v.Wall, task.spec, v.Wall.Add(v.remainingRunTime(task, medianQuantile)), movedEnd)
@@ -123,6 +126,7 @@
 		formatClock(limit, w))
 }
 
+// formatClock formats a time of day in the window's location.
 func formatClock(t time.Time, w *Window) string {
 	if w.Location != nil {
 		t = t.In(w.Location)
@@ -130,8 +134,9 @@
 	return t.Format("15:04:05")
 }
 
-// waitingTasksBlocker: the tasks of a job that wait would end past a window for want of the
-// machine's room, even had they all that is left to themselves.
+// waitingTasksBlocker returns a reason if the waiting tasks of a job would end past a window without
+// the machine's capacity, though not with it. It assumes that they have the whole remaining capacity
+// to themselves, so it blocks only what would be late even in the best case.
 func waitingTasksBlocker(v *View, p *Plan, capacity *freeCapacity, id model.MachineID) string {
 	for _, job := range v.Jobs {
 		waiting := int64(job.UnfinishedTasks - job.RunningTasks)
@@ -149,13 +154,13 @@
 	return ""
 }
 
-// estimateEnd is when so many tasks end with room for a number at a time.
+// estimateEnd estimates when a number of tasks end, if atOnce of them run at a time.
 func estimateEnd(v *View, spec *model.Spec, tasks, atOnce int64) time.Time {
 	rounds := (tasks + max(1, atOnce) - 1) / max(1, atOnce)
 	return v.Wall.Add(time.Duration(rounds) * v.totalRunTime(spec, pessimisticQuantile))
 }
 
-// advanceDraining moves what runs on a machine, and goes on once it is empty.
+// advanceDraining moves tasks off a machine, and goes to the next state once it is empty.
 func (e *Engine) advanceDraining(v *View, p *Plan, i int) {
 	s, r := &p.Steps[i], &p.runtime[i]
 	m := v.Machines[s.Machine]
@@ -181,8 +186,8 @@
 	}
 }
 
-// capacityForMoves is what is free for tasks that move: once a tick, so that two machines do
-// not count on the same.
+// capacityForMoves returns the capacity for tasks that move. It is computed once per tick, so that two
+// machines do not count on the same capacity.
 func (e *Engine) capacityForMoves(v *View) *freeCapacity {
 	if e.moveCapacity == nil {
 		e.moveCapacity = v.freeCapacity(e.plannedCordons())
@@ -190,8 +195,9 @@
 	return e.moveCapacity
 }
 
-// moveTasks recalls what the plan moves, as far as there is room elsewhere and
-// nothing is pushed past a window.
+// moveTasks recalls the tasks that the plan moves, if they fit elsewhere, miss no window by it, and
+// their disruption budget grants it. Replicas of a service move one at a time, and only while all of
+// them run. The reasons for tasks that stay become the step's blocker.
 func (e *Engine) moveTasks(v *View, p *Plan, i int, tasks []runningTask) {
 	id, capacity := p.Steps[i].Machine, e.capacityForMoves(v)
 	var blockers []string
@@ -222,7 +228,7 @@
 			}
 			continue
 		}
-		moving[task.spec.ID], task.Stopping = true, true // until it is looked at anew
+		moving[task.spec.ID], task.Stopping = true, true // until the next task list
 		if task.spec.Daemon {
 			e.lastReplicaMove[task.spec.ID] = v.Now
 		}
@@ -231,14 +237,14 @@
 	p.runtime[i].blockedReason = joinNames(blockers)
 }
 
-// movedRecently: what is told of how many replicas run may be older than the last
-// move.
+// movedRecently reports whether a replica of the service was moved so recently that the known number
+// of running replicas may be from before the move.
 func (e *Engine) movedRecently(now time.Duration, id model.JobID) bool {
 	at, ok := e.lastReplicaMove[id]
 	return ok && now-at < 3*time.Second+taskListMaxReports*e.params.ReportInterval
 }
 
-// allReplicasRun tells whether all replicas of a service run.
+// allReplicasRun reports whether all replicas of a service run.
 func allReplicasRun(v *View, spec *model.Spec) bool {
 	for _, j := range v.Jobs {
 		if j.Spec.ID == spec.ID {
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -11,65 +11,68 @@
 	"honeylock/internal/core/model"
 )
 
-// Params of an engine.
+// Params are an engine's settings.
 type Params struct {
-	Term uint64
-	// ReportInterval is how often workers report: what is told of a machine is fresh for
-	// a few of them.
+	Term uint64 // the leader's term; part of the UIDs of new plans
+	// ReportInterval is how often workers report. A machine's task list counts as current for a few
+	// intervals.
 	ReportInterval time.Duration
-	// RetryInterval is when what the cloud refused is asked for again.
+	// RetryInterval is how long to wait before a rental that failed is requested again.
 	RetryInterval time.Duration
-	// MaxMachines machines of a plan, so that its record fits into a value.
+	// MaxMachines is the maximum number of machines in a plan, so that its record fits into a value of
+	// the state service.
 	MaxMachines int
-	// MaxRecordBytes is how many bytes a record may have from some moment on, packed; 0: as many
-	// as now.
+	// MaxRecordBytes limits the size of a stored record. Larger records are compressed once all
+	// controllers can read them (see EnableCompression); 0 means no limit.
 	MaxRecordBytes int
 }
 
-// ActionKind tells actions apart.
+// ActionKind says what an Action asks the caller to do.
 type ActionKind uint8
 
-// Actions. Rent and ReturnMachine come back through Rented and Given.
+// Kinds of actions. The caller reports the outcome of ListTasks, Rent and ReturnMachine through
+// TasksListed, MachineRented and MachineReturned.
 const (
-	Cordon        ActionKind = iota // the machine gets no more tasks
-	Uncordon                        // it is wanted again
-	ListTasks                       // its owner is asked what runs there, and answers through Seen
-	Recall                          // the task is to leave the machine
-	Rent                            // a machine like this one, under this request's name
-	ReturnMachine                   // back to the cloud
+	Cordon        ActionKind = iota // the machine gets no new tasks
+	Uncordon                        // the machine may get tasks again
+	ListTasks                       // ask the machine's owner which tasks are on it
+	Recall                          // stop the task, so that it continues on another machine
+	Rent                            // rent a machine like Template under the name Request
+	ReturnMachine                   // return the machine to the cloud
 )
 
-// Action to carry out.
+// Action is something that the engine wants done.
 type Action struct {
 	Kind     ActionKind
 	Machine  model.MachineID
 	Task     model.Task
-	Plan     string        // Rent
-	Step     int           // Rent
-	Request  string        // Rent
-	Template model.Machine // Rent
-	Seq      uint64        // Look
+	Plan     string        // Rent: the plan's name
+	Step     int           // Rent: index of the plan's step
+	Request  string        // Rent: idempotency key of the rental
+	Template model.Machine // Rent: the machine to replace
+	Seq      uint64        // ListTasks: number of the request
 }
 
-// Engine is the state machine.
+// Engine is the state machine that carries out drains. It returns actions from Tick and is told their
+// outcomes.
 type Engine struct {
 	params           Params
 	plans            map[string]*Plan
-	lastUID          uint64
-	priceDrains      map[model.MachineID]bool // drained for their price
-	priceReturns     map[model.MachineID]bool // of price: being given back
-	cordoned         map[model.MachineID]bool // as last told
-	taskLists        map[model.MachineID]taskList
-	taskListRequests map[model.MachineID]taskListRequest // Look
-	lastListSeq      uint64
-	firstPlan        int                           // of plans
-	compression      bool                          // records that would be too large are packed
-	lastReplicaMove  map[model.JobID]time.Duration // services: when a replica was last moved
+	lastUID          uint64                              // number in the UID of the newest plan of this term
+	priceDrains      map[model.MachineID]bool            // machines drained because they cost too much
+	priceReturns     map[model.MachineID]bool            // those of priceDrains that are being returned
+	cordoned         map[model.MachineID]bool            // as of the last Cordon and Uncordon actions
+	taskLists        map[model.MachineID]taskList        // the newest answers to ListTasks
+	taskListRequests map[model.MachineID]taskListRequest // the newest ListTasks requests
+	lastListSeq      uint64                              // number of the newest ListTasks request
+	firstPlan        int                                 // index of the plan that Tick handles first
+	compression      bool                                // records above MaxRecordBytes are compressed
+	lastReplicaMove  map[model.JobID]time.Duration       // when a replica of a service was last moved
 	actions          []Action
-	moveCapacity     *freeCapacity // for what moves in this tick, nil: not asked for yet
+	moveCapacity     *freeCapacity // capacity left for moves in this tick; nil: not computed yet
 }
 
-// taskListRequest is the last question what runs on a machine.
+// taskListRequest is the newest ListTasks request for a machine.
 type taskListRequest struct {
 	sentAt time.Duration
 	seq    uint64
@@ -84,8 +87,8 @@
 		lastReplicaMove:  map[model.JobID]time.Duration{}}
 }
 
-// Idle tells that there is nothing to do: no plan that is not over, and no
-// machine drained for its price.
+// Idle reports whether there is nothing to do: all plans have ended and are stored, and no machine is
+// cordoned or drained for its price.
 func (e *Engine) Idle() bool {
 	for _, p := range e.plans {
 		if p.unsupportedReason == "" && (!p.ended() || !p.synced()) {
@@ -95,6 +98,7 @@
 	return len(e.priceDrains) == 0 && len(e.cordoned) == 0
 }
 
+// sortedPlans returns all plans, sorted by name.
 func (e *Engine) sortedPlans() []*Plan {
 	out := make([]*Plan, 0, len(e.plans))
 	for _, p := range e.plans {
@@ -104,14 +108,18 @@
 	return out
 }
 
-// RefusedError says why a change can't be made.
+// RefusedError says why a requested change was refused.
 type RefusedError struct{ Reason string }
 
+// Error returns the reason.
 func (r *RefusedError) Error() string { return r.Reason }
 
+// refuse returns a RefusedError with a formatted reason.
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Check tells whether a plan could be applied now.
+// Check returns an error if a plan could not be applied now: its name is in use, it has no machines or
+// too many, its record could become too large, or an unfinished step of another plan has one of its
+// machines.
 func (e *Engine) Check(spec *Spec, source []byte, machineName func(model.MachineID) string) error {
 	if p := e.plans[spec.Name]; p != nil && p.unsupportedReason != "" {
 		return refuse("name: plan %q is there already, %s", spec.Name, p.unsupportedReason)
@@ -141,7 +149,7 @@
 	return errors.Join(errs...)
 }
 
-// Apply begins a plan that Check took.
+// Apply starts a plan that Check accepted.
 func (e *Engine) Apply(now time.Duration, wall time.Time, spec *Spec, source []byte, by string) *Plan {
 	e.lastUID++
 	p := &Plan{Spec: *spec, UID: fmt.Sprintf("%d-%d", e.params.Term, e.lastUID), Source: source, By: by, At: wall,
@@ -149,7 +157,7 @@
 		generation: 1}
 	for _, id := range spec.Machines {
 		p.Steps = append(p.Steps, Step{Machine: id})
-		delete(e.priceDrains, id) // the plan decides from now on
+		delete(e.priceDrains, id) // the plan decides about the machine from now on
 	}
 	p.runtime = make([]stepRuntime, len(p.Steps))
 	for i := range p.runtime {
@@ -162,7 +170,8 @@
 	return p
 }
 
-// editablePlan finds one that can be changed.
+// editablePlan returns the plan of that name, or an error if there is none or this release can't
+// change it.
 func (e *Engine) editablePlan(name string) (*Plan, error) {
 	p := e.plans[name]
 	switch {
@@ -174,13 +183,15 @@
 	return p, nil
 }
 
-// Pause stops a plan: no step begins and nothing moves. What is being drained
-// gets no tasks still.
+// Pause pauses a plan: no step starts and no task is moved. Machines that are being drained stay
+// cordoned.
 func (e *Engine) Pause(name string) error { return e.switchPhase(name, Active, Paused) }
 
-// Resume lets a paused plan go on.
+// Resume continues a paused plan. If a gate had paused it, the plan passes that gate.
 func (e *Engine) Resume(name string) error { return e.switchPhase(name, Paused, Active) }
 
+// switchPhase changes a plan's phase between Active and Paused. It does nothing if the plan is in the
+// target phase already.
 func (e *Engine) switchPhase(name string, from, to Phase) error {
 	p, err := e.editablePlan(name)
 	if err != nil {
@@ -192,7 +203,7 @@
 	if p.Phase != from {
 		return refuse("plan %q is %s", name, p.Phase)
 	}
-	if to == Active && p.GateClosedReason != "" { // the operator's word for the gate
+	if to == Active && p.GateClosedReason != "" { // the operator overrides the gate
 		p.GateClosedReason = ""
 		p.passWave(p.PassedWaves)
 	}
@@ -201,8 +212,8 @@
 	return nil
 }
 
-// Cancel ends a plan: its machines are wanted again, but for those that are being
-// given back, which can't be undone.
+// Cancel ends a plan. Its machines become usable again, except those that are being returned to the
+// cloud, which can't be undone.
 func (e *Engine) Cancel(now time.Duration, name string) error {
 	p, err := e.editablePlan(name)
 	if err != nil {
@@ -218,7 +229,8 @@
 	return nil
 }
 
-// endPlan lets go of all steps that can still be undone.
+// endPlan abandons the plan's steps that can still be undone. When the plan is overdue, only steps
+// that have not started draining are abandoned.
 func (e *Engine) endPlan(now time.Duration, p *Plan, to Phase) {
 	p.Phase = to
 	p.generation++
@@ -231,8 +243,8 @@
 	}
 }
 
-// Patched takes an operator's word that a machine of a plan is patched: it is
-// wanted again.
+// Patched records that an operator has patched a machine of a plan, so that it becomes usable again.
+// Repeating the call has no effect.
 func (e *Engine) Patched(now time.Duration, name string, id model.MachineID, machine string) error {
 	p, err := e.editablePlan(name)
 	if err != nil {
@@ -254,8 +266,9 @@
 	return refuse("plan %q has no machine %s", name, machine)
 }
 
-// DrainForPrice drains machines for their price: they go once they are empty. That is
-// not stored: a new leader judges prices anew.
+// DrainForPrice starts draining machines that cost too much: each is returned once it is empty.
+// Machines of plans are left out. These drains are not stored, because a new leader evaluates prices
+// again.
 func (e *Engine) DrainForPrice(ids []model.MachineID) {
 	wanted := e.machinesInPlans()
 	for _, id := range ids {
@@ -265,7 +278,8 @@
 	}
 }
 
-// CancelPriceDrain wants machines again that were drained for their price.
+// CancelPriceDrain makes machines usable again that were drained for their price, unless they are
+// being returned already.
 func (e *Engine) CancelPriceDrain(ids []model.MachineID) {
 	for _, id := range ids {
 		if !e.priceReturns[id] {
@@ -274,8 +288,9 @@
 	}
 }
 
-// machinesInPlans are the machines that plans have, and the replacements of those that are not emptied
-// yet: their tasks are to move there.
+// machinesInPlans returns the machines of unfinished steps and their replacements. A replacement
+// belongs to the plan until the machine that it replaces is done with, because the tasks are to move
+// there.
 func (e *Engine) machinesInPlans() map[model.MachineID]bool {
 	out := map[model.MachineID]bool{}
 	for _, p := range e.plans {
@@ -292,16 +307,16 @@
 	return out
 }
 
-// MachinePlans tells whether a plan drains a machine now, and whether one has it at all, or rented it
-// for one that it has.
+// MachinePlans returns a function that reports whether a plan drains a machine now, and whether a plan
+// has it in an unfinished step or rented it as a replacement.
 func (e *Engine) MachinePlans() func(model.MachineID) (drains, wants bool) {
 	wanted := e.machinesInPlans()
 	return func(id model.MachineID) (bool, bool) { return e.cordoned[id] && wanted[id], wanted[id] }
 }
 
-// TasksListed takes what a machine's owner told of its tasks, in answer to the Look of
-// that number. Only the answer to the newest counts: one that was asked before
-// the machine was barred proves nothing of after.
+// TasksListed takes the answer of a machine's owner to the ListTasks request numbered seq. Only the
+// answer to the newest request counts: an older one may have been given before the machine was
+// cordoned, and proves nothing about the time after.
 func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, tasks []model.PlacedTask,
 	specOf func(model.JobID) *model.Spec) {
 	if a, ok := e.taskListRequests[id]; !ok || a.seq != seq {
@@ -316,7 +331,8 @@
 	e.taskLists[id] = list
 }
 
-// MachineRented takes the outcome of a rental: the machine, or why there is none.
+// MachineRented takes the outcome of a Rent action: the rented machine, or none, with refused set if
+// the cloud declined.
 func (e *Engine) MachineRented(now time.Duration, a Action, rented []model.MachineID, refused bool) {
 	p := e.plans[a.Plan]
 	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.rentRequest(a.Step) {
@@ -327,7 +343,7 @@
 	switch {
 	case len(rented) > 0:
 		r.replacement = rented[0]
-		e.CancelPriceDrain(rented[:1]) // it may be drained for its price by a leader that did not know whose it is
+		e.CancelPriceDrain(rented[:1]) // a leader that did not know the plan's replacement may have drained it for its price
 	case refused:
 		r.blockedReason = "the cloud has no machine to replace it"
 	default:
@@ -335,7 +351,7 @@
 	}
 }
 
-// MachineReturned takes the outcome of a return.
+// MachineReturned takes the outcome of a ReturnMachine action.
 func (e *Engine) MachineReturned(now time.Duration, id model.MachineID, ok bool) {
 	if e.priceDrains[id] {
 		delete(e.priceReturns, id)
@@ -360,15 +376,16 @@
 	}
 }
 
-// rentRequest is the name under which a step's replacement is asked for: the same for
-// every leader, so that it is rented once.
+// rentRequest is the idempotency key for renting a step's replacement. All leaders use the same key,
+// so that only one machine is rented.
 func (p *Plan) rentRequest(i int) string {
 	return fmt.Sprintf("drain-%s-%d-%d", p.UID, i, p.Steps[i].RentAttempt)
 }
 
+// emit adds an action to those that the current call returns.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// joinNames joins a few names for people.
+// joinNames joins up to three names for a message, and counts the rest.
 func joinNames(all []string) string {
 	if len(all) > 3 {
 		return strings.Join(all[:3], ", ") + fmt.Sprintf(" and %d more", len(all)-3)
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -1,8 +1,8 @@
-// Package drain empties machines: those of operators' plans, in a chosen order
-// and pace, and those that cost too much. It decides when a machine gets no more
-// tasks, which of its tasks move, and when it is given back or handed over to be
-// patched. It is a state machine of the leader's: a new leader goes on from what
-// was stored, and nothing is done before the step that allows it is stored.
+// Package drain empties machines: those of operators' drain plans, in a given order and pace, and
+// those that cost too much. It decides when a machine is cordoned, which of its tasks are moved, and
+// when it is returned to the cloud or released for patching. It is a state machine that runs on the
+// leader: a new leader continues from the stored plans, and each step is stored before anything is
+// done that depends on it.
 package drain
 
 import (
@@ -12,42 +12,42 @@
 	"honeylock/internal/core/rollout"
 )
 
-// How running work leaves a machine.
+// How says how running tasks leave a machine.
 type How uint8
 
-// Ways for running work.
+// Ways for running tasks to leave a machine.
 const (
-	Finish    How = iota // it ends where it runs
-	MoveSaved            // what can save does, and goes on elsewhere; the rest ends where it runs
-	Move                 // all goes on elsewhere; what can't save begins anew
+	Finish    How = iota // tasks run to their end on the machine
+	MoveSaved            // tasks with checkpoints are saved and moved; the others run to their end
+	Move                 // all tasks are moved; those without checkpoints start over
 )
 
-// After is what becomes of an empty machine.
+// After says what happens to a machine once it is empty.
 type After uint8
 
-// Ends of a step.
+// What happens to an empty machine.
 const (
-	Return After = iota // it is given back to the cloud
-	Patch               // it waits until an operator says that it is patched
+	Return After = iota // it is returned to the cloud
+	Patch               // it waits until an operator reports it as patched
 )
 
-// Rule says how the running work of a class or rank leaves.
+// Rule says how running tasks of a class or rank leave a machine.
 type Rule struct {
-	Class model.Name // None: any
+	Class model.Name // model.None: any
 	Rank  int        // -1: any
 	How   How
 }
 
-// Window is an hour that the jobs of some classes may not be pushed past.
+// Window is a time by which the jobs of some classes must end: a plan must not delay them past it.
 type Window struct {
-	Classes  []model.Name // nil: all
-	Deadline bool         // the jobs' own deadlines
-	Clock    time.Duration
+	Classes  []model.Name   // nil: all
+	Deadline bool           // the limit is each job's own deadline, not Clock
+	Clock    time.Duration  // time of day, since midnight in Location
 	Location *time.Location // of Clock
-	Name     string         // for people
+	Name     string         // used in messages
 }
 
-// appliesTo tells whether the window is about a job.
+// appliesTo reports whether the window limits the job.
 func (w *Window) appliesTo(spec *model.Spec) bool {
 	for _, c := range w.Classes {
 		if c == spec.Class {
@@ -57,7 +57,8 @@
 	return len(w.Classes) == 0
 }
 
-// limitFor is the time that a job may not be pushed past, if there is one.
+// limitFor returns the time by which the job must end: its own deadline, or the first occurrence of
+// Clock after its submission. It returns false if the job has no deadline.
 func (w *Window) limitFor(spec *model.Spec) (time.Time, bool) {
 	submitted := time.UnixMilli(spec.SubmittedMS)
 	if w.Deadline {
@@ -72,32 +73,32 @@
 	return at, true
 }
 
-// Spec is a plan as declared, with the machines that it was found to mean.
+// Spec is a plan as declared, with its machine selectors resolved to machines.
 type Spec struct {
 	Name              string
 	Machines          []model.MachineID // in the order in which they are drained
 	MaxConcurrent     int
-	MaxPerZone        int     // 0: no bound but AtOnce
-	FreeCapacityFloor float64 // of what teams have left of their guarantees, free elsewhere
-	Rules             []Rule  // the first that fits
+	MaxPerZone        int     // 0: only MaxConcurrent applies
+	FreeCapacityFloor float64 // fraction of teams' unused guarantees that must stay free on other machines
+	Rules             []Rule  // the first that matches applies
 	Default           How
-	LatestEnd         time.Time // zero: none; no step begins after it
+	LatestEnd         time.Time // zero: none; no step starts after it
 	Windows           []Window
 	RentFirst         bool
 	After             After
 	Waves             []Wave
-	Gate              *rollout.Gate // between waves, nil: none
+	Gate              *rollout.Gate // checked between waves; nil: none
 }
 
-// Wave is a part of a plan's machines, in their order; what all leave is the last.
+// Wave is the next part of a plan's machines. Machines beyond the last wave form one more.
 type Wave struct {
-	Machines int           // so many more; 0: by share
-	Share    float64       // so many, with those before, as a part of all
-	Soak     time.Duration // once they are done with
+	Machines int           // number of machines; 0: Share applies
+	Share    float64       // fraction of all machines, including those of earlier waves
+	Soak     time.Duration // waiting time after the wave's last machine is done
 }
 
-// Limit is the earliest time that the plan's windows let no job like this be
-// pushed past, and which window says so.
+// Limit returns the earliest time past which the plan's windows let it delay no such job, and the name
+// of that window.
 func (s *Spec) Limit(spec *model.Spec) (limit time.Time, window string, ok bool) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
@@ -108,8 +109,8 @@
 	return limit, window, ok
 }
 
-// missedWindow finds a window still to come that a job which ends at the one time keeps,
-// and at the other misses; nil if there is none.
+// missedWindow returns a window that is still to come and that the job meets if it ends at kept, but
+// misses if it ends at missed; nil if there is none.
 func (s *Spec) missedWindow(now time.Time, spec *model.Spec, kept, missed time.Time) (*Window, time.Time) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
@@ -121,7 +122,8 @@
 	return nil, time.Time{}
 }
 
-// leaveMode a task of the job leaves. A replica never ends by itself, so it moves.
+// leaveMode says how a task of the job leaves a machine. A service's replica always moves, because it
+// never ends by itself.
 func (s *Spec) leaveMode(spec *model.Spec) How {
 	if spec.Daemon {
 		return Move
@@ -134,89 +136,91 @@
 	return s.Default
 }
 
-// movesTasksOf tells whether the plan moves a running task of the job.
+// movesTasksOf reports whether the plan moves the job's running tasks.
 func (s *Spec) movesTasksOf(spec *model.Spec) bool {
 	h := s.leaveMode(spec)
 	return h == Move || h == MoveSaved && spec.CheckpointInterval > 0
 }
 
-// Phase of a plan.
+// Phase is a plan's overall state. Its values are stored.
 type Phase string
 
-// Phases.
+// Phases of a plan.
 const (
 	Active    Phase = "active"
 	Paused    Phase = "paused"
 	Cancelled Phase = "cancelled"
 	Done      Phase = "done"
-	Overdue   Phase = "overdue" // its latest end came first
+	Overdue   Phase = "overdue" // LatestEnd passed before all steps had started
 )
 
-// State of one machine's step.
+// State is the state of one step.
 type State uint8
 
 // States of a step. Their numbers are stored.
 const (
 	Waiting   State = iota
-	Renting         // its replacement has been asked for
-	Draining        // it gets no tasks; what runs there ends or moves
-	Returning       // it is empty, and is being given back
-	Patching        // it is empty, and waits to be patched
-	Finished        // given back, or patched and wanted again
-	Gone            // it stopped, was taken, or was given back by somebody else
-	Abandoned       // the plan ended before its turn, or let it go
+	Renting         // its replacement has been requested
+	Draining        // cordoned; tasks end or are moved
+	Returning       // empty and being returned to the cloud
+	Patching        // empty and waiting to be patched
+	Finished        // returned, or patched and uncordoned
+	Gone            // the machine failed, was reclaimed, or was returned by somebody else
+	Abandoned       // the plan ended before the step could finish
 )
 
-// String is the state's name for people.
+// String returns the state's name as status shows it.
 func (s State) String() string {
 	return [...]string{"waiting", "renting", "draining", "giving-back", "patching", "finished", "gone", "left"}[s]
 }
 
+// isFinal reports whether the step is over.
 func (s State) isFinal() bool { return s >= Finished }
 
-// isCordoned tells whether the machine gets no tasks in this state.
+// isCordoned reports whether the step's machine gets no tasks in this state.
 func (s State) isCordoned() bool { return s == Draining || s == Returning || s == Patching }
 
-// Step is one machine of a plan.
+// Step is the part of a plan for one machine.
 type Step struct {
 	Machine     model.MachineID
 	State       State
-	RentAttempt int // of renting its replacement
+	RentAttempt int // number of replacements that never came up
 }
 
-// Plan is a plan under way.
+// Plan is a plan with its progress.
 type Plan struct {
 	Spec
-	UID              string // never used twice: what is asked of the cloud is named after it
-	Source           []byte // as declared, for people and for a later leader
-	By               string
-	At               time.Time
+	UID              string    // never reused; rental requests are named after it
+	Source           []byte    // as declared; a later leader resolves it again
+	By               string    // the operator who applied the plan
+	At               time.Time // when it was applied
 	Phase            Phase
 	Steps            []Step
-	PassedWaves      int    // waves after which the plan may go on
-	GateClosedReason string // why a gate has paused it
+	PassedWaves      int    // number of waves whose soak time and gate are passed
+	GateClosedReason string // why a gate has paused the plan
 
-	storeVersion      uint64 // of the stored record, 0: none
-	generation        uint64 // grows with every change
-	storedGeneration  uint64 // the newest that is surely stored
-	writingGeneration uint64 // being stored, 0: none
-	unsupportedReason string // why this release does not touch it
-	runtime           []stepRuntime
-	soakingSince      time.Duration // since when the first wave that is not passed is done with, 0: it is not
+	storeVersion      uint64        // version of the stored record, 0: none
+	generation        uint64        // incremented with every change of what is stored
+	storedGeneration  uint64        // the newest generation that is known to be stored
+	writingGeneration uint64        // the generation being written, 0: none
+	unsupportedReason string        // why this release leaves the plan alone; "": it doesn't
+	runtime           []stepRuntime // of each step
+	soakingSince      time.Duration // when the first wave not passed was done; 0: it is not
 }
 
-// stepRuntime is what is known of a step in this term only.
+// stepRuntime is what this leader knows of a step. It is not stored.
 type stepRuntime struct {
-	stateSince     time.Duration // in its state, as far as this leader knows
-	blockedReason  string        // why it does not go on
-	lastRequestAt  time.Duration // rentals and returns: the last
-	requestPending bool
-	replacement    model.MachineID // its replacement, once rented
+	stateSince     time.Duration   // when this leader first knew the state
+	blockedReason  string          // why the step does not advance
+	lastRequestAt  time.Duration   // when a rental or return was last answered
+	requestPending bool            // a rental or return is under way
+	replacement    model.MachineID // once rented
 }
 
-// synced tells whether all of the plan is surely stored: only then it acts.
+// synced reports whether the plan's current state is known to be stored. Only then is it acted on.
 func (p *Plan) synced() bool { return p.storedGeneration == p.generation }
 
+// ended reports whether the plan is over: neither active nor paused, and all steps are final.
 func (p *Plan) ended() bool {
 	if p.Phase == Active || p.Phase == Paused {
 		return false
@@ -229,6 +233,7 @@
 	return true
 }
 
+// setState changes a step's state. All that is known of the step except its replacement starts over.
 func (p *Plan) setState(now time.Duration, i int, s State) {
 	p.Steps[i].State = s
 	p.runtime[i] = stepRuntime{stateSince: now, replacement: p.runtime[i].replacement}
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -16,22 +16,21 @@
 	"honeylock/internal/core/model"
 )
 
-// Versions of stored plans. A leader leaves alone what it does not know. A packed
-// record holds one of version 1, deflated.
+// Versions of stored plans. A leader leaves records of other versions alone. A compressed record
+// contains a deflated record of version 1.
 const (
 	recordVersion     = 1
 	compressedVersion = 2
 )
 
-// compressedRecord is how a record is stored that would be too large for a value.
+// compressedRecord is the stored form of a record that would be too large for a value.
 type compressedRecord struct {
 	V int    `json:"v"`
 	Z []byte `json:"z"`
 }
 
-// record is a stored plan. Machines are numbers, each given by its distance from
-// the one before (zigzag, varint), and the states are a byte each, so that 1,600
-// machines take 8 KiB.
+// record is a stored plan. Machine IDs are stored as differences (zigzag varints), and states as one
+// byte each, so that 1,600 machines take 8 KiB.
 type record struct {
 	V                int         `json:"v"`
 	Name             string      `json:"name"`
@@ -42,12 +41,13 @@
 	Source           []byte      `json:"source"`
 	Machines         []byte      `json:"machines"`
 	States           []byte      `json:"states"`
-	RentAttempts     map[int]int `json:"tries,omitempty"` // of steps that rent
+	RentAttempts     map[int]int `json:"tries,omitempty"` // by step index, where not 0
 	PassedWaves      int         `json:"passed,omitempty"`
 	GateClosedReason string      `json:"closed,omitempty"`
 }
 
-// encode makes a plan's record, packed if it has more than so many bytes; 0: never.
+// encode returns the plan's record, compressed if it is larger than maxPlainBytes; 0: it is never
+// compressed.
 func (p *Plan) encode(maxPlainBytes int) ([]byte, error) {
 	b, err := p.encodePlain()
 	if err != nil || maxPlainBytes == 0 || len(b) <= maxPlainBytes {
@@ -68,7 +68,7 @@
 	return b, nil
 }
 
-// decompress returns the plain record of a stored one.
+// decompress returns the plain record of a stored value.
 func decompress(value []byte) ([]byte, error) {
 	var p compressedRecord
 	if err := json.Unmarshal(value, &p); err != nil {
@@ -84,8 +84,8 @@
 	return b, nil
 }
 
-// maxRecordSize is about the most bytes that a plan's packed record may come to have while its
-// steps are in states that have nothing to do with each other.
+// maxRecordSize estimates the largest compressed record that a plan may come to have. It encodes the
+// plan with random step states, which compress worst, and with long texts.
 func maxRecordSize(spec *Spec, source []byte) int {
 	p := Plan{Spec: *spec, UID: "18446744073709551615-1", Source: source, By: "somebody-with-a-name",
 		At:               time.Unix(1<<31, 0),
@@ -101,10 +101,11 @@
 	return len(b)
 }
 
-// EnableCompression has records packed from here on that would be too large for the values to come:
-// every controller can read them.
+// EnableCompression lets the engine compress records that are too large. It is called once every
+// controller can read them.
 func (e *Engine) EnableCompression() { e.compression = true }
 
+// maxPlainBytes is the size above which records are compressed; 0: none is.
 func (e *Engine) maxPlainBytes() int {
 	if !e.compression {
 		return 0
@@ -112,6 +113,7 @@
 	return e.params.MaxRecordBytes
 }
 
+// encodePlain returns the plan's record without compression.
 func (p *Plan) encodePlain() ([]byte, error) {
 	r := record{V: recordVersion, Name: p.Name, UID: p.UID, By: p.By, AtMS: p.At.UnixMilli(), Phase: p.Phase,
 		Source: p.Source, PassedWaves: p.PassedWaves, GateClosedReason: p.GateClosedReason}
@@ -134,16 +136,15 @@
 	return b, nil
 }
 
-// StoredPlan is a record of the state service.
+// StoredPlan is a plan's record in the state service.
 type StoredPlan struct {
 	Name    string
 	Value   []byte
 	Version uint64
 }
 
-// Load takes a stored plan. resolve turns its source into its terms. A record
-// that can't be understood, or that a newer release wrote, is kept as it is, and
-// told.
+// Load takes a stored plan. resolve parses its source. A record that can't be read, or that a newer
+// release wrote, stays as it is, and the plan's status says why.
 func (e *Engine) Load(now time.Duration, s StoredPlan, resolve func(source []byte) (*Spec, error)) {
 	p := &Plan{Spec: Spec{Name: s.Name}, storeVersion: s.Version}
 	if err := p.decode(now, s.Value, resolve); err != nil {
@@ -152,6 +153,7 @@
 	e.plans[s.Name] = p
 }
 
+// decode fills the plan from a stored record.
 func (p *Plan) decode(now time.Duration, value []byte, resolve func([]byte) (*Spec, error)) error {
 	value, err := decompress(value)
 	if err != nil {
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// Export is a plan under way as it would be stored now, for a forecast.
+// Export returns a plan under way as it would be stored now, for a forecast.
 func (e *Engine) Export(name string) (StoredPlan, *Spec, error) {
 	p, err := e.editablePlan(name)
 	if err != nil {
@@ -203,19 +205,20 @@
 	return StoredPlan{Name: name, Value: value, Version: 1}, &spec, err
 }
 
-// Write is a change for the state service. It comes back through Wrote.
+// Write is a change to a record in the state service. Its outcome goes to WriteDone.
 type Write struct {
 	Name       string
 	Version    uint64 // of the record that it replaces, 0: none
-	Value      []byte // nil: the record goes
+	Value      []byte // nil: delete the record
 	uid        string
 	generation uint64
 }
 
-// maxEndedPlans that have ended; older ones go.
+// maxEndedPlans is how many ended plans are kept. The oldest ones are deleted.
 const maxEndedPlans = 32
 
-// Writes returns at most n records to be stored.
+// Writes returns at most n records to be written: those of changed plans, and the deletion of the
+// oldest ended plan if there are too many.
 func (e *Engine) Writes(n int) []Write {
 	var out []Write
 	var ended []*Plan
@@ -231,7 +234,7 @@
 		}
 		value, err := p.encode(e.maxPlainBytes())
 		if err != nil {
-			continue // a record of plain values always encodes
+			continue // plain values always encode
 		}
 		p.writingGeneration = p.generation
 		out = append(out, Write{Name: p.Name, Version: p.storeVersion, Value: value, uid: p.UID, generation: p.generation})
@@ -245,8 +248,8 @@
 	return out
 }
 
-// WriteDone takes a write's outcome. conflict tells that the record is at version at:
-// a write of this leader's without an answer got through after all.
+// WriteDone takes the outcome of a write. conflict means that the record has version currentVersion,
+// because an earlier write of this leader took effect though its answer was lost.
 func (e *Engine) WriteDone(w Write, newVersion uint64, ok, conflict bool, currentVersion uint64) {
 	p := e.plans[w.Name]
 	if p == nil || p.UID != w.uid || p.writingGeneration != w.generation {
--- a/internal/core/drain/status.go
+++ b/internal/core/drain/status.go
@@ -6,34 +6,35 @@
 	"honeylock/internal/core/model"
 )
 
-// Status is how a plan stands, for people and scripts.
+// Status is the state of a plan, for operators.
 type Status struct {
 	Name          string
 	Phase         Phase
 	By            string
 	At            time.Time
-	Note          string // why this release does not touch it, or what is not stored yet
-	Counts        map[string]int
-	BlockedReason string // what the plan waits for first
-	// SlowestMachine is the machine under way for longest, once that is for more than
-	// behindAfter: it holds the plan.
+	Note          string         // why this release leaves the plan alone, why a gate closed, or that a write is pending
+	Counts        map[string]int // number of steps by state
+	BlockedReason string         // of the first step that is blocked
+	// SlowestMachine is the machine that has been in its present state for longest, if for more than
+	// slowestAfter: it probably holds the plan up.
 	SlowestMachine model.MachineID
 	SlowestFor     time.Duration
 	Steps          []StepStatus
 }
 
-// StepStatus is how a machine of a plan stands.
+// StepStatus is the state of one machine of a plan.
 type StepStatus struct {
 	Machine       model.MachineID
 	State         string
 	BlockedReason string
-	InStateFor    time.Duration // in this state, as far as the present leader knows
+	InStateFor    time.Duration // as far as the present leader knows
 	Replacement   model.MachineID
 }
 
+// slowestAfter is how long a step must be in its state to be shown as slowest.
 const slowestAfter = time.Minute
 
-// Status returns how a plan stands, nil if there is none of that name.
+// Status returns the state of a plan with its steps, nil if there is no plan of that name.
 func (e *Engine) Status(now time.Duration, name string) *Status {
 	p := e.plans[name]
 	if p == nil {
@@ -48,7 +49,7 @@
 	return &s
 }
 
-// List returns how all plans stand, without their steps.
+// List returns the state of all plans, without their steps.
 func (e *Engine) List(now time.Duration) []Status {
 	var out []Status
 	for _, p := range e.sortedPlans() {
@@ -57,6 +58,7 @@
 	return out
 }
 
+// summary returns the plan's state without its steps.
 func (p *Plan) summary(now time.Duration) Status {
 	s := Status{Name: p.Name, Phase: p.Phase, By: p.By, At: p.At, Note: p.unsupportedReason, Counts: map[string]int{}}
 	if p.unsupportedReason != "" {
@@ -81,13 +83,14 @@
 	return s
 }
 
-// Synced tells whether all of a plan is surely stored; what is not there is.
+// Synced reports whether a plan's current state is known to be stored. It is true for a plan that does
+// not exist.
 func (e *Engine) Synced(name string) bool {
 	p := e.plans[name]
 	return p == nil || p.synced()
 }
 
-// AllSynced tells whether all plans are surely stored.
+// AllSynced reports whether all plans are known to be stored.
 func (e *Engine) AllSynced() bool {
 	for _, p := range e.plans {
 		if p.unsupportedReason == "" && !p.synced() {
@@ -97,8 +100,7 @@
 	return true
 }
 
-// ActiveCounts counts the plans that have not ended, and the machines that they keep
-// from tasks.
+// ActiveCounts counts the plans that have not ended and the machines that they cordon.
 func (e *Engine) ActiveCounts() (plans, machines int) {
 	for _, p := range e.plans {
 		if p.unsupportedReason == "" && !p.ended() {
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -8,12 +8,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Tick moves the plans on and returns what to do.
+// Tick advances all plans and price drains, and returns the actions to carry out.
 func (e *Engine) Tick(v *View) []Action {
 	e.actions, e.moveCapacity = nil, nil
 	plans := e.sortedPlans()
 	for i := range plans {
-		// By turns: what is left of a budget is not always the first one's.
+		// The first plan changes with each tick, so that the rest of a disruption budget does not
+		// always go to the same plan.
 		p := plans[(i+e.firstPlan)%len(plans)]
 		if p.unsupportedReason == "" && !p.ended() {
 			e.advancePlan(v, p)
@@ -27,16 +28,17 @@
 	return e.actions
 }
 
-// Cordons tells which machines get no tasks, before the first Tick: a new leader
-// must not place anything there meanwhile.
+// Cordons returns the Cordon actions that follow from the stored plans. A new leader carries them out
+// before its first Tick, so that it places no task on a machine that is being drained.
 func (e *Engine) Cordons() []Action {
 	e.actions = nil
 	e.updateCordons()
 	return e.actions
 }
 
-// updateCordons tells what has changed about which machines get tasks. What lets a machine
-// have tasks again counts at once; what keeps it from them, once it is stored.
+// updateCordons emits actions for what has changed in the set of cordoned machines. An uncordon takes
+// effect at once; a cordon only after the plan's state is stored. A machine's task list is forgotten
+// with each change, because only a list from after the cordon shows that the machine stays empty.
 func (e *Engine) updateCordons() {
 	wanted := e.machinesToCordon(func(p *Plan, id model.MachineID) bool { return p.synced() || e.cordoned[id] })
 	for _, id := range sortedIDs(wanted) {
@@ -54,6 +56,7 @@
 	e.cordoned = wanted
 }
 
+// sortedIDs returns the map's keys in ascending order.
 func sortedIDs[V any](m map[model.MachineID]V) []model.MachineID {
 	out := make([]model.MachineID, 0, len(m))
 	for id := range m {
@@ -63,7 +66,8 @@
 	return out
 }
 
-// advancePriceDrains gives back what was drained for its price and is empty.
+// advancePriceDrains returns the machines drained for their price that are empty, moves tasks off the
+// others, and forgets those that are gone.
 func (e *Engine) advancePriceDrains(v *View) {
 	for _, id := range sortedIDs(e.priceDrains) {
 		m, ok := v.Machines[id]
@@ -80,8 +84,8 @@
 	}
 }
 
-// consolidate moves what can save its progress from a machine that costs too much
-// to one with room, where it would hold the machine for long.
+// consolidate moves tasks off a machine that costs too much, if they can save their progress, would
+// run for long, and fit elsewhere. Replicas of services and urgent tasks stay.
 func (e *Engine) consolidate(v *View, id model.MachineID) {
 	list, fresh := e.freshTaskList(v.Now, id)
 	if !fresh {
@@ -103,7 +107,9 @@
 	}
 }
 
-// advancePlan moves one plan on.
+// advancePlan advances one plan: it ends an overdue plan, marks the steps of lost machines, starts
+// steps that may start, and advances those under way. Nothing is started or moved before the plan's
+// current state is stored.
 func (e *Engine) advancePlan(v *View, p *Plan) {
 	if p.Phase == Active && !p.LatestEnd.IsZero() && v.Wall.After(p.LatestEnd) {
 		e.endPlan(v.Now, p, Overdue)
@@ -114,7 +120,7 @@
 		}
 	}
 	if !p.synced() {
-		return // nothing is done before it is stored
+		return // the state must be stored before anything is done on it
 	}
 	e.startSteps(v, p)
 	for i := range p.Steps {
@@ -133,7 +139,8 @@
 	}
 }
 
-// startSteps begins as many steps as may be under way, if nothing speaks against it.
+// startSteps starts waiting steps in the plan's order, as far as its waves, its concurrency limits and
+// the blockers of each machine allow.
 func (e *Engine) startSteps(v *View, p *Plan) {
 	if p.Phase != Active {
 		return
@@ -147,7 +154,7 @@
 	}
 	limit, reason := e.stepLimit(v, p)
 	if p.Phase != Active || !p.synced() {
-		return // a gate closed, or a wave was passed: stored first
+		return // a gate closed or a wave was passed, which must be stored first
 	}
 	var capacity *freeCapacity
 	for i := range p.Steps {
@@ -176,7 +183,7 @@
 			next = Renting
 		} else if reason := e.blockedReason(v, p, s.Machine, capacity); reason != "" {
 			p.runtime[i].blockedReason = reason
-			return // in the order of the plan
+			return // steps start in the plan's order
 		}
 		busy++
 		zones[m.Machine.Zone]++
@@ -185,13 +192,14 @@
 	}
 }
 
-// plannedCordons are the machines that no task will be given, stored or not.
+// plannedCordons returns all machines that are to get no tasks, including those of steps that are not
+// stored yet.
 func (e *Engine) plannedCordons() map[model.MachineID]bool {
 	return e.machinesToCordon(func(*Plan, model.MachineID) bool { return true })
 }
 
-// machinesToCordon are the machines that are to be kept from tasks: for their price, and those
-// of plans that the condition holds for.
+// machinesToCordon returns the machines drained for their price, and those of plan steps in a cordoned
+// state for which include is true.
 func (e *Engine) machinesToCordon(include func(*Plan, model.MachineID) bool) map[model.MachineID]bool {
 	out := maps.Clone(e.priceDrains)
 	for _, p := range e.plans {
@@ -204,7 +212,9 @@
 	return out
 }
 
-// advanceRenting waits for a step's replacement.
+// advanceRenting rents a step's replacement, and starts draining once the replacement is ready and
+// nothing blocks the step. A replacement that does not come up in time is given up, and another is
+// rented.
 func (e *Engine) advanceRenting(v *View, p *Plan, i int) {
 	r, s := &p.runtime[i], &p.Steps[i]
 	m := v.Machines[s.Machine].Machine
@@ -219,7 +229,7 @@
 			}
 			p.setState(v.Now, i, Draining)
 		case v.Now-r.lastRequestAt > 4*v.BootTime(m.Type)+20*time.Second:
-			// It never came up, or is gone: another.
+			// The replacement never came up, or is gone: rent another.
 			s.RentAttempt++
 			p.setState(v.Now, i, Renting)
 			p.runtime[i].replacement = 0
@@ -235,9 +245,9 @@
 	}
 }
 
-// advanceReturning returns a machine until the cloud has it. A leader that comes in
-// between can't know what was placed there before it had heard of the plan: it
-// looks once more, and drains the machine again if it must.
+// advanceReturning asks the cloud to take an empty machine back until it has done so. A new leader may
+// have placed tasks there before it read the plan. So the machine is checked for tasks again: if it
+// has any, it is drained again, or abandoned if the plan was cancelled.
 func (e *Engine) advanceReturning(v *View, p *Plan, i int) {
 	r := &p.runtime[i]
 	m := v.Machines[p.Steps[i].Machine]
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -8,52 +8,54 @@
 	"honeylock/internal/core/rollout"
 )
 
-// View is the present as the leader knows it.
+// View is the state of the cluster as the leader knows it.
 type View struct {
-	Now                time.Duration // steady clock
-	Wall               time.Time     // time of day: windows and people, never a rule
+	Now                time.Duration // monotonic clock
+	Wall               time.Time     // time of day, for windows, LatestEnd and messages
 	Machines           map[model.MachineID]Machine
 	Jobs               []Job
-	UnusedGuaranteeCPU int64 // CPU that teams have left of their guarantees, in thousandths
-	// Recovered: every machine of earlier terms is accounted for and the cloud's
-	// list has been read, so that a machine that is not in Machines is gone.
+	UnusedGuaranteeCPU int64 // sum of the teams' unused CPU guarantees, in thousandths of a CPU
+	// Recovered is set once every machine of earlier terms is accounted for and the cloud's machine
+	// list has been read. From then on a machine that is not in Machines is gone.
 	Recovered bool
-	// RunTimeFactor is how many times its estimate a task of the class takes, at a
-	// part of all (0.5: half of them take less).
+	// RunTimeFactor is the ratio of actual to estimated run time of the class's tasks at a quantile
+	// (0.5: the median).
 	RunTimeFactor func(class model.Name, part float64) float64
 	// BootTime is how long a machine of the type may take to come up.
 	BootTime func(machineType model.Name) time.Duration
-	// RequestMove asks for a running task to be moved, for its machine's price or for a plan: ""
-	// if it may, else what stands against it. nil: nothing does.
+	// RequestMove asks the disruption budgets for a running task to be moved. It returns "" if it may
+	// be, else the reason. nil: there are no budgets.
 	RequestMove func(m MoveRequest) string
-	// EvaluateGate compares machines that a plan has renewed with all others, nil: it can't be.
+	// EvaluateGate compares the machines that a plan has replaced or patched with all others; nil:
+	// there is no evidence yet.
 	EvaluateGate func(g rollout.Gate, ids []model.MachineID) rollout.Verdict
-	// JobName is a job's name, for people.
+	// JobName returns a job's name for messages.
 	JobName func(model.JobID) string
 }
 
-// Machine of a view.
+// Machine is a machine in a View.
 type Machine struct {
 	model.MachineStatus
-	Reported   bool          // its owner has told how it is; else only Machine is known
-	KnownSince time.Duration // known since; of the steady clock, and before its beginning for old ones
+	Reported   bool          // its owner has reported its state; otherwise only Machine is known
+	KnownSince time.Duration // on the monotonic clock; negative for machines older than its start
 }
 
-// Job that is open.
+// Job is an open job.
 type Job struct {
 	Spec                          *model.Spec
-	UnfinishedTasks, RunningTasks int // tasks not done, and tasks on machines
+	UnfinishedTasks, RunningTasks int // tasks not done, and tasks that are on machines
 }
 
-// MoveRequest is a running task that is to be moved.
+// MoveRequest asks a disruption budget for a running task to be moved.
 type MoveRequest struct {
 	Task           model.Task
 	Spec           *model.Spec
-	ForPrice       bool          // for its machine's price, not for a plan
-	Ran, Remaining time.Duration // so far, and likely to come
+	ForPrice       bool          // because its machine costs too much, not for a plan
+	Ran, Remaining time.Duration // run time so far, and the expected rest
 }
 
-// requestMove asks for a task to be moved.
+// requestMove asks the disruption budgets for a task to be moved. It returns "" if it may be, else the
+// reason.
 func (v *View) requestMove(task *runningTask, forPrice bool) string {
 	if v.RequestMove == nil {
 		return ""
@@ -62,54 +64,57 @@
 		Remaining: v.remainingRunTime(task, medianQuantile)})
 }
 
-// runningTask is what runs on a machine, with its job.
+// runningTask is a task on a machine, with its job's specification.
 type runningTask struct {
 	model.PlacedTask
 	spec *model.Spec
 }
 
-// taskList is what a machine's owner last told of its tasks.
+// taskList is the answer of a machine's owner to ListTasks.
 type taskList struct {
 	receivedAt time.Duration
-	empty      bool // nothing runs there
-	tasks      []runningTask
+	empty      bool          // no task is on the machine
+	tasks      []runningTask // without tasks whose job is unknown
 }
 
-// remainingRunTime is how long a task runs on where it is, at a part of all.
+// remainingRunTime is how much longer a task runs where it is, at a quantile.
 func (v *View) remainingRunTime(task *runningTask, quantile float64) time.Duration {
 	return max(0, v.totalRunTime(task.spec, quantile)-task.RunTime)
 }
 
-// totalRunTime is how long a task of the job takes, at a part of all.
+// totalRunTime is how long a task of the job runs in all, at a quantile.
 func (v *View) totalRunTime(spec *model.Spec, quantile float64) time.Duration {
 	return time.Duration(float64(spec.Estimate) * v.RunTimeFactor(spec.Class, quantile))
 }
 
-// runTimeElsewhere is how long it takes elsewhere once it is there.
+// runTimeElsewhere is how long a task runs on another machine after it has been moved there, at a
+// quantile.
 func (v *View) runTimeElsewhere(task *runningTask, quantile float64) time.Duration {
-	if task.spec.CheckpointInterval > 0 { // it saves when it is stopped
+	if task.spec.CheckpointInterval > 0 { // it saves its progress when it is stopped
 		return v.remainingRunTime(task, quantile) + task.spec.CheckpointTime
 	}
 	return v.totalRunTime(task.spec, quantile)
 }
 
-// machineKind of machines: what a job may ask for.
+// machineKind groups machines that are alike in all that a job can ask for.
 type machineKind struct {
 	machineType, zone model.Name
 	spot              bool
 	total             model.Resources
 }
 
-// freeCapacity is the machines' room outside a set, for machines that may get tasks. It
-// is made once for all questions of a tick.
+// freeCapacity is the free capacity of the machines that may get tasks. It is computed once for all
+// questions of a tick.
 type freeCapacity struct {
 	free           map[model.MachineID]model.Resources
-	order          []model.MachineID
+	order          []model.MachineID // IDs in ascending order; nil: not needed yet
 	machinesByKind map[machineKind]int64
-	freeCPU        int64 // of free CPU
+	freeCPU        int64 // sum over all machines, in thousandths of a CPU
 	view           *View
 }
 
+// freeCapacity returns the free capacity of all machines that may get tasks, without those in
+// cordoned.
 func (v *View) freeCapacity(cordoned map[model.MachineID]bool) *freeCapacity {
 	capacity := &freeCapacity{free: make(map[model.MachineID]model.Resources, len(v.Machines)),
 		machinesByKind: map[machineKind]int64{}, view: v}
@@ -123,6 +128,7 @@
 	return capacity
 }
 
+// kindOf returns the kind of a machine.
 func kindOf(m *model.Machine) machineKind { return machineKind{m.Type, m.Zone, m.Spot, m.Cap} }
 
 // remove takes a machine out.
@@ -135,12 +141,13 @@
 	}
 }
 
-// freeCPUWithout is all free CPU but for one machine's.
+// freeCPUWithout is the free CPU of all machines but one.
 func (c *freeCapacity) freeCPUWithout(id model.MachineID) int64 {
 	return c.freeCPU - max(0, c.free[id].CPU)
 }
 
-// reserve finds room for a task of the job, and takes it.
+// reserve takes the resources for a task of the job from the first machine where it fits. It returns
+// false if it fits nowhere.
 func (c *freeCapacity) reserve(spec *model.Spec) bool {
 	if c.order == nil {
 		for id := range c.free {
@@ -161,8 +168,8 @@
 	return false
 }
 
-// maxTasks counts the job's tasks that the machines could hold at a time, were they
-// empty, without one of them (0: with all).
+// maxTasks counts the job's tasks that fit on all machines at a time if these were empty, without the
+// excluded machine (0: none is excluded).
 func (c *freeCapacity) maxTasks(spec *model.Spec, excluded model.MachineID) int64 {
 	var n int64
 	for kind, count := range c.machinesByKind {
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -9,8 +9,9 @@
 	"honeylock/internal/core/model"
 )
 
-// stepLimit is the step up to which the plan's waves let it begin now; why tells what the
-// first one beyond waits for.
+// stepLimit returns the number of steps, in order, that the plan's waves allow to start now, and what
+// the next one waits for. It marks a wave as passed when its machines are done, its soak time is over
+// and the gate is open.
 func (e *Engine) stepLimit(v *View, p *Plan) (limit int, reason string) {
 	for w := range p.Waves {
 		limit = p.waveEnd(w, limit)
@@ -31,18 +32,18 @@
 			return limit, reason
 		}
 		p.passWave(w)
-		return limit, "" // stored first
+		return limit, "" // passing the wave must be stored first
 	}
 	return len(p.Steps), ""
 }
 
-// passWave lets a plan go on after a wave.
+// passWave marks a wave as passed, so that the plan continues with the next.
 func (p *Plan) passWave(w int) {
 	p.PassedWaves, p.soakingSince = w+1, 0
 	p.generation++
 }
 
-// waveEnd is the step after a wave's last, which begins at a step.
+// waveEnd returns the index after the last step of the wave that starts at begin.
 func (p *Plan) waveEnd(w, begin int) int {
 	end := begin + p.Waves[w].Machines
 	if s := p.Waves[w].Share; s > 0 {
@@ -51,8 +52,10 @@
 	return min(max(end, begin), len(p.Steps))
 }
 
-// gateBlocker tells what keeps a plan from its next wave, "" if nothing does. One that closes
-// pauses the plan.
+// gateBlocker returns why the gate keeps the plan from its next wave, "" if it does not. It closes the
+// gate, which pauses the plan, if a quarter of the replaced or patched machines are missing, if at
+// least 3 replacements never came up and these are at least half as many as the new machines, or if
+// the tasks on the new machines fare worse than elsewhere.
 func (e *Engine) gateBlocker(v *View, p *Plan) string {
 	if p.Gate == nil {
 		return ""
@@ -79,13 +82,14 @@
 	return "the gate: " + verdict.Reason
 }
 
+// closeGate pauses the plan with the reason.
 func (p *Plan) closeGate(reason string) {
 	p.Phase, p.GateClosedReason = Paused, "the gate closed: "+reason
 	p.generation++
 }
 
-// renewedMachines are the machines of a plan that are patched, and those that were rented since
-// it began: whichever leader asks, for their ages are the cloud's.
+// renewedMachines returns the machines that the plan has patched, or those that were rented since the
+// plan was applied. Every leader finds the same machines, because their ages come from the cloud.
 func (p *Plan) renewedMachines(v *View) []model.MachineID {
 	replaced := map[model.MachineID]bool{}
 	var out []model.MachineID
@@ -104,7 +108,7 @@
 	return out
 }
 
-// countMissing counts the machines that nobody hears, or that are held to be faulty.
+// countMissing counts the machines that do not report or are considered faulty.
 func countMissing(v *View, ids []model.MachineID) (count int) {
 	for _, id := range ids {
 		if m, ok := v.Machines[id]; !ok || !m.Reported || m.Faulty {
@@ -122,7 +126,7 @@
 	return n
 }
 
-// HasGate tells whether a plan under way has a gate: evidence is of use.
+// HasGate reports whether a plan under way has a gate, so that evidence about tasks must be collected.
 func (e *Engine) HasGate() bool {
 	for _, p := range e.plans {
 		if p.unsupportedReason == "" && p.Gate != nil && !p.ended() {
