--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -65,7 +65,7 @@
 	taskLists        map[model.MachineID]taskList        // the newest answers to ListTasks
 	taskListRequests map[model.MachineID]taskListRequest // the newest ListTasks requests
 	lastListSeq      uint64                              // number of the newest ListTasks request
-	firstPlan        int                                 // index of the plan that Tick handles first
+	firstPlanIndex   int                                 // index of the plan that Tick handles first
 	compression      bool                                // records above MaxRecordBytes are compressed
 	lastReplicaMove  map[model.JobID]time.Duration       // when a replica of a service was last moved
 	actions          []Action
@@ -339,7 +339,7 @@
 		return
 	}
 	r := &p.runtime[a.Step]
-	r.requestPending, r.lastRequestAt = false, now
+	r.requestPending, r.lastAnswerAt = false, now
 	switch {
 	case len(rented) > 0:
 		r.replacement = rented[0]
@@ -366,7 +366,7 @@
 			if p.Steps[i].Machine != id || p.Steps[i].State != Returning {
 				continue
 			}
-			p.runtime[i].requestPending, p.runtime[i].lastRequestAt = false, now
+			p.runtime[i].requestPending, p.runtime[i].lastAnswerAt = false, now
 			if ok {
 				p.setState(now, i, Finished)
 			} else {
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -212,7 +212,7 @@
 type stepRuntime struct {
 	stateSince     time.Duration   // when this leader first knew the state
 	blockedReason  string          // why the step does not advance
-	lastRequestAt  time.Duration   // when a rental or return was last answered
+	lastAnswerAt   time.Duration   // when a rental or return was last answered
 	requestPending bool            // a rental or return is under way
 	replacement    model.MachineID // once rented
 }
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -15,13 +15,13 @@
 	for i := range plans {
 		// The first plan changes with each tick, so that the rest of a disruption budget does not
 		// always go to the same plan.
-		p := plans[(i+e.firstPlan)%len(plans)]
+		p := plans[(i+e.firstPlanIndex)%len(plans)]
 		if p.unsupportedReason == "" && !p.ended() {
 			e.advancePlan(v, p)
 		}
 	}
 	if v.RequestMove != nil {
-		e.firstPlan++
+		e.firstPlanIndex++
 	}
 	e.advancePriceDrains(v)
 	e.updateCordons()
@@ -228,7 +228,7 @@
 				return
 			}
 			p.setState(v.Now, i, Draining)
-		case v.Now-r.lastRequestAt > 4*v.BootTime(m.Type)+20*time.Second:
+		case v.Now-r.lastAnswerAt > 4*v.BootTime(m.Type)+20*time.Second:
 			// The replacement never came up, or is gone: rent another.
 			s.RentAttempt++
 			p.setState(v.Now, i, Renting)
@@ -238,8 +238,8 @@
 		}
 		return
 	}
-	if !r.requestPending && p.Phase == Active && (r.lastRequestAt == 0 ||
-		v.Now-r.lastRequestAt >= e.params.RetryInterval) {
+	if !r.requestPending && p.Phase == Active && (r.lastAnswerAt == 0 ||
+		v.Now-r.lastAnswerAt >= e.params.RetryInterval) {
 		r.requestPending = true
 		e.emit(Action{Kind: Rent, Machine: s.Machine, Template: m, Plan: p.Name, Step: i, Request: p.rentRequest(i)})
 	}
@@ -259,7 +259,7 @@
 		p.setState(v.Now, i, Draining)
 	case !e.isEmpty(v.Now, &m):
 		r.blockedReason = "its controller has not told that it is empty"
-	case r.lastRequestAt == 0 || v.Now-r.lastRequestAt >= time.Second:
+	case r.lastAnswerAt == 0 || v.Now-r.lastAnswerAt >= time.Second:
 		r.requestPending = true
 		e.emit(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
 	}
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -20,12 +20,12 @@
 	Recovered bool
 	// RunTimeFactor is the ratio of actual to estimated run time of the class's tasks at a quantile
 	// (0.5: the median).
-	RunTimeFactor func(class model.Name, part float64) float64
+	RunTimeFactor func(class model.Name, quantile float64) float64
 	// BootTime is how long a machine of the type may take to come up.
 	BootTime func(machineType model.Name) time.Duration
 	// RequestMove asks the disruption budgets for a running task to be moved. It returns "" if it may
 	// be, else the reason. nil: there are no budgets.
-	RequestMove func(m MoveRequest) string
+	RequestMove func(request MoveRequest) string
 	// EvaluateGate compares the machines that a plan has replaced or patched with all others; nil:
 	// there is no evidence yet.
 	EvaluateGate func(g rollout.Gate, ids []model.MachineID) rollout.Verdict
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -40,7 +40,7 @@
 	Machines      []Machine
 	Jobs          []Job // in the order of submission
 	Teams         []dispatcher.Team
-	RunTimeFactor func(class model.Name, part float64) float64
+	RunTimeFactor func(class model.Name, quantile float64) float64
 	BootTime      func(machineType model.Name) time.Duration
 	JobName       func(model.JobID) string // for people
 	Shard         shard.Params
--- a/internal/core/pipeline/freshness.go
+++ b/internal/core/pipeline/freshness.go
@@ -6,17 +6,17 @@
 	"honeylock/internal/core/model"
 )
 
-// InDoubt are the open jobs that are to be cancelled, or of which a job that they need,
-// directly or through others, has ended in a way that is still to be read. Of all other
-// waiting jobs the graph knows that nothing that they need was cancelled, as far as its
-// picture of the open jobs reaches. It costs what hangs on the jobs in doubt.
+// InDoubt returns the open jobs that must be cancelled, and those with a direct or indirect dependency
+// whose final state is not known yet. Of all other waiting jobs it is known that none of their
+// dependencies was cancelled, as far as the graph's open jobs are up to date. The cost depends on the
+// number of dependents of these jobs.
 func (g *Graph) InDoubt() map[model.JobID]bool {
 	out := map[model.JobID]bool{}
 	var todo []*node
 	for _, n := range g.unresolved {
 		todo = append(todo, n)
 	}
-	for id, n := range g.toCancel {
+	for id, n := range g.pendingCancellations {
 		out[id] = true
 		todo = append(todo, n)
 	}
@@ -33,46 +33,46 @@
 	return out
 }
 
-// CancelPending tells whether an open job needs one that is stored as cancelled.
-func (g *Graph) CancelPending(id model.JobID) bool { return g.toCancel[id] != nil }
+// CancelPending reports whether an open job must be cancelled because a dependency was.
+func (g *Graph) CancelPending(id model.JobID) bool { return g.pendingCancellations[id] != nil }
 
-// StatusFreshness judges whether an open job that waits for others may be called queued: only
-// while no cancellation of one of them that is older than Within can be unknown to who
-// says so.
+// StatusFreshness decides whether a controller may report an open job with unfinished dependencies as
+// queued. It may as long as every cancellation of a dependency that is older than MaxAge is known to
+// that controller.
 type StatusFreshness struct {
 	MaxAge            time.Duration
-	propagatedUntil   time.Duration
-	inDoubtKnownUntil time.Duration
+	propagatedUntil   time.Duration // see SetPropagated
+	inDoubtKnownUntil time.Duration // see SetInDoubtKnown
 }
 
-// NewStatusFreshness vouches for nothing yet.
+// NewStatusFreshness returns a StatusFreshness that allows nothing until it is updated.
 func NewStatusFreshness(maxAge time.Duration) *StatusFreshness {
 	return &StatusFreshness{MaxAge: maxAge, propagatedUntil: -time.Hour, inDoubtKnownUntil: -time.Hour}
 }
 
-// SetPropagated takes the moment up to which every cancellation has gone through to all jobs.
+// SetPropagated records that every cancellation until that time has been applied to all jobs.
 func (f *StatusFreshness) SetPropagated(at time.Duration) {
 	f.propagatedUntil = max(f.propagatedUntil, at)
 }
 
-// SetInDoubtKnown takes the moment up to which the jobs in doubt are told: every cancellation until
-// then has gone through to all jobs that are not among them.
+// SetInDoubtKnown records that the jobs in doubt are known as of that time: every cancellation until
+// then has been applied to all jobs that are not among them.
 func (f *StatusFreshness) SetInDoubtKnown(at time.Duration) {
 	f.inDoubtKnownUntil = max(f.inDoubtKnownUntil, at)
 }
 
-// MayReportQueued tells whether a waiting job may be called queued. told: it is among the jobs
-// that were told, and not in doubt.
+// MayReportQueued reports whether a waiting job may be reported as queued. known says that the list of
+// jobs in doubt covers the job, and that the job is not on it.
 func (f *StatusFreshness) MayReportQueued(now time.Duration, known bool) bool {
 	return now-f.propagatedUntil < f.MaxAge || known && now-f.inDoubtKnownUntil < f.MaxAge
 }
 
-// InDoubtJobs are the jobs in doubt that a leader has told of, and since when.
+// InDoubtJobs are the jobs that a leader reports as in doubt, each with the time since when it does.
 type InDoubtJobs struct {
 	since map[model.JobID]time.Duration
 }
 
-// Update brings them up to date: what it returns is told now.
+// Update returns the jobs that are in doubt now. The caller reports them to the other controllers.
 func (d *InDoubtJobs) Update(now time.Duration, g *Graph) map[model.JobID]bool {
 	in := g.InDoubt()
 	previous := d.since
@@ -87,13 +87,14 @@
 	return in
 }
 
-// clockDriftMargin is how much longer than a voucher's time a leader waits, for drifting clocks.
+// clockDriftMargin is how much longer than MaxAge a leader waits, to allow for clocks that drift.
 const clockDriftMargin = time.Second
 
-// CertainlyCancelled tells whether a job may be called cancelled before its record says so: what it
-// needs is stored as cancelled, so it can never begin, and nobody may call it queued any
-// more. For whoever did knew less than the record that dooms it, which is older than what
-// was told.
+// CertainlyCancelled reports whether a job may be reported as cancelled before its own record says so.
+// A dependency must be stored as cancelled, so that the job can never begin, and no controller may
+// still report it as queued. A controller that did so knew of no cancellation, so its information is
+// older than this leader's report that the job is in doubt; it expires after maxAge. The leader
+// therefore waits for maxAge with a margin for clock drift after that report.
 func (d *InDoubtJobs) CertainlyCancelled(now time.Duration, maxAge time.Duration, g *Graph, id model.JobID) bool {
 	at, ok := d.since[id]
 	return ok && g.CancelPending(id) && now-at > maxAge+maxAge/500+clockDriftMargin
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -1,13 +1,13 @@
-// Package pipeline is the leader's picture of which open jobs await which: when a
-// job may begin, when it is cancelled with one that it needs, and what it inherits
-// from the jobs that need it. It is a state machine without input or output; times
-// are the steady clock's.
+// Package pipeline is the leader's graph of the dependencies between open jobs. It decides when a job
+// may begin, when a job is cancelled because a job that it depends on was cancelled, and which rank a
+// job inherits from the jobs that depend on it. It is a state machine without input or output; its
+// times are those of the monotonic clock.
 //
-// Nothing of it is stored beside the jobs' own records: an open record names what its
-// job awaits, and a final record never changes. So any leader comes to the same
-// picture, and a cancellation that went half way through a tree goes on.
+// The graph itself is not stored. A job's open record names its dependencies, and a final record never
+// changes, so every leader builds the same graph from the records. A new leader therefore continues a
+// cancellation that had reached only some of the dependents.
 //
-// What an input costs follows the edges that it touches, not the open jobs.
+// The cost of an input depends on the edges that it touches, not on the number of open jobs.
 package pipeline
 
 import (
@@ -18,78 +18,82 @@
 	"honeylock/internal/core/model"
 )
 
-// FinalState is what became of a job that is no longer open.
+// FinalState is how a job ended that is no longer open.
 type FinalState uint8
 
-// Ends.
+// Final states.
 const (
-	Unknown   FinalState = iota // its final record is to be read
-	Done                        // by its final record
-	Cancelled                   // by its final record
-	Absent                      // it has neither record: it is not open yet, as far as is known
+	Unknown   FinalState = iota // its final record must be read
+	Done                        // as its final record says
+	Cancelled                   // as its final record says
+	Absent                      // it has no record: it is not open yet, as far as is known
 )
 
-// lookupRetry is when what could not be told is asked again.
+// lookupRetry is how long to wait before a failed lookup is repeated.
 const lookupRetry = time.Second
 
-// Job is an open job as the graph takes it.
+// Job is an open job.
 type Job struct {
 	ID           model.JobID
 	Rank         model.Rank
-	HasObjective bool // its users state an aim for its class, or its team has a guarantee
-	DependsOn    []model.JobID
+	HasObjective bool          // its class has an objective for when jobs begin, or its team has a guarantee
+	DependsOn    []model.JobID // jobs that must be done before it begins
 }
 
-// Release tells that the last job that a job needs is done.
+// Release says that all dependencies of a job are done.
 type Release struct {
 	ID model.JobID
-	// LastEndMS is the time of day of the latest end that the records tell; 0: none does.
+	// LastEndMS is the time of day at which the last dependency ended, as far as the final records
+	// say; 0: none says.
 	LastEndMS int64
-	// NeverStarted: one of the jobs that it needs was seen open by this graph, so that no
-	// earlier leader can have begun it.
+	// NeverStarted is set if this graph saw one of the dependencies open, so that no earlier leader
+	// can have started the job.
 	NeverStarted bool
 }
 
-// Inherited is what a job has from those that need it: the highest rank, and an aim.
+// Inherited is a job's effective priority: the highest rank among the job and its dependents, and
+// whether one of them has an objective.
 type Inherited struct {
 	ID           model.JobID
 	Rank         model.Rank
 	HasObjective bool
 }
 
+// node is a job in the graph: an open job, or an ended one that open jobs depend on.
 type node struct {
 	Job
 	open                bool
-	observedOpen        bool // it was open while this graph looked on
-	dependencies        map[model.JobID]*node
-	dependents          map[model.JobID]*node // open jobs that await it
-	dependentRanks      [model.Prod + 1]int32 // of after, as inherited: how many of each
-	dependentObjectives int32                 // of after
-	effectiveRank       model.Rank            // inherited
-	effectiveObjective  bool                  // inherited
-	cancelPending       bool                  // it is to be cancelled, or was
-	inFlight            bool
-	notBefore           time.Duration // a question or a cancellation may be sent
-	behindSince         time.Duration // it is behind since
-	lastEndMS           int64
-	neverStarted        bool
+	observedOpen        bool                  // this graph saw the job open
+	dependencies        map[model.JobID]*node // those not known to be done
+	dependents          map[model.JobID]*node // open jobs that depend on it
+	dependentRanks      [model.Prod + 1]int32 // number of dependents by effective rank
+	dependentObjectives int32                 // number of dependents with an effective objective
+	effectiveRank       model.Rank            // highest of its own and its dependents'
+	effectiveObjective  bool                  // it or a dependent has an objective
+	cancelPending       bool                  // it must be cancelled, or has been
+	inFlight            bool                  // a lookup or cancellation is under way
+	notBefore           time.Duration         // earliest time of the next lookup or cancellation
+	behindSince         time.Duration         // when its end, or that of a dependency, may first have been reported
+	lastEndMS           int64                 // see Release
+	neverStarted        bool                  // see Release
 }
 
 // Graph is the state machine.
 type Graph struct {
-	nodes            map[model.JobID]*node
-	unresolved       map[model.JobID]*node // to be asked about
-	toCancel         map[model.JobID]*node // to be cancelled
-	inheritedChanged map[model.JobID]*node // inherit something else
-	released         []Release
+	nodes                map[model.JobID]*node
+	unresolved           map[model.JobID]*node // ended jobs whose final state must be looked up
+	pendingCancellations map[model.JobID]*node // open jobs that must be cancelled
+	inheritedChanged     map[model.JobID]*node // jobs to be returned by TakeInherited
+	released             []Release             // jobs to be returned by TakeReleased
 }
 
 // New returns an empty graph.
 func New() *Graph {
 	return &Graph{nodes: map[model.JobID]*node{}, unresolved: map[model.JobID]*node{},
-		toCancel: map[model.JobID]*node{}, inheritedChanged: map[model.JobID]*node{}}
+		pendingCancellations: map[model.JobID]*node{}, inheritedChanged: map[model.JobID]*node{}}
 }
 
+// node returns the job's node, and adds it if there is none.
 func (g *Graph) node(id model.JobID) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -99,9 +103,9 @@
 	return n
 }
 
-// Add takes an open job. held tells that it may not begin yet: Released or Doomed
-// will name it. What it awaits and nobody added counts as ended, in a way that is to
-// be asked about; since is when its end may have been told at the earliest.
+// Add adds an open job. It returns true if the job may not begin yet: it will come up in TakeReleased
+// or NextCancellations. A dependency that is not in the graph is taken as ended, with a final state
+// that must be looked up; since is the earliest time at which its end may have been reported.
 func (g *Graph) Add(j Job, since time.Duration) (blocked bool) {
 	n := g.node(j.ID)
 	if n.open {
@@ -130,7 +134,8 @@
 	return len(n.dependencies) > 0
 }
 
-// JobEnded takes the news that a job is no longer open.
+// JobEnded records that a job is no longer open. If its final state is Unknown and jobs depend on it,
+// the state must be looked up.
 func (g *Graph) JobEnded(id model.JobID, final FinalState, since time.Duration) {
 	n := g.nodes[id]
 	if n == nil {
@@ -138,7 +143,7 @@
 	}
 	if n.open {
 		n.open = false
-		delete(g.toCancel, id)
+		delete(g.pendingCancellations, id)
 		delete(g.inheritedChanged, id)
 		for _, dependency := range n.dependencies {
 			g.removeDependent(dependency, n)
@@ -146,7 +151,7 @@
 		n.dependencies = nil
 	}
 	if final == Unknown && n.cancelPending {
-		final = Cancelled // it was never let begin
+		final = Cancelled // it was never allowed to begin
 	}
 	if final == Unknown && len(n.dependents) > 0 {
 		n.behindSince = since
@@ -156,14 +161,14 @@
 	g.resolveEnd(n, final, 0, since)
 }
 
-// removeDependent takes a job from those that await p.
+// removeDependent removes n from the dependents of p.
 func (g *Graph) removeDependent(dependency, n *node) {
 	delete(dependency.dependents, n.ID)
 	g.countDependent(dependency, n.effectiveRank, n.effectiveObjective, -1)
 	g.forgetIfUnused(dependency)
 }
 
-// forgetIfUnused forgets an ended job that nobody awaits.
+// forgetIfUnused drops an ended job without dependents.
 func (g *Graph) forgetIfUnused(n *node) {
 	if !n.open && len(n.dependents) == 0 {
 		delete(g.nodes, n.ID)
@@ -171,11 +176,12 @@
 	}
 }
 
-// resolveEnd settles how a job ended with all that await it.
+// resolveEnd applies a job's final state to its dependents: they are released if it was their last
+// dependency, or marked for cancellation.
 func (g *Graph) resolveEnd(n *node, final FinalState, atMS int64, since time.Duration) {
 	delete(g.unresolved, n.ID)
-	// A cancelled one stays for as long as somebody awaits it: who comes later and
-	// names it is doomed too.
+	// A cancelled job stays while it has dependents: a job that is added later and depends on it must
+	// be cancelled too.
 	n.cancelPending = n.cancelPending || final == Cancelled
 	for _, id := range slices.Sorted(maps.Keys(n.dependents)) {
 		dependent := n.dependents[id]
@@ -196,7 +202,7 @@
 	g.forgetIfUnused(n)
 }
 
-// markCancelPending marks a job, and all that need it, to be cancelled.
+// markCancelPending marks an open job and all its direct and indirect dependents for cancellation.
 func (g *Graph) markCancelPending(n *node, since time.Duration) {
 	for todo := []*node{n}; len(todo) > 0; {
 		n := todo[len(todo)-1]
@@ -205,21 +211,21 @@
 			continue
 		}
 		n.cancelPending, n.behindSince = true, since
-		g.toCancel[n.ID] = n
+		g.pendingCancellations[n.ID] = n
 		for _, dependent := range n.dependents {
 			todo = append(todo, dependent)
 		}
 	}
 }
 
-// NextLookups returns at most n ended jobs whose final record is to be read. Each comes back
-// through Told.
+// NextLookups returns at most limit ended jobs whose final record must be read. The outcome of each
+// goes to LookupDone.
 func (g *Graph) NextLookups(now time.Duration, limit int) []model.JobID {
 	return takeDue(g.unresolved, now, limit)
 }
 
-// LookupDone takes what a final record tells, with the time of day of the end (0: it does
-// not tell). Unknown: the question failed.
+// LookupDone takes the final state that a lookup found, with the time of day of the job's end (0: not
+// known). After Unknown (the lookup failed) or Absent the lookup is repeated later.
 func (g *Graph) LookupDone(now time.Duration, id model.JobID, final FinalState, atMS int64) {
 	n := g.unresolved[id]
 	if n == nil {
@@ -233,19 +239,20 @@
 	g.resolveEnd(n, final, atMS, n.behindSince)
 }
 
-// NextCancellations returns at most n jobs to be cancelled now. Each comes back through Ended,
-// or through Kept if it could not be.
+// NextCancellations returns at most limit jobs that must be cancelled now. The outcome of each goes to
+// JobEnded, or to CancellationFailed.
 func (g *Graph) NextCancellations(now time.Duration, limit int) []model.JobID {
-	return takeDue(g.toCancel, now, limit)
+	return takeDue(g.pendingCancellations, now, limit)
 }
 
-// CancellationFailed takes the news that a job could not be cancelled yet.
+// CancellationFailed records that a job could not be cancelled. It is tried again soon.
 func (g *Graph) CancellationFailed(now time.Duration, id model.JobID) {
-	if n := g.toCancel[id]; n != nil {
+	if n := g.pendingCancellations[id]; n != nil {
 		n.inFlight, n.notBefore = false, now+lookupRetry/4
 	}
 }
 
+// takeDue returns at most limit jobs that are due, in order of ID, and marks them as in flight.
 func takeDue(from map[model.JobID]*node, now time.Duration, limit int) []model.JobID {
 	var out []model.JobID
 	for id, node := range from {
@@ -261,7 +268,8 @@
 	return out
 }
 
-// TakeReleased takes away the jobs that may begin.
+// TakeReleased returns and clears the jobs that have become free to begin. Jobs that have ended or
+// must be cancelled meanwhile are left out.
 func (g *Graph) TakeReleased() []Release {
 	out := g.released
 	g.released = nil
@@ -271,11 +279,11 @@
 	})
 }
 
-// PropagatedUntil is the earliest moment at which an end may have been told that has not gone
-// through to all that need the job; now if there is none.
+// PropagatedUntil is the time until which all reported ends have been applied to all dependents: the
+// earliest time at which an end may have been reported that has not; now if there is none.
 func (g *Graph) PropagatedUntil(now time.Duration) time.Duration {
 	at := now
-	for _, set := range []map[model.JobID]*node{g.unresolved, g.toCancel} {
+	for _, set := range []map[model.JobID]*node{g.unresolved, g.pendingCancellations} {
 		for _, n := range set {
 			at = min(at, n.behindSince)
 		}
@@ -283,18 +291,18 @@
 	return at
 }
 
-// Counts tells how many open jobs await others, how many ends are to be asked about,
-// and how many jobs are to be cancelled.
+// Counts returns the number of open jobs with unfinished dependencies, of ended jobs that must be
+// looked up, and of jobs that must be cancelled.
 func (g *Graph) Counts() (blocked, unresolved, cancelPending int) {
 	for _, n := range g.nodes {
 		if n.open && len(n.dependencies) > 0 {
 			blocked++
 		}
 	}
-	return blocked, len(g.unresolved), len(g.toCancel)
+	return blocked, len(g.unresolved), len(g.pendingCancellations)
 }
 
-// TakeInherited takes away what jobs inherit now, where that is something else than before.
+// TakeInherited returns and clears the jobs whose effective priority has changed.
 func (g *Graph) TakeInherited() []Inherited {
 	if len(g.inheritedChanged) == 0 {
 		return nil
@@ -308,7 +316,8 @@
 	return out
 }
 
-// countDependent notes that one more (or less) of those that await n has a rank and an aim.
+// countDependent adds delta (1 or -1) to the number of n's dependents with the rank, and with an
+// objective if it is set.
 func (g *Graph) countDependent(n *node, rank model.Rank, objective bool, delta int32) {
 	n.dependentRanks[rank] += delta
 	if objective {
@@ -317,8 +326,8 @@
 	g.updateInherited(n)
 }
 
-// updateInherited works out what a job has from those that need it, and passes a change on to
-// those that it needs.
+// updateInherited recomputes a job's effective rank and objective from its dependents, and passes a
+// change on to its own dependencies.
 func (g *Graph) updateInherited(n *node) {
 	if !n.open {
 		return
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -189,7 +189,7 @@
 				t.Fatalf("%d is left: added %v, begun %v, awaits %v", id, added[id], released[id], dependsOn[id])
 			}
 		}
-		if len(g.nodes) > 0 || len(g.unresolved) > 0 || len(g.toCancel) > 0 {
+		if len(g.nodes) > 0 || len(g.unresolved) > 0 || len(g.pendingCancellations) > 0 {
 			t.Fatalf("the graph keeps %d", len(g.nodes))
 		}
 	})
