--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -1,16 +1,14 @@
-// Package jobs answers users from the state service's records. A request is a
-// small state machine: it asks for one store operation after the other until
-// it has an answer.
+// Package jobs answers users' requests about jobs from the state service's records. A request is a
+// small state machine: it asks for one store operation after the other until it has an answer.
 //
-// A job is in the store under its open record from acceptance until it ends,
-// and under its final record ever after; the step between is one transaction.
-// So reading open, then final, always tells: a job that ends between the two
-// reads is found by the second. The open record is written once and never
-// changed, which lets its version guard the job's end.
+// A job has an open record from its acceptance until it ends, and a final record ever after; one
+// transaction replaces the former by the latter. So reading the open record and then the final one
+// always finds the job: if it ends between the two reads, the second read finds it. The open record is
+// written once and never changed, so its version can guard the transaction that ends the job.
 //
-// A submission that awaits other jobs is taken by one transaction too: it holds only
-// if each of them is still open as it was seen, or was seen done. Where one was seen
-// cancelled, the job is taken as cancelled.
+// A submission that depends on other jobs is accepted by one transaction too. The transaction succeeds
+// only if each dependency is still open as it was read, or was read as done. If a dependency was read
+// as cancelled, the job is stored as cancelled.
 package jobs
 
 import (
@@ -19,10 +17,10 @@
 	"honeylock/internal/core/model"
 )
 
-// Stage of a job as users are told.
+// Stage is the state of a job as reported to users.
 type Stage string
 
-// Stages.
+// Stages of a job.
 const (
 	Queued    Stage = "queued"
 	Running   Stage = "running"
@@ -30,22 +28,22 @@
 	Cancelled Stage = "aborted"
 )
 
-// Ended tells whether a stage is final.
+// Ended reports whether the stage is final.
 func (s Stage) Ended() bool { return s == Done || s == Cancelled }
 
-// OpKind tells store operations apart.
+// OpKind says what a store operation does.
 type OpKind uint8
 
-// Operations.
+// Kinds of store operations.
 const (
 	ReadOpen    OpKind = iota
-	ReadFinal          // Stage tells it
-	Create             // put open, or final if Stage is set; guards: neither exists, and Guards
-	Cancel             // drop open at Version, put final
-	CompareOpen        // compare open with Version; many are compared in one call
+	ReadFinal // the result's Stage says how the job ended
+	Create // write the open record, or the final one if Stage is set, if the job has neither and all Guards hold
+	Cancel // delete the open record if it has Version, and write the final one
+	CompareOpen // compare the open record's version with Version; many comparisons share one call
 )
 
-// Guard is a condition: this job's open record has the version.
+// Guard is a condition of a transaction: the job's open record has the version.
 type Guard struct {
 	Job     model.JobID
 	Version uint64
@@ -56,52 +54,51 @@
 	Kind    OpKind
 	Job     model.JobID
 	Version uint64
-	Guards  []Guard // Create: the jobs that it awaits and that are open
-	Stage   Stage   // Create: Cancelled if one of them is
+	Guards  []Guard // Create: the open dependencies
+	Stage   Stage // Create: Cancelled if a dependency is
 }
 
-// Outcome of a store operation.
+// Outcome is how a store operation ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of store operations.
 const (
 	OK       Outcome = iota
-	Missing          // read: no such key
-	Conflict         // transaction or comparison: a guard failed
-	Failed           // refused, or in doubt
-	Busy             // not asked: the state service is over its rate
+	Missing // read: there is no such record
+	Conflict // transaction or comparison: a guard failed
+	Failed // refused, or it is not known whether it took effect
+	Busy // not sent, because the state service is over its rate
 )
 
-// Result of an operation.
+// Result is the result of an operation.
 type Result struct {
 	Outcome Outcome
 	Version uint64
-	Stage   Stage // ReadFinal; StillOpen that found a conflict: its stored end, if it is known
+	Stage   Stage // ReadFinal; CompareOpen with Conflict: how the job ended, if known
 }
 
-// Answer to the user.
+// Answer is the answer to the user.
 type Answer struct {
-	Status  int
+	Status  int // HTTP status
 	Stage   Stage
-	Created bool // the job has been accepted by this request
-	// UnknownDependency is a job that is awaited and was never accepted; it comes with a 422.
+	Created bool // this request has created the job
+	// UnknownDependency is a dependency that was never accepted; the status is 422.
 	UnknownDependency model.JobID
-	// RateLimited: nothing is wrong but that the state service is asked for too much; it comes
-	// with a 503.
+	// RateLimited is set if the only reason for a 503 is that the state service's rate is exhausted.
 	RateLimited bool
 }
 
-// Kind of request.
+// Kind is the kind of a request.
 type Kind uint8
 
-// Requests.
+// Kinds of requests.
 const (
 	Submit Kind = iota
 	Poll
 	Withdraw
 )
 
-// String is the request's name in logs.
+// String returns the request's name in logs.
 func (k Kind) String() string {
 	switch k {
 	case Submit:
@@ -118,19 +115,19 @@
 type Request struct {
 	kind     Kind
 	job      model.JobID
-	tries    int
-	seenOpen bool // the open record
-	// believedEnded: the final record is read first, and says nothing if it is missing.
+	tries    int // how often it started over because records had changed
+	seenOpen bool // the job's open record existed
+	// believedEnded: the final record is read first, and its absence proves nothing.
 	believedEnded bool
 	dependencies  dependencies
-	// dependencyUnknown: a job that is awaited has neither record; it is still to be seen whether
-	// this is an accepted submission once more.
+	// dependencyUnknown: a dependency has neither record. It must still be checked whether this
+	// repeats a submission that was accepted earlier.
 	dependencyUnknown bool
 }
 
-// New starts a request about a job and returns its first operation. version is the
-// open record's, if it has been seen, else 0: the record is written once, so a poll
-// need only learn whether it is still there.
+// New starts a request about a job and returns its first operation. version is that of the job's open
+// record if it is known, else 0. A poll with a version only checks whether the record still exists,
+// because it is written once.
 func New(k Kind, job model.JobID, version uint64) (*Request, Op) {
 	r := &Request{kind: k, job: job}
 	if k == Submit {
@@ -142,9 +139,10 @@
 	return r, Op{Kind: ReadOpen, Job: job}
 }
 
-// NewEnded starts a poll or a cancellation of a job that is believed to have ended. One read
-// then answers: with two, of which the second is refused where the state service's rate is
-// scarce, each attempt would begin with the first again and none would come to an end.
+// NewEnded starts a poll or a cancellation of a job that is believed to have ended, and reads its
+// final record first, so that one read answers it. When the state service's rate is scarce, a request
+// that needs two reads may have its second one refused, start over with the first on each attempt, and
+// never finish.
 func NewEnded(k Kind, job model.JobID) (*Request, Op) {
 	return &Request{kind: k, job: job, believedEnded: true}, Op{Kind: ReadFinal, Job: job}
 }
@@ -154,7 +152,7 @@
 	rateLimited = &Answer{Status: http.StatusServiceUnavailable, RateLimited: true}
 )
 
-// Next takes the result of an operation and returns the next one or the answer.
+// Next takes the result of an operation and returns the next operation or the answer.
 func (r *Request) Next(op Op, res Result) (Op, *Answer) {
 	switch res.Outcome {
 	case Failed:
@@ -179,10 +177,10 @@
 		if res.Outcome == OK {
 			return Op{}, &Answer{Status: http.StatusOK, Stage: Queued}
 		}
-		if res.Stage.Ended() { // whoever compared knows of its end
+		if res.Stage.Ended() { // the comparison already knows how the job ended
 			return Op{}, &Answer{Status: http.StatusOK, Stage: res.Stage}
 		}
-		r.seenOpen = true // it was open, so it has ended
+		r.seenOpen = true // it was open earlier, so it has ended
 		return Op{Kind: ReadFinal, Job: r.job}, nil
 	case ReadOpen:
 		if res.Outcome == Missing {
@@ -197,8 +195,8 @@
 			return Op{}, &Answer{Status: http.StatusOK, Stage: res.Stage}
 		}
 		if r.believedEnded {
-			// Not so, or it ends just now: then its open record is missing, and the final
-			// one is read once more.
+			// Either it has not ended, or it ends just now: then its open record is missing and the
+			// final one is read again.
 			r.believedEnded = false
 			return Op{Kind: ReadOpen, Job: r.job}, nil
 		}
@@ -206,11 +204,11 @@
 			return Op{}, &Answer{Status: http.StatusUnprocessableEntity, UnknownDependency: r.dependencies.neverAccepted}
 		}
 		if r.kind == Submit && r.dependencies.exist() && r.mayRetry() {
-			// A job that it awaits is no longer as it was seen.
+			// A dependency has changed since it was read.
 			return r.dependencies.restart(r.job), nil
 		}
 		if r.kind == Submit || r.seenOpen {
-			// Neither record, though one stood in the way: try once more later.
+			// Neither record exists now, though one did a moment ago: the user must try again.
 			return Op{}, unavailable
 		}
 		return Op{}, &Answer{Status: http.StatusNotFound}
@@ -218,7 +216,7 @@
 		if res.Outcome == OK {
 			return Op{}, &Answer{Status: http.StatusOK, Stage: Cancelled}
 		}
-		// It has ended meanwhile.
+		// The job has ended meanwhile.
 		if !r.mayRetry() {
 			return Op{}, unavailable
 		}
@@ -227,5 +225,5 @@
 	return Op{}, unavailable
 }
 
-// mayRetry tells whether what has changed meanwhile is looked at once more.
+// mayRetry counts a retry after records have changed, and reports whether it is allowed.
 func (r *Request) mayRetry() bool { r.tries++; return r.tries <= 2 }
