--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -6,10 +6,10 @@
 type dependencies struct {
 	jobs          []model.JobID
 	openVersions  map[model.JobID]uint64 // versions of the open records that were read
-	index         int // of jobs: the next one to read
-	maxGuards     int // the most guards that a transaction may have
-	cancelled     bool // one of the jobs is cancelled
-	neverAccepted model.JobID // a job that has neither record
+	index         int                    // of jobs: the next one to read
+	maxGuards     int                    // the most guards that a transaction may have
+	cancelled     bool                   // one of the jobs is cancelled
+	neverAccepted model.JobID            // a job that has neither record
 }
 
 // exist reports whether the submission depends on any job.
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -7,8 +7,8 @@
 // written once and never changed, so its version can guard the transaction that ends the job.
 //
 // A submission that depends on other jobs is accepted by one transaction too. The transaction succeeds
-// only if each dependency is still open as it was read, or was read as done. If a dependency was read
-// as cancelled, the job is stored as cancelled.
+// only if each dependency is still open as it was read, as far as the number of guards allows, or was
+// read as done. If a dependency was read as cancelled, the job is stored as cancelled.
 package jobs
 
 import (
@@ -37,10 +37,10 @@
 // Kinds of store operations.
 const (
 	ReadOpen    OpKind = iota
-	ReadFinal // the result's Stage says how the job ended
-	Create // write the open record, or the final one if Stage is set, if the job has neither and all Guards hold
-	Cancel // delete the open record if it has Version, and write the final one
-	CompareOpen // compare the open record's version with Version; many comparisons share one call
+	ReadFinal          // the result's Stage says how the job ended
+	Create             // write the open record, or the final one if Stage is set, if the job has neither and all Guards hold
+	Cancel             // delete the open record if it has Version, and write the final one
+	CompareOpen        // compare the open record's version with Version; many comparisons share one call
 )
 
 // Guard is a condition of a transaction: the job's open record has the version.
@@ -55,7 +55,7 @@
 	Job     model.JobID
 	Version uint64
 	Guards  []Guard // Create: the open dependencies
-	Stage   Stage // Create: Cancelled if a dependency is
+	Stage   Stage   // Create: Cancelled if a dependency is
 }
 
 // Outcome is how a store operation ended.
@@ -64,10 +64,10 @@
 // Outcomes of store operations.
 const (
 	OK       Outcome = iota
-	Missing // read: there is no such record
-	Conflict // transaction or comparison: a guard failed
-	Failed // refused, or it is not known whether it took effect
-	Busy // not sent, because the state service is over its rate
+	Missing          // read: there is no such record
+	Conflict         // transaction or comparison: a guard failed
+	Failed           // refused, or it is not known whether it took effect
+	Busy             // not sent, because the state service is over its rate
 )
 
 // Result is the result of an operation.
@@ -115,7 +115,7 @@
 type Request struct {
 	kind     Kind
 	job      model.JobID
-	tries    int // how often it started over because records had changed
+	tries    int  // how often it started over because records had changed
 	seenOpen bool // the job's open record existed
 	// believedEnded: the final record is read first, and its absence proves nothing.
 	believedEnded bool
