--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -1,11 +1,12 @@
-// Package disruption keeps what teams lose by our own doing within budgets: how much of
-// their work is out at once, and how much is lost in a window of time. Whatever moves
-// running work of its own accord draws from a budget before it acts. What evictions and
-// failures take eats of the same budgets without asking, so that what can wait yields.
+// Package disruption limits how much of each team's running work the scheduler disrupts. A budget
+// bounds how many tasks are interrupted at once and how much work is lost in a window of time.
+// Whatever moves a running task voluntarily must be granted the move by all budgets of the task first.
+// Evictions and failures are not asked, but count against the same budgets, so that voluntary moves
+// yield to them.
 //
-// It is a state machine of the leader's, without input or output; times are the steady
-// clock's. Nothing of it is stored: a leader that begins counts as out whatever it can't
-// tell to be at work, which can only be too much (docs/disruption.md).
+// It is a state machine that runs on the leader, without input or output; its times are those of the
+// monotonic clock. Nothing of it is stored: a new leader counts as interrupted every task that it
+// can't show to be running, which can only be too many (docs/disruption.md).
 package disruption
 
 import (
@@ -18,54 +19,56 @@
 	"honeylock/internal/core/model"
 )
 
-// Budget of one team, or of one class of its work. A zero amount bounds nothing.
+// Budget limits the disruption of one team's tasks, or of one class of them. A bound of zero is no
+// limit.
 type Budget struct {
 	Team         model.Name
-	Class        model.Name    // None: all
-	MaxTasks     int           // out at once
-	MaxShare     float64       // of the running tasks, out at once: one at least
-	MaxCPU       int64         // out at once, in thousandths
+	Class        model.Name    // model.None: all
+	MaxTasks     int           // interrupted at once
+	MaxShare     float64       // fraction of the running tasks interrupted at once; always allows one
+	MaxCPU       int64         // of the tasks interrupted at once, in thousandths of a CPU
 	MaxLostCPU   float64       // CPU seconds lost in a window
-	Window       time.Duration // of LostCPU
+	Window       time.Duration // of MaxLostCPU
 	MaxMoves     int           // of one task
-	LastFraction float64       // of a task's run, in which it is not moved
+	LastFraction float64       // last part of a task's run in which it is not moved
 }
 
+// covers reports whether the budget limits the job's tasks.
 func (b *Budget) covers(spec *model.Spec) bool {
 	return b.Team == spec.Team && (b.Class == model.None || b.Class == spec.Class)
 }
 
-// Cause of a task's being out of work.
+// Cause is why a task is interrupted.
 type Cause uint8
 
-// NumCauses. The first two are by our own doing and ask first.
+// Causes. The first two are voluntary moves, which need a grant.
 const (
-	PlanDrain  Cause = iota // an operators' plan moves it
+	PlanDrain  Cause = iota // an operator's drain plan moves it
 	PriceDrain              // its machine is drained for its price
-	Evicted                 // for work of a higher price
-	Lost                    // its machine stopped, was taken, or can't be reached
-	Unknown                 // of before this leader's term: it may be out for any reason
-	NumCauses
+	Evicted                 // it gave way to work of a higher price
+	Lost                    // its machine failed, was reclaimed, or is unreachable
+	Unknown                 // from before this leader's term, when the cause is not known
+	NumCauses               // number of causes
 )
 
-// String is the cause's name for people.
+// String returns the cause for messages.
 func (c Cause) String() string {
 	return [...]string{"moved by plans", "moved for their machines' price", "evicted", "lost with their machines",
 		"unknown since the change of leader"}[c]
 }
 
-// Label is the cause's name in metrics.
+// Label returns the cause's label in metrics.
 func (c Cause) Label() string { return [...]string{"plan", "price", "evicted", "lost", "unsure"}[c] }
 
-// outTask is a task that is out of work, or has not made up for what it lost.
-type outTask struct {
+// interruption is a task that is interrupted, or has not yet made up for the run time that it lost.
+type interruption struct {
 	spec        *model.Spec
 	cause       Cause
-	lostRunTime time.Duration // run time that it has to make up for
-	recoveredAt time.Duration // it is at work again, and has made up for it then; 0: not yet
+	lostRunTime time.Duration // run time that it must repeat
+	recoveredAt time.Duration // when it has repeated that, once it runs again; 0: it does not run yet
 }
 
-// loss is work that was lost by our own doing.
+// loss is work lost by a voluntary move.
 type loss struct {
 	at         time.Duration
 	spec       *model.Spec
@@ -73,42 +76,45 @@
 	cpuSeconds float64
 }
 
-// Counts of a team, by cause, for metrics.
+// Counts are a team's moves granted and refused, and its involuntary disruptions, by cause, for
+// metrics.
 type Counts struct{ Granted, Refused, Involuntary [NumCauses]uint64 }
 
-// TeamState is what the leader knows of a team's work beside what the book was told.
+// TeamState is what the leader knows of a team's tasks apart from the tracker.
 type TeamState struct {
-	Running  int   // tasks at work
-	Orphaned int   // tasks whose owner was lost, or let their machine go
-	Unknown  int   // tasks of jobs of before this term that are neither done nor known to be at work
-	CPU      int64 // of those orphaned and unsure, in thousandths
+	Running  int   // tasks that run
+	Orphaned int   // tasks whose shard was lost or released their machine
+	Unknown  int   // tasks of jobs from before this term that are neither done nor known to run
+	CPU      int64 // of the orphaned and unknown tasks, in thousandths of a CPU
 }
 
 // Tracker is the state machine.
 type Tracker struct {
-	budgets  []Budget
-	outTasks map[model.Task]*outTask
-	moves    map[model.Task]int
-	losses   []loss // oldest first
-	Counts   map[model.Name]*Counts
-	// Recovered: the machines of earlier terms are accounted for. Before, nothing is drawn.
+	budgets       []Budget
+	interruptions map[model.Task]*interruption // tasks that count against budgets
+	moveCounts    map[model.Task]int           // voluntary moves of each task
+	losses        []loss                       // oldest first
+	Counts        map[model.Name]*Counts
+	// Recovered is set once the machines of earlier terms are accounted for. Until then no move is
+	// granted.
 	Recovered bool
-	// TeamState tells of a team's work, or of that of one of its classes.
+	// TeamState returns the state of a team's tasks, or of those of one class.
 	TeamState func(team, class model.Name) TeamState
-	// TeamName is for people.
+	// TeamName returns a team's name for messages.
 	TeamName func(model.Name) string
 }
 
-// New returns a book with these budgets.
+// New returns a tracker with these budgets.
 func New(budgets []Budget) *Tracker {
-	return &Tracker{budgets: budgets, outTasks: map[model.Task]*outTask{}, moves: map[model.Task]int{},
+	return &Tracker{budgets: budgets, interruptions: map[model.Task]*interruption{}, moveCounts: map[model.Task]int{},
 		Counts:   map[model.Name]*Counts{},
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
-// Enabled tells whether there is any budget: without one nothing need be told here.
+// Enabled reports whether there is any budget. Without one the tracker need not be told of anything.
 func (tracker *Tracker) Enabled() bool { return tracker != nil && len(tracker.budgets) > 0 }
 
+// teamCounts returns the team's counts, and adds them if there are none.
 func (tracker *Tracker) teamCounts(team model.Name) *Counts {
 	c := tracker.Counts[team]
 	if c == nil {
@@ -118,16 +124,17 @@
 	return c
 }
 
-// MoveRequest is a task that is to be moved.
+// MoveRequest asks for a running task to be moved.
 type MoveRequest struct {
 	Task      model.Task
 	Spec      *model.Spec
 	Cause     Cause
-	Ran       time.Duration // it has run here for so long
-	Remaining time.Duration // ... and is likely to run on for
+	Ran       time.Duration // run time so far on this machine
+	Remaining time.Duration // expected rest of the run time
 }
 
-// lostRunTime is the run time that a task loses when it is stopped: what it did not save.
+// lostRunTime is the run time that the task loses when it is stopped: the time to save a checkpoint,
+// or all of it without checkpoints.
 func (request *MoveRequest) lostRunTime() time.Duration {
 	if request.Spec.CheckpointInterval > 0 {
 		return request.Spec.CheckpointTime
@@ -135,8 +142,8 @@
 	return request.Ran
 }
 
-// RequestMove asks for a task to be moved: "" if it may, and it is out from here on; else what
-// stands against it.
+// RequestMove asks all budgets of a task for a move. It returns "" if the move is granted, and counts
+// the task as interrupted from then on; otherwise it returns the reason.
 func (tracker *Tracker) RequestMove(now time.Duration, request MoveRequest) string {
 	tracker.expire(now)
 	for i := range tracker.budgets {
@@ -148,25 +155,26 @@
 		}
 	}
 	tracker.teamCounts(request.Spec.Team).Granted[request.Cause]++
-	tracker.moves[request.Task]++
-	tracker.outTasks[request.Task] = &outTask{spec: request.Spec, cause: request.Cause, lostRunTime: request.lostRunTime()}
+	tracker.moveCounts[request.Task]++
+	tracker.interruptions[request.Task] = &interruption{spec: request.Spec, cause: request.Cause, lostRunTime: request.lostRunTime()}
 	tracker.losses = append(tracker.losses, loss{now, request.Spec, request.Cause,
 		cpuSeconds(request.Spec, request.lostRunTime())})
 	return ""
 }
 
+// cpuSeconds is the CPU time that a task of the job uses in the duration.
 func cpuSeconds(spec *model.Spec, duration time.Duration) float64 {
 	return float64(spec.PerTask.CPU) / 1000 * duration.Seconds()
 }
 
-// refusalReason tells what a budget has against a move, "" if nothing.
+// refusalReason returns why a budget does not allow a move, "" if it does.
 func (tracker *Tracker) refusalReason(now time.Duration, b *Budget, request *MoveRequest) string {
 	name := tracker.budgetName(b)
 	if !tracker.Recovered {
 		return name + ": not all machines of earlier terms are accounted for"
 	}
-	if b.MaxMoves > 0 && tracker.moves[request.Task] >= b.MaxMoves {
-		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, tracker.moves[request.Task])
+	if b.MaxMoves > 0 && tracker.moveCounts[request.Task] >= b.MaxMoves {
+		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, tracker.moveCounts[request.Task])
 	}
 	if whole := request.Ran + request.Remaining; b.LastFraction > 0 &&
 		request.Remaining < time.Duration(b.LastFraction*float64(whole)) {
@@ -191,9 +199,10 @@
 	return ""
 }
 
+// cpus converts thousandths of a CPU to CPUs.
 func cpus(n int64) float64 { return float64(n) / 1000 }
 
-// taskLimit is how many may be out at once.
+// taskLimit returns how many tasks may be interrupted at once, and whether there is a limit.
 func (b *Budget) taskLimit(running int) (limit int, limited bool) {
 	if b.MaxShare > 0 {
 		limit, limited = max(1, int(b.MaxShare*float64(running))), true
@@ -204,21 +213,23 @@
 	return limit, limited
 }
 
+// budgetName names a budget in messages.
 func (tracker *Tracker) budgetName(b *Budget) string {
 	return "the budget of disruption of " + tracker.TeamName(b.Team)
 }
 
-// usage is what is out of a budget.
+// usage is what counts against a budget at present.
 type usage struct {
 	tasks, running int
 	cpu            int64
 	byCause        [NumCauses]int
-	firstRecovery  time.Duration // the first that is known to be back, 0: none is
+	firstRecovery  time.Duration // earliest recoveredAt of its tasks, 0: none is known
 }
 
+// usageOf returns what counts against a budget at present.
 func (tracker *Tracker) usageOf(b *Budget) usage {
 	var usage usage
-	for _, o := range tracker.outTasks {
+	for _, o := range tracker.interruptions {
 		if b.covers(o.spec) {
 			usage.tasks++
 			usage.cpu += o.spec.PerTask.CPU
@@ -240,7 +251,8 @@
 	return usage
 }
 
-// describe tells what is out, and why.
+// describe completes a message with the number of interrupted tasks by cause, and when the first of
+// them has recovered.
 func (u *usage) describe(now time.Duration, what string) string {
 	s := what + " out of work ("
 	first := true
@@ -261,8 +273,8 @@
 	return s
 }
 
-// lostCPUSeconds sums up what a budget's work lost in its window by our own doing, and when
-// the oldest of it is forgotten.
+// lostCPUSeconds returns the CPU time that a budget's tasks lost by voluntary moves in its window, and
+// when the oldest of these losses leaves the window.
 func (tracker *Tracker) lostCPUSeconds(now time.Duration, b *Budget) (cpuSeconds float64, expiresAt time.Duration) {
 	expiresAt = now
 	for i := len(tracker.losses) - 1; i >= 0; i-- {
@@ -274,7 +286,7 @@
 	return cpuSeconds, expiresAt
 }
 
-// HandleEvent takes what a shard tells of a job's task that is out of work, at work again, or done.
+// HandleEvent takes a shard's event about a task that is interrupted, runs again, or is finished.
 func (tracker *Tracker) HandleEvent(now time.Duration, event *model.Event, spec *model.Spec) {
 	switch event.Kind {
 	case model.TaskInterrupted:
@@ -290,44 +302,44 @@
 	}
 }
 
-// TaskStopped takes the news that a running task is out of work. What was drawn for stays
-// drawn; all else eats of the budget.
+// TaskStopped records that a running task is interrupted. If its move was granted it is counted
+// already; otherwise it counts as an involuntary disruption.
 func (tracker *Tracker) TaskStopped(task model.Task, spec *model.Spec, cause Cause, lost time.Duration) {
-	if o := tracker.outTasks[task]; o != nil {
-		o.recoveredAt = 0
-		o.lostRunTime = max(o.lostRunTime, lost)
+	if current := tracker.interruptions[task]; current != nil {
+		current.recoveredAt = 0
+		current.lostRunTime = max(current.lostRunTime, lost)
 		return
 	}
 	tracker.teamCounts(spec.Team).Involuntary[cause]++
-	tracker.outTasks[task] = &outTask{spec: spec, cause: cause, lostRunTime: lost}
+	tracker.interruptions[task] = &interruption{spec: spec, cause: cause, lostRunTime: lost}
 }
 
-// TaskResumed takes the news that a task is at work again: it is out until it has made up
-// for what it lost.
+// TaskResumed records that a task runs again. It counts as interrupted until it has repeated the run
+// time that it lost.
 func (tracker *Tracker) TaskResumed(now time.Duration, task model.Task) {
-	if o := tracker.outTasks[task]; o != nil && o.recoveredAt == 0 {
+	if o := tracker.interruptions[task]; o != nil && o.recoveredAt == 0 {
 		o.recoveredAt = now + o.lostRunTime
 	}
 }
 
-// TaskDone takes the news that a task is done.
+// TaskDone forgets a task that is done.
 func (tracker *Tracker) TaskDone(task model.Task) {
-	delete(tracker.outTasks, task)
-	delete(tracker.moves, task)
+	delete(tracker.interruptions, task)
+	delete(tracker.moveCounts, task)
 }
 
-// Prune forgets the tasks of jobs that are over.
+// Prune forgets the tasks of jobs that are no longer open.
 func (tracker *Tracker) Prune(open func(model.JobID) bool) {
 	over := func(t model.Task) bool { return !open(t.Job) }
-	maps.DeleteFunc(tracker.outTasks, func(t model.Task, _ *outTask) bool { return over(t) })
-	maps.DeleteFunc(tracker.moves, func(t model.Task, _ int) bool { return over(t) })
+	maps.DeleteFunc(tracker.interruptions, func(t model.Task, _ *interruption) bool { return over(t) })
+	maps.DeleteFunc(tracker.moveCounts, func(t model.Task, _ int) bool { return over(t) })
 }
 
-// expire gives back what has made up for what it lost, and forgets old losses.
+// expire forgets tasks that have made up for what they lost, and losses older than the longest window.
 func (tracker *Tracker) expire(now time.Duration) {
-	for t, o := range tracker.outTasks {
+	for t, o := range tracker.interruptions {
 		if o.recoveredAt > 0 && now >= o.recoveredAt {
-			delete(tracker.outTasks, t)
+			delete(tracker.interruptions, t)
 		}
 	}
 	var longest time.Duration
@@ -337,16 +349,16 @@
 	tracker.losses = slices.DeleteFunc(tracker.losses, func(l loss) bool { return now-l.at >= longest })
 }
 
-// Status of a budget, for people.
+// Status is the state of a budget, for operators.
 type Status struct {
 	Budget
-	Running, Tasks, TaskLimit int // MostTasks: -1: no bound
+	Running, Tasks, TaskLimit int // TaskLimit: -1: no limit
 	CPU                       int64
 	LostCPU                   float64
 	ByCause                   [NumCauses]int
 }
 
-// Status tells how all budgets stand.
+// Status returns the state of all budgets.
 func (tracker *Tracker) Status(now time.Duration) []Status {
 	tracker.expire(now)
 	out := make([]Status, 0, len(tracker.budgets))
--- a/internal/core/disruption/disruption_test.go
+++ b/internal/core/disruption/disruption_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	tracker.TaskDone(model.Task{Job: 7, Index: 1})
-	if len(tracker.outTasks) > 0 || len(tracker.moves) > 0 {
+	if len(tracker.interruptions) > 0 || len(tracker.moveCounts) > 0 {
 		t.Error("a task that is done is kept")
 	}
 }
@@ -109,7 +109,7 @@
 		t.Errorf("%q", reason)
 	}
 	tracker.Prune(func(model.JobID) bool { return false })
-	if len(tracker.outTasks) > 0 {
+	if len(tracker.interruptions) > 0 {
 		t.Error("tasks of a job that is over are kept")
 	}
 }
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -42,7 +42,7 @@
 	}
 	for _, j := range r.jobs {
 		if j.unfinished > 0 {
-			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, UnfinishedTasks: j.unfinished, RunningTasks: j.running})
+			v.Jobs = append(v.Jobs, drain.Job{Spec: j.Spec, UnfinishedTasks: j.unfinished, RunningTasks: j.runningTasks})
 		}
 	}
 	return v
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -40,7 +40,7 @@
 	*Job
 	unfinished      int     // tasks not done
 	undispatched    []int32 // tasks not given to the shard yet
-	running         int
+	runningTasks    int
 	price           float64
 	withinGuarantee bool
 	waitingSince    time.Duration // within its guarantee without room since, 0: it does not wait
@@ -66,7 +66,7 @@
 	nextMachineID  model.MachineID
 	repricedAt     time.Duration
 	loadedMachines int                            // machines of the snapshot brought in
-	runningTasks   map[model.JobID]map[int32]bool // tasks that run, while that is done
+	loadedTasks    map[model.JobID]map[int32]bool // tasks that run, while that is done
 
 	jobEnds        map[model.JobID]time.Duration
 	costs          map[model.JobID]cost
@@ -82,28 +82,28 @@
 
 func newRun(f *Forecast, plan StartPlan) *run {
 	s := f.snapshot
-	x := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
-		usage: make([]model.Resources, len(s.Teams)), runningTasks: map[model.JobID]map[int32]bool{},
+	r := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
+		usage: make([]model.Resources, len(s.Teams)), loadedTasks: map[model.JobID]map[int32]bool{},
 		patchedAt: map[model.MachineID]time.Duration{}, nextMachineID: 1 << 40,
 		jobEnds: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{},
 		guaranteeWaits: make([]time.Duration, len(s.Teams)),
 		simulation:     shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.params.Seed, uint64(f.runIndex))))}
 	for i := range s.Jobs {
 		j := &job{Job: &s.Jobs[i], unfinished: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
-		x.jobs = append(x.jobs, j)
-		x.byID[j.Spec.ID] = j
+		r.jobs = append(r.jobs, j)
+		r.byID[j.Spec.ID] = j
 		if !j.Spec.Daemon {
-			x.unfinishedJobs++
+			r.unfinishedJobs++
 		}
 	}
-	x.repriceJobs()
+	r.repriceJobs()
 	if plan != nil {
-		x.engine = drain.New(drain.Params{Term: 1, ReportInterval: f.params.Step, RetryInterval: 15 * time.Second,
+		r.engine = drain.New(drain.Params{Term: 1, ReportInterval: f.params.Step, RetryInterval: 15 * time.Second,
 			MaxMachines: len(s.Machines) + 1})
-		f.err = plan(x.engine, x.now, s.Wall)
-		x.done = f.err != nil
+		f.err = plan(r.engine, r.now, s.Wall)
+		r.done = f.err != nil
 	}
-	return x
+	return r
 }
 
 // machinesPerStep machines are brought in at a time: all 1,636 of the largest known
@@ -134,15 +134,15 @@
 	}
 	for _, t := range m.Tasks {
 		j := r.byID[t.Task.Job]
-		if j == nil || r.runningTasks[t.Task.Job][t.Task.Index] {
+		if j == nil || r.loadedTasks[t.Task.Job][t.Task.Index] {
 			continue
 		}
-		if r.runningTasks[t.Task.Job] == nil {
-			r.runningTasks[t.Task.Job] = map[int32]bool{}
+		if r.loadedTasks[t.Task.Job] == nil {
+			r.loadedTasks[t.Task.Job] = map[int32]bool{}
 		}
-		r.runningTasks[t.Task.Job][t.Task.Index] = true
+		r.loadedTasks[t.Task.Job][t.Task.Index] = true
 		b := r.simulation.AddRunning(r.now, m.ID, r.assignment(j, t.Task.Index, model.None), t.RunTime)
-		j.running++
+		j.runningTasks++
 		r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Add(j.Spec.PerTask)
 		remaining := r.totalRunTime(j, t.Task, t.RunTime) - t.RunTime
 		if t.Adopted { // it has run for some part of that already
@@ -156,15 +156,15 @@
 // queueWaiting lets the tasks wait that run nowhere.
 func (r *run) queueWaiting() {
 	for _, j := range r.jobs {
-		waiting := j.unfinished - len(r.runningTasks[j.Spec.ID])
+		waiting := j.unfinished - len(r.loadedTasks[j.Spec.ID])
 		for index := int32(0); waiting > 0; index++ {
-			if !r.runningTasks[j.Spec.ID][index] {
+			if !r.loadedTasks[j.Spec.ID][index] {
 				j.undispatched = append(j.undispatched, index)
 				waiting--
 			}
 		}
 	}
-	r.runningTasks = nil
+	r.loadedTasks = nil
 }
 
 func (r *run) assignment(j *job, index int32, zone model.Name) model.Assignment {
@@ -241,7 +241,7 @@
 		return
 	}
 	j.unfinished--
-	j.running--
+	j.runningTasks--
 	r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Sub(j.Spec.PerTask)
 	if j.unfinished == 0 {
 		r.jobEnds[j.Spec.ID] = e.endsAt - r.forecast.snapshot.Now
@@ -251,7 +251,7 @@
 
 func (r *run) taskStarted(b shard.StartedTask) {
 	j := r.byID[b.Task.Job]
-	j.running++
+	j.runningTasks++
 	remaining := r.totalRunTime(j, b.Task, 0) - j.saved[b.Task.Index]
 	r.scheduleCompletion(j, b, remaining)
 	if c, ok := r.costs[b.Task.Job]; ok && r.engine != nil && c.moved > 0 {
@@ -264,7 +264,7 @@
 // it saved by itself.
 func (r *run) taskStopped(s shard.StoppedTask, moved bool) {
 	j := r.byID[s.Task.Job]
-	j.running--
+	j.runningTasks--
 	ran := max(0, s.RunTime)
 	kept := time.Duration(0)
 	if cp := j.Spec.CheckpointInterval; cp > 0 {
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout judges machines that were replaced or patched by how tasks fare there,
-// against all other machines in the same time. It is a state machine of the leader's; its
-// evidence begins anew with each leader, so that a change of leader can only delay a
-// verdict.
+// Package rollout compares the machines that a plan has replaced or patched with all other machines,
+// by the run times and failures of the tasks on them in the same time. It is a state machine that runs
+// on the leader. Its evidence is not stored: each leader starts without any, so that a change of
+// leader can only delay a verdict.
 package rollout
 
 import (
@@ -12,53 +12,61 @@
 	"honeylock/internal/core/model"
 )
 
-// Gate says what the machines of a wave must show before the next one begins.
+// Gate says what the tasks on a wave's machines must show before the next wave starts.
 type Gate struct {
-	MinTasks         int     // that have ended on them, at least
-	MaxSlowdown      float64 // times as long as elsewhere, and surely so, closes it
-	MaxErrorIncrease float64 // so much larger a part of failures than elsewhere, and surely so, closes it
+	MinTasks         int     // tasks that must have ended on the machines
+	MaxSlowdown      float64 // ratio of run times here and elsewhere above which the gate closes, if it is significant
+	MaxErrorIncrease float64 // difference of the failed fractions here and elsewhere above which it closes, if significant
 }
 
-// minDeviations is how many standard deviations a difference must be away from chance: one in
-// 700 gates closes without a reason.
+// minDeviations is how many standard deviations a difference must have to be significant. About one in
+// 700 gates then closes by chance.
 const minDeviations = 3
 
-// logSums are of the logarithms of run times, as parts of their estimates.
+// logSums are the number, sum and sum of squares of the logarithms of run times, relative to their
+// estimates.
 type logSums struct{ n, sum, squares float64 }
 
+// add adds one value.
 func (s *logSums) add(x float64) { s.n++; s.sum += x; s.squares += x * x }
 
+// minus removes the values of other.
 func (s logSums) minus(other logSums) logSums {
 	return logSums{s.n - other.n, s.sum - other.sum, s.squares - other.squares}
 }
 
+// plus joins the values of both.
 func (s logSums) plus(other logSums) logSums {
 	return logSums{s.n + other.n, s.sum + other.sum, s.squares + other.squares}
 }
 
+// mean returns the mean of the values.
 func (s logSums) mean() float64 { return s.sum / s.n }
 
-// variance is that of single tasks; never quite 0, for a few alike tell little.
+// variance returns the variance of single values. It has a minimum, because a few equal values say
+// little about the spread.
 func (s logSums) variance() float64 {
 	return max(0.01, (s.squares-s.sum*s.sum/s.n)/max(1, s.n-1))
 }
 
+// record is the evidence from one machine or from several.
 type record struct {
-	done, failed float64
-	byClass      map[model.Name]*logSums // by class
+	done, failed float64                 // tasks that completed, tasks that failed
+	byClass      map[model.Name]*logSums // run times of completed tasks
 }
 
 // Evaluator is the state machine.
 type Evaluator struct {
 	machines map[model.MachineID]*record
-	all      record
+	all      record // of all machines
 }
 
-// New returns a book without evidence.
+// New returns an evaluator without evidence.
 func New() *Evaluator {
 	return &Evaluator{machines: map[model.MachineID]*record{}, all: record{byClass: map[model.Name]*logSums{}}}
 }
 
+// machineRecord returns the machine's record, and adds it if there is none.
 func (e *Evaluator) machineRecord(id model.MachineID) *record {
 	r := e.machines[id]
 	if r == nil {
@@ -68,7 +76,7 @@
 	return r
 }
 
-// AddCompleted takes a task that completed on a machine after so long.
+// AddCompleted records a task that completed on a machine after the run time.
 func (e *Evaluator) AddCompleted(id model.MachineID, class model.Name, estimate, runTime time.Duration) {
 	r := e.machineRecord(id)
 	r.done++
@@ -85,19 +93,20 @@
 	}
 }
 
-// AddFailed takes a task that failed on a machine.
+// AddFailed records a task that failed on a machine.
 func (e *Evaluator) AddFailed(id model.MachineID) {
 	e.machineRecord(id).failed++
 	e.all.failed++
 }
 
-// Verdict on a gate: open, closed with the reason, or neither, with what it waits for.
+// Verdict is the outcome of a gate: open, closed with a reason, or neither, with what it waits for.
 type Verdict struct {
 	Open, Closed bool
 	Reason       string
 }
 
-// Evaluate compares machines with all others.
+// Evaluate compares the machines with all others. Failures can close the gate before MinTasks tasks
+// have ended.
 func (e *Evaluator) Evaluate(gate Gate, ids []model.MachineID) Verdict {
 	waveRecord := record{byClass: map[model.Name]*logSums{}}
 	for _, id := range ids {
@@ -126,17 +135,18 @@
 	return Verdict{Open: true}
 }
 
-// errorRateReason compares the parts of tasks that failed.
+// errorRateReason compares the fractions of failed tasks, and returns why the gate closes, or "".
 func (e *Evaluator) errorRateReason(gate Gate, wave *record) string {
 	total, others := wave.done+wave.failed, e.all.done+e.all.failed-wave.done-wave.failed
 	if wave.failed < 3 {
-		return "" // a few say nothing
+		return "" // too few to be significant
 	}
 	waveRate, otherRate := wave.failed/total, 0.0
 	if others > 0 {
 		otherRate = (e.all.failed - wave.failed) / others
 	}
-	// As if one more had failed elsewhere: none at all would be sure of anything.
+	// One failure more than there were, because a rate of zero would have no variance and make any
+	// difference significant.
 	pooledRate := (e.all.failed + 1) / (total + others + 1)
 	deviations := (waveRate - otherRate) / math.Sqrt(pooledRate*(1-pooledRate)*(1/total+1/max(1, others)))
 	if waveRate-otherRate <= gate.MaxErrorIncrease || deviations < minDeviations {
@@ -146,7 +156,8 @@
 		100*waveRate, 100*otherRate)
 }
 
-// slowdownReason compares run times, class by class, weighted by the tasks on these machines.
+// slowdownReason compares the mean logarithms of run times class by class, weighted by the number of
+// tasks on the wave's machines, and returns why the gate closes, or "".
 func (e *Evaluator) slowdownReason(gate Gate, wave *record) string {
 	var tasks, diff, variance float64
 	for c, s := range wave.byClass {
