--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -60,7 +60,8 @@
 // Label returns the cause's label in metrics.
 func (c Cause) Label() string { return [...]string{"plan", "price", "evicted", "lost", "unsure"}[c] }
 
-// interruption is a task that is interrupted, or has not yet made up for the run time that it lost.
+// interruption is the state of a task that is interrupted, or has not yet made up for the run time that
+// it lost.
 type interruption struct {
 	spec        *model.Spec
 	cause       Cause
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -1,10 +1,10 @@
-// Package forecast tells what a drain plan would do to the jobs that are open. It
-// plays the cluster on from one snapshot, once without the plan and once with it,
-// several times over: placing, evicting and demoting is done by a shard's own code
-// (shard.Rehearsal), and the plan is carried out by the engine that would carry it
-// out (core/drain). Nothing of it acts.
+// Package forecast predicts what a drain plan would do to the jobs that are open. It simulates the
+// cluster from one snapshot several times, each time once without the plan and once with it.
+// Placement, eviction and demotion are done by a shard's own code (shard.Simulation), and the plan is
+// carried out by the engine that would carry it out in the cluster (package drain). A forecast changes
+// nothing outside the simulation.
 //
-// It knows no jobs to come, and rents nothing but what the plan rents.
+// It assumes no new jobs, and rents no machines except those that the plan rents.
 package forecast
 
 import (
@@ -19,21 +19,21 @@
 	"honeylock/internal/core/shard"
 )
 
-// Machine of a snapshot.
+// Machine is a machine in a snapshot.
 type Machine struct {
 	model.Machine
 	Usable bool // it may get tasks
 	Tasks  []model.PlacedTask
 }
 
-// Job of a snapshot.
+// Job is an open job in a snapshot.
 type Job struct {
 	Spec            *model.Spec
-	UnfinishedTasks int // tasks not done
-	Since           time.Duration
+	UnfinishedTasks int           // tasks not done
+	Since           time.Duration // when it began to wait
 }
 
-// Snapshot is the present that a forecast begins with.
+// Snapshot is the state of the cluster from which a forecast starts.
 type Snapshot struct {
 	Now           time.Duration
 	Wall          time.Time
@@ -42,36 +42,37 @@
 	Teams         []dispatcher.Team
 	RunTimeFactor func(class model.Name, quantile float64) float64
 	BootTime      func(machineType model.Name) time.Duration
-	JobName       func(model.JobID) string // for people
+	JobName       func(model.JobID) string // for messages
 	Shard         shard.Params
 }
 
-// Params of a forecast.
+// Params are the settings of a forecast.
 type Params struct {
-	Runs        int           // times that it is played, each with other luck
-	Step        time.Duration // decisions are made so often
-	MaxDuration time.Duration // nothing is played on for longer
-	PatchTime   time.Duration // a machine is patched in so long
+	Runs        int           // number of simulated runs, each with other random run times
+	Step        time.Duration // simulated time between decisions
+	MaxDuration time.Duration // simulated time after which a run stops
+	PatchTime   time.Duration // how long an operator takes to patch a machine
 	Seed        uint64
 }
 
-// StartPlan begins the plan in an engine of its own.
+// StartPlan applies the plan to the engine of a simulation.
 type StartPlan func(e *drain.Engine, now time.Duration, wall time.Time) error
 
-// Forecast is played on bit by bit, so that it holds nothing up.
+// Forecast is a forecast under way. It is computed in small steps, so that it does not block its
+// caller.
 type Forecast struct {
 	params         Params
 	snapshot       *Snapshot
 	startPlan      StartPlan
 	spec           *drain.Spec
-	runIndex       int
-	baseline       *run // of the present play, nil: not begun
-	withPlan       *run
-	ends           [][2]map[model.JobID]time.Duration // of each play: without and with
-	costs          []map[model.JobID]cost
-	durations      []time.Duration
-	unfinished     string
-	guaranteeWaits [][2][]time.Duration // of each play: the longest wait within guarantees, by team
+	runIndex       int                                // of the present run
+	baseline       *run                               // present run without the plan, nil: not started
+	withPlan       *run                               // present run with the plan, nil: not started
+	ends           [][2]map[model.JobID]time.Duration // of each run: when jobs ended without and with the plan
+	costs          []map[model.JobID]cost             // of each run: what the plan cost each job
+	durations      []time.Duration                    // of each run: how long the plan took
+	unfinished     string                             // what the plan waited for at the end of the last run
+	guaranteeWaits [][2][]time.Duration               // of each run: longest waits within guarantees by team, without and with the plan
 	err            error
 }
 
@@ -80,7 +81,7 @@
 	return &Forecast{params: p, snapshot: s, startPlan: plan, spec: spec}
 }
 
-// Advance plays on a little; true tells that the forecast is complete.
+// Advance computes one step, and returns true once the forecast is complete.
 func (f *Forecast) Advance() (done bool) {
 	switch {
 	case f.err != nil || f.runIndex >= f.params.Runs:
@@ -90,7 +91,7 @@
 	case !f.baseline.done:
 		f.baseline.step()
 	case f.withPlan == nil:
-		f.baseline.simulation = nil // its books are large
+		f.baseline.simulation = nil // frees its memory, which is large
 		f.withPlan = newRun(f, f.startPlan)
 	case !f.withPlan.done:
 		f.withPlan.step()
@@ -106,7 +107,7 @@
 	return f.err != nil || f.runIndex >= f.params.Runs
 }
 
-// Progress is how much has been played, 0 to 1.
+// Progress estimates how much of the forecast has been computed, from 0 to 1.
 func (f *Forecast) Progress() float64 {
 	fraction := 0.0
 	if f.baseline != nil {
@@ -118,50 +119,52 @@
 	return min(1, (float64(f.runIndex)+fraction)/float64(max(1, f.params.Runs)))
 }
 
-// Err is why the plan can't be played.
+// Err returns why the plan can't be simulated.
 func (f *Forecast) Err() error { return f.err }
 
-// randomQuantile is a number of 0 to 1 for a task in a play: the same without and with the
-// plan, so that they differ by the plan alone.
+// randomQuantile returns a random number from 0 to 1 for a task in the present run. It is the same
+// without and with the plan, so that the two differ by the plan alone.
 func (f *Forecast) randomQuantile(t model.Task) float64 {
 	rng := rand.New(rand.NewPCG(f.params.Seed+uint64(f.runIndex)*7919, uint64(t.Job)<<20^uint64(t.Index)))
 	return rng.Float64()
 }
 
-// cost is what a plan does to a job's tasks.
+// cost is what a plan costs a job's tasks.
 type cost struct {
-	moved         int
-	lost, refetch time.Duration
+	moved         int           // number of moves
+	lost, refetch time.Duration // run time lost, and time to fetch images again
 }
 
-// DelayedJob is a job that the plan delays.
+// DelayedJob is a job that the plan delays. Of its end and its delay it has the minimum, the median
+// and the maximum over all runs.
 type DelayedJob struct {
 	Spec           *model.Spec
-	End            [3]time.Duration // with the plan, from now: least, middle, most
+	End            [3]time.Duration // with the plan, from the start of the forecast
 	Delay          [3]time.Duration
 	Reason         string
-	MissesDeadline bool   // it would end past its deadline, and would not without the plan
-	Window         string // of the plan, that it would be pushed past; "": none
+	MissesDeadline bool   // it would end past its deadline with the plan, but not without
+	Window         string // window of the plan that it would miss; "": none
 	MovedTasks     int
 }
 
-// GuaranteeWait of a team that would not hold as it does.
+// GuaranteeWait is a team whose tasks would wait for capacity within its guarantee for much longer
+// with the plan than without.
 type GuaranteeWait struct {
 	Team          model.Name
-	Without, With time.Duration // the longest wait for room within it
+	Without, With time.Duration // longest wait for capacity
 }
 
-// Result of a forecast.
+// Result is the result of a forecast.
 type Result struct {
-	Delayed    []DelayedJob // the longest delay first
-	Duration   [3]time.Duration
-	Unfinished string // what the plan waits for at the end, if it does not end
+	Delayed    []DelayedJob     // by median delay, the longest first
+	Duration   [3]time.Duration // of the plan: minimum, median, maximum
+	Unfinished string           // what the plan waits for at the end; "": it ends
 	Guarantees []GuaranteeWait
-	Jobs       int
-	Runs       int
+	Jobs       int // number of open jobs
+	Runs       int // number of runs
 }
 
-// minMedianMax are the least, the middle and the most.
+// minMedianMax returns the minimum, median and maximum. It sorts its argument.
 func minMedianMax(durations []time.Duration) [3]time.Duration {
 	if len(durations) == 0 {
 		return [3]time.Duration{}
@@ -170,7 +173,7 @@
 	return [3]time.Duration{durations[0], durations[len(durations)/2], durations[len(durations)-1]}
 }
 
-// Result sums up what was played.
+// Result summarizes all runs.
 func (f *Forecast) Result() *Result {
 	out := &Result{Runs: len(f.ends), Jobs: len(f.snapshot.Jobs), Duration: minMedianMax(slices.Clone(f.durations)),
 		Unfinished: f.unfinished}
@@ -192,10 +195,11 @@
 	return out
 }
 
-// minDelay is the delay that a job counts as late from: less is luck.
+// minDelay is the shortest median delay for which a job counts as delayed. Shorter ones may be due to
+// chance.
 const minDelay = 2 * time.Second
 
-// delayOf sums up one job; false tells that the plan does not delay it.
+// delayOf summarizes a job's delays. It returns false if the plan does not delay the job.
 func (f *Forecast) delayOf(spec *model.Spec) (DelayedJob, bool) {
 	delayed := DelayedJob{Spec: spec}
 	var ends, delays []time.Duration
@@ -208,10 +212,10 @@
 		without, endsWithout := e[0][spec.ID]
 		with, endsWith := e[1][spec.ID]
 		if !endsWithout {
-			continue // nothing can be said
+			continue // it did not end without the plan, so there is nothing to compare
 		}
 		if !endsWith {
-			with = f.params.MaxDuration // it did not end while it was played
+			with = f.params.MaxDuration // it did not end within the simulated time
 		}
 		ends, delays = append(ends, with), append(delays, with-without)
 		c := f.costs[i][spec.ID]
@@ -236,7 +240,7 @@
 	return delayed, delayed.Delay[1] >= minDelay
 }
 
-// deadline of a job, from now; 0: none.
+// deadline returns the job's deadline, from the start of the forecast; 0: none.
 func (f *Forecast) deadline(spec *model.Spec) time.Duration {
 	if spec.Deadline == 0 {
 		return 0
@@ -244,10 +248,10 @@
 	return max(1, f.snapshot.sinceStart(time.UnixMilli(spec.SubmittedMS).Add(spec.Deadline)))
 }
 
-// sinceStart is how long after the snapshot a time of day is.
+// sinceStart returns how long after the snapshot a time of day is.
 func (s *Snapshot) sinceStart(t time.Time) time.Duration { return t.Sub(s.Wall) }
 
-// delayReason a job is late: what costs its tasks most.
+// delayReason returns what delays a job most.
 func (c cost) delayReason() string {
 	switch {
 	case c.moved == 0:
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -9,8 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// updateMachines brings up the machines that the plan has rented, and takes an
-// operator's word for those that are patched by now.
+// updateMachines adds rented machines that have come up, and reports patched machines to the engine as
+// an operator would.
 func (r *run) updateMachines() {
 	r.booting = slices.DeleteFunc(r.booting, func(b bootingMachine) bool {
 		if b.upAt > r.now {
@@ -26,7 +26,7 @@
 	}
 }
 
-// view is the played present, for the engine.
+// view returns the simulated state of the cluster for the engine.
 func (r *run) view() *drain.View {
 	s := r.forecast.snapshot
 	v := &drain.View{Now: r.now, Wall: s.Wall.Add(r.now - s.Now),
@@ -48,7 +48,8 @@
 	return v
 }
 
-// advancePlan lets the engine decide on the played present, and carries it out.
+// advancePlan lets the engine decide on the simulated state, and carries out its actions. Writes
+// always succeed at once.
 func (r *run) advancePlan() {
 	if r.planDuration > 0 {
 		return
@@ -71,6 +72,7 @@
 	}
 }
 
+// execute carries out an action in the simulation.
 func (r *run) execute(a drain.Action) {
 	switch a.Kind {
 	case drain.Cordon, drain.Uncordon:
@@ -99,7 +101,7 @@
 	}
 }
 
-// planBlocker is what a plan that does not end waits for.
+// planBlocker returns what a plan that does not end waits for.
 func (r *run) planBlocker() string {
 	if st := r.engine.Status(r.now, r.forecast.spec.Name); st != nil {
 		for _, t := range st.Steps {
@@ -111,8 +113,9 @@
 	return "it takes longer than was played"
 }
 
-// StepInterval is how often decisions are made in a forecast for so many machines: as
-// often as they are made in life, or less often where that takes long.
+// StepInterval returns the simulated time between decisions for a cluster of so many machines: as
+// often as a leader decides in small clusters, less often in large ones, where the forecast would take
+// too long.
 func StepInterval(machines int) time.Duration {
 	if machines <= 50 {
 		return 250 * time.Millisecond
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -13,13 +13,14 @@
 	"honeylock/internal/core/shard"
 )
 
-// completion is a task that completes then, if it has not been stopped before.
+// completion is the time at which an attempt of a task completes unless it is stopped before.
 type completion struct {
 	endsAt  time.Duration
 	task    model.Task
 	attempt uint64
 }
 
+// completionHeap implements heap.Interface, the earliest completion first.
 type completionHeap []completion
 
 func (h completionHeap) Len() int { return len(h) }
@@ -35,51 +36,53 @@
 	return x
 }
 
-// job while it is played.
+// job is a job in a simulated run.
 type job struct {
 	*Job
 	unfinished      int     // tasks not done
-	undispatched    []int32 // tasks not given to the shard yet
-	runningTasks    int
+	undispatched    []int32 // tasks not handed to the shard yet
+	runningTasks    int     // tasks on machines
 	price           float64
-	withinGuarantee bool
-	waitingSince    time.Duration // within its guarantee without room since, 0: it does not wait
-	zoneIndex       int           // of a job that spreads: the next
-	saved           map[int32]time.Duration
+	withinGuarantee bool                    // it fits into its team's guarantee
+	waitingSince    time.Duration           // since when it waits for capacity within its guarantee, 0: it does not
+	zoneIndex       int                     // offset of the zone last used, if its tasks are spread over zones
+	saved           map[int32]time.Duration // run time saved in checkpoints, by task index
 }
 
-// run is one play, without or with the plan.
+// run is one simulated run, without or with the plan.
 type run struct {
 	forecast       *Forecast
 	simulation     *shard.Simulation
 	engine         *drain.Engine // nil: without the plan
 	now            time.Duration
-	done           bool
+	done           bool // the run is over
 	jobs           []*job
 	byID           map[model.JobID]*job
-	unfinishedJobs int // jobs that will end
-	usage          []model.Resources
+	unfinishedJobs int               // jobs still to end; services never do
+	usage          []model.Resources // resources in use, by team
 	completions    completionHeap
-	zones          []model.Name
-	booting        []bootingMachine
-	patchedAt      map[model.MachineID]time.Duration
-	nextMachineID  model.MachineID
-	repricedAt     time.Duration
-	loadedMachines int                            // machines of the snapshot brought in
-	loadedTasks    map[model.JobID]map[int32]bool // tasks that run, while that is done
+	zones          []model.Name                      // of all machines
+	booting        []bootingMachine                  // rented machines that are not up yet
+	patchedAt      map[model.MachineID]time.Duration // when machines being patched will be patched
+	nextMachineID  model.MachineID                   // newest ID of a rented machine
+	repricedAt     time.Duration                     // when prices were last updated
+	loadedMachines int                               // number of the snapshot's machines loaded into the simulation
+	loadedTasks    map[model.JobID]map[int32]bool    // tasks that run at the start, while machines are loaded
 
-	jobEnds        map[model.JobID]time.Duration
+	jobEnds        map[model.JobID]time.Duration // when jobs ended, from the start of the forecast
 	costs          map[model.JobID]cost
-	guaranteeWaits []time.Duration
-	planDuration   time.Duration
-	blockedReason  string
+	guaranteeWaits []time.Duration // longest wait for capacity within the guarantee, by team
+	planDuration   time.Duration   // 0: the plan has not ended yet
+	blockedReason  string          // what the plan waited for at the end, if it did not end
 }
 
+// bootingMachine is a rented machine that comes up at upAt.
 type bootingMachine struct {
 	upAt    time.Duration
 	machine model.Machine
 }
 
+// newRun returns a run that starts from the snapshot. A nil plan means the run without the plan.
 func newRun(f *Forecast, plan StartPlan) *run {
 	s := f.snapshot
 	r := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
@@ -106,12 +109,12 @@
 	return r
 }
 
-// machinesPerStep machines are brought in at a time: all 1,636 of the largest known
-// deployment, with 40,000 tasks, take 100 ms.
+// machinesPerStep is how many machines of the snapshot one step loads. Loading all 1,636 machines of
+// the largest known deployment, with 40,000 tasks, takes 100 ms, which is too long for one step.
 const machinesPerStep = 200
 
-// loadMachines brings some of the snapshot's machines in, with what runs there; false
-// tells that all are.
+// loadMachines loads some of the snapshot's machines with their tasks. It returns false if all were
+// loaded before.
 func (r *run) loadMachines() bool {
 	all := r.forecast.snapshot.Machines
 	if r.loadedMachines == len(all) {
@@ -127,6 +130,8 @@
 	return true
 }
 
+// loadMachine adds a machine and its running tasks to the simulation. A task that is on two machines
+// counts only on the first.
 func (r *run) loadMachine(m *Machine) {
 	r.simulation.AddMachine(r.now, m.Machine, m.Usable)
 	if !slices.Contains(r.zones, m.Zone) {
@@ -145,7 +150,7 @@
 		j.runningTasks++
 		r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Add(j.Spec.PerTask)
 		remaining := r.totalRunTime(j, t.Task, t.RunTime) - t.RunTime
-		if t.Adopted { // it has run for some part of that already
+		if t.Adopted { // it had already run for an unknown part of that time when it was found
 			remaining = time.Duration(float64(remaining) * r.forecast.randomQuantile(model.Task{Job: ^t.Task.Job,
 				Index: t.Task.Index}))
 		}
@@ -153,7 +158,7 @@
 	}
 }
 
-// queueWaiting lets the tasks wait that run nowhere.
+// queueWaiting makes all unfinished tasks wait that run on no machine.
 func (r *run) queueWaiting() {
 	for _, j := range r.jobs {
 		waiting := j.unfinished - len(r.loadedTasks[j.Spec.ID])
@@ -167,13 +172,14 @@
 	r.loadedTasks = nil
 }
 
+// assignment returns the assignment of a task to the shard.
 func (r *run) assignment(j *job, index int32, zone model.Name) model.Assignment {
 	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: index}, Spec: j.Spec, Price: j.price, Zone: zone,
 		WaitingSince: j.Since}
 }
 
-// totalRunTime is a task's run time in this play; one that has run for long is known to
-// take longer.
+// totalRunTime returns a task's run time in this run. The quantile is raised for a task that has
+// already run for longer.
 func (r *run) totalRunTime(j *job, t model.Task, elapsed time.Duration) time.Duration {
 	quantile := r.forecast.randomQuantile(t)
 	for range 8 {
@@ -186,14 +192,15 @@
 	return elapsed + j.Spec.Estimate/20 + time.Millisecond
 }
 
-// scheduleCompletion lets a task that runs come to its end.
+// scheduleCompletion schedules the completion of a task that has started. Replicas of services never
+// complete.
 func (r *run) scheduleCompletion(j *job, b shard.StartedTask, remaining time.Duration) {
 	if !j.Spec.Daemon {
 		heap.Push(&r.completions, completion{r.now + b.FetchTime + max(remaining, time.Millisecond), b.Task, b.Attempt})
 	}
 }
 
-// step plays one step of time.
+// step simulates one step of time, or loads machines if some are left.
 func (r *run) step() {
 	if r.loadMachines() {
 		return
@@ -227,7 +234,7 @@
 	}
 }
 
-// progress is how much of this run is played, at a guess.
+// progress estimates the completed fraction of this run by the number of jobs that have ended.
 func (r *run) progress() float64 {
 	if r.done || len(r.jobs) == 0 {
 		return 1
@@ -235,6 +242,7 @@
 	return 1 - float64(r.unfinishedJobs)/float64(len(r.jobs)+1)
 }
 
+// completeTask finishes a task, unless it was stopped since the completion was scheduled.
 func (r *run) completeTask(e completion) {
 	j := r.byID[e.task.Job]
 	if j == nil || !r.simulation.FinishTask(r.now, e.task, e.attempt) {
@@ -249,6 +257,7 @@
 	}
 }
 
+// taskStarted schedules the completion of a started task, less the run time that it has saved.
 func (r *run) taskStarted(b shard.StartedTask) {
 	j := r.byID[b.Task.Job]
 	j.runningTasks++
@@ -260,8 +269,8 @@
 	}
 }
 
-// taskStopped keeps what a task has saved: all where it was given time to, else what
-// it saved by itself.
+// taskStopped keeps the progress that a stopped task with checkpoints has saved: all of it if the task
+// was moved, because it then saves before it stops; otherwise that of its last periodic checkpoint.
 func (r *run) taskStopped(s shard.StoppedTask, moved bool) {
 	j := r.byID[s.Task.Job]
 	j.runningTasks--
@@ -286,7 +295,7 @@
 	}
 }
 
-// repriceJobs tells which jobs fit into their team's guarantee.
+// repriceJobs updates which jobs fit into their team's guarantee, and their prices.
 func (r *run) repriceJobs() {
 	r.repricedAt = r.now
 	g := dispatcher.NewGuaranteeChecker(r.forecast.snapshot.Teams)
@@ -302,8 +311,8 @@
 	}
 }
 
-// dispatchAll gives the shard what teams' limits allow, the highest price times wait
-// first.
+// dispatchAll hands waiting tasks to the shard as far as teams' limits allow, in order of the jobs'
+// scores, the highest first.
 func (r *run) dispatchAll() {
 	var jobs []*job
 	for _, j := range r.jobs {
@@ -324,8 +333,8 @@
 	}
 }
 
-// nextZone is where a job whose tasks' zones depend on each other goes next: all to
-// one, or to all in turn.
+// nextZone returns the zone for a job's next task: one zone for all tasks, or each zone in turn, if
+// the job asks for either; otherwise none.
 func (r *run) nextZone(j *job) model.Name {
 	switch {
 	case len(r.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
@@ -336,7 +345,7 @@
 	return r.zones[(int(j.Spec.ID)+j.zoneIndex)%len(r.zones)]
 }
 
-// recordWaits notes for how long work within its guarantee has had no room.
+// recordWaits updates how long jobs within their team's guarantee have waited for capacity.
 func (r *run) recordWaits() {
 	waiting := r.simulation.WaitingJobs()
 	for _, j := range r.jobs {
