--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// advancePriceDrains returns the machines drained for their price that are empty, moves tasks off the
-// others, and forgets those that are gone.
+// advancePriceDrains advances the drains of machines that cost too much: empty machines are returned
+// to the cloud, tasks are moved off the others, and machines that are gone are forgotten.
 func (e *Engine) advancePriceDrains(v *View) {
 	for _, id := range sortedIDs(e.priceDrains) {
 		m, ok := v.Machines[id]
@@ -140,7 +140,8 @@
 }
 
 // startSteps starts waiting steps in the plan's order, as far as its waves, its concurrency limits and
-// the blockers of each machine allow.
+// the blockers of each machine allow. Steps in a zone that has reached MaxPerZone are skipped; anything
+// else that blocks a step also blocks the steps after it.
 func (e *Engine) startSteps(v *View, p *Plan) {
 	if p.Phase != Active {
 		return
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -68,11 +68,11 @@
 	runIndex       int                                // of the present run
 	baseline       *run                               // present run without the plan, nil: not started
 	withPlan       *run                               // present run with the plan, nil: not started
-	ends           [][2]map[model.JobID]time.Duration // of each run: when jobs ended without and with the plan
+	ends           [][2]map[model.JobID]time.Duration // of each run: when jobs ended, without and with the plan
 	costs          []map[model.JobID]cost             // of each run: what the plan cost each job
 	durations      []time.Duration                    // of each run: how long the plan took
 	unfinished     string                             // what the plan waited for at the end of the last run
-	guaranteeWaits [][2][]time.Duration               // of each run: longest waits within guarantees by team, without and with the plan
+	guaranteeWaits [][2][]time.Duration               // of each run: longest waits by team, without and with the plan
 	err            error
 }
 
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -19,9 +19,9 @@
 		r.simulation.AddMachine(r.now, b.machine, true)
 		return true
 	})
-	for id, at := range r.patchedAt {
+	for id, at := range r.patchDoneAt {
 		if r.now >= at && r.engine.Patched(r.now, r.forecast.spec.Name, id, "") == nil {
-			delete(r.patchedAt, id)
+			delete(r.patchDoneAt, id)
 		}
 	}
 }
@@ -62,8 +62,8 @@
 	}
 	if st := r.engine.Status(r.now, r.forecast.spec.Name); st != nil {
 		for _, t := range st.Steps {
-			if _, ok := r.patchedAt[t.Machine]; !ok && t.State == drain.Patching.String() {
-				r.patchedAt[t.Machine] = r.now + r.forecast.params.PatchTime
+			if _, ok := r.patchDoneAt[t.Machine]; !ok && t.State == drain.Patching.String() {
+				r.patchDoneAt[t.Machine] = r.now + r.forecast.params.PatchTime
 			}
 		}
 		if st.Phase != drain.Active && st.Phase != drain.Paused && r.engine.Idle() {
@@ -94,8 +94,8 @@
 		r.engine.MachineReturned(r.now, a.Machine, true)
 	case drain.Rent:
 		m := a.Template
-		r.nextMachineID++
-		m.ID = r.nextMachineID
+		r.lastMachineID++
+		m.ID = r.lastMachineID
 		r.booting = append(r.booting, bootingMachine{r.now + r.forecast.snapshot.BootTime(m.Type), m})
 		r.engine.MachineRented(r.now, a, []model.MachineID{m.ID}, false)
 	}
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -63,8 +63,8 @@
 	completions    completionHeap
 	zones          []model.Name                      // of all machines
 	booting        []bootingMachine                  // rented machines that are not up yet
-	patchedAt      map[model.MachineID]time.Duration // when machines being patched will be patched
-	nextMachineID  model.MachineID                   // newest ID of a rented machine
+	patchDoneAt    map[model.MachineID]time.Duration // when machines being patched will be patched
+	lastMachineID  model.MachineID                   // newest ID of a rented machine
 	repricedAt     time.Duration                     // when prices were last updated
 	loadedMachines int                               // number of the snapshot's machines loaded into the simulation
 	loadedTasks    map[model.JobID]map[int32]bool    // tasks that run at the start, while machines are loaded
@@ -87,7 +87,7 @@
 	s := f.snapshot
 	r := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
 		usage: make([]model.Resources, len(s.Teams)), loadedTasks: map[model.JobID]map[int32]bool{},
-		patchedAt: map[model.MachineID]time.Duration{}, nextMachineID: 1 << 40,
+		patchDoneAt: map[model.MachineID]time.Duration{}, lastMachineID: 1 << 40,
 		jobEnds: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{},
 		guaranteeWaits: make([]time.Duration, len(s.Teams)),
 		simulation:     shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.params.Seed, uint64(f.runIndex))))}
