--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -157,7 +157,8 @@
 	}
 	tracker.teamCounts(request.Spec.Team).Granted[request.Cause]++
 	tracker.moveCounts[request.Task]++
-	tracker.interruptions[request.Task] = &interruption{spec: request.Spec, cause: request.Cause, lostRunTime: request.lostRunTime()}
+	tracker.interruptions[request.Task] = &interruption{spec: request.Spec, cause: request.Cause,
+		lostRunTime: request.lostRunTime()}
 	tracker.losses = append(tracker.losses, loss{now, request.Spec, request.Cause,
 		cpuSeconds(request.Spec, request.lostRunTime())})
 	return ""
--- a/internal/core/drain/packed_test.go
+++ b/internal/core/drain/compression_test.go
@@ -9,8 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// A plan of 1,300 machines fits into 2 KiB in whatever states its steps are, any leader
-// reads it again, and what would not fit is refused with what it takes.
+// The record of a plan of 1,300 machines fits into 2 KiB in any combination of step states, and any
+// leader can read it. A larger plan is refused with its size.
 func TestLargePlanIsCompressed(t *testing.T) {
 	e := New(Params{Term: 1, MaxMachines: 9000, MaxRecordBytes: 2048})
 	spec := &Spec{Name: "patch"}
@@ -27,13 +27,13 @@
 		p.Steps[i].State = State(i * 7 % (int(Abandoned) + 1))
 	}
 	if w := e.Writes(1); len(w) != 1 || len(w[0].Value) < 2048 {
-		t.Fatalf("packed before all can read it: %d bytes", len(w[0].Value))
+		t.Fatalf("compressed before all controllers can read it: %d bytes", len(w[0].Value))
 	}
 	p.writingGeneration = 0
 	e.EnableCompression()
 	w := e.Writes(1)
 	if len(w) != 1 || len(w[0].Value) > 2048 {
-		t.Fatalf("%d bytes", len(w[0].Value))
+		t.Fatalf("a compressed record has %d bytes", len(w[0].Value))
 	}
 	next := New(Params{Term: 2, MaxMachines: 9000, MaxRecordBytes: 2048})
 	next.Load(0, StoredPlan{Name: "patch", Value: w[0].Value, Version: 7},
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -9,6 +9,7 @@
 	"honeylock/internal/core/model"
 )
 
+// threeMachines returns a harness with three machines in two zones. Violations fail the test.
 func threeMachines(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness()
@@ -23,17 +24,18 @@
 	return h
 }
 
+// wantStates checks the states of the plan's steps.
 func (h *harness) wantStates(t *testing.T, states ...State) {
 	t.Helper()
 	for i, s := range h.engine.plans["p"].Steps {
 		if s.State != states[i] {
-			t.Errorf("%v: machine %d is %v, want %v (held: %q)", h.now, s.Machine, s.State, states[i], h.blockedReason())
+			t.Errorf("%v: machine %d is %v, want %v (blocked: %q)", h.now, s.Machine, s.State, states[i], h.blockedReason())
 		}
 	}
 }
 
-// Work that runs is let finish, one machine after the other, and each is given
-// back once its owner says that nothing is there any more.
+// By default tasks run to their end. Machines are drained one after the other, and each is returned
+// only after its owner has listed no tasks since the cordon.
 func TestMachinesAreDrainedInOrder(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 7, Estimate: time.Minute}, 1)
@@ -45,20 +47,20 @@
 	h.finishJob(7)
 	h.ownersUnresponsive = true
 	h.ticks(20)
-	h.wantStates(t, Draining, Waiting) // its status says empty, but not since it was barred
+	h.wantStates(t, Draining, Waiting) // its status says empty, but no task list from after the cordon does
 	h.ownersUnresponsive = false
 	h.ticks(40)
 	h.wantStates(t, Finished, Finished)
 	if p := h.engine.plans["p"]; p.Phase != Done || h.returned[1] != 1 || h.returned[2] != 1 || len(h.recalled) != 0 {
-		t.Errorf("%v, given back %v, moved %v", p.Phase, h.returned, h.recalled)
+		t.Errorf("%v, returned %v, moved %v", p.Phase, h.returned, h.recalled)
 	}
 	if !h.engine.Idle() {
-		t.Error("it is not idle")
+		t.Error("the engine is not idle after the plan is done")
 	}
 }
 
-// What a plan moves goes only where there is room, and what can't save stays
-// unless the plan says so.
+// Tasks move only if they fit elsewhere. Tasks without checkpoints stay, unless a rule of the plan
+// moves them.
 func TestPlanRulesDecideWhichTasksMove(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 1, Class: 1, CheckpointInterval: time.Second}, 1)
@@ -73,7 +75,7 @@
 	h.ticks(8)
 	if len(h.recalled) != 1 || h.recalled[0].Job != 1 ||
 		!strings.Contains(h.blockedReason(), "no room elsewhere for job-000003") {
-		t.Fatalf("moved %v, held: %q", h.recalled, h.blockedReason())
+		t.Fatalf("moved %v, blocked: %q", h.recalled, h.blockedReason())
 	}
 	h.finishJob(4)
 	h.ticks(8)
@@ -86,17 +88,17 @@
 	h.wantStates(t, Finished)
 }
 
-// A replica moves only while all run, and never two of a service at a time.
+// A service's replicas move one at a time, and only while all of them run.
 func TestReplicasMoveOneAtATime(t *testing.T) {
 	h := threeMachines(t)
 	j := h.addJob(model.Spec{ID: 1, Daemon: true}, 1, 1, 2)
 	if err := h.apply(Spec{Machines: []model.MachineID{1, 2}, MaxConcurrent: 2}); err != nil {
 		t.Fatal(err)
 	}
-	j.RunningTasks = 2 // one is on its way
+	j.RunningTasks = 2 // one replica is starting elsewhere
 	h.ticks(20)
 	if len(h.recalled) != 0 || !strings.Contains(h.blockedReason(), "one at a time") {
-		t.Fatalf("moved %v, held: %q", h.recalled, h.blockedReason())
+		t.Fatalf("moved %v, blocked: %q", h.recalled, h.blockedReason())
 	}
 	j.RunningTasks = 3
 	for last := 0; len(h.recalled) < 3 && h.now < 5*time.Minute; {
@@ -111,9 +113,9 @@
 	h.wantStates(t, Finished, Finished)
 }
 
-// Each reason holds a plan, and goes away by itself.
+// Each reason blocks a step, and the step goes on by itself once the reason is gone.
 func TestStepIsBlockedUntilTheReasonIsGone(t *testing.T) {
-	noon := func(h *harness, d time.Duration) Window {
+	window := func(h *harness, d time.Duration) Window {
 		at := h.wall.Add(d)
 		return Window{Classes: []model.Name{5}, Clock: time.Duration(at.Hour())*time.Hour +
 			time.Duration(at.Minute())*time.Minute,
@@ -124,21 +126,21 @@
 		reason  string
 		release func(h *harness)
 	}{
-		"a batch that would miss its window": {func(h *harness) Spec {
+		"a job that would miss its window": {func(h *harness) Spec {
 			h.addJob(model.Spec{ID: 9, Class: 5, Estimate: 8 * time.Minute}, 1)
 			h.machines[1].tasks[0].RunTime = 7 * time.Minute
-			return Spec{Default: Move, Windows: []Window{noon(h, 10*time.Minute)}}
+			return Spec{Default: Move, Windows: []Window{window(h, 10*time.Minute)}}
 		}, "job-000009 would end at", func(h *harness) { h.finishJob(9) }},
-		"a batch that would miss its deadline": {func(h *harness) Spec {
+		"a job that would miss its deadline": {func(h *harness) Spec {
 			h.addJob(model.Spec{ID: 9, Class: 5, Estimate: 8 * time.Minute, Deadline: 10 * time.Minute}, 1)
 			h.machines[1].tasks[0].RunTime = 7 * time.Minute
 			return Spec{Default: Move, Windows: []Window{{Deadline: true, Name: "its deadline"}}}
 		}, "job-000009 would end at", func(h *harness) { h.finishJob(9) }},
-		"waiting tasks that need the machine's room": {func(h *harness) Spec {
+		"waiting tasks that need the machine's capacity": {func(h *harness) Spec {
 			h.addJob(model.Spec{ID: 9, Class: 5, Estimate: 4 * time.Minute}, 1).UnfinishedTasks = 13
-			return Spec{Windows: []Window{noon(h, 8*time.Minute)}}
+			return Spec{Windows: []Window{window(h, 8*time.Minute)}}
 		}, "job-000009 has 12 tasks waiting", func(h *harness) { h.finishJob(9) }},
-		"a floor of room": {func(h *harness) Spec {
+		"not enough free capacity": {func(h *harness) Spec {
 			h.addJob(model.Spec{ID: 8}, 2, 2, 2, 2, 3, 3, 3, 3)
 			return Spec{FreeCapacityFloor: 1}
 		}, "the floor of teams' guarantees", func(h *harness) { h.finishJob(8) }},
@@ -169,7 +171,7 @@
 			}
 			h.wantStates(t, Waiting)
 			if !strings.Contains(h.blockedReason(), c.reason) {
-				t.Fatalf("held: %q, want %q", h.blockedReason(), c.reason)
+				t.Fatalf("blocked: %q, want %q", h.blockedReason(), c.reason)
 			}
 			c.release(h)
 			h.ticks(30)
@@ -178,8 +180,7 @@
 	}
 }
 
-// All machines of one type named at once: as long as a job needs one of them, one
-// stays.
+// A plan that has all machines of a type leaves one of them as long as a job needs the type.
 func TestLastMachineOfNeededTypeIsNotDrained(t *testing.T) {
 	h := threeMachines(t)
 	for _, m := range h.machines {
@@ -196,8 +197,9 @@
 	h.wantStates(t, Finished, Finished, Finished)
 }
 
-// A replacement comes first; one that never comes up is replaced, a refusal is
-// asked for again, and no leader rents twice for a step.
+// With RentFirst a replacement is rented before the machine is drained. A refused rental is repeated,
+// a replacement that does not come up is replaced, and a new leader rents no second machine for the
+// same step.
 func TestReplacementIsRentedFirstAndOnlyOnce(t *testing.T) {
 	h := threeMachines(t)
 	h.cloudRefuses = true
@@ -206,18 +208,18 @@
 	}
 	h.ticks(6)
 	if h.wantStates(t, Renting); !strings.Contains(h.blockedReason(), "the cloud has no machine") {
-		t.Errorf("held: %q", h.blockedReason())
+		t.Errorf("blocked: %q", h.blockedReason())
 	}
 	h.cloudRefuses = false
 	h.ticks(7)
-	h.startLeader() // the answer is with the leader that is gone
+	h.startLeader() // the rental's answer went to the previous leader
 	h.ticks(2)
 	if len(h.rented) != 1 {
 		t.Errorf("rented %v for one step", h.rented)
 	}
 	for id := range h.machines {
 		if id > 1000 {
-			h.machines[id].bootTicks = 1000 // it never comes up
+			h.machines[id].bootTicks = 1000 // the replacement does not come up
 		}
 	}
 	h.ticks(40)
@@ -229,8 +231,8 @@
 	}
 }
 
-// A replacement was drained for its price before the machine that it stands for was drained,
-// and again by a leader that had not been told of it.
+// A plan's replacement must not be drained for its price while the plan needs it, neither before its
+// machine is drained nor by a new leader that does not know yet that the plan rented it.
 func TestReplacementsAreNotDrainedForPrice(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 1}, 1)
@@ -241,20 +243,20 @@
 	h.wantStates(t, Renting)
 	replacement := h.replacement(t)
 	h.startLeader()
-	h.engine.DrainForPrice([]model.MachineID{replacement}) // this leader has not been told whose it is
+	h.engine.DrainForPrice([]model.MachineID{replacement}) // this leader does not know yet that the plan rented it
 	h.ticks(4)
 	if m := h.machines[replacement]; m == nil || m.cordoned {
-		t.Errorf("after a change of leader: the replacement is drained or given back: %+v", m)
+		t.Errorf("after a change of leader: the replacement is drained or returned: %+v", m)
 	}
 	check := func(when string) {
 		t.Helper()
 		h.engine.DrainForPrice([]model.MachineID{replacement})
 		h.ticks(4)
 		if m := h.machines[replacement]; m == nil || m.cordoned {
-			t.Errorf("%s: the replacement is drained or given back: %+v", when, m)
+			t.Errorf("%s: the replacement is drained or returned: %+v", when, m)
 		}
 		if _, wanted := h.engine.MachinePlans()(replacement); !wanted {
-			t.Errorf("%s: the replacement is not wanted by its plan", when)
+			t.Errorf("%s: the replacement does not belong to its plan", when)
 		}
 	}
 	check("while its machine is drained")
@@ -264,41 +266,41 @@
 	h.ticks(20)
 	h.wantStates(t, Finished)
 	if _, wanted := h.engine.MachinePlans()(replacement); wanted {
-		t.Error("the replacement is wanted by a plan that is done")
+		t.Error("the replacement belongs to a plan that is done")
 	}
 	h.engine.DrainForPrice([]model.MachineID{replacement})
 	h.ticks(10)
 	if h.returned[replacement] != 1 {
-		t.Errorf("given back %v: a replacement is like any other once its plan is done", h.returned)
+		t.Errorf("returned %v: after its plan is done, a replacement can be drained for its price", h.returned)
 	}
 }
 
-// Patched in place, a machine keeps its name, and is wanted again on an operator's
-// word.
+// A machine that is patched in place keeps its ID, and becomes usable again when an operator reports
+// it as patched.
 func TestPatchedMachinesAreUncordoned(t *testing.T) {
 	h := threeMachines(t)
 	if err := h.apply(Spec{Machines: []model.MachineID{1, 2}, After: Patch}); err != nil {
 		t.Fatal(err)
 	}
 	if h.engine.Patched(h.now, "p", 1, "m-1") == nil {
-		t.Error("a machine that waits was called patched")
+		t.Error("a machine that still waits was accepted as patched")
 	}
 	h.ticks(10)
 	h.wantStates(t, Patching, Waiting)
 	for range 2 {
 		if err := h.engine.Patched(h.now, "p", 1, "m-1"); err != nil {
-			t.Error("not taken, or not twice:", err)
+			t.Error("the report was refused, or its repetition was:", err)
 		}
 	}
 	h.ticks(1)
 	h.ticks(10)
 	h.wantStates(t, Finished, Patching)
 	if h.machines[1].cordoned || !h.machines[2].cordoned || len(h.returned) != 0 {
-		t.Error("the wrong machine gets tasks, or one was given back")
+		t.Error("the wrong machine is cordoned, or one was returned")
 	}
 }
 
-// Paused, cancelled and overdue plans: what can be undone is.
+// Plans can be paused, cancelled and overdue at any time. Steps that can be undone are.
 func TestPauseCancelAndLatestEnd(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 1}, 1)
@@ -325,9 +327,9 @@
 	}
 	h.ticks(4)
 	if h.wantStates(t, Abandoned, Abandoned); h.machines[1].cordoned || h.engine.Resume("p") == nil {
-		t.Error("a cancelled plan goes on")
+		t.Error("a cancelled plan continues or can be resumed")
 	}
-	// The name is free again; nothing begins after the latest end.
+	// The name can be used again. No step starts after the latest end.
 	if err := h.apply(Spec{Machines: []model.MachineID{2, 3}, After: Patch,
 		LatestEnd: h.wall.Add(h.now + 4*time.Second)}); err != nil {
 		t.Fatal(err)
@@ -338,8 +340,8 @@
 	}
 }
 
-// A machine that a new leader finds in use while it was being given back is
-// drained anew; of a plan that was cancelled meanwhile, it is let go.
+// A new leader finds tasks on a machine that was being returned. The machine is drained again, or
+// abandoned if its plan was cancelled meanwhile.
 func TestReturnIsUndoneWhenTasksWerePlaced(t *testing.T) {
 	for cancelled, want := range map[bool]State{false: Draining, true: Abandoned} {
 		h := threeMachines(t)
@@ -357,16 +359,18 @@
 				h.write(w)
 			}
 		}
-		h.addJob(model.Spec{ID: 1}, 1) // placed before the new leader had read the plan
+		h.addJob(model.Spec{ID: 1}, 1) // placed before the new leader read the plan
 		h.startLeader()
 		h.ticks(4)
 		h.wantStates(t, want)
 		if h.returned[1] != 0 || h.machines[1].cordoned != (want == Draining) {
-			t.Errorf("given back %v, barred %v", h.returned, h.machines[1].cordoned)
+			t.Errorf("returned %v, cordoned %v", h.returned, h.machines[1].cordoned)
 		}
 	}
 }
 
+// Plans without machines, with too many, or with machines of another plan are refused, and a record of
+// a newer release is not changed.
 func TestInvalidPlansAreRefused(t *testing.T) {
 	h := threeMachines(t)
 	for want, s := range map[string]Spec{
@@ -385,19 +389,20 @@
 	if err == nil || !strings.Contains(err.Error(), `m-1 is wanted by plan "p" and by "q"`) {
 		t.Error(err)
 	}
-	// What a newer release wrote is left alone, and told.
+	// A record that a newer release wrote is left alone, and the status says so.
 	h.engine.Load(0, StoredPlan{Name: "z", Value: []byte(`{"v":3}`), Version: 9}, nil)
 	if st := h.engine.Status(0, "z"); !strings.Contains(st.Note, "newer release") || h.engine.Cancel(0, "z") == nil {
 		t.Errorf("%+v", st)
 	}
 	h.ticks(10)
 	if _, ok := h.stored["z"]; ok {
-		t.Error("it was written over")
+		t.Error("the record of a newer release was overwritten")
 	}
 }
 
-// A dear machine waited for its longest task: what saves and would hold it for long
-// moves where there is room; what can't save, is urgent, or ends soon stays.
+// A machine drained for its price must not wait for its longest task. Tasks with checkpoints that
+// would run for long move if they fit elsewhere. Tasks without checkpoints, urgent ones and those that
+// end soon stay.
 func TestTasksMoveOffExpensiveMachines(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 1, CheckpointInterval: time.Second, Estimate: 10 * time.Minute}, 1)
@@ -415,12 +420,12 @@
 	full.engine.DrainForPrice([]model.MachineID{1})
 	full.ticks(10)
 	if len(full.recalled) != 0 {
-		t.Errorf("moved %v to where no room is", full.recalled)
+		t.Errorf("moved %v though no machine has capacity", full.recalled)
 	}
 }
 
-// Dear machines use the same engine: they get no tasks, whoever owns them, and go
-// once they are empty; wanted again, they stay.
+// Machines drained for their price are cordoned, and returned once they are empty. After the drain is
+// cancelled they stay.
 func TestPriceDrainsCanBeCancelled(t *testing.T) {
 	h := threeMachines(t)
 	h.addJob(model.Spec{ID: 1}, 1)
@@ -428,12 +433,12 @@
 	h.engine.CancelPriceDrain([]model.MachineID{3})
 	h.ticks(10)
 	if !h.machines[1].cordoned || h.returned[2] != 1 || h.machines[3].cordoned {
-		t.Errorf("given back %v", h.returned)
+		t.Errorf("returned %v", h.returned)
 	}
 	h.engine.CancelPriceDrain([]model.MachineID{1})
 	h.finishJob(1)
 	h.ticks(10)
 	if h.machines[1] == nil || h.machines[1].cordoned || !h.engine.Idle() {
-		t.Error("a machine that is wanted again is drained still")
+		t.Error("a machine is still drained after the drain was cancelled")
 	}
 }
--- a/internal/core/drain/harness_test.go
+++ b/internal/core/drain/harness_test.go
@@ -12,8 +12,8 @@
 	"honeylock/internal/wire"
 )
 
-// harness is a scripted cluster round an engine: machines with tasks, a store that
-// may lose answers, and a cloud that may refuse.
+// harness runs an engine against a simulated cluster: machines with tasks, a store that may lose
+// answers, and a cloud that may refuse requests.
 type harness struct {
 	engine             *Engine
 	now                time.Duration
@@ -21,12 +21,12 @@
 	term               uint64
 	machines           map[model.MachineID]*harnessMachine
 	jobs               map[model.JobID]*Job
-	stored             map[string]StoredPlan // the store
+	stored             map[string]StoredPlan // the store's records
 	rev                uint64
 	spec               *Spec
-	storeLosesAnswers  bool // the store's answers are lost, though it writes
-	ownersUnresponsive bool // owners do not tell what runs on their machines
-	cloudRefuses       bool // the cloud has nothing, and takes nothing back
+	storeLosesAnswers  bool // writes take effect, but their answers are lost
+	ownersUnresponsive bool // owners don't answer ListTasks
+	cloudRefuses       bool // the cloud rents no machines and takes none back
 	rented             map[string]model.MachineID
 	returned           map[model.MachineID]int
 	recalled           []model.Task
@@ -35,17 +35,19 @@
 	evaluateGate       func(rollout.Gate, []model.MachineID) rollout.Verdict
 }
 
+// harnessMachine is a machine of the simulated cluster.
 type harnessMachine struct {
 	model.Machine
 	cordoned   bool
 	tasks      []model.PlacedTask
 	bootTicks  int // ticks until it is up
 	knownSince time.Duration
-	unreported bool // its owner does not tell how it is
+	unreported bool // its owner does not report its state
 }
 
 const gb = 1000
 
+// newHarness returns a harness with a leader and without machines.
 func newHarness() *harness {
 	h := &harness{wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), machines: map[model.MachineID]*harnessMachine{},
 		jobs:   map[model.JobID]*Job{},
@@ -54,12 +56,12 @@
 	return h
 }
 
-// startLeader begins a term with what is stored.
+// startLeader starts a new term with an engine that loads the stored plans.
 func (h *harness) startLeader() {
 	h.term++
 	h.engine = New(Params{Term: h.term, ReportInterval: time.Second, RetryInterval: 5 * time.Second, MaxMachines: 100})
 	for _, m := range h.machines {
-		m.cordoned = false // another leader, other books
+		m.cordoned = false // the new leader starts without knowing any cordons
 	}
 	for _, s := range h.stored {
 		h.engine.Load(h.now, s, func([]byte) (*Spec, error) { c := *h.spec; c.Machines = nil; return &c, nil })
@@ -69,6 +71,7 @@
 	}
 }
 
+// addMachine adds a machine with 8 CPUs.
 func (h *harness) addMachine(id model.MachineID, zone model.Name) *harnessMachine {
 	m := &harnessMachine{Machine: model.Machine{ID: id, Zone: zone, Cap: model.Resources{CPU: 8000, Mem: 32 * gb}},
 		knownSince: h.now}
@@ -76,7 +79,7 @@
 	return m
 }
 
-// addJob adds one with a task of 2 CPUs on each of the machines.
+// addJob adds a job with a running task of 2 CPUs on each of the machines.
 func (h *harness) addJob(spec model.Spec, on ...model.MachineID) *Job {
 	spec.PerTask, spec.Tasks = model.Resources{CPU: 2000, Mem: gb}, int32(len(on))
 	spec.Zone = model.None
@@ -92,6 +95,7 @@
 	return j
 }
 
+// free returns the resources that no task uses.
 func (m *harnessMachine) free(h *harness) model.Resources {
 	f := m.Cap
 	for _, t := range m.tasks {
@@ -100,6 +104,7 @@
 	return f
 }
 
+// view returns the state of the simulated cluster for the engine.
 func (h *harness) view() *View {
 	v := &View{Now: h.now, Wall: h.wall.Add(h.now), Machines: map[model.MachineID]Machine{}, Recovered: true,
 		RunTimeFactor: func(_ model.Name, part float64) float64 {
@@ -119,7 +124,7 @@
 	return v
 }
 
-// replacement is the only machine that was rented.
+// replacement returns the only machine that was rented.
 func (h *harness) replacement(t *testing.T) model.MachineID {
 	t.Helper()
 	if len(h.rented) != 1 {
@@ -131,7 +136,7 @@
 	return 0
 }
 
-// tick lets half a second go by.
+// tick advances time by half a second, and carries out the engine's actions and writes.
 func (h *harness) tick() {
 	h.now += 500 * time.Millisecond
 	for _, m := range h.machines {
@@ -148,12 +153,14 @@
 	}
 }
 
+// ticks calls tick n times.
 func (h *harness) ticks(n int) {
 	for range n {
 		h.tick()
 	}
 }
 
+// write applies a write to the store if the version matches.
 func (h *harness) write(w Write) {
 	if s := h.stored[w.Name]; s.Version != w.Version {
 		h.engine.WriteDone(w, 0, false, true, s.Version)
@@ -172,7 +179,7 @@
 	h.engine.WriteDone(w, h.rev, true, false, 0)
 }
 
-// state is what the store says of a machine's step.
+// state returns the stored state of a machine's step, 255 if there is none.
 func (h *harness) state(plan string, id model.MachineID) State {
 	var rec record
 	_ = json.Unmarshal(h.stored[plan].Value, &rec)
@@ -188,18 +195,19 @@
 	return 255
 }
 
+// recordViolation records that the engine has broken an invariant.
 func (h *harness) recordViolation(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, args...))
 }
 
-// carryOut carries an action out and checks that its conditions hold.
+// carryOut carries out an action and checks that its preconditions hold.
 func (h *harness) carryOut(a Action) {
 	m := h.machines[a.Machine]
 	planned := h.spec != nil && slices.Contains(h.spec.Machines, a.Machine)
 	switch a.Kind {
 	case Cordon:
 		if s := h.state("p", a.Machine); planned && !s.isCordoned() {
-			h.recordViolation("machine %d is drained while it is stored as %v", a.Machine, s)
+			h.recordViolation("machine %d is cordoned while its step is stored as %v", a.Machine, s)
 		}
 		if m != nil {
 			m.cordoned = true
@@ -239,12 +247,14 @@
 	}
 }
 
+// returnMachine removes a machine, unless the cloud refuses. It must be empty, cordoned and stored as
+// Returning.
 func (h *harness) returnMachine(a Action, m *harnessMachine, planned bool) {
 	if m != nil && (len(m.tasks) > 0 || !m.cordoned) {
-		h.recordViolation("machine %d is given back with %d tasks, barred: %v", a.Machine, len(m.tasks), m.cordoned)
+		h.recordViolation("machine %d is returned with %d tasks, cordoned: %v", a.Machine, len(m.tasks), m.cordoned)
 	}
 	if planned && h.state("p", a.Machine) != Returning {
-		h.recordViolation("machine %d is given back while it is stored as %v", a.Machine, h.state("p", a.Machine))
+		h.recordViolation("machine %d is returned while its step is stored as %v", a.Machine, h.state("p", a.Machine))
 	}
 	if !h.cloudRefuses {
 		h.returned[a.Machine]++
@@ -253,7 +263,7 @@
 	h.engine.MachineReturned(h.now, a.Machine, !h.cloudRefuses)
 }
 
-// moveTask stops a task here and places it where there is room, if there is any.
+// moveTask stops a task and starts it on the first other machine where it fits, if there is one.
 func (h *harness) moveTask(from model.MachineID, t model.Task) {
 	m := h.machines[from]
 	i := slices.IndexFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task == t })
@@ -272,6 +282,7 @@
 	j.RunningTasks--
 }
 
+// ids returns the machines' IDs in ascending order.
 func (h *harness) ids() []model.MachineID {
 	out := map[model.MachineID]bool{}
 	for id := range h.machines {
@@ -280,7 +291,7 @@
 	return sortedIDs(out)
 }
 
-// finishJob ends a job's tasks.
+// finishJob ends all tasks of a job.
 func (h *harness) finishJob(id model.JobID) {
 	for _, m := range h.machines {
 		m.tasks = slices.DeleteFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task.Job == id })
@@ -288,7 +299,7 @@
 	delete(h.jobs, id)
 }
 
-// loseMachine lets a machine stop with all that is on it.
+// loseMachine removes a machine with all tasks on it.
 func (h *harness) loseMachine(id model.MachineID) {
 	if m := h.machines[id]; m != nil {
 		for _, t := range m.tasks {
@@ -300,6 +311,7 @@
 	}
 }
 
+// apply checks and applies a plan named p.
 func (h *harness) apply(s Spec) error {
 	s.Name = "p"
 	if s.MaxConcurrent == 0 {
@@ -313,9 +325,10 @@
 	return nil
 }
 
-// blockedReason is what the plan waits for.
+// blockedReason returns what the plan waits for.
 func (h *harness) blockedReason() string { return h.engine.Status(h.now, "p").firstBlockedReason() }
 
+// firstBlockedReason returns the reason of the first blocked step.
 func (s *Status) firstBlockedReason() string {
 	for _, t := range s.Steps {
 		if t.BlockedReason != "" {
--- a/internal/core/drain/property_test.go
+++ b/internal/core/drain/property_test.go
@@ -10,12 +10,11 @@
 	"honeylock/internal/core/model"
 )
 
-// TestPlanEndsAfterAnyInterleavingOfFaults plays plans against random days: leaders that are
-// lost between any two steps, a store whose answers get lost, owners that say
-// nothing, a cloud that refuses, machines that stop, operators that pause and
-// cancel. No step is taken without its conditions (the rig checks each action),
-// no more machines are under way than allowed, none is given back twice, and once
-// the troubles end every plan does.
+// TestPlanEndsAfterAnyInterleavingOfFaults runs plans with random faults: leaders lost between any two
+// steps, writes whose answers are lost, owners that do not answer, a cloud that refuses, machines that
+// fail, and operators that pause and cancel. The harness checks the preconditions of each action. No
+// more machines may be under way than allowed, and none may be returned twice. Once the faults are
+// over, every plan must end.
 func TestPlanEndsAfterAnyInterleavingOfFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
@@ -27,10 +26,11 @@
 				ids = append(ids, model.MachineID(id+1))
 			}
 		}
-		h.addMachine(99, 0) // where everything fits in the end
+		h.addMachine(99, 0) // large enough for all tasks
 		h.machines[99].Cap = model.Resources{CPU: 1 << 30, Mem: 1 << 30}
 		for j := range rapid.IntRange(0, 6).Draw(t, "jobs") {
-			spec := model.Spec{ID: model.JobID(j + 1), Estimate: time.Minute, Daemon: rapid.IntRange(0, 4).Draw(t, "daemon") == 0}
+			spec := model.Spec{ID: model.JobID(j + 1), Estimate: time.Minute,
+				Daemon: rapid.IntRange(0, 4).Draw(t, "daemon") == 0}
 			if rapid.Bool().Draw(t, "saves") {
 				spec.CheckpointInterval = time.Second
 			}
@@ -54,6 +54,7 @@
 	})
 }
 
+// injectFault causes at most one random fault or operator's request.
 func (h *harness) injectFault(t *rapid.T, ids []model.MachineID) {
 	id := rapid.SampledFrom(ids).Draw(t, "machine")
 	switch rapid.IntRange(0, 14).Draw(t, "trouble") {
@@ -82,13 +83,14 @@
 	}
 }
 
+// checkInvariants fails the test if the engine has broken an invariant.
 func (h *harness) checkInvariants(t *rapid.T, s *Spec) {
 	if len(h.violations) > 0 {
 		t.Fatal(h.violations)
 	}
 	for id, n := range h.returned {
 		if n > 1 {
-			t.Fatalf("machine %d was given back %d times", id, n)
+			t.Fatalf("machine %d was returned %d times", id, n)
 		}
 	}
 	p := h.engine.plans["p"]
@@ -102,18 +104,18 @@
 		}
 	}
 	if busy > s.MaxConcurrent {
-		t.Fatalf("%d machines under way, %d may be", busy, s.MaxConcurrent)
+		t.Fatalf("%d machines under way, at most %d are allowed", busy, s.MaxConcurrent)
 	}
 }
 
-// runToEnd lets the troubles be over, and the plan end.
+// runToEnd runs without faults until the plan has ended, and checks that no machine stays cordoned.
 func (h *harness) runToEnd(t *rapid.T, ids []model.MachineID) {
 	for range 2000 {
 		p := h.engine.plans["p"]
 		if p == nil || p.ended() && p.synced() {
 			for id, m := range h.machines {
 				if m.cordoned {
-					t.Fatalf("machine %d gets no tasks, and no plan has it", id)
+					t.Fatalf("machine %d is still cordoned after its plan has ended", id)
 				}
 			}
 			return
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -38,7 +38,7 @@
 const (
 	ReadOpen    OpKind = iota
 	ReadFinal          // the result's Stage says how the job ended
-	Create             // write the open record, or the final one if Stage is set, if the job has neither and all Guards hold
+	Create             // write the open record (the final one if Stage is set) if the job has neither and Guards hold
 	Cancel             // delete the open record if it has Version, and write the final one
 	CompareOpen        // compare the open record's version with Version; many comparisons share one call
 )
