--- a/internal/core/disruption/disruption_test.go
+++ b/internal/core/disruption/disruption_test.go
@@ -8,6 +8,7 @@
 	"honeylock/internal/core/model"
 )
 
+// newTracker returns a recovered tracker with one budget for all classes.
 func newTracker(b Budget, state *TeamState) *Tracker {
 	b.Class = model.None
 	tracker := New([]Budget{b})
@@ -16,19 +17,22 @@
 	return tracker
 }
 
+// spec returns a job whose tasks use 4 CPUs and have no checkpoints.
 func spec() *model.Spec { return &model.Spec{ID: 7, PerTask: model.Request(4, 0, 8)} }
 
+// moveRequest asks for a move of a task in the middle of its run of a minute.
 func moveRequest(index int32, spec *model.Spec) MoveRequest {
 	return MoveRequest{Task: model.Task{Job: spec.ID, Index: index}, Spec: spec, Ran: 30 * time.Second,
 		Remaining: 30 * time.Second}
 }
 
-// Each bound refuses one move too many, says why with figures, and lets go again.
+// Each bound refuses the move that would exceed it, gives the reason with figures, and grants moves
+// again once earlier ones have been made up for.
 func TestEachBoundRefusesAndRecovers(t *testing.T) {
 	sp := spec()
 	for name, c := range map[string]struct {
 		b      Budget
-		moves  int // that may be
+		moves  int // moves granted
 		reason string
 	}{
 		"tasks": {Budget{MaxTasks: 2}, 2, "2 of 2 tasks are out of work (2 moved by plans)"},
@@ -47,15 +51,15 @@
 			}
 			reason := tracker.RequestMove(0, moveRequest(99, sp))
 			if !strings.Contains(reason, c.reason) {
-				t.Fatalf("%q does not tell %q", reason, c.reason)
+				t.Fatalf("reason %q does not contain %q", reason, c.reason)
 			}
 			if c.moves == 0 {
 				return
 			}
-			// Back at work is not enough: what was lost must be made up for.
+			// A task that runs again still counts until it has repeated the run time that it lost.
 			tracker.TaskResumed(10*time.Second, model.Task{Job: 7, Index: 0})
 			if reason := tracker.RequestMove(39*time.Second, moveRequest(99, sp)); reason == "" {
-				t.Error("a task counts as back before it has made up for 30 s")
+				t.Error("a task no longer counts before it has repeated 30 s")
 			}
 			if reason := tracker.RequestMove(61*time.Second, moveRequest(99, sp)); reason != "" {
 				t.Errorf("still refused: %s", reason)
@@ -64,6 +68,7 @@
 	}
 }
 
+// One task is moved at most MaxMoves times.
 func TestMaxMovesOfOneTask(t *testing.T) {
 	sp := spec()
 	tracker := newTracker(Budget{MaxMoves: 2}, &TeamState{})
@@ -75,12 +80,12 @@
 	}
 	tracker.TaskDone(model.Task{Job: 7, Index: 1})
 	if len(tracker.interruptions) > 0 || len(tracker.moveCounts) > 0 {
-		t.Error("a task that is done is kept")
+		t.Error("the tracker still has a task that is done")
 	}
 }
 
-// What evictions and failures take eats of the budget without asking, what can't be told
-// counts as out, and a leader that does not know its machines yet draws nothing.
+// Evictions and failures count against the budget without a request. Tasks in an unknown state count
+// as interrupted. A leader that does not know all machines yet grants no moves.
 func TestInvoluntaryDisruptionsCountAgainstTheBudget(t *testing.T) {
 	sp := spec()
 	p := &TeamState{}
@@ -99,7 +104,7 @@
 		tracker.Counts[0].Granted[PlanDrain] != 1 {
 		t.Errorf("%+v", tracker.Counts[0])
 	}
-	// The shard's word that it has stopped is about what was drawn for.
+	// The shard's report that the task has stopped belongs to the move that was granted.
 	tracker.TaskStopped(model.Task{Job: 7, Index: 9}, sp, Evicted, time.Minute)
 	if tracker.Counts[0].Involuntary[Evicted] != 1 {
 		t.Error("a task that was moved counts as evicted")
@@ -110,11 +115,11 @@
 	}
 	tracker.Prune(func(model.JobID) bool { return false })
 	if len(tracker.interruptions) > 0 {
-		t.Error("tasks of a job that is over are kept")
+		t.Error("the tracker still has tasks of a job that is not open")
 	}
 }
 
-// One draw with 60,000 tasks at work of which a hundred are out.
+// One request with 60,000 running and a hundred interrupted tasks.
 func BenchmarkRequestMove(b *testing.B) {
 	sp := spec()
 	var bs []Budget
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -12,14 +12,15 @@
 	"honeylock/internal/wire"
 )
 
+// params returns settings for one run.
 func params() Params {
 	return Params{Runs: 1, Step: time.Second, MaxDuration: time.Hour, PatchTime: time.Minute, Seed: 1}
 }
 
-// exactFactor is an owner whose estimates are right.
+// exactFactor is a RunTimeFactor of exact estimates.
 func exactFactor(model.Name, float64) float64 { return 1 }
 
-// snapshot is a cluster of machines with 8 CPUs.
+// snapshot returns a cluster of machines with 8 CPUs.
 func snapshot(machines int) *Snapshot {
 	s := &Snapshot{Now: time.Hour, Wall: time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC), RunTimeFactor: exactFactor,
 		Teams:    []dispatcher.Team{{Guarantee: model.Capacity(1e6, 0, 0), Limit: model.Capacity(1e6, 0, 0)}},
@@ -34,7 +35,7 @@
 	return s
 }
 
-// addJob adds one with a task of 2 CPUs for each of the machines, and more waiting.
+// addJob adds a job with a running task of 2 CPUs for each machine in on, and further waiting tasks.
 func (s *Snapshot) addJob(spec model.Spec, waiting int, ran time.Duration, on ...int) *model.Spec {
 	spec.PerTask, spec.Zone, spec.Tasks = model.Request(2, 0, 1), model.None, int32(len(on)+waiting)
 	spec.SubmittedMS = s.Wall.UnixMilli()
@@ -46,6 +47,7 @@
 	return &spec
 }
 
+// forecast returns the result of a complete forecast of a plan.
 func (s *Snapshot) forecast(t testing.TB, p Params, spec drain.Spec) *Result {
 	t.Helper()
 	spec.Name = "p"
@@ -64,6 +66,7 @@
 	return f.Result()
 }
 
+// wantNear checks a duration with a tolerance.
 func wantNear(t *testing.T, what string, got, want, tolerance time.Duration) {
 	t.Helper()
 	if got < want-tolerance || got > want+tolerance {
@@ -71,29 +74,29 @@
 	}
 }
 
-// Work that moves without saving begins anew, and fetches its image again; what
-// saves loses next to nothing; what is let finish loses nothing.
+// Tasks that move without checkpoints start over and fetch their image again. Tasks with checkpoints
+// only fetch it again, and tasks that run to their end lose nothing.
 func TestDelayReasons(t *testing.T) {
 	ids := []model.MachineID{1}
 	for name, c := range map[string]struct {
-		how    drain.How
-		saves  time.Duration
-		image  float64
-		late   time.Duration
-		reason string
+		how                drain.How
+		checkpointInterval time.Duration
+		image              float64
+		delay              time.Duration
+		reason             string
 	}{
-		"finish":           {drain.Finish, 0, 0, 0, ""},
-		"move":             {drain.Move, 0, 0, 100 * time.Second, "loses progress"},
-		"move and fetch":   {drain.Move, 30 * time.Second, 20, 40 * time.Second, "fetches its image again"},
-		"move what saves":  {drain.MoveSaved, 30 * time.Second, 20, 40 * time.Second, "fetches its image again"},
-		"nothing can save": {drain.MoveSaved, 0, 20, 0, ""},
+		"finish":            {drain.Finish, 0, 0, 0, ""},
+		"move":              {drain.Move, 0, 0, 100 * time.Second, "loses progress"},
+		"move and fetch":    {drain.Move, 30 * time.Second, 20, 40 * time.Second, "fetches its image again"},
+		"move checkpointed": {drain.MoveSaved, 30 * time.Second, 20, 40 * time.Second, "fetches its image again"},
+		"no checkpoints":    {drain.MoveSaved, 0, 20, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := snapshot(3)
-			s.addJob(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.saves, ImageGB: c.image}, 0,
+			s.addJob(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.checkpointInterval, ImageGB: c.image}, 0,
 				100*time.Second, 1)
 			r := s.forecast(t, params(), drain.Spec{Machines: ids, Default: c.how})
-			if c.late == 0 {
+			if c.delay == 0 {
 				if len(r.Delayed) != 0 {
 					t.Fatalf("%+v", r.Delayed)
 				}
@@ -101,15 +104,15 @@
 				return
 			}
 			if len(r.Delayed) != 1 || r.Delayed[0].Reason != c.reason {
-				t.Fatalf("%+v, want one that %s", r.Delayed, c.reason)
+				t.Fatalf("%+v, want one job that %s", r.Delayed, c.reason)
 			}
-			wantNear(t, "delay", r.Delayed[0].Delay[1], c.late, 6*time.Second)
+			wantNear(t, "delay", r.Delayed[0].Delay[1], c.delay, 6*time.Second)
 		})
 	}
 }
 
-// With less room, what waits does so longer: the plan takes half of all machines,
-// so the second half of the job's tasks ends a round later.
+// The plan takes half of all machines, so the second half of the job's waiting tasks ends a round
+// later.
 func TestWaitingTasksAreDelayedByLessCapacity(t *testing.T) {
 	s := snapshot(4)
 	s.addJob(model.Spec{ID: 5, Estimate: 60 * time.Second, Deadline: 130 * time.Second}, 32, 0)
@@ -122,7 +125,8 @@
 	wantNear(t, "delay", r.Delayed[0].Delay[1], 120*time.Second, 62*time.Second)
 }
 
-// A batch that a plan would push past its window is named with the window.
+// A plan with a window waits for the job that it would delay past the window; without the window it
+// delays the job.
 func TestWindowsAreObservedByThePlan(t *testing.T) {
 	s := snapshot(2)
 	s.addJob(model.Spec{ID: 5, Class: 3, Estimate: 8 * time.Minute}, 0, 4*time.Minute, 1, 1)
@@ -131,16 +135,16 @@
 	r := s.forecast(t, params(), drain.Spec{Machines: []model.MachineID{1}, Windows: []drain.Window{w},
 		Default: drain.Move})
 	if len(r.Delayed) != 0 || r.Unfinished != "" {
-		t.Errorf("%+v: the engine holds the step until the batch is done", r)
+		t.Errorf("%+v: the engine must block the step until the job is done", r)
 	}
-	// Without the window's hold the same plan pushes it past.
+	// Without the window the same plan delays the job past it.
 	r = s.forecast(t, params(), drain.Spec{Machines: []model.MachineID{1}, Default: drain.Move})
 	if len(r.Delayed) != 1 || r.Delayed[0].Delay[1] < 3*time.Minute {
 		t.Errorf("%+v", r.Delayed)
 	}
 }
 
-// What a plan waits for without end is told.
+// The result says what a plan waits for that does not end.
 func TestPlanThatCannotEndIsReported(t *testing.T) {
 	s := snapshot(2)
 	s.Machines[0].Type = 7
@@ -152,8 +156,8 @@
 	}
 }
 
-// Work within its team's guarantee that would wait for room because of the plan is
-// told with its team.
+// The result names a team whose tasks within the guarantee would wait for capacity because of the
+// plan.
 func TestMissedGuaranteesAreReported(t *testing.T) {
 	s := snapshot(2)
 	s.Teams = append(s.Teams, dispatcher.Team{Limit: model.Capacity(1e6, 0, 0)})
@@ -166,12 +170,12 @@
 	}
 	s.Jobs = s.Jobs[:1]
 	if r := s.forecast(t, params(), w); len(r.Guarantees) != 0 {
-		t.Errorf("%+v with nothing that waits", r.Guarantees)
+		t.Errorf("%+v without waiting tasks", r.Guarantees)
 	}
 }
 
-// What a new leader finds running has run for a while, nobody knows how long: a
-// forecast that let it begin when it was found was a whole run time too long.
+// Tasks that a new leader finds running have already run for an unknown time. If a forecast took them
+// as just started, the plan would take a whole run time too long.
 func TestAdoptedTasksHaveUnknownRunTime(t *testing.T) {
 	ends := func(adopted bool) time.Duration {
 		s := snapshot(2)
@@ -187,7 +191,7 @@
 	wantNear(t, "adopted", ends(true), 75*time.Second, 22*time.Second)
 }
 
-// largestDeployment is a cluster of the size of the largest known deployment.
+// largestDeployment returns a cluster of the size of the largest known deployment.
 func largestDeployment() *Snapshot {
 	const machines, tasksEach, jobs = 1636, 24, 800
 	s := snapshot(0)
@@ -210,8 +214,8 @@
 	return s
 }
 
-// BenchmarkLargestDeployment forecasts a plan of 100 machines on 1,636 machines with 40,864
-// tasks: under 2 s of processor time and 40 MB, no step longer than 50 ms.
+// BenchmarkLargestDeployment forecasts a plan of 100 machines in a cluster of 1,636 machines with
+// 40,864 tasks. The targets are 2 s of processor time, 40 MB, and 50 ms for the longest step.
 func BenchmarkLargestDeployment(b *testing.B) {
 	s := largestDeployment()
 	for b.Loop() {
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -8,15 +8,16 @@
 	"honeylock/internal/core/model"
 )
 
-// fakeStore is a store of scripted records: a job is open at a version, or has a stage.
+// fakeStore is a store with an open record's version or a final stage for each job.
 type fakeStore struct {
 	open  map[model.JobID]uint64
 	final map[model.JobID]Stage
-	// before is called for each operation.
+	// before is called before each operation.
 	before func(Op)
 	ops    []Op
 }
 
+// execute carries out an operation.
 func (s *fakeStore) execute(op Op) Result {
 	s.ops = append(s.ops, op)
 	if s.before != nil {
@@ -47,6 +48,7 @@
 	return Result{Outcome: Missing}
 }
 
+// submit runs a submission of job 1, with at most two guards, until its answer.
 func (s *fakeStore) submit(t *testing.T, openVersions map[model.JobID]uint64, dependsOn ...model.JobID) Answer {
 	t.Helper()
 	req, op := NewWithDependencies(1, dependsOn, openVersions, 2)
@@ -61,24 +63,26 @@
 	return Answer{}
 }
 
+// A submission reads only the dependencies whose versions it does not know, and is stored as cancelled
+// if one of them is.
 func TestSubmissionWithDependencies(t *testing.T) {
 	open, final := map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, map[model.JobID]Stage{5: Done, 6: Cancelled}
 	for name, c := range map[string]struct {
-		seen   map[model.JobID]uint64
-		awaits []model.JobID
-		status int
-		stage  Stage
-		ops    int
+		openVersions map[model.JobID]uint64
+		dependsOn    []model.JobID
+		status       int
+		stage        Stage
+		ops          int
 	}{
-		"open ones that were seen": {map[model.JobID]uint64{2: 7, 3: 8}, []model.JobID{2, 3},
+		"open, versions known": {map[model.JobID]uint64{2: 7, 3: 8}, []model.JobID{2, 3},
 			http.StatusCreated, Queued, 1},
-		"one that is read":             {map[model.JobID]uint64{}, []model.JobID{2}, http.StatusCreated, Queued, 2},
-		"one that is done":             {map[model.JobID]uint64{}, []model.JobID{5}, http.StatusCreated, Queued, 3},
-		"one that is cancelled":        {map[model.JobID]uint64{}, []model.JobID{2, 6}, http.StatusCreated, Cancelled, 4},
-		"one seen open that has ended": {map[model.JobID]uint64{6: 3}, []model.JobID{6}, http.StatusCreated, Cancelled, 6},
-		"one that was never accepted": {map[model.JobID]uint64{}, []model.JobID{2, 99},
+		"open, read":                   {map[model.JobID]uint64{}, []model.JobID{2}, http.StatusCreated, Queued, 2},
+		"done":                         {map[model.JobID]uint64{}, []model.JobID{5}, http.StatusCreated, Queued, 3},
+		"cancelled":                    {map[model.JobID]uint64{}, []model.JobID{2, 6}, http.StatusCreated, Cancelled, 4},
+		"ended after it was read open": {map[model.JobID]uint64{6: 3}, []model.JobID{6}, http.StatusCreated, Cancelled, 6},
+		"never accepted": {map[model.JobID]uint64{}, []model.JobID{2, 99},
 			http.StatusUnprocessableEntity, "", 5},
-		"more than a transaction takes": {map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, []model.JobID{2, 3, 4},
+		"more than the allowed guards": {map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, []model.JobID{2, 3, 4},
 			http.StatusCreated, Queued, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -89,18 +93,19 @@
 			for id, st := range final {
 				s.final[id] = st
 			}
-			a := s.submit(t, c.seen, c.awaits...)
+			a := s.submit(t, c.openVersions, c.dependsOn...)
 			if a.Status != c.status || a.Stage != c.stage || len(s.ops) != c.ops {
-				t.Errorf("%+v after %+v, want %d %q after %d", a, s.ops, c.status, c.stage, c.ops)
+				t.Errorf("%+v after %+v, want %d %q after %d operations", a, s.ops, c.status, c.stage, c.ops)
 			}
 			if last := s.ops[len(s.ops)-1]; len(last.Guards) > 2 {
-				t.Errorf("%d guards, two may be", len(last.Guards))
+				t.Errorf("%d guards, at most two are allowed", len(last.Guards))
 			}
 		})
 	}
 }
 
-// An accepted submission once more has its job's state, whatever it names now.
+// A repeated submission of an accepted job returns the job's state, whatever dependencies it names
+// now.
 func TestResubmissionKeepsJobState(t *testing.T) {
 	s := &fakeStore{open: map[model.JobID]uint64{1: 50}, final: map[model.JobID]Stage{}}
 	if a := s.submit(t, nil, 99); a.Status != http.StatusOK || a.Stage != Queued {
@@ -112,9 +117,9 @@
 	}
 }
 
-// What is awaited is cancelled between the look and the transaction: the transaction
-// fails, and the next one takes the job as cancelled. Without the guard it would be
-// called queued for as long as no leader looks.
+// A dependency is cancelled after it was read and before the transaction. The transaction must fail,
+// and the next one store the job as cancelled. Without the guard the job would be reported as queued
+// until a leader finds out.
 func TestDependencyCancelledBeforeTransaction(t *testing.T) {
 	s := &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
@@ -127,7 +132,7 @@
 	if a.Status != http.StatusCreated || a.Stage != Cancelled || s.open[1] != 0 {
 		t.Errorf("%+v, open %v", a, s.open)
 	}
-	// It changes for ever: nothing is told.
+	// The dependency changes before every transaction: the user gets no state.
 	version := uint64(7)
 	s = &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// runNew runs a request against scripted results.
+// runNew runs a new request against scripted results.
 func runNew(t *testing.T, kind Kind, steps ...Result) (Answer, []OpKind) {
 	t.Helper()
 	req, op := New(kind, 1, 0)
 	return runSteps(t, req, op, steps)
 }
 
-// runSteps gives a request its operations' results, one after the other.
+// runSteps gives a request the results of its operations, one after the other, and returns its answer
+// and the kinds of the operations.
 func runSteps(t *testing.T, req *Request, op Op, steps []Result) (Answer, []OpKind) {
 	t.Helper()
 	var ops []OpKind
@@ -28,6 +29,7 @@
 	return Answer{}, nil
 }
 
+// Each kind of request gets the right answer in each state of the job's records.
 func TestRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   Kind
@@ -37,9 +39,9 @@
 	}{
 		"new job":   {Submit, []Result{{}}, http.StatusCreated, Queued},
 		"known job": {Submit, []Result{{Outcome: Conflict}, {Version: 3}}, http.StatusOK, Queued},
-		"known job that is over": {Submit, []Result{{Outcome: Conflict}, {Outcome: Missing}, {Stage: Done}},
+		"known job that has ended": {Submit, []Result{{Outcome: Conflict}, {Outcome: Missing}, {Stage: Done}},
 			http.StatusOK, Done},
-		"submission in doubt":       {Submit, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
+		"submission without answer": {Submit, []Result{{Outcome: Failed}}, http.StatusServiceUnavailable, ""},
 		"poll of an open job":       {Poll, []Result{{Version: 3}}, http.StatusOK, Queued},
 		"poll across the job's end": {Poll, []Result{{Outcome: Missing}, {Stage: Done}}, http.StatusOK, Done},
 		"poll of nothing":           {Poll, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
@@ -52,7 +54,7 @@
 		"cancel again": {Withdraw, []Result{{Outcome: Missing}, {Stage: Cancelled}}, http.StatusOK,
 			Cancelled},
 		"cancel of nothing": {Withdraw, []Result{{Outcome: Missing}, {Outcome: Missing}}, http.StatusNotFound, ""},
-		"cancel in doubt": {Withdraw, []Result{{Version: 3}, {Outcome: Failed}}, http.StatusServiceUnavailable,
+		"cancel without answer": {Withdraw, []Result{{Version: 3}, {Outcome: Failed}}, http.StatusServiceUnavailable,
 			""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,38 +66,39 @@
 	}
 }
 
+// A cancellation must end only the record that it has read.
 func TestCancelIsGuardedByTheVersionRead(t *testing.T) {
 	req, op := New(Withdraw, 1, 0)
 	op, _ = req.Next(op, Result{Version: 42})
 	if op.Kind != Cancel || op.Version != 42 {
-		t.Fatalf("op %+v: a late cancellation could end another record", op)
+		t.Fatalf("op %+v: without the version a late cancellation could end another record", op)
 	}
 }
 
-// An open record that was seen before is only compared, and many such polls
-// share one call; once it is gone, the records tell what became of the job.
+// A poll with a known version only compares it, because many comparisons share one call. Once the open
+// record is gone, the final record says how the job ended.
 func TestPollOfSeenJobOnlyCompares(t *testing.T) {
 	req, op := New(Poll, 1, 3)
 	if op.Kind != CompareOpen || op.Version != 3 {
-		t.Fatalf("asks %+v", op)
+		t.Fatalf("first operation %+v, want a comparison", op)
 	}
 	if _, a := req.Next(op, Result{}); a == nil || a.Stage != Queued {
 		t.Fatalf("%+v for a job that is open", a)
 	}
 	if next, a := req.Next(op, Result{Outcome: Conflict}); a != nil || next.Kind != ReadFinal {
-		t.Fatalf("%+v, %+v for one that is not", next, a)
+		t.Fatalf("%+v, %+v for a job that is no longer open", next, a)
 	}
 	_, a := req.Next(Op{Kind: ReadFinal, Job: 1}, Result{Outcome: Missing})
 	if a == nil || a.Status != http.StatusServiceUnavailable {
-		t.Fatalf("%+v for a job that was open: it must not be forgotten", a)
+		t.Fatalf("%+v for a job that was open: it must not be reported as missing", a)
 	}
 	if _, a := req.Next(op, Result{Outcome: Failed}); a == nil || a.Status != http.StatusServiceUnavailable {
 		t.Fatalf("%+v without the store", a)
 	}
 }
 
-// Where the state service serves one read of each attempt and refuses the next, the user of a
-// job that has ended is answered all the same, if the job is believed to have ended.
+// The state service may serve one read of each attempt and refuse the next. A request about a job that
+// is believed to have ended, and has, is answered all the same.
 func TestEndedJobIsAnsweredByOneRead(t *testing.T) {
 	for _, kind := range []Kind{Poll, Withdraw} {
 		req, op := NewEnded(kind, 1)
@@ -108,11 +111,11 @@
 	}
 }
 
-// A job that was wrongly believed to have ended: nothing is told but what its records say.
+// If a job was wrongly believed to have ended, the answer still follows its records.
 func TestWrongBeliefInAnEndIsCorrected(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   Kind
-		steps  []Result // after the final record, which is missing
+		steps  []Result // after the read of the final record, which is missing
 		status int
 		stage  Stage
 	}{
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -10,6 +10,7 @@
 	"honeylock/internal/core/model"
 )
 
+// releasedIDs returns the IDs of released jobs in ascending order.
 func releasedIDs(rs []Release) (out []model.JobID) {
 	for _, r := range rs {
 		out = append(out, r.ID)
@@ -18,18 +19,20 @@
 	return out
 }
 
+// A job with two dependencies that share one of their own begins only after both are done. A
+// dependency with an unknown final state is looked up until it is known.
 func TestDiamondReleasesWhenBothBranchesAreDone(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
 	for _, j := range []Job{{ID: 2, DependsOn: []model.JobID{1}}, {ID: 3, DependsOn: []model.JobID{1}},
 		{ID: 4, Rank: model.Urgent, DependsOn: []model.JobID{2, 3}}} {
 		if !g.Add(j, 0) {
-			t.Fatalf("job %d may begin at once", j.ID)
+			t.Fatalf("job %d may begin before its dependencies", j.ID)
 		}
 	}
 	for _, in := range g.TakeInherited() {
 		if in.Rank != model.Urgent {
-			t.Errorf("%+v, want the rank of the last", in)
+			t.Errorf("%+v, want the rank of the last dependent", in)
 		}
 	}
 	g.JobEnded(1, Done, 0)
@@ -38,18 +41,18 @@
 	}
 	g.JobEnded(2, Done, 0)
 	if got := g.TakeReleased(); len(got) > 0 {
-		t.Fatalf("%v before its other side is done", got)
+		t.Fatalf("%v released before the other branch is done", got)
 	}
 	g.JobEnded(3, Unknown, 7)
 	if got := g.PropagatedUntil(9); got != 7 {
-		t.Errorf("behind since %v while an end is unknown", got)
+		t.Errorf("propagated until %v while a final state is unknown, want 7", got)
 	}
 	if ask := g.NextLookups(0, 9); !slices.Equal(ask, []model.JobID{3}) {
-		t.Fatalf("asks about %v", ask)
+		t.Fatalf("looks up %v", ask)
 	}
 	g.LookupDone(0, 3, Unknown, 0)
 	if again := g.NextLookups(lookupRetry-1, 9); len(again) > 0 {
-		t.Fatalf("asks again at once")
+		t.Fatalf("repeats a failed lookup at once")
 	}
 	g.NextLookups(lookupRetry, 9)
 	g.LookupDone(lookupRetry, 3, Done, 5000)
@@ -58,8 +61,8 @@
 	}
 }
 
-// A cancellation goes through a whole tree, also to who comes while it does, and to
-// nobody else; what was inherited is taken back.
+// A cancellation reaches all direct and indirect dependents, also those added meanwhile, and no other
+// job. Inherited ranks are revoked.
 func TestCancellationPropagatesToAllDependents(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
@@ -71,34 +74,35 @@
 	g.TakeInherited()
 	g.JobEnded(1, Cancelled, 3)
 	if blocked := g.Add(Job{ID: 51, DependsOn: []model.JobID{25}}, 0); !blocked {
-		t.Fatal("a job that names a doomed one may begin")
+		t.Fatal("a job that depends on one to be cancelled may begin")
 	}
 	pending := g.NextCancellations(0, 100)
 	if len(pending) != 50 || pending[0] != 2 || pending[49] != 51 {
-		t.Fatalf("%d to be cancelled: %v", len(pending), pending)
+		t.Fatalf("%d jobs to be cancelled: %v", len(pending), pending)
 	}
 	if len(g.NextCancellations(0, 100)) > 0 {
-		t.Error("cancels twice at once")
+		t.Error("a cancellation under way is returned again")
 	}
 	g.CancellationFailed(0, 2)
 	if again := g.NextCancellations(lookupRetry, 100); !slices.Equal(again, []model.JobID{2}) {
-		t.Errorf("tries %v again", again)
+		t.Errorf("retries %v, want 2", again)
 	}
 	g.JobEnded(900, Done, 0)
 	if got := releasedIDs(g.TakeReleased()); !slices.Equal(got, []model.JobID{60}) {
-		t.Errorf("released %v beside a tree that is cancelled", got)
+		t.Errorf("released %v, want only the job outside the cancelled tree", got)
 	}
 	for _, id := range pending {
 		if b := g.PropagatedUntil(9); b != 3 && b != 0 {
-			t.Fatalf("behind since %v with %d to go", b, id)
+			t.Fatalf("propagated until %v before job %d is cancelled", b, id)
 		}
 		g.JobEnded(id, Cancelled, 4)
 	}
 	if b := g.PropagatedUntil(9); b != 9 || len(g.nodes) != 1 {
-		t.Errorf("behind since %v, %d nodes are left", b, len(g.nodes))
+		t.Errorf("propagated until %v, %d nodes are left", b, len(g.nodes))
 	}
 }
 
+// Jobs inherit rank and objective through the graph, and lose them when the dependent ends.
 func TestInheritedRankIsRevoked(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1, Rank: model.Idle}, 0)
@@ -116,9 +120,8 @@
 	}
 }
 
-// Random jobs, ends, answers and cancellations in any order: nothing begins before all
-// that it needs is done, nothing that needs a cancelled one begins at all, and once
-// everything is told nobody is left.
+// Jobs, ends, lookups and cancellations come in random order. No job begins before all its
+// dependencies are done, or if one is cancelled, and the graph is empty in the end.
 func TestRandomOrderReleasesOnlySatisfiedJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New()
@@ -147,7 +150,7 @@
 				released[r.ID] = true
 				for _, p := range dependsOn[r.ID] {
 					if end[p] != Done {
-						t.Fatalf("%d begins, %d is %v", r.ID, p, end[p])
+						t.Fatalf("job %d is released, but its dependency %d is %v", r.ID, p, end[p])
 					}
 				}
 			}
@@ -175,7 +178,7 @@
 			}
 			for _, id := range g.NextCancellations(lookupRetry*4000*1000, 2) {
 				if released[id] {
-					t.Fatalf("step %d: %d is to be cancelled and has begun", step, id)
+					t.Fatalf("step %d: job %d is to be cancelled, but has begun", step, id)
 				}
 				if end[id] == Unknown {
 					end[id] = Cancelled
@@ -186,16 +189,16 @@
 		}
 		for id := range n {
 			if end[id] == Unknown {
-				t.Fatalf("%d is left: added %v, begun %v, awaits %v", id, added[id], released[id], dependsOn[id])
+				t.Fatalf("job %d is left: added %v, released %v, depends on %v", id, added[id], released[id], dependsOn[id])
 			}
 		}
 		if len(g.nodes) > 0 || len(g.unresolved) > 0 || len(g.pendingCancellations) > 0 {
-			t.Fatalf("the graph keeps %d", len(g.nodes))
+			t.Fatalf("%d nodes are left in the graph", len(g.nodes))
 		}
 	})
 }
 
-// What an end costs follows its successors, not the open jobs.
+// The cost of a job's end depends on its dependents, not on the number of open jobs.
 func BenchmarkJobEnded(b *testing.B) {
 	for _, open := range []int{100, 10_000} {
 		for name, end := range map[string]FinalState{"release": Done, "cancel": Cancelled} {
@@ -230,14 +233,15 @@
 	}
 }
 
-// recordStore is what leaders share: open records with what they await, and final ones.
+// recordStore is the state that successive leaders share: open records with their dependencies, and
+// final records.
 type recordStore struct {
 	open  map[model.JobID][]model.JobID
 	final map[model.JobID]FinalState
 }
 
-// runLeader makes a leader's graph from the store, and has it cancel at most so many jobs;
-// it returns how many it did.
+// runLeader builds a leader's graph from the store and cancels at most maxCancellations jobs. It
+// returns how many it has cancelled.
 func (s *recordStore) runLeader(t *testing.T, maxCancellations int) (cancelled int) {
 	t.Helper()
 	g := New()
@@ -263,15 +267,15 @@
 	}
 	for _, r := range g.TakeReleased() {
 		if slices.ContainsFunc(s.open[r.ID], func(id model.JobID) bool { return s.final[id] != Done }) {
-			t.Fatalf("job %d is let begin", r.ID)
+			t.Fatalf("job %d is released before its dependencies are done", r.ID)
 		}
 	}
 	return cancelled
 }
 
-// A job with 300 successors, and theirs, is cancelled; each leader dies after one more
-// write than the one before. Any next one goes on, none repeats a write, and all are
-// cancelled in the end.
+// A job with 300 dependents, each with one of its own, is cancelled by a series of leaders, each of
+// which stops after one more write than the previous one. Each leader continues where the last one
+// stopped, none repeats a write, and all jobs are cancelled in the end.
 func TestNextLeaderContinuesCancellation(t *testing.T) {
 	s := &recordStore{open: map[model.JobID][]model.JobID{}, final: map[model.JobID]FinalState{1: Cancelled, 2: Done}}
 	for id := model.JobID(10); id < 310; id++ {
@@ -283,7 +287,7 @@
 	for ; len(s.open) > 1; leaders++ {
 		n := s.runLeader(t, leaders%40)
 		if writes += n; leaders > 100 {
-			t.Fatalf("%d are left", len(s.open))
+			t.Fatalf("%d open jobs are left", len(s.open))
 		}
 	}
 	if writes != 600 {
@@ -291,7 +295,7 @@
 	}
 }
 
-// 300 successors of one job are let begin at once, each once.
+// All 300 dependents of one job are released at once, each only once.
 func TestManyDependentsAreReleasedAtOnce(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: 1}, 0)
@@ -300,9 +304,9 @@
 	}
 	g.JobEnded(1, Done, 0)
 	if got := releasedIDs(g.TakeReleased()); len(got) != 300 || slices.Compact(got)[299] != 309 {
-		t.Errorf("%d let begin", len(got))
+		t.Errorf("%d jobs released", len(got))
 	}
 	if len(g.TakeReleased()) > 0 || len(g.nodes) != 300 {
-		t.Error("the graph keeps more than the open jobs")
+		t.Error("the graph has more nodes than there are open jobs")
 	}
 }
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -11,7 +11,7 @@
 
 var gate = Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
 
-// runTasks has tasks of two classes end on machines 0 to 9, of which 0 and 1 are new.
+// runTasks ends tasks of two classes on machines 0 to 9, of which 0 and 1 are renewed.
 func runTasks(rng *rand.Rand, tasks int, slowdown, errorRate float64) *Evaluator {
 	evaluator := New()
 	for range tasks {
@@ -31,12 +31,14 @@
 	return evaluator
 }
 
+// Gates open on enough similar tasks, close on significantly slower or failing ones, and wait
+// otherwise.
 func TestEvaluateGate(t *testing.T) {
 	for name, c := range map[string]struct {
-		tasks         int
-		slower, fails float64
-		open, closed  bool
-		reason        string
+		tasks               int
+		slowdown, errorRate float64
+		open, closed        bool
+		reason              string
 	}{
 		"too few":      {60, 1, 0, false, false, "of 20 tasks have ended"},
 		"alike":        {400, 1, 0, true, false, ""},
@@ -47,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slower, c.fails).Evaluate(gate, []model.MachineID{0, 1})
+				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slowdown, c.errorRate).Evaluate(gate, []model.MachineID{0, 1})
 				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.reason) {
 					t.Fatalf("seed %d: %+v", seed, v)
 				}
@@ -56,7 +58,7 @@
 	}
 }
 
-// A gate without a reason to close stays open nearly always.
+// Without a difference between the machines, nearly all gates stay open.
 func TestGateRarelyClosesByChance(t *testing.T) {
 	closed := 0
 	for seed := range uint64(2000) {
--- a/internal/core/writequota/writequota_test.go
+++ b/internal/core/writequota/writequota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Operators' records give way to finals, but a busy day must not starve them: a
-// plan that is never stored is never begun.
+// Operators' records yield to final records, but a busy leader must not starve them: a plan that is
+// never stored never starts.
 func TestOperatorRecordsYieldButAreNotStarved(t *testing.T) {
 	quota := New(4, 8)
 	quota.Spend(0, FinalRecords, 5)
@@ -17,39 +17,39 @@
 	now := time.Duration(0)
 	for quota.Available(now, OperatorRecords) == 0 {
 		now += 250 * time.Millisecond
-		quota.Spend(now, FinalRecords, quota.Available(now, FinalRecords)-1) // a busy day: one is always left over
+		quota.Spend(now, FinalRecords, quota.Available(now, FinalRecords)-1) // a busy leader: one change is always left
 		if now > time.Minute {
-			t.Fatal("records wait for ever")
+			t.Fatal("operators' records are starved")
 		}
 	}
 	if w := quota.BlockedFor(now, OperatorRecords); now < maxRecordsWait || w < maxRecordsWait {
-		t.Errorf("taken at %v, told to have waited %v", now, w)
+		t.Errorf("available at %v after waiting %v, want both at least %v", now, w, maxRecordsWait)
 	}
 	quota.Spend(now, OperatorRecords, 1)
 	if quota.BlockedFor(now, OperatorRecords) != 0 {
-		t.Error("still told to wait")
+		t.Error("still blocked after a write")
 	}
 }
 
-// A write of several changes counts as what it is: after one that overdraws, nothing
-// is left until the rate has made up for it.
+// A write counts by its number of changes. After one that exceeds the quota nothing is available until
+// the rate has made up for it.
 func TestOverdrawnQuotaRecoversAtItsRate(t *testing.T) {
 	quota := New(4, 8)
 	quota.Spend(0, FinalRecords, 7)
 	quota.Spend(0, FinalRecords, 3)
 	if n := quota.Available(0, FinalRecords); n != 0 {
-		t.Fatalf("%d left of an overdrawn budget", n)
+		t.Fatalf("%d available from an overdrawn quota", n)
 	}
 	if n := quota.Available(500*time.Millisecond, FinalRecords); n != 0 {
-		t.Errorf("%d left while the overdraft is made up for", n)
+		t.Errorf("%d available before the overdraft is made up for", n)
 	}
 	if n := quota.Available(time.Second, FinalRecords); n != 2 {
-		t.Errorf("%d left a second later, want 4 less the 2 overdrawn", n)
+		t.Errorf("%d available after a second, want 4 less the 2 overdrawn", n)
 	}
 }
 
-// A leader that always has progress to store leaves some of its changes to an operator's
-// record all the same: at the peak of a fleet a team's limit took 40 s and more to change.
+// A leader that always has progress to write must leave some changes to operators' records. Otherwise
+// a change of a team's limit took 40 s and more while a large cluster was busy.
 func TestProgressLeavesQuotaToOperatorRecords(t *testing.T) {
 	const tick = 100 * time.Millisecond
 	quota := New(12, 12)
@@ -62,5 +62,5 @@
 		}
 		quota.MarkBlocked(now, OperatorRecords)
 	}
-	t.Errorf("nothing was left to records for %v", maxRecordsWait+time.Second)
+	t.Errorf("operators' records were blocked for %v", maxRecordsWait+time.Second)
 }
