--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -280,9 +280,9 @@
 func (tracker *Tracker) lostCPUSeconds(now time.Duration, b *Budget) (cpuSeconds float64, expiresAt time.Duration) {
 	expiresAt = now
 	for i := len(tracker.losses) - 1; i >= 0; i-- {
-		if l := &tracker.losses[i]; now-l.at < b.Window && b.covers(l.spec) {
-			cpuSeconds += l.cpuSeconds
-			expiresAt = l.at + b.Window
+		if lost := &tracker.losses[i]; now-lost.at < b.Window && b.covers(lost.spec) {
+			cpuSeconds += lost.cpuSeconds
+			expiresAt = lost.at + b.Window
 		}
 	}
 	return cpuSeconds, expiresAt
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -14,7 +14,7 @@
 // requestTaskList asks the machine's owner which tasks are on it, at most once in two report
 // intervals.
 func (e *Engine) requestTaskList(now time.Duration, id model.MachineID) {
-	if a, ok := e.taskListRequests[id]; !ok || now-a.sentAt >= 2*e.params.ReportInterval {
+	if last, ok := e.taskListRequests[id]; !ok || now-last.sentAt >= 2*e.params.ReportInterval {
 		e.lastListSeq++
 		e.taskListRequests[id] = taskListRequest{now, e.lastListSeq}
 		e.emit(Action{Kind: ListTasks, Machine: id, Seq: e.lastListSeq})
@@ -34,16 +34,16 @@
 	if !m.Reported || m.Slots > 0 || !e.cordoned[id] {
 		return false
 	}
-	s, fresh := e.freshTaskList(now, id)
-	return fresh && s.empty
+	list, fresh := e.freshTaskList(now, id)
+	return fresh && list.empty
 }
 
 // freshTaskList returns the machine's task list and whether it is recent enough, and requests a new
 // one.
 func (e *Engine) freshTaskList(now time.Duration, id model.MachineID) (taskList, bool) {
 	e.requestTaskList(now, id)
-	s, ok := e.taskLists[id]
-	return s, ok && now-s.receivedAt <= taskListMaxReports*e.params.ReportInterval
+	list, ok := e.taskLists[id]
+	return list, ok && now-list.receivedAt <= taskListMaxReports*e.params.ReportInterval
 }
 
 // blockedReason returns why a machine can't be drained at present, "" if it can. It is evaluated again
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -122,19 +122,19 @@
 // machines.
 func (e *Engine) Check(spec *Spec, source []byte, machineName func(model.MachineID) string) error {
 	if p := e.plans[spec.Name]; p != nil && p.unsupportedReason != "" {
-		return refuse("name: plan %q is there already, %s", spec.Name, p.unsupportedReason)
+		return refuse("name: plan %q exists already: %s", spec.Name, p.unsupportedReason)
 	} else if p != nil && !p.ended() {
 		return refuse("name: plan %q is %s", spec.Name, p.Phase)
 	}
 	if len(spec.Machines) == 0 {
-		return refuse("machines: none is like that now")
+		return refuse("machines: no machine matches now")
 	}
 	if len(spec.Machines) > e.params.MaxMachines {
-		return refuse("machines: %d, a plan holds %d at most: split it", len(spec.Machines), e.params.MaxMachines)
+		return refuse("machines: %d, but a plan can have at most %d: split the plan", len(spec.Machines), e.params.MaxMachines)
 	}
 	if e.params.MaxRecordBytes > 0 {
 		if size := maxRecordSize(spec, source); size > e.params.MaxRecordBytes {
-			return refuse("machines: %d, with a text of %d bytes, may take %d bytes to store, at most %d: split the plan",
+			return refuse("machines: %d, with a source of %d bytes, may take %d bytes to store, at most %d are allowed: split the plan",
 				len(spec.Machines), len(source), size, e.params.MaxRecordBytes)
 		}
 	}
@@ -261,7 +261,7 @@
 			p.setState(now, i, Finished)
 			return nil
 		}
-		return refuse("%s is %s: only a machine that is patching can be patched", machine, p.Steps[i].State)
+		return refuse("%s is %s: only a machine in state patching can be reported as patched", machine, p.Steps[i].State)
 	}
 	return refuse("plan %q has no machine %s", name, machine)
 }
@@ -319,7 +319,7 @@
 // cordoned, and proves nothing about the time after.
 func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, tasks []model.PlacedTask,
 	specOf func(model.JobID) *model.Spec) {
-	if a, ok := e.taskListRequests[id]; !ok || a.seq != seq {
+	if request, ok := e.taskListRequests[id]; !ok || request.seq != seq {
 		return
 	}
 	list := taskList{receivedAt: now, empty: len(tasks) == 0}
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -161,10 +161,10 @@
 	g.resolveEnd(n, final, 0, since)
 }
 
-// removeDependent removes n from the dependents of p.
-func (g *Graph) removeDependent(dependency, n *node) {
-	delete(dependency.dependents, n.ID)
-	g.countDependent(dependency, n.effectiveRank, n.effectiveObjective, -1)
+// removeDependent removes a job from the dependents of a job that it depended on.
+func (g *Graph) removeDependent(dependency, dependent *node) {
+	delete(dependency.dependents, dependent.ID)
+	g.countDependent(dependency, dependent.effectiveRank, dependent.effectiveObjective, -1)
 	g.forgetIfUnused(dependency)
 }
 
