--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -122,8 +122,7 @@
 		return ""
 	}
 	return fmt.Sprintf("%s would end at %s if it moved, past %s at %s", v.JobName(task.spec.ID),
-		formatClock(movedEnd, w), w.Name,
-		formatClock(limit, w))
+		formatClock(movedEnd, w), w.Name, formatClock(limit, w))
 }
 
 // formatClock formats a time of day in the window's location.
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -134,7 +134,7 @@
 	}
 	if e.params.MaxRecordBytes > 0 {
 		if size := maxRecordSize(spec, source); size > e.params.MaxRecordBytes {
-			return refuse("machines: %d, with a source of %d bytes, may take %d bytes to store, at most %d are allowed: split the plan",
+			return refuse("machines: %d, with a source of %d bytes, may take %d bytes to store, at most %d: split the plan",
 				len(spec.Machines), len(source), size, e.params.MaxRecordBytes)
 		}
 	}
@@ -153,8 +153,7 @@
 func (e *Engine) Apply(now time.Duration, wall time.Time, spec *Spec, source []byte, by string) *Plan {
 	e.lastUID++
 	p := &Plan{Spec: *spec, UID: fmt.Sprintf("%d-%d", e.params.Term, e.lastUID), Source: source, By: by, At: wall,
-		Phase:      Active,
-		generation: 1}
+		Phase: Active, generation: 1}
 	for _, id := range spec.Machines {
 		p.Steps = append(p.Steps, Step{Machine: id})
 		delete(e.priceDrains, id) // the plan decides about the machine from now on
@@ -270,9 +269,9 @@
 // Machines of plans are left out. These drains are not stored, because a new leader evaluates prices
 // again.
 func (e *Engine) DrainForPrice(ids []model.MachineID) {
-	wanted := e.machinesInPlans()
+	inPlans := e.machinesInPlans()
 	for _, id := range ids {
-		if !wanted[id] {
+		if !inPlans[id] {
 			e.priceDrains[id] = true
 		}
 	}
@@ -309,9 +308,9 @@
 
 // MachinePlans returns a function that reports whether a plan drains a machine now, and whether a plan
 // has it in an unfinished step or rented it as a replacement.
-func (e *Engine) MachinePlans() func(model.MachineID) (drains, wants bool) {
-	wanted := e.machinesInPlans()
-	return func(id model.MachineID) (bool, bool) { return e.cordoned[id] && wanted[id], wanted[id] }
+func (e *Engine) MachinePlans() func(model.MachineID) (drains, inPlan bool) {
+	inPlans := e.machinesInPlans()
+	return func(id model.MachineID) (bool, bool) { return e.cordoned[id] && inPlans[id], inPlans[id] }
 }
 
 // TasksListed takes the answer of a machine's owner to the ListTasks request numbered seq. Only the
@@ -343,7 +342,8 @@
 	switch {
 	case len(rented) > 0:
 		r.replacement = rented[0]
-		e.CancelPriceDrain(rented[:1]) // a leader that did not know the plan's replacement may have drained it for its price
+		// A leader that did not know yet whose replacement this is may have drained it for its price.
+		e.CancelPriceDrain(rented[:1])
 	case refused:
 		r.blockedReason = "the cloud has no machine to replace it"
 	default:
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -40,20 +40,20 @@
 // effect at once; a cordon only after the plan's state is stored. A machine's task list is forgotten
 // with each change, because only a list from after the cordon shows that the machine stays empty.
 func (e *Engine) updateCordons() {
-	wanted := e.machinesToCordon(func(p *Plan, id model.MachineID) bool { return p.synced() || e.cordoned[id] })
-	for _, id := range sortedIDs(wanted) {
+	desired := e.machinesToCordon(func(p *Plan, id model.MachineID) bool { return p.synced() || e.cordoned[id] })
+	for _, id := range sortedIDs(desired) {
 		if !e.cordoned[id] {
 			e.emit(Action{Kind: Cordon, Machine: id})
 			e.forgetTaskList(id)
 		}
 	}
 	for _, id := range sortedIDs(e.cordoned) {
-		if !wanted[id] {
+		if !desired[id] {
 			e.emit(Action{Kind: Uncordon, Machine: id})
 			e.forgetTaskList(id)
 		}
 	}
-	e.cordoned = wanted
+	e.cordoned = desired
 }
 
 // sortedIDs returns the map's keys in ascending order.
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -53,9 +53,9 @@
 }
 
 // gateBlocker returns why the gate keeps the plan from its next wave, "" if it does not. It closes the
-// gate, which pauses the plan, if a quarter of the replaced or patched machines are missing, if at
-// least 3 replacements never came up and these are at least half as many as the new machines, or if
-// the tasks on the new machines fare worse than elsewhere.
+// gate, which pauses the plan, if at least a quarter of the new or patched machines are missing, if
+// at least 3 replacements never came up and these are at least half as many as the new machines, or if
+// the tasks on the new or patched machines fare worse than elsewhere.
 func (e *Engine) gateBlocker(v *View, p *Plan) string {
 	if p.Gate == nil {
 		return ""
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -178,8 +178,8 @@
 	out := &Result{Runs: len(f.ends), Jobs: len(f.snapshot.Jobs), Duration: minMedianMax(slices.Clone(f.durations)),
 		Unfinished: f.unfinished}
 	for i := range f.snapshot.Jobs {
-		if l, ok := f.delayOf(f.snapshot.Jobs[i].Spec); ok {
-			out.Delayed = append(out.Delayed, l)
+		if delayed, ok := f.delayOf(f.snapshot.Jobs[i].Spec); ok {
+			out.Delayed = append(out.Delayed, delayed)
 		}
 	}
 	slices.SortStableFunc(out.Delayed, func(a, b DelayedJob) int { return cmp.Compare(b.Delay[1], a.Delay[1]) })
@@ -204,13 +204,13 @@
 	delayed := DelayedJob{Spec: spec}
 	var ends, delays []time.Duration
 	var total cost
-	missed, pastWindow := 0, 0
+	missedDeadline, pastWindow := 0, 0
 	deadline := f.deadline(spec)
 	limit, window, _ := f.spec.Limit(spec)
 	until := f.snapshot.sinceStart(limit)
-	for i, e := range f.ends {
-		without, endsWithout := e[0][spec.ID]
-		with, endsWith := e[1][spec.ID]
+	for i, runEnds := range f.ends {
+		without, endsWithout := runEnds[0][spec.ID]
+		with, endsWith := runEnds[1][spec.ID]
 		if !endsWithout {
 			continue // it did not end without the plan, so there is nothing to compare
 		}
@@ -218,10 +218,10 @@
 			with = f.params.MaxDuration // it did not end within the simulated time
 		}
 		ends, delays = append(ends, with), append(delays, with-without)
-		c := f.costs[i][spec.ID]
-		total = cost{total.moved + c.moved, total.lost + c.lost, total.refetch + c.refetch}
+		jobCost := f.costs[i][spec.ID]
+		total = cost{total.moved + jobCost.moved, total.lost + jobCost.lost, total.refetch + jobCost.refetch}
 		if deadline > 0 && with > deadline && without <= deadline {
-			missed++
+			missedDeadline++
 		}
 		if window != "" && with > until && without <= until {
 			pastWindow++
@@ -235,7 +235,7 @@
 	}
 	delayed.End, delayed.Delay = minMedianMax(ends), minMedianMax(delays)
 	delayed.MovedTasks = total.moved / len(delays)
-	delayed.MissesDeadline = 2*missed > len(delays)
+	delayed.MissesDeadline = 2*missedDeadline > len(delays)
 	delayed.Reason = total.delayReason()
 	return delayed, delayed.Delay[1] >= minDelay
 }
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -146,7 +146,7 @@
 			r.loadedTasks[t.Task.Job] = map[int32]bool{}
 		}
 		r.loadedTasks[t.Task.Job][t.Task.Index] = true
-		b := r.simulation.AddRunning(r.now, m.ID, r.assignment(j, t.Task.Index, model.None), t.RunTime)
+		started := r.simulation.AddRunning(r.now, m.ID, r.assignment(j, t.Task.Index, model.None), t.RunTime)
 		j.runningTasks++
 		r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Add(j.Spec.PerTask)
 		remaining := r.totalRunTime(j, t.Task, t.RunTime) - t.RunTime
@@ -154,18 +154,18 @@
 			remaining = time.Duration(float64(remaining) * r.forecast.randomQuantile(model.Task{Job: ^t.Task.Job,
 				Index: t.Task.Index}))
 		}
-		r.scheduleCompletion(j, b, remaining)
+		r.scheduleCompletion(j, started, remaining)
 	}
 }
 
 // queueWaiting makes all unfinished tasks wait that run on no machine.
 func (r *run) queueWaiting() {
 	for _, j := range r.jobs {
-		waiting := j.unfinished - len(r.loadedTasks[j.Spec.ID])
-		for index := int32(0); waiting > 0; index++ {
+		remaining := j.unfinished - len(r.loadedTasks[j.Spec.ID])
+		for index := int32(0); remaining > 0; index++ {
 			if !r.loadedTasks[j.Spec.ID][index] {
 				j.undispatched = append(j.undispatched, index)
-				waiting--
+				remaining--
 			}
 		}
 	}
@@ -194,9 +194,9 @@
 
 // scheduleCompletion schedules the completion of a task that has started. Replicas of services never
 // complete.
-func (r *run) scheduleCompletion(j *job, b shard.StartedTask, remaining time.Duration) {
+func (r *run) scheduleCompletion(j *job, started shard.StartedTask, remaining time.Duration) {
 	if !j.Spec.Daemon {
-		heap.Push(&r.completions, completion{r.now + b.FetchTime + max(remaining, time.Millisecond), b.Task, b.Attempt})
+		heap.Push(&r.completions, completion{r.now + started.FetchTime + max(remaining, time.Millisecond), started.Task, started.Attempt})
 	}
 }
 
@@ -218,11 +218,11 @@
 	}
 	r.dispatchAll()
 	started, stopped := r.simulation.Place(r.now)
-	for _, s := range stopped {
-		r.taskStopped(s, false)
+	for _, task := range stopped {
+		r.taskStopped(task, false)
 	}
-	for _, b := range started {
-		r.taskStarted(b)
+	for _, task := range started {
+		r.taskStarted(task)
 	}
 	r.recordWaits()
 	planEnded := r.engine == nil || r.planDuration > 0
@@ -243,70 +243,70 @@
 }
 
 // completeTask finishes a task, unless it was stopped since the completion was scheduled.
-func (r *run) completeTask(e completion) {
-	j := r.byID[e.task.Job]
-	if j == nil || !r.simulation.FinishTask(r.now, e.task, e.attempt) {
+func (r *run) completeTask(completed completion) {
+	j := r.byID[completed.task.Job]
+	if j == nil || !r.simulation.FinishTask(r.now, completed.task, completed.attempt) {
 		return
 	}
 	j.unfinished--
 	j.runningTasks--
 	r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Sub(j.Spec.PerTask)
 	if j.unfinished == 0 {
-		r.jobEnds[j.Spec.ID] = e.endsAt - r.forecast.snapshot.Now
+		r.jobEnds[j.Spec.ID] = completed.endsAt - r.forecast.snapshot.Now
 		r.unfinishedJobs--
 	}
 }
 
 // taskStarted schedules the completion of a started task, less the run time that it has saved.
-func (r *run) taskStarted(b shard.StartedTask) {
-	j := r.byID[b.Task.Job]
+func (r *run) taskStarted(started shard.StartedTask) {
+	j := r.byID[started.Task.Job]
 	j.runningTasks++
-	remaining := r.totalRunTime(j, b.Task, 0) - j.saved[b.Task.Index]
-	r.scheduleCompletion(j, b, remaining)
-	if c, ok := r.costs[b.Task.Job]; ok && r.engine != nil && c.moved > 0 {
-		c.refetch += b.FetchTime
-		r.costs[b.Task.Job] = c
+	remaining := r.totalRunTime(j, started.Task, 0) - j.saved[started.Task.Index]
+	r.scheduleCompletion(j, started, remaining)
+	if c, ok := r.costs[started.Task.Job]; ok && r.engine != nil && c.moved > 0 {
+		c.refetch += started.FetchTime
+		r.costs[started.Task.Job] = c
 	}
 }
 
 // taskStopped keeps the progress that a stopped task with checkpoints has saved: all of it if the task
 // was moved, because it then saves before it stops; otherwise that of its last periodic checkpoint.
-func (r *run) taskStopped(s shard.StoppedTask, moved bool) {
-	j := r.byID[s.Task.Job]
+func (r *run) taskStopped(stopped shard.StoppedTask, moved bool) {
+	j := r.byID[stopped.Task.Job]
 	j.runningTasks--
-	ran := max(0, s.RunTime)
-	kept := time.Duration(0)
+	runTime := max(0, stopped.RunTime)
+	savedTime := time.Duration(0)
 	if cp := j.Spec.CheckpointInterval; cp > 0 {
-		if kept = ran - ran%cp; moved {
-			kept = ran
+		if savedTime = runTime - runTime%cp; moved {
+			savedTime = runTime
 		}
 	}
-	if kept > 0 {
+	if savedTime > 0 {
 		if j.saved == nil {
 			j.saved = map[int32]time.Duration{}
 		}
-		j.saved[s.Task.Index] += kept
+		j.saved[stopped.Task.Index] += savedTime
 	}
 	if moved {
-		c := r.costs[s.Task.Job]
+		c := r.costs[stopped.Task.Job]
 		c.moved++
-		c.lost += ran - kept
-		r.costs[s.Task.Job] = c
+		c.lost += runTime - savedTime
+		r.costs[stopped.Task.Job] = c
 	}
 }
 
 // repriceJobs updates which jobs fit into their team's guarantee, and their prices.
 func (r *run) repriceJobs() {
 	r.repricedAt = r.now
-	g := dispatcher.NewGuaranteeChecker(r.forecast.snapshot.Teams)
+	guarantees := dispatcher.NewGuaranteeChecker(r.forecast.snapshot.Teams)
 	for _, j := range r.jobs {
 		if j.unfinished == 0 {
 			continue
 		}
-		j.withinGuarantee = g.Fits(j.Spec, int64(j.unfinished))
-		if p := dispatcher.Price(j.Spec.Rank, j.withinGuarantee); p != j.price {
-			j.price = p
-			r.simulation.RepriceJob(j.Spec.ID, p)
+		j.withinGuarantee = guarantees.Fits(j.Spec, int64(j.unfinished))
+		if price := dispatcher.Price(j.Spec.Rank, j.withinGuarantee); price != j.price {
+			j.price = price
+			r.simulation.RepriceJob(j.Spec.ID, price)
 		}
 	}
 }
@@ -324,12 +324,12 @@
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
-		n := min(int64(len(j.undispatched)), j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
-		for _, index := range j.undispatched[:n] {
+		count := min(int64(len(j.undispatched)), j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
+		for _, index := range j.undispatched[:count] {
 			r.simulation.AddWaiting(r.now, r.assignment(j, index, r.nextZone(j)))
 		}
-		j.undispatched = j.undispatched[n:]
-		r.usage[team] = r.usage[team].Add(j.Spec.PerTask.Times(n))
+		j.undispatched = j.undispatched[count:]
+		r.usage[team] = r.usage[team].Add(j.Spec.PerTask.Times(count))
 	}
 }
 
