--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -194,8 +194,7 @@
 		lost, until := tracker.lostCPUSeconds(now, b)
 		if lost+cpuSeconds(request.Spec, request.lostRunTime()) > b.MaxLostCPU {
 			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost,
-				b.MaxLostCPU,
-				b.Window, (until - now).Round(time.Second))
+				b.MaxLostCPU, b.Window, (until - now).Round(time.Second))
 		}
 	}
 	return ""
@@ -231,13 +230,13 @@
 // usageOf returns what counts against a budget at present.
 func (tracker *Tracker) usageOf(b *Budget) usage {
 	var usage usage
-	for _, o := range tracker.interruptions {
-		if b.covers(o.spec) {
+	for _, current := range tracker.interruptions {
+		if b.covers(current.spec) {
 			usage.tasks++
-			usage.cpu += o.spec.PerTask.CPU
-			usage.byCause[o.cause]++
-			if o.recoveredAt > 0 && (usage.firstRecovery == 0 || o.recoveredAt < usage.firstRecovery) {
-				usage.firstRecovery = o.recoveredAt
+			usage.cpu += current.spec.PerTask.CPU
+			usage.byCause[current.cause]++
+			if current.recoveredAt > 0 && (usage.firstRecovery == 0 || current.recoveredAt < usage.firstRecovery) {
+				usage.firstRecovery = current.recoveredAt
 			}
 		}
 	}
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -161,14 +161,14 @@
 
 // advanceDraining moves tasks off a machine, and goes to the next state once it is empty.
 func (e *Engine) advanceDraining(v *View, p *Plan, i int) {
-	s, r := &p.Steps[i], &p.runtime[i]
-	m := v.Machines[s.Machine]
+	step, status := &p.Steps[i], &p.runtime[i]
+	m := v.Machines[step.Machine]
 	if !m.Reported {
-		r.blockedReason = "no controller has told how it is"
+		status.blockedReason = "no controller has told how it is"
 		return
 	}
 	if p.Phase == Paused {
-		r.blockedReason = "the plan is paused"
+		status.blockedReason = "the plan is paused"
 		return
 	}
 	if e.isEmpty(v.Now, &m) {
@@ -179,8 +179,8 @@
 		}
 		return
 	}
-	r.blockedReason = ""
-	if list, fresh := e.freshTaskList(v.Now, s.Machine); fresh && e.cordoned[s.Machine] {
+	status.blockedReason = ""
+	if list, fresh := e.freshTaskList(v.Now, step.Machine); fresh && e.cordoned[step.Machine] {
 		e.moveTasks(v, p, i, list.tasks)
 	}
 }
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -130,7 +130,8 @@
 		return refuse("machines: no machine matches now")
 	}
 	if len(spec.Machines) > e.params.MaxMachines {
-		return refuse("machines: %d, but a plan can have at most %d: split the plan", len(spec.Machines), e.params.MaxMachines)
+		return refuse("machines: %d, but a plan can have at most %d: split the plan", len(spec.Machines),
+			e.params.MaxMachines)
 	}
 	if e.params.MaxRecordBytes > 0 {
 		if size := maxRecordSize(spec, source); size > e.params.MaxRecordBytes {
@@ -332,22 +333,22 @@
 
 // MachineRented takes the outcome of a Rent action: the rented machine, or none, with refused set if
 // the cloud declined.
-func (e *Engine) MachineRented(now time.Duration, a Action, rented []model.MachineID, refused bool) {
-	p := e.plans[a.Plan]
-	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.rentRequest(a.Step) {
+func (e *Engine) MachineRented(now time.Duration, action Action, rented []model.MachineID, refused bool) {
+	p := e.plans[action.Plan]
+	if p == nil || action.Step >= len(p.Steps) || p.Steps[action.Step].State != Renting || action.Request != p.rentRequest(action.Step) {
 		return
 	}
-	r := &p.runtime[a.Step]
-	r.requestPending, r.lastAnswerAt = false, now
+	step := &p.runtime[action.Step]
+	step.requestPending, step.lastAnswerAt = false, now
 	switch {
 	case len(rented) > 0:
-		r.replacement = rented[0]
+		step.replacement = rented[0]
 		// A leader that did not know yet whose replacement this is may have drained it for its price.
 		e.CancelPriceDrain(rented[:1])
 	case refused:
-		r.blockedReason = "the cloud has no machine to replace it"
+		step.blockedReason = "the cloud has no machine to replace it"
 	default:
-		r.blockedReason = "the cloud does not answer"
+		step.blockedReason = "the cloud does not answer"
 	}
 }
 
--- a/internal/core/drain/harness_test.go
+++ b/internal/core/drain/harness_test.go
@@ -107,9 +107,8 @@
 // view returns the state of the simulated cluster for the engine.
 func (h *harness) view() *View {
 	v := &View{Now: h.now, Wall: h.wall.Add(h.now), Machines: map[model.MachineID]Machine{}, Recovered: true,
-		RunTimeFactor: func(_ model.Name, part float64) float64 {
-			return 0.5 +
-				part
+		RunTimeFactor: func(_ model.Name, quantile float64) float64 {
+			return 0.5 + quantile
 		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName,
 		EvaluateGate: h.evaluateGate}
 	for id, m := range h.machines {
@@ -181,8 +180,8 @@
 
 // state returns the stored state of a machine's step, 255 if there is none.
 func (h *harness) state(plan string, id model.MachineID) State {
-	var rec record
-	_ = json.Unmarshal(h.stored[plan].Value, &rec)
+	var stored record
+	_ = json.Unmarshal(h.stored[plan].Value, &stored)
 	p := &Plan{Spec: Spec{Name: plan}}
 	if p.decode(0, h.stored[plan].Value, func([]byte) (*Spec, error) { return &Spec{}, nil }) != nil {
 		return 255
@@ -266,16 +265,16 @@
 // moveTask stops a task and starts it on the first other machine where it fits, if there is one.
 func (h *harness) moveTask(from model.MachineID, t model.Task) {
 	m := h.machines[from]
-	i := slices.IndexFunc(m.tasks, func(o model.PlacedTask) bool { return o.Task == t })
+	i := slices.IndexFunc(m.tasks, func(other model.PlacedTask) bool { return other.Task == t })
 	if i < 0 {
 		return
 	}
 	m.tasks = slices.Delete(m.tasks, i, i+1)
 	j := h.jobs[t.Job]
 	for _, id := range h.ids() {
-		if o := h.machines[id]; !o.cordoned && o.bootTicks == 0 && j.Spec.PerTask.Fits(o.free(h)) &&
-			j.Spec.Allows(&o.Machine) {
-			o.tasks = append(o.tasks, model.PlacedTask{Task: t, Stage: model.Running})
+		if other := h.machines[id]; !other.cordoned && other.bootTicks == 0 && j.Spec.PerTask.Fits(other.free(h)) &&
+			j.Spec.Allows(&other.Machine) {
+			other.tasks = append(other.tasks, model.PlacedTask{Task: t, Stage: model.Running})
 			return
 		}
 	}
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -56,11 +56,11 @@
 	var compressed bytes.Buffer
 	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err != nil {
-		return nil, fmt.Errorf("pack plan %s: %w", p.Name, err)
+		return nil, fmt.Errorf("compress plan %s: %w", p.Name, err)
 	}
 	_, err = w.Write(b)
 	if err = errors.Join(err, w.Close()); err != nil {
-		return nil, fmt.Errorf("pack plan %s: %w", p.Name, err)
+		return nil, fmt.Errorf("compress plan %s: %w", p.Name, err)
 	}
 	if b, err = json.Marshal(compressedRecord{compressedVersion, compressed.Bytes()}); err != nil {
 		return nil, fmt.Errorf("encode plan %s: %w", p.Name, err)
@@ -70,14 +70,14 @@
 
 // decompress returns the plain record of a stored value.
 func decompress(value []byte) ([]byte, error) {
-	var p compressedRecord
-	if err := json.Unmarshal(value, &p); err != nil {
+	var record compressedRecord
+	if err := json.Unmarshal(value, &record); err != nil {
 		return nil, fmt.Errorf("its record is unreadable: %w", err)
 	}
-	if p.V != compressedVersion {
+	if record.V != compressedVersion {
 		return value, nil
 	}
-	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Z)), 1<<20))
+	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(record.Z)), 1<<20))
 	if err != nil {
 		return nil, fmt.Errorf("its packed record is unreadable: %w", err)
 	}
@@ -176,11 +176,11 @@
 	p.PassedWaves, p.GateClosedReason = r.PassedWaves, r.GateClosedReason
 	last, rest := int64(0), r.Machines
 	for i, state := range r.States {
-		d, n := binary.Varint(rest)
+		delta, n := binary.Varint(rest)
 		if n <= 0 || State(state) > Abandoned {
 			return fmt.Errorf("its record is damaged at step %d", i)
 		}
-		rest, last = rest[n:], last+d
+		rest, last = rest[n:], last+delta
 		p.Machines = append(p.Machines, model.MachineID(last))
 		p.Steps = append(p.Steps, Step{Machine: model.MachineID(last), State: State(state), RentAttempt: r.RentAttempts[i]})
 	}
@@ -240,7 +240,7 @@
 		out = append(out, Write{Name: p.Name, Version: p.storeVersion, Value: value, uid: p.UID, generation: p.generation})
 	}
 	if len(ended) > maxEndedPlans && len(out) < n {
-		oldest := slices.MinFunc(ended, func(a, value *Plan) int { return a.At.Compare(value.At) })
+		oldest := slices.MinFunc(ended, func(a, b *Plan) int { return a.At.Compare(b.At) })
 		oldest.writingGeneration = oldest.generation
 		out = append(out, Write{Name: oldest.Name, Version: oldest.storeVersion, uid: oldest.UID,
 			generation: oldest.generation})
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -217,32 +217,32 @@
 // nothing blocks the step. A replacement that does not come up in time is given up, and another is
 // rented.
 func (e *Engine) advanceRenting(v *View, p *Plan, i int) {
-	r, s := &p.runtime[i], &p.Steps[i]
-	m := v.Machines[s.Machine].Machine
-	if r.replacement != 0 {
-		replacement, ok := v.Machines[r.replacement]
+	status, step := &p.runtime[i], &p.Steps[i]
+	m := v.Machines[step.Machine].Machine
+	if status.replacement != 0 {
+		replacement, ok := v.Machines[status.replacement]
 		switch {
 		case p.Phase != Active:
 		case ok && replacement.Reported && replacement.Ready:
-			if reason := e.blockedReason(v, p, s.Machine, v.freeCapacity(e.plannedCordons())); reason != "" {
-				r.blockedReason = reason
+			if reason := e.blockedReason(v, p, step.Machine, v.freeCapacity(e.plannedCordons())); reason != "" {
+				status.blockedReason = reason
 				return
 			}
 			p.setState(v.Now, i, Draining)
-		case v.Now-r.lastAnswerAt > 4*v.BootTime(m.Type)+20*time.Second:
+		case v.Now-status.lastAnswerAt > 4*v.BootTime(m.Type)+20*time.Second:
 			// The replacement never came up, or is gone: rent another.
-			s.RentAttempt++
+			step.RentAttempt++
 			p.setState(v.Now, i, Renting)
 			p.runtime[i].replacement = 0
 		default:
-			r.blockedReason = "its replacement has not come up yet"
+			status.blockedReason = "its replacement has not come up yet"
 		}
 		return
 	}
-	if !r.requestPending && p.Phase == Active && (r.lastAnswerAt == 0 ||
-		v.Now-r.lastAnswerAt >= e.params.RetryInterval) {
-		r.requestPending = true
-		e.emit(Action{Kind: Rent, Machine: s.Machine, Template: m, Plan: p.Name, Step: i, Request: p.rentRequest(i)})
+	if !status.requestPending && p.Phase == Active && (status.lastAnswerAt == 0 ||
+		v.Now-status.lastAnswerAt >= e.params.RetryInterval) {
+		status.requestPending = true
+		e.emit(Action{Kind: Rent, Machine: step.Machine, Template: m, Plan: p.Name, Step: i, Request: p.rentRequest(i)})
 	}
 }
 
@@ -250,18 +250,18 @@
 // have placed tasks there before it read the plan. So the machine is checked for tasks again: if it
 // has any, it is drained again, or abandoned if the plan was cancelled.
 func (e *Engine) advanceReturning(v *View, p *Plan, i int) {
-	r := &p.runtime[i]
+	status := &p.runtime[i]
 	m := v.Machines[p.Steps[i].Machine]
 	switch {
-	case r.requestPending:
+	case status.requestPending:
 	case m.Reported && m.Slots > 0 && p.Phase == Cancelled:
 		p.setState(v.Now, i, Abandoned)
 	case m.Reported && m.Slots > 0:
 		p.setState(v.Now, i, Draining)
 	case !e.isEmpty(v.Now, &m):
-		r.blockedReason = "its controller has not told that it is empty"
-	case r.lastAnswerAt == 0 || v.Now-r.lastAnswerAt >= time.Second:
-		r.requestPending = true
+		status.blockedReason = "its controller has not told that it is empty"
+	case status.lastAnswerAt == 0 || v.Now-status.lastAnswerAt >= time.Second:
+		status.requestPending = true
 		e.emit(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
 	}
 }
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -93,8 +93,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := snapshot(3)
-			s.addJob(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.checkpointInterval, ImageGB: c.image}, 0,
-				100*time.Second, 1)
+			s.addJob(model.Spec{ID: 5, Estimate: 200 * time.Second, CheckpointInterval: c.checkpointInterval,
+				ImageGB: c.image}, 0, 100*time.Second, 1)
 			r := s.forecast(t, params(), drain.Spec{Machines: ids, Default: c.how})
 			if c.delay == 0 {
 				if len(r.Delayed) != 0 {
@@ -151,7 +151,8 @@
 	s.addJob(model.Spec{ID: 5, Daemon: true, Types: []model.Name{7}}, 0, 0, 1)
 	p := params()
 	p.MaxDuration = 2 * time.Minute
-	if r := s.forecast(t, p, drain.Spec{Machines: []model.MachineID{1}}); r.Unfinished != "no other machine could run job-000005" {
+	if r := s.forecast(t, p, drain.Spec{Machines: []model.MachineID{1}}); r.Unfinished !=
+		"no other machine could run job-000005" {
 		t.Errorf("%+v", r)
 	}
 }
@@ -210,7 +211,7 @@
 			ImageGB:            1,
 			CheckpointInterval: time.Duration(j%2) * 20 * time.Second}, 2, time.Duration(j%40)*time.Second, on[j]...)
 	}
-	s.RunTimeFactor = func(_ model.Name, part float64) float64 { return 0.5 + part }
+	s.RunTimeFactor = func(_ model.Name, quantile float64) float64 { return 0.5 + quantile }
 	return s
 }
 
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -196,7 +196,8 @@
 // complete.
 func (r *run) scheduleCompletion(j *job, started shard.StartedTask, remaining time.Duration) {
 	if !j.Spec.Daemon {
-		heap.Push(&r.completions, completion{r.now + started.FetchTime + max(remaining, time.Millisecond), started.Task, started.Attempt})
+		heap.Push(&r.completions, completion{r.now + started.FetchTime + max(remaining, time.Millisecond), started.Task,
+			started.Attempt})
 	}
 }
 
@@ -324,7 +325,8 @@
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
-		count := min(int64(len(j.undispatched)), j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
+		count := min(int64(len(j.undispatched)),
+			j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
 		for _, index := range j.undispatched[:count] {
 			r.simulation.AddWaiting(r.now, r.assignment(j, index, r.nextZone(j)))
 		}
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -145,8 +145,8 @@
 	if others > 0 {
 		otherRate = (e.all.failed - wave.failed) / others
 	}
-	// One failure more than there were, because a rate of zero would have no variance and make any
-	// difference significant.
+	// One more failed task is counted elsewhere than there was. Otherwise, with no failures elsewhere,
+	// almost any difference would be significant.
 	pooledRate := (e.all.failed + 1) / (total + others + 1)
 	deviations := (waveRate - otherRate) / math.Sqrt(pooledRate*(1-pooledRate)*(1/total+1/max(1, others)))
 	if waveRate-otherRate <= gate.MaxErrorIncrease || deviations < minDeviations {
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -49,7 +49,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slowdown, c.errorRate).Evaluate(gate, []model.MachineID{0, 1})
+				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slowdown, c.errorRate).Evaluate(gate,
+					[]model.MachineID{0, 1})
 				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.reason) {
 					t.Fatalf("seed %d: %+v", seed, v)
 				}
