--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -375,7 +375,7 @@
 	h := threeMachines(t)
 	for want, s := range map[string]Spec{
 		"no machine matches": {},
-		"at most 100":        {Machines: make([]model.MachineID, 101)},
+		"at most 100:":       {Machines: make([]model.MachineID, 101)},
 	} {
 		if err := h.apply(s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -335,7 +335,8 @@
 // the cloud declined.
 func (e *Engine) MachineRented(now time.Duration, action Action, rented []model.MachineID, refused bool) {
 	p := e.plans[action.Plan]
-	if p == nil || action.Step >= len(p.Steps) || p.Steps[action.Step].State != Renting || action.Request != p.rentRequest(action.Step) {
+	if p == nil || action.Step >= len(p.Steps) || p.Steps[action.Step].State != Renting ||
+		action.Request != p.rentRequest(action.Step) {
 		return
 	}
 	step := &p.runtime[action.Step]
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -97,8 +97,8 @@
 	Soak     time.Duration // waiting time after the wave's last machine is done
 }
 
-// Limit returns the earliest time past which the plan's windows let it delay no such job, and the name
-// of that window.
+// Limit returns the earliest time by which the plan's windows require the job to end, and the name of
+// that window.
 func (s *Spec) Limit(spec *model.Spec) (limit time.Time, window string, ok bool) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
