--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -112,7 +112,7 @@
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
-// Enabled reports whether there is any budget. Without one the tracker need not be told of anything.
+// Enabled reports whether there is any budget. Without one it needs no events.
 func (tracker *Tracker) Enabled() bool { return tracker != nil && len(tracker.budgets) > 0 }
 
 // teamCounts returns the team's counts, and adds them if there are none.
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -53,7 +53,7 @@
 	Seq      uint64        // ListTasks: number of the request
 }
 
-// Engine is the state machine that carries out drains. It returns actions from Tick and is told their
+// Engine is the state machine that carries out drains. Tick returns actions, and other methods take their
 // outcomes.
 type Engine struct {
 	params           Params
