--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -1,11 +1,12 @@
-// Package disruption keeps what teams lose by our own doing within budgets: how much of
-// their work is out at once, and how much is lost in a window of time. Whatever moves
-// running work of its own accord draws from a budget before it acts. What evictions and
-// failures take eats of the same budgets without asking, so that what can wait yields.
+// Package disruption limits how much of each team's running work the scheduler disrupts. A budget
+// bounds how many tasks are interrupted at once and how much work is lost in a window of time.
+// Whatever moves a running task voluntarily must be granted the move by all budgets of the task first.
+// Evictions and failures are not asked, but count against the same budgets, so that voluntary moves
+// yield to them.
 //
-// It is a state machine of the leader's, without input or output; times are the steady
-// clock's. Nothing of it is stored: a leader that begins counts as out whatever it can't
-// tell to be at work, which can only be too much (docs/disruption.md).
+// It is a state machine that runs on the leader, without input or output; its times are those of the
+// monotonic clock. Nothing of it is stored: a new leader counts as interrupted every task that it
+// can't show to be running, which can only be too many (docs/disruption.md).
 package disruption
 
 import (
@@ -18,229 +19,245 @@
 	"honeylock/internal/core/model"
 )
 
-// Budget of one team, or of one class of its work. A zero amount bounds nothing.
+// Budget limits the disruption of one team's tasks, or of one class of them. A bound of zero is no
+// limit.
 type Budget struct {
 	Team         model.Name
-	Class        model.Name    // None: all
-	MaxTasks     int           // out at once
-	MaxShare     float64       // of the running tasks, out at once: one at least
-	MaxCPU       int64         // out at once, in thousandths
+	Class        model.Name    // model.None: all
+	MaxTasks     int           // interrupted at once
+	MaxShare     float64       // fraction of the running tasks interrupted at once; always allows one
+	MaxCPU       int64         // of the tasks interrupted at once, in thousandths of a CPU
 	MaxLostCPU   float64       // CPU seconds lost in a window
-	Window       time.Duration // of LostCPU
+	Window       time.Duration // of MaxLostCPU
 	MaxMoves     int           // of one task
-	LastFraction float64       // of a task's run, in which it is not moved
+	LastFraction float64       // last part of a task's run in which it is not moved
 }
 
-func (b *Budget) covers(sp *model.Spec) bool {
-	return b.Team == sp.Team && (b.Class == model.None || b.Class == sp.Class)
+// covers reports whether the budget limits the job's tasks.
+func (b *Budget) covers(spec *model.Spec) bool {
+	return b.Team == spec.Team && (b.Class == model.None || b.Class == spec.Class)
 }
 
-// Cause of a task's being out of work.
+// Cause is why a task is interrupted.
 type Cause uint8
 
-// NumCauses. The first two are by our own doing and ask first.
+// Causes. The first two are voluntary moves, which need a grant.
 const (
-	PlanDrain  Cause = iota // an operators' plan moves it
+	PlanDrain  Cause = iota // an operator's drain plan moves it
 	PriceDrain              // its machine is drained for its price
-	Evicted                 // for work of a higher price
-	Lost                    // its machine stopped, was taken, or can't be reached
-	Unknown                 // of before this leader's term: it may be out for any reason
-	NumCauses
+	Evicted                 // it gave way to work of a higher price
+	Lost                    // its machine failed, was reclaimed, or is unreachable
+	Unknown                 // from before this leader's term, when the cause is not known
+	NumCauses               // number of causes
 )
 
-// String is the cause's name for people.
+// String returns the cause for messages.
 func (c Cause) String() string {
 	return [...]string{"moved by plans", "moved for their machines' price", "evicted", "lost with their machines",
 		"unknown since the change of leader"}[c]
 }
 
-// Label is the cause's name in metrics.
+// Label returns the cause's label in metrics.
 func (c Cause) Label() string { return [...]string{"plan", "price", "evicted", "lost", "unsure"}[c] }
 
-// out is a task that is out of work, or has not made up for what it lost.
-type out struct {
-	sp    *model.Spec
-	cause Cause
-	lost  time.Duration // run time that it has to make up for
-	back  time.Duration // it is at work again, and has made up for it then; 0: not yet
+// interruption is the state of a task that is interrupted, or has not yet made up for the run time that
+// it lost.
+type interruption struct {
+	spec        *model.Spec
+	cause       Cause
+	lostRunTime time.Duration // run time that it must repeat
+	recoveredAt time.Duration // when it has repeated that, once it runs again; 0: it does not run yet
 }
 
-// loss is work that was lost by our own doing.
+// loss is work lost by a voluntary move.
 type loss struct {
-	at    time.Duration
-	sp    *model.Spec
-	cause Cause
-	cpuS  float64
+	at         time.Duration
+	spec       *model.Spec
+	cause      Cause
+	cpuSeconds float64
 }
 
-// Counts of a team, by cause, for metrics.
+// Counts are a team's moves granted and refused, and its involuntary disruptions, by cause, for
+// metrics.
 type Counts struct{ Granted, Refused, Involuntary [NumCauses]uint64 }
 
-// TeamState is what the leader knows of a team's work beside what the book was told.
+// TeamState is what the leader knows of a team's tasks apart from the tracker.
 type TeamState struct {
-	Running  int   // tasks at work
-	Orphaned int   // tasks whose owner was lost, or let their machine go
-	Unknown  int   // tasks of jobs of before this term that are neither done nor known to be at work
-	CPU      int64 // of those orphaned and unsure, in thousandths
+	Running  int   // tasks that run
+	Orphaned int   // tasks whose shard was lost or released their machine
+	Unknown  int   // tasks of jobs from before this term that are neither done nor known to run
+	CPU      int64 // of the orphaned and unknown tasks, in thousandths of a CPU
 }
 
 // Tracker is the state machine.
 type Tracker struct {
-	budgets []Budget
-	out     map[model.Task]*out
-	moves   map[model.Task]int
-	losses  []loss // oldest first
-	Counts  map[model.Name]*Counts
-	// Recovered: the machines of earlier terms are accounted for. Before, nothing is drawn.
+	budgets       []Budget
+	interruptions map[model.Task]*interruption // tasks that count against budgets
+	moveCounts    map[model.Task]int           // voluntary moves of each task
+	losses        []loss                       // oldest first
+	Counts        map[model.Name]*Counts
+	// Recovered is set once the machines of earlier terms are accounted for. Until then no move is
+	// granted.
 	Recovered bool
-	// TeamState tells of a team's work, or of that of one of its classes.
+	// TeamState returns the state of a team's tasks, or of those of one class.
 	TeamState func(team, class model.Name) TeamState
-	// TeamName is for people.
+	// TeamName returns a team's name for messages.
 	TeamName func(model.Name) string
 }
 
-// New returns a book with these budgets.
+// New returns a tracker with these budgets.
 func New(budgets []Budget) *Tracker {
-	return &Tracker{budgets: budgets, out: map[model.Task]*out{}, moves: map[model.Task]int{},
+	return &Tracker{budgets: budgets, interruptions: map[model.Task]*interruption{}, moveCounts: map[model.Task]int{},
 		Counts:   map[model.Name]*Counts{},
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
-// Enabled tells whether there is any budget: without one nothing need be told here.
-func (k *Tracker) Enabled() bool { return k != nil && len(k.budgets) > 0 }
+// Enabled reports whether there is any budget. Without one it needs no events.
+func (tracker *Tracker) Enabled() bool { return tracker != nil && len(tracker.budgets) > 0 }
 
-func (k *Tracker) counts(team model.Name) *Counts {
-	c := k.Counts[team]
+// teamCounts returns the team's counts, and adds them if there are none.
+func (tracker *Tracker) teamCounts(team model.Name) *Counts {
+	c := tracker.Counts[team]
 	if c == nil {
 		c = &Counts{}
-		k.Counts[team] = c
+		tracker.Counts[team] = c
 	}
 	return c
 }
 
-// MoveRequest is a task that is to be moved.
+// MoveRequest asks for a running task to be moved.
 type MoveRequest struct {
 	Task      model.Task
 	Spec      *model.Spec
 	Cause     Cause
-	Ran       time.Duration // it has run here for so long
-	Remaining time.Duration // ... and is likely to run on for
+	Ran       time.Duration // run time so far on this machine
+	Remaining time.Duration // expected rest of the run time
 }
 
-// lost is the run time that a task loses when it is stopped: what it did not save.
-func (a *MoveRequest) lost() time.Duration {
-	if a.Spec.CheckpointInterval > 0 {
-		return a.Spec.CheckpointTime
+// lostRunTime is the run time that the task loses when it is stopped: the time to save a checkpoint,
+// or all of it without checkpoints.
+func (request *MoveRequest) lostRunTime() time.Duration {
+	if request.Spec.CheckpointInterval > 0 {
+		return request.Spec.CheckpointTime
 	}
-	return a.Ran
+	return request.Ran
 }
 
-// RequestMove asks for a task to be moved: "" if it may, and it is out from here on; else what
-// stands against it.
-func (k *Tracker) RequestMove(now time.Duration, a MoveRequest) string {
-	k.expire(now)
-	for i := range k.budgets {
-		if b := &k.budgets[i]; b.covers(a.Spec) {
-			if why := k.against(now, b, &a); why != "" {
-				k.counts(a.Spec.Team).Refused[a.Cause]++
-				return why
+// RequestMove asks all budgets of a task for a move. It returns "" if the move is granted, and counts
+// the task as interrupted from then on; otherwise it returns the reason.
+func (tracker *Tracker) RequestMove(now time.Duration, request MoveRequest) string {
+	tracker.expire(now)
+	for i := range tracker.budgets {
+		if b := &tracker.budgets[i]; b.covers(request.Spec) {
+			if reason := tracker.refusalReason(now, b, &request); reason != "" {
+				tracker.teamCounts(request.Spec.Team).Refused[request.Cause]++
+				return reason
 			}
 		}
 	}
-	k.counts(a.Spec.Team).Granted[a.Cause]++
-	k.moves[a.Task]++
-	k.out[a.Task] = &out{sp: a.Spec, cause: a.Cause, lost: a.lost()}
-	k.losses = append(k.losses, loss{now, a.Spec, a.Cause, cpuSeconds(a.Spec, a.lost())})
+	tracker.teamCounts(request.Spec.Team).Granted[request.Cause]++
+	tracker.moveCounts[request.Task]++
+	tracker.interruptions[request.Task] = &interruption{spec: request.Spec, cause: request.Cause,
+		lostRunTime: request.lostRunTime()}
+	tracker.losses = append(tracker.losses, loss{now, request.Spec, request.Cause,
+		cpuSeconds(request.Spec, request.lostRunTime())})
 	return ""
 }
 
-func cpuSeconds(sp *model.Spec, d time.Duration) float64 {
-	return float64(sp.PerTask.CPU) / 1000 * d.Seconds()
+// cpuSeconds is the CPU time that a task of the job uses in the duration.
+func cpuSeconds(spec *model.Spec, duration time.Duration) float64 {
+	return float64(spec.PerTask.CPU) / 1000 * duration.Seconds()
 }
 
-// against tells what a budget has against a move, "" if nothing.
-func (k *Tracker) against(now time.Duration, b *Budget, a *MoveRequest) string {
-	name := k.name(b)
-	if !k.Recovered {
+// refusalReason returns why a budget does not allow a move, "" if it does.
+func (tracker *Tracker) refusalReason(now time.Duration, b *Budget, request *MoveRequest) string {
+	name := tracker.budgetName(b)
+	if !tracker.Recovered {
 		return name + ": not all machines of earlier terms are accounted for"
 	}
-	if b.MaxMoves > 0 && k.moves[a.Task] >= b.MaxMoves {
-		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, k.moves[a.Task])
+	if b.MaxMoves > 0 && tracker.moveCounts[request.Task] >= b.MaxMoves {
+		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, tracker.moveCounts[request.Task])
 	}
-	if whole := a.Ran + a.Remaining; b.LastFraction > 0 && a.Remaining < time.Duration(b.LastFraction*float64(whole)) {
+	if whole := request.Ran + request.Remaining; b.LastFraction > 0 &&
+		request.Remaining < time.Duration(b.LastFraction*float64(whole)) {
 		return fmt.Sprintf("%s: a task is in the last %.0f%% of its run", name, 100*b.LastFraction)
 	}
-	u := k.used(b)
-	if most, bound := b.tasks(u.running); bound && u.tasks+1 > most {
-		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%d of %d tasks are", u.tasks, most)))
+	usage := tracker.usageOf(b)
+	if limit, limited := b.taskLimit(usage.running); limited && usage.tasks+1 > limit {
+		return fmt.Sprintf("%s: %s", name, usage.describe(now, fmt.Sprintf("%d of %d tasks are", usage.tasks, limit)))
 	}
-	if b.MaxCPU > 0 && u.cpu+a.Spec.PerTask.CPU > b.MaxCPU {
-		return fmt.Sprintf("%s: %s", name, u.say(now, fmt.Sprintf("%.1f of %.1f CPUs are", cpus(u.cpu), cpus(b.MaxCPU))))
+	if b.MaxCPU > 0 && usage.cpu+request.Spec.PerTask.CPU > b.MaxCPU {
+		return fmt.Sprintf("%s: %s", name, usage.describe(now,
+			fmt.Sprintf("%.1f of %.1f CPUs are", cpus(usage.cpu), cpus(b.MaxCPU))))
 	}
 	if b.MaxLostCPU > 0 {
-		lost, until := k.lostIn(now, b)
-		if lost+cpuSeconds(a.Spec, a.lost()) > b.MaxLostCPU {
-			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost, b.MaxLostCPU,
-				b.Window, (until - now).Round(time.Second))
+		lost, until := tracker.lostCPUSeconds(now, b)
+		if lost+cpuSeconds(request.Spec, request.lostRunTime()) > b.MaxLostCPU {
+			return fmt.Sprintf("%s: %.0f of %.0f CPU seconds were lost in %v, some are forgotten in %v", name, lost,
+				b.MaxLostCPU, b.Window, (until - now).Round(time.Second))
 		}
 	}
 	return ""
 }
 
+// cpus converts thousandths of a CPU to CPUs.
 func cpus(n int64) float64 { return float64(n) / 1000 }
 
-// tasks is how many may be out at once.
-func (b *Budget) tasks(running int) (most int, bound bool) {
+// taskLimit returns how many tasks may be interrupted at once, and whether there is a limit.
+func (b *Budget) taskLimit(running int) (limit int, limited bool) {
 	if b.MaxShare > 0 {
-		most, bound = max(1, int(b.MaxShare*float64(running))), true
+		limit, limited = max(1, int(b.MaxShare*float64(running))), true
 	}
-	if b.MaxTasks > 0 && (!bound || b.MaxTasks < most) {
-		most, bound = b.MaxTasks, true
+	if b.MaxTasks > 0 && (!limited || b.MaxTasks < limit) {
+		limit, limited = b.MaxTasks, true
 	}
-	return most, bound
+	return limit, limited
 }
 
-func (k *Tracker) name(b *Budget) string {
-	return "the budget of disruption of " + k.TeamName(b.Team)
+// budgetName names a budget in messages.
+func (tracker *Tracker) budgetName(b *Budget) string {
+	return "the budget of disruption of " + tracker.TeamName(b.Team)
 }
 
-// used is what is out of a budget.
-type used struct {
+// usage is what counts against a budget at present.
+type usage struct {
 	tasks, running int
 	cpu            int64
-	by             [NumCauses]int
-	back           time.Duration // the first that is known to be back, 0: none is
+	byCause        [NumCauses]int
+	firstRecovery  time.Duration // earliest recoveredAt of its tasks, 0: none is known
 }
 
-func (k *Tracker) used(b *Budget) used {
-	var u used
-	for _, o := range k.out {
-		if b.covers(o.sp) {
-			u.tasks++
-			u.cpu += o.sp.PerTask.CPU
-			u.by[o.cause]++
-			if o.back > 0 && (u.back == 0 || o.back < u.back) {
-				u.back = o.back
+// usageOf returns what counts against a budget at present.
+func (tracker *Tracker) usageOf(b *Budget) usage {
+	var usage usage
+	for _, current := range tracker.interruptions {
+		if b.covers(current.spec) {
+			usage.tasks++
+			usage.cpu += current.spec.PerTask.CPU
+			usage.byCause[current.cause]++
+			if current.recoveredAt > 0 && (usage.firstRecovery == 0 || current.recoveredAt < usage.firstRecovery) {
+				usage.firstRecovery = current.recoveredAt
 			}
 		}
 	}
-	if k.TeamState == nil {
-		return u
+	if tracker.TeamState == nil {
+		return usage
 	}
-	p := k.TeamState(b.Team, b.Class)
-	u.running = p.Running
-	u.tasks += p.Orphaned + p.Unknown
-	u.cpu += p.CPU
-	u.by[Lost] += p.Orphaned
-	u.by[Unknown] += p.Unknown
-	return u
+	state := tracker.TeamState(b.Team, b.Class)
+	usage.running = state.Running
+	usage.tasks += state.Orphaned + state.Unknown
+	usage.cpu += state.CPU
+	usage.byCause[Lost] += state.Orphaned
+	usage.byCause[Unknown] += state.Unknown
+	return usage
 }
 
-// say tells what is out, and why.
-func (u *used) say(now time.Duration, what string) string {
+// describe completes a message with the number of interrupted tasks by cause, and when the first of
+// them has recovered.
+func (u *usage) describe(now time.Duration, what string) string {
 	s := what + " out of work ("
 	first := true
-	for c, n := range u.by {
+	for c, n := range u.byCause {
 		if n == 0 {
 			continue
 		}
@@ -251,111 +268,112 @@
 		s += fmt.Sprintf("%d %s", n, Cause(c))
 	}
 	s += ")"
-	if u.back > now {
-		s += fmt.Sprintf(", the first is back in %v", (u.back - now).Round(time.Second))
+	if u.firstRecovery > now {
+		s += fmt.Sprintf(", the first is back in %v", (u.firstRecovery - now).Round(time.Second))
 	}
 	return s
 }
 
-// lostIn sums up what a budget's work lost in its window by our own doing, and when
-// the oldest of it is forgotten.
-func (k *Tracker) lostIn(now time.Duration, b *Budget) (cpuS float64, until time.Duration) {
-	until = now
-	for i := len(k.losses) - 1; i >= 0; i-- {
-		if l := &k.losses[i]; now-l.at < b.Window && b.covers(l.sp) {
-			cpuS += l.cpuS
-			until = l.at + b.Window
+// lostCPUSeconds returns the CPU time that a budget's tasks lost by voluntary moves in its window, and
+// when the oldest of these losses leaves the window.
+func (tracker *Tracker) lostCPUSeconds(now time.Duration, b *Budget) (cpuSeconds float64, expiresAt time.Duration) {
+	expiresAt = now
+	for i := len(tracker.losses) - 1; i >= 0; i-- {
+		if lost := &tracker.losses[i]; now-lost.at < b.Window && b.covers(lost.spec) {
+			cpuSeconds += lost.cpuSeconds
+			expiresAt = lost.at + b.Window
 		}
 	}
-	return cpuS, until
+	return cpuSeconds, expiresAt
 }
 
-// HandleEvent takes what a shard tells of a job's task that is out of work, at work again, or done.
-func (k *Tracker) HandleEvent(now time.Duration, e *model.Event, sp *model.Spec) {
-	switch e.Kind {
+// HandleEvent takes a shard's event about a task that is interrupted, runs again, or is finished.
+func (tracker *Tracker) HandleEvent(now time.Duration, event *model.Event, spec *model.Spec) {
+	switch event.Kind {
 	case model.TaskInterrupted:
 		cause := Evicted
-		if e.Cause == model.CauseOther {
+		if event.Cause == model.CauseOther {
 			cause = Lost
 		}
-		k.TaskStopped(e.Task, sp, cause, e.RunTime)
+		tracker.TaskStopped(event.Task, spec, cause, event.RunTime)
 	case model.TaskResumed:
-		k.TaskResumed(now, e.Task)
+		tracker.TaskResumed(now, event.Task)
 	case model.TaskFinished:
-		k.TaskDone(e.Task)
+		tracker.TaskDone(event.Task)
 	}
 }
 
-// TaskStopped takes the news that a running task is out of work. What was drawn for stays
-// drawn; all else eats of the budget.
-func (k *Tracker) TaskStopped(t model.Task, sp *model.Spec, c Cause, lost time.Duration) {
-	if o := k.out[t]; o != nil {
-		o.back = 0
-		o.lost = max(o.lost, lost)
+// TaskStopped records that a running task is interrupted. If its move was granted it is counted
+// already; otherwise it counts as an involuntary disruption.
+func (tracker *Tracker) TaskStopped(task model.Task, spec *model.Spec, cause Cause, lost time.Duration) {
+	if current := tracker.interruptions[task]; current != nil {
+		current.recoveredAt = 0
+		current.lostRunTime = max(current.lostRunTime, lost)
 		return
 	}
-	k.counts(sp.Team).Involuntary[c]++
-	k.out[t] = &out{sp: sp, cause: c, lost: lost}
+	tracker.teamCounts(spec.Team).Involuntary[cause]++
+	tracker.interruptions[task] = &interruption{spec: spec, cause: cause, lostRunTime: lost}
 }
 
-// TaskResumed takes the news that a task is at work again: it is out until it has made up
-// for what it lost.
-func (k *Tracker) TaskResumed(now time.Duration, t model.Task) {
-	if o := k.out[t]; o != nil && o.back == 0 {
-		o.back = now + o.lost
+// TaskResumed records that a task runs again. It counts as interrupted until it has repeated the run
+// time that it lost.
+func (tracker *Tracker) TaskResumed(now time.Duration, task model.Task) {
+	if o := tracker.interruptions[task]; o != nil && o.recoveredAt == 0 {
+		o.recoveredAt = now + o.lostRunTime
 	}
 }
 
-// TaskDone takes the news that a task is done.
-func (k *Tracker) TaskDone(t model.Task) {
-	delete(k.out, t)
-	delete(k.moves, t)
+// TaskDone forgets a task that is done.
+func (tracker *Tracker) TaskDone(task model.Task) {
+	delete(tracker.interruptions, task)
+	delete(tracker.moveCounts, task)
 }
 
-// Prune forgets the tasks of jobs that are over.
-func (k *Tracker) Prune(open func(model.JobID) bool) {
+// Prune forgets the tasks of jobs that are no longer open.
+func (tracker *Tracker) Prune(open func(model.JobID) bool) {
 	over := func(t model.Task) bool { return !open(t.Job) }
-	maps.DeleteFunc(k.out, func(t model.Task, _ *out) bool { return over(t) })
-	maps.DeleteFunc(k.moves, func(t model.Task, _ int) bool { return over(t) })
+	maps.DeleteFunc(tracker.interruptions, func(t model.Task, _ *interruption) bool { return over(t) })
+	maps.DeleteFunc(tracker.moveCounts, func(t model.Task, _ int) bool { return over(t) })
 }
 
-// expire gives back what has made up for what it lost, and forgets old losses.
-func (k *Tracker) expire(now time.Duration) {
-	for t, o := range k.out {
-		if o.back > 0 && now >= o.back {
-			delete(k.out, t)
+// expire forgets tasks that have made up for what they lost, and losses older than the longest window.
+func (tracker *Tracker) expire(now time.Duration) {
+	for t, o := range tracker.interruptions {
+		if o.recoveredAt > 0 && now >= o.recoveredAt {
+			delete(tracker.interruptions, t)
 		}
 	}
 	var longest time.Duration
-	for i := range k.budgets {
-		longest = max(longest, k.budgets[i].Window)
+	for i := range tracker.budgets {
+		longest = max(longest, tracker.budgets[i].Window)
 	}
-	k.losses = slices.DeleteFunc(k.losses, func(l loss) bool { return now-l.at >= longest })
+	tracker.losses = slices.DeleteFunc(tracker.losses, func(l loss) bool { return now-l.at >= longest })
 }
 
-// Status of a budget, for people.
+// Status is the state of a budget, for operators.
 type Status struct {
 	Budget
-	Running, Tasks, TaskLimit int // MostTasks: -1: no bound
+	Running, Tasks, TaskLimit int // TaskLimit: -1: no limit
 	CPU                       int64
 	LostCPU                   float64
 	ByCause                   [NumCauses]int
 }
 
-// Status tells how all budgets stand.
-func (k *Tracker) Status(now time.Duration) []Status {
-	k.expire(now)
-	out := make([]Status, 0, len(k.budgets))
-	for i := range k.budgets {
-		b := &k.budgets[i]
-		u := k.used(b)
-		most, bound := b.tasks(u.running)
-		if !bound {
-			most = -1
+// Status returns the state of all budgets.
+func (tracker *Tracker) Status(now time.Duration) []Status {
+	tracker.expire(now)
+	out := make([]Status, 0, len(tracker.budgets))
+	for i := range tracker.budgets {
+		b := &tracker.budgets[i]
+		usage := tracker.usageOf(b)
+		limit, limited := b.taskLimit(usage.running)
+		if !limited {
+			limit = -1
 		}
-		lost, _ := k.lostIn(now, b)
-		out = append(out, Status{Budget: *b, Running: u.running, Tasks: u.tasks, TaskLimit: most, CPU: u.cpu, LostCPU: lost,
-			ByCause: u.by})
+		lost, _ := tracker.lostCPUSeconds(now, b)
+		out = append(out, Status{Budget: *b, Running: usage.running, Tasks: usage.tasks, TaskLimit: limit, CPU: usage.cpu,
+			LostCPU: lost,
+			ByCause: usage.byCause})
 	}
 	slices.SortStableFunc(out, func(a, b Status) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -8,238 +8,246 @@
 	"honeylock/internal/core/model"
 )
 
-// What is told of a machine counts for so many reports.
-const freshReports = 5
+// taskListMaxReports is how many report intervals a machine's task list counts as current.
+const taskListMaxReports = 5
 
-// look asks the machine's owner now and then what runs there.
-func (e *Engine) look(now time.Duration, id model.MachineID) {
-	if a, ok := e.asked[id]; !ok || now-a.at >= 2*e.p.ReportInterval {
-		e.looks++
-		e.asked[id] = asked{now, e.looks}
-		e.act(Action{Kind: ListTasks, Machine: id, Seq: e.looks})
+// requestTaskList asks the machine's owner which tasks are on it, at most once in two report
+// intervals.
+func (e *Engine) requestTaskList(now time.Duration, id model.MachineID) {
+	if last, ok := e.taskListRequests[id]; !ok || now-last.sentAt >= 2*e.params.ReportInterval {
+		e.lastListSeq++
+		e.taskListRequests[id] = taskListRequest{now, e.lastListSeq}
+		e.emit(Action{Kind: ListTasks, Machine: id, Seq: e.lastListSeq})
 	}
 }
 
-// unlook forgets what was told of a machine.
-func (e *Engine) unlook(id model.MachineID) {
-	delete(e.seen, id)
-	delete(e.asked, id)
+// forgetTaskList drops a machine's task list and the request under way.
+func (e *Engine) forgetTaskList(id model.MachineID) {
+	delete(e.taskLists, id)
+	delete(e.taskListRequests, id)
 }
 
-// empty tells that nothing is on a barred machine, and nothing will be: its owner
-// has said so after it heard that the machine gets no tasks.
-func (e *Engine) empty(now time.Duration, m *Machine) bool {
+// isEmpty reports whether nothing is on a cordoned machine and nothing will be: its owner has listed
+// no tasks after the machine was cordoned.
+func (e *Engine) isEmpty(now time.Duration, m *Machine) bool {
 	id := m.Machine.ID
-	if !m.Reported || m.Slots > 0 || !e.barred[id] {
+	if !m.Reported || m.Slots > 0 || !e.cordoned[id] {
 		return false
 	}
-	s, fresh := e.fresh(now, id)
-	return fresh && s.none
+	list, fresh := e.freshTaskList(now, id)
+	return fresh && list.empty
 }
 
-// fresh is what runs on the machine, if that is known well enough; its owner is
-// asked again.
-func (e *Engine) fresh(now time.Duration, id model.MachineID) (seen, bool) {
-	e.look(now, id)
-	s, ok := e.seen[id]
-	return s, ok && now-s.at <= freshReports*e.p.ReportInterval
+// freshTaskList returns the machine's task list and whether it is recent enough, and requests a new
+// one.
+func (e *Engine) freshTaskList(now time.Duration, id model.MachineID) (taskList, bool) {
+	e.requestTaskList(now, id)
+	list, ok := e.taskLists[id]
+	return list, ok && now-list.receivedAt <= taskListMaxReports*e.params.ReportInterval
 }
 
-// hold tells why a machine can't be drained at present, "" if it can. It is asked
-// anew every time, so a reason goes away by itself.
-func (e *Engine) hold(v *View, p *Plan, id model.MachineID, r *rooms) string {
+// blockedReason returns why a machine can't be drained at present, "" if it can. It is evaluated again
+// in every tick, so that a reason lasts no longer than its cause.
+func (e *Engine) blockedReason(v *View, p *Plan, id model.MachineID, capacity *freeCapacity) string {
 	m := v.Machines[id]
 	if !m.Reported {
 		return "no controller has told how it is"
 	}
-	if why := floor(v, p, r, id); why != "" {
-		return why
+	if reason := freeCapacityBlocker(v, p, capacity, id); reason != "" {
+		return reason
 	}
-	if why := stranded(v, r, id); why != "" {
-		return why
+	if reason := strandedJobsBlocker(v, capacity, id); reason != "" {
+		return reason
 	}
 	if len(p.Windows) > 0 {
-		s, fresh := e.fresh(v.Now, id)
+		list, fresh := e.freshTaskList(v.Now, id)
 		if !fresh {
 			return "its controller has not told what runs there"
 		}
-		for i := range s.tasks {
-			if !p.moves(s.tasks[i].sp) {
+		for i := range list.tasks {
+			if !p.movesTasksOf(list.tasks[i].spec) {
 				continue
 			}
-			if why := late(v, p, &s.tasks[i]); why != "" {
-				return why
+			if reason := windowBlocker(v, p, &list.tasks[i]); reason != "" {
+				return reason
 			}
 		}
-		return crowded(v, p, r, id)
+		return waitingTasksBlocker(v, p, capacity, id)
 	}
 	return ""
 }
 
-// floor: what teams have left of their guarantees stays free elsewhere, as far
-// as the plan asks for.
-func floor(v *View, p *Plan, r *rooms, id model.MachineID) string {
-	need := int64(p.FreeCapacityFloor * float64(v.UnusedGuaranteeCPU))
-	if free := r.without(id); free < need {
+// freeCapacityBlocker returns a reason if draining the machine left less CPU free elsewhere than the
+// plan's fraction of the teams' unused guarantees.
+func freeCapacityBlocker(v *View, p *Plan, capacity *freeCapacity, id model.MachineID) string {
+	required := int64(p.FreeCapacityFloor * float64(v.UnusedGuaranteeCPU))
+	if free := capacity.freeCPUWithout(id); free < required {
 		return fmt.Sprintf("%.1f CPUs would be free elsewhere, the floor of teams' guarantees is %.1f", cpus(free),
-			cpus(need))
+			cpus(required))
 	}
 	return ""
 }
 
+// cpus converts thousandths of a CPU to CPUs.
 func cpus(n int64) float64 { return float64(n) / 1000 }
 
-// stranded: a job with open tasks must have some machine left that it may use.
-func stranded(v *View, r *rooms, id model.MachineID) string {
+// strandedJobsBlocker returns a reason if a job with unfinished tasks could run on no other machine.
+func strandedJobsBlocker(v *View, capacity *freeCapacity, id model.MachineID) string {
 	m := v.Machines[id].Machine
-	var out []string
+	var stranded []string
 	for _, j := range v.Jobs {
-		if j.UnfinishedTasks > 0 && j.Spec.Allows(&m) && j.Spec.PerTask.Fits(m.Cap) && r.holds(j.Spec, id) == 0 {
-			out = append(out, v.JobName(j.Spec.ID))
+		if j.UnfinishedTasks > 0 && j.Spec.Allows(&m) && j.Spec.PerTask.Fits(m.Cap) && capacity.maxTasks(j.Spec, id) == 0 {
+			stranded = append(stranded, v.JobName(j.Spec.ID))
 		}
 	}
-	if len(out) > 0 {
-		return "no other machine could run " + names(out)
+	if len(stranded) > 0 {
+		return "no other machine could run " + joinNames(stranded)
 	}
 	return ""
 }
 
-// Of all tasks of a class so many take no longer than is reckoned with.
+// Quantiles of run times: the fraction of a class's tasks that take no longer than the time reckoned
+// with.
 const (
-	careful = 0.9
-	likely  = 0.5
+	pessimisticQuantile = 0.9
+	medianQuantile      = 0.5
 )
 
-// late: a task that is stopped here and goes on elsewhere ends past a window that
-// it would have kept where it is.
-func late(v *View, p *Plan, t *task) string {
-	moved := v.Wall.Add(v.anew(t, careful))
-	w, limit := p.pushes(v.Wall, t.sp, v.Wall.Add(v.left(t, likely)), moved)
+// windowBlocker returns a reason if a task that is stopped here and continues elsewhere would end past
+// a window that it would meet where it is.
+func windowBlocker(v *View, p *Plan, task *runningTask) string {
+	movedEnd := v.Wall.Add(v.runTimeElsewhere(task, pessimisticQuantile))
+	w, limit := p.missedWindow(v.Wall, task.spec, v.Wall.Add(v.remainingRunTime(task, medianQuantile)), movedEnd)
 	if w == nil {
 		return ""
 	}
-	return fmt.Sprintf("%s would end at %s if it moved, past %s at %s", v.JobName(t.sp.ID), clock(moved, w), w.Name,
-		clock(limit, w))
+	return fmt.Sprintf("%s would end at %s if it moved, past %s at %s", v.JobName(task.spec.ID),
+		formatClock(movedEnd, w), w.Name, formatClock(limit, w))
 }
 
-func clock(t time.Time, w *Window) string {
+// formatClock formats a time of day in the window's location.
+func formatClock(t time.Time, w *Window) string {
 	if w.Location != nil {
 		t = t.In(w.Location)
 	}
 	return t.Format("15:04:05")
 }
 
-// crowded: the tasks of a job that wait would end past a window for want of the
-// machine's room, even had they all that is left to themselves.
-func crowded(v *View, p *Plan, r *rooms, id model.MachineID) string {
-	for _, j := range v.Jobs {
-		waiting := int64(j.UnfinishedTasks - j.RunningTasks)
+// waitingTasksBlocker returns a reason if the waiting tasks of a job would end past a window without
+// the machine's capacity, though not with it. It assumes that they have the whole remaining capacity
+// to themselves, so it blocks only what would be late even in the best case.
+func waitingTasksBlocker(v *View, p *Plan, capacity *freeCapacity, id model.MachineID) string {
+	for _, job := range v.Jobs {
+		waiting := int64(job.UnfinishedTasks - job.RunningTasks)
 		if waiting <= 0 {
 			continue
 		}
-		without := ends(v, j.Spec, waiting, r.holds(j.Spec, id))
-		w, limit := p.pushes(v.Wall, j.Spec, ends(v, j.Spec, waiting, r.holds(j.Spec, 0)), without)
+		endWithout := estimateEnd(v, job.Spec, waiting, capacity.maxTasks(job.Spec, id))
+		w, limit := p.missedWindow(v.Wall, job.Spec, estimateEnd(v, job.Spec, waiting, capacity.maxTasks(job.Spec, 0)),
+			endWithout)
 		if w != nil {
 			return fmt.Sprintf("%s has %d tasks waiting and would end at %s without its room, past %s at %s",
-				v.JobName(j.Spec.ID), waiting, clock(without, w), w.Name, clock(limit, w))
+				v.JobName(job.Spec.ID), waiting, formatClock(endWithout, w), w.Name, formatClock(limit, w))
 		}
 	}
 	return ""
 }
 
-// ends is when so many tasks end with room for a number at a time.
-func ends(v *View, sp *model.Spec, tasks, atOnce int64) time.Time {
+// estimateEnd estimates when a number of tasks end, if atOnce of them run at a time.
+func estimateEnd(v *View, spec *model.Spec, tasks, atOnce int64) time.Time {
 	rounds := (tasks + max(1, atOnce) - 1) / max(1, atOnce)
-	return v.Wall.Add(time.Duration(rounds) * v.whole(sp, careful))
+	return v.Wall.Add(time.Duration(rounds) * v.totalRunTime(spec, pessimisticQuantile))
 }
 
-// draining moves what runs on a machine, and goes on once it is empty.
-func (e *Engine) draining(v *View, p *Plan, i int) {
-	s, r := &p.Steps[i], &p.rt[i]
-	m := v.Machines[s.Machine]
+// advanceDraining moves tasks off a machine, and goes to the next state once it is empty.
+func (e *Engine) advanceDraining(v *View, p *Plan, i int) {
+	step, status := &p.Steps[i], &p.runtime[i]
+	m := v.Machines[step.Machine]
 	if !m.Reported {
-		r.held = "no controller has told how it is"
+		status.blockedReason = "no controller has told how it is"
 		return
 	}
 	if p.Phase == Paused {
-		r.held = "the plan is paused"
+		status.blockedReason = "the plan is paused"
 		return
 	}
-	if e.empty(v.Now, &m) {
+	if e.isEmpty(v.Now, &m) {
 		if p.After == Patch {
-			p.set(v.Now, i, Patching)
+			p.setState(v.Now, i, Patching)
 		} else {
-			p.set(v.Now, i, Returning)
+			p.setState(v.Now, i, Returning)
 		}
 		return
 	}
-	r.held = ""
-	if told, fresh := e.fresh(v.Now, s.Machine); fresh && e.barred[s.Machine] {
-		e.moveTasks(v, p, i, told.tasks)
+	status.blockedReason = ""
+	if list, fresh := e.freshTaskList(v.Now, step.Machine); fresh && e.cordoned[step.Machine] {
+		e.moveTasks(v, p, i, list.tasks)
 	}
 }
 
-// room is what is free for tasks that move: once a tick, so that two machines do
-// not count on the same.
-func (e *Engine) room(v *View) *rooms {
-	if e.free == nil {
-		e.free = v.rooms(e.planned())
+// capacityForMoves returns the capacity for tasks that move. It is computed once per tick, so that two
+// machines do not count on the same capacity.
+func (e *Engine) capacityForMoves(v *View) *freeCapacity {
+	if e.moveCapacity == nil {
+		e.moveCapacity = v.freeCapacity(e.plannedCordons())
 	}
-	return e.free
+	return e.moveCapacity
 }
 
-// moveTasks recalls what the plan moves, as far as there is room elsewhere and
-// nothing is pushed past a window.
-func (e *Engine) moveTasks(v *View, p *Plan, i int, tasks []task) {
-	id, room := p.Steps[i].Machine, e.room(v)
-	var held []string
+// moveTasks recalls the tasks that the plan moves, if they fit elsewhere, miss no window by it, and
+// their disruption budget grants it. Replicas of a service move one at a time, and only while all of
+// them run. The reasons for tasks that stay become the step's blocker.
+func (e *Engine) moveTasks(v *View, p *Plan, i int, tasks []runningTask) {
+	id, capacity := p.Steps[i].Machine, e.capacityForMoves(v)
+	var blockers []string
 	moving := map[model.JobID]bool{}
 	for k := range tasks {
-		t := &tasks[k]
-		if !p.moves(t.sp) || t.Stopping {
-			moving[t.sp.ID] = moving[t.sp.ID] || t.Stopping
+		task := &tasks[k]
+		if !p.movesTasksOf(task.spec) || task.Stopping {
+			moving[task.spec.ID] = moving[task.spec.ID] || task.Stopping
 			continue
 		}
-		why := ""
+		reason := ""
 		switch {
-		case t.sp.Daemon && (moving[t.sp.ID] || !allRun(v, t.sp) || e.movedLately(v.Now, t.sp.ID)):
-			why = v.JobName(t.sp.ID) + ": its replicas move one at a time, once all run"
+		case task.spec.Daemon && (moving[task.spec.ID] || !allReplicasRun(v, task.spec) ||
+			e.movedRecently(v.Now, task.spec.ID)):
+			reason = v.JobName(task.spec.ID) + ": its replicas move one at a time, once all run"
 		default:
-			why = late(v, p, t)
+			reason = windowBlocker(v, p, task)
 		}
-		if why == "" && !room.take(t.sp) {
-			why = "no room elsewhere for " + v.JobName(t.sp.ID)
+		if reason == "" && !capacity.reserve(task.spec) {
+			reason = "no room elsewhere for " + v.JobName(task.spec.ID)
 		}
-		if why == "" {
-			why = v.draws(t, false)
+		if reason == "" {
+			reason = v.requestMove(task, false)
 		}
-		if why != "" {
-			if !slices.Contains(held, why) {
-				held = append(held, why)
+		if reason != "" {
+			if !slices.Contains(blockers, reason) {
+				blockers = append(blockers, reason)
 			}
 			continue
 		}
-		moving[t.sp.ID], t.Stopping = true, true // until it is looked at anew
-		if t.sp.Daemon {
-			e.moved[t.sp.ID] = v.Now
+		moving[task.spec.ID], task.Stopping = true, true // until the next task list
+		if task.spec.Daemon {
+			e.lastReplicaMove[task.spec.ID] = v.Now
 		}
-		e.act(Action{Kind: Recall, Machine: id, Task: t.Task})
+		e.emit(Action{Kind: Recall, Machine: id, Task: task.Task})
 	}
-	p.rt[i].held = names(held)
+	p.runtime[i].blockedReason = joinNames(blockers)
 }
 
-// movedLately: what is told of how many replicas run may be older than the last
-// move.
-func (e *Engine) movedLately(now time.Duration, id model.JobID) bool {
-	at, ok := e.moved[id]
-	return ok && now-at < 3*time.Second+freshReports*e.p.ReportInterval
+// movedRecently reports whether a replica of the service was moved so recently that the known number
+// of running replicas may be from before the move.
+func (e *Engine) movedRecently(now time.Duration, id model.JobID) bool {
+	at, ok := e.lastReplicaMove[id]
+	return ok && now-at < 3*time.Second+taskListMaxReports*e.params.ReportInterval
 }
 
-// allRun tells whether all replicas of a service run.
-func allRun(v *View, sp *model.Spec) bool {
+// allReplicasRun reports whether all replicas of a service run.
+func allReplicasRun(v *View, spec *model.Spec) bool {
 	for _, j := range v.Jobs {
-		if j.Spec.ID == sp.ID {
-			return j.RunningTasks >= int(sp.Tasks)
+		if j.Spec.ID == spec.ID {
+			return j.RunningTasks >= int(spec.Tasks)
 		}
 	}
 	return false
--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -11,89 +11,95 @@
 	"honeylock/internal/core/model"
 )
 
-// Params of an engine.
+// Params are an engine's settings.
 type Params struct {
-	Term uint64
-	// ReportInterval is how often workers report: what is told of a machine is fresh for
-	// a few of them.
+	Term uint64 // the leader's term; part of the UIDs of new plans
+	// ReportInterval is how often workers report. A machine's task list counts as current for a few
+	// intervals.
 	ReportInterval time.Duration
-	// RetryInterval is when what the cloud refused is asked for again.
+	// RetryInterval is how long to wait before a rental that failed is requested again.
 	RetryInterval time.Duration
-	// MaxMachines machines of a plan, so that its record fits into a value.
+	// MaxMachines is the maximum number of machines in a plan, so that its record fits into a value of
+	// the state service.
 	MaxMachines int
-	// MaxRecordBytes is how many bytes a record may have from some moment on, packed; 0: as many
-	// as now.
+	// MaxRecordBytes limits the size of a stored record. Larger records are compressed once all
+	// controllers can read them (see EnableCompression); 0 means no limit.
 	MaxRecordBytes int
 }
 
-// ActionKind tells actions apart.
+// ActionKind says what an Action asks the caller to do.
 type ActionKind uint8
 
-// Actions. Rent and ReturnMachine come back through Rented and Given.
+// Kinds of actions. The caller reports the outcome of ListTasks, Rent and ReturnMachine through
+// TasksListed, MachineRented and MachineReturned.
 const (
-	Cordon        ActionKind = iota // the machine gets no more tasks
-	Uncordon                        // it is wanted again
-	ListTasks                       // its owner is asked what runs there, and answers through Seen
-	Recall                          // the task is to leave the machine
-	Rent                            // a machine like this one, under this request's name
-	ReturnMachine                   // back to the cloud
+	Cordon        ActionKind = iota // the machine gets no new tasks
+	Uncordon                        // the machine may get tasks again
+	ListTasks                       // ask the machine's owner which tasks are on it
+	Recall                          // stop the task, so that it continues on another machine
+	Rent                            // rent a machine like Template under the name Request
+	ReturnMachine                   // return the machine to the cloud
 )
 
-// Action to carry out.
+// Action is something that the engine wants done.
 type Action struct {
 	Kind     ActionKind
 	Machine  model.MachineID
 	Task     model.Task
-	Plan     string        // Rent
-	Step     int           // Rent
-	Request  string        // Rent
-	Template model.Machine // Rent
-	Seq      uint64        // Look
+	Plan     string        // Rent: the plan's name
+	Step     int           // Rent: index of the plan's step
+	Request  string        // Rent: idempotency key of the rental
+	Template model.Machine // Rent: the machine to replace
+	Seq      uint64        // ListTasks: number of the request
 }
 
-// Engine is the state machine.
+// Engine is the state machine that carries out drains. Tick returns actions, and other methods take their
+// outcomes.
 type Engine struct {
-	p      Params
-	plans  map[string]*Plan
-	uids   uint64
-	price  map[model.MachineID]bool // drained for their price
-	giving map[model.MachineID]bool // of price: being given back
-	barred map[model.MachineID]bool // as last told
-	seen   map[model.MachineID]seen
-	asked  map[model.MachineID]asked // Look
-	looks  uint64
-	turns  int                           // of plans
-	packs  bool                          // records that would be too large are packed
-	moved  map[model.JobID]time.Duration // services: when a replica was last moved
-	out    []Action
-	free   *rooms // for what moves in this tick, nil: not asked for yet
+	params           Params
+	plans            map[string]*Plan
+	lastUID          uint64                              // number in the UID of the newest plan of this term
+	priceDrains      map[model.MachineID]bool            // machines drained because they cost too much
+	priceReturns     map[model.MachineID]bool            // those of priceDrains that are being returned
+	cordoned         map[model.MachineID]bool            // as of the last Cordon and Uncordon actions
+	taskLists        map[model.MachineID]taskList        // the newest answers to ListTasks
+	taskListRequests map[model.MachineID]taskListRequest // the newest ListTasks requests
+	lastListSeq      uint64                              // number of the newest ListTasks request
+	firstPlanIndex   int                                 // index of the plan that Tick handles first
+	compression      bool                                // records above MaxRecordBytes are compressed
+	lastReplicaMove  map[model.JobID]time.Duration       // when a replica of a service was last moved
+	actions          []Action
+	moveCapacity     *freeCapacity // capacity left for moves in this tick; nil: not computed yet
 }
 
-// asked is the last question what runs on a machine.
-type asked struct {
-	at  time.Duration
-	seq uint64
+// taskListRequest is the newest ListTasks request for a machine.
+type taskListRequest struct {
+	sentAt time.Duration
+	seq    uint64
 }
 
 // New returns an engine without plans.
 func New(p Params) *Engine {
-	return &Engine{p: p, plans: map[string]*Plan{}, price: map[model.MachineID]bool{}, giving: map[model.MachineID]bool{},
-		barred: map[model.MachineID]bool{}, seen: map[model.MachineID]seen{}, asked: map[model.MachineID]asked{},
-		moved: map[model.JobID]time.Duration{}}
+	return &Engine{params: p, plans: map[string]*Plan{}, priceDrains: map[model.MachineID]bool{},
+		priceReturns: map[model.MachineID]bool{},
+		cordoned:     map[model.MachineID]bool{}, taskLists: map[model.MachineID]taskList{},
+		taskListRequests: map[model.MachineID]taskListRequest{},
+		lastReplicaMove:  map[model.JobID]time.Duration{}}
 }
 
-// Idle tells that there is nothing to do: no plan that is not over, and no
-// machine drained for its price.
+// Idle reports whether there is nothing to do: all plans have ended and are stored, and no machine is
+// cordoned or drained for its price.
 func (e *Engine) Idle() bool {
 	for _, p := range e.plans {
-		if p.foreign == "" && (!p.ended() || !p.synced()) {
+		if p.unsupportedReason == "" && (!p.ended() || !p.synced()) {
 			return false
 		}
 	}
-	return len(e.price) == 0 && len(e.barred) == 0
+	return len(e.priceDrains) == 0 && len(e.cordoned) == 0
 }
 
-func (e *Engine) sorted() []*Plan {
+// sortedPlans returns all plans, sorted by name.
+func (e *Engine) sortedPlans() []*Plan {
 	out := make([]*Plan, 0, len(e.plans))
 	for _, p := range e.plans {
 		out = append(out, p)
@@ -102,84 +108,92 @@
 	return out
 }
 
-// RefusedError says why a change can't be made.
+// RefusedError says why a requested change was refused.
 type RefusedError struct{ Reason string }
 
+// Error returns the reason.
 func (r *RefusedError) Error() string { return r.Reason }
 
+// refuse returns a RefusedError with a formatted reason.
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Check tells whether a plan could be applied now.
-func (e *Engine) Check(s *Spec, source []byte, name func(model.MachineID) string) error {
-	if p := e.plans[s.Name]; p != nil && p.foreign != "" {
-		return refuse("name: plan %q is there already, %s", s.Name, p.foreign)
+// Check returns an error if a plan could not be applied now: its name is in use, it has no machines or
+// too many, its record could become too large, or an unfinished step of another plan has one of its
+// machines.
+func (e *Engine) Check(spec *Spec, source []byte, machineName func(model.MachineID) string) error {
+	if p := e.plans[spec.Name]; p != nil && p.unsupportedReason != "" {
+		return refuse("name: plan %q exists already: %s", spec.Name, p.unsupportedReason)
 	} else if p != nil && !p.ended() {
-		return refuse("name: plan %q is %s", s.Name, p.Phase)
+		return refuse("name: plan %q is %s", spec.Name, p.Phase)
 	}
-	if len(s.Machines) == 0 {
-		return refuse("machines: none is like that now")
+	if len(spec.Machines) == 0 {
+		return refuse("machines: no machine matches now")
 	}
-	if len(s.Machines) > e.p.MaxMachines {
-		return refuse("machines: %d, a plan holds %d at most: split it", len(s.Machines), e.p.MaxMachines)
+	if len(spec.Machines) > e.params.MaxMachines {
+		return refuse("machines: %d, but a plan can have at most %d: split the plan", len(spec.Machines),
+			e.params.MaxMachines)
 	}
-	if e.p.MaxRecordBytes > 0 {
-		if size := worst(s, source); size > e.p.MaxRecordBytes {
-			return refuse("machines: %d, with a text of %d bytes, may take %d bytes to store, at most %d: split the plan",
-				len(s.Machines), len(source), size, e.p.MaxRecordBytes)
+	if e.params.MaxRecordBytes > 0 {
+		if size := maxRecordSize(spec, source); size > e.params.MaxRecordBytes {
+			return refuse("machines: %d, with a source of %d bytes, may take %d bytes to store, at most %d: split the plan",
+				len(spec.Machines), len(source), size, e.params.MaxRecordBytes)
 		}
 	}
 	var errs []error
-	for _, p := range e.sorted() {
+	for _, p := range e.sortedPlans() {
 		for i := range p.Steps {
-			if id := p.Steps[i].Machine; !p.Steps[i].State.over() && slices.Contains(s.Machines, id) {
-				errs = append(errs, refuse("machines: %s is wanted by plan %q and by %q", name(id), p.Name, s.Name))
+			if id := p.Steps[i].Machine; !p.Steps[i].State.isFinal() && slices.Contains(spec.Machines, id) {
+				errs = append(errs, refuse("machines: %s is wanted by plan %q and by %q", machineName(id), p.Name, spec.Name))
 			}
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Apply begins a plan that Check took.
-func (e *Engine) Apply(now time.Duration, wall time.Time, s *Spec, source []byte, by string) *Plan {
-	e.uids++
-	p := &Plan{Spec: *s, UID: fmt.Sprintf("%d-%d", e.p.Term, e.uids), Source: source, By: by, At: wall, Phase: Active,
-		gen: 1}
-	for _, id := range s.Machines {
+// Apply starts a plan that Check accepted.
+func (e *Engine) Apply(now time.Duration, wall time.Time, spec *Spec, source []byte, by string) *Plan {
+	e.lastUID++
+	p := &Plan{Spec: *spec, UID: fmt.Sprintf("%d-%d", e.params.Term, e.lastUID), Source: source, By: by, At: wall,
+		Phase: Active, generation: 1}
+	for _, id := range spec.Machines {
 		p.Steps = append(p.Steps, Step{Machine: id})
-		delete(e.price, id) // the plan decides from now on
+		delete(e.priceDrains, id) // the plan decides about the machine from now on
 	}
-	p.rt = make([]runtime, len(p.Steps))
-	for i := range p.rt {
-		p.rt[i].since = now
+	p.runtime = make([]stepRuntime, len(p.Steps))
+	for i := range p.runtime {
+		p.runtime[i].stateSince = now
 	}
-	if old := e.plans[s.Name]; old != nil {
-		p.version = old.version
+	if old := e.plans[spec.Name]; old != nil {
+		p.storeVersion = old.storeVersion
 	}
-	e.plans[s.Name] = p
+	e.plans[spec.Name] = p
 	return p
 }
 
-// plan finds one that can be changed.
-func (e *Engine) plan(name string) (*Plan, error) {
+// editablePlan returns the plan of that name, or an error if there is none or this release can't
+// change it.
+func (e *Engine) editablePlan(name string) (*Plan, error) {
 	p := e.plans[name]
 	switch {
 	case p == nil:
 		return nil, refuse("no plan is named %q", name)
-	case p.foreign != "":
-		return nil, refuse("plan %q can't be changed here: %s", name, p.foreign)
+	case p.unsupportedReason != "":
+		return nil, refuse("plan %q can't be changed here: %s", name, p.unsupportedReason)
 	}
 	return p, nil
 }
 
-// Pause stops a plan: no step begins and nothing moves. What is being drained
-// gets no tasks still.
-func (e *Engine) Pause(name string) error { return e.turn(name, Active, Paused) }
+// Pause pauses a plan: no step starts and no task is moved. Machines that are being drained stay
+// cordoned.
+func (e *Engine) Pause(name string) error { return e.switchPhase(name, Active, Paused) }
 
-// Resume lets a paused plan go on.
-func (e *Engine) Resume(name string) error { return e.turn(name, Paused, Active) }
+// Resume continues a paused plan. If a gate had paused it, the plan passes that gate.
+func (e *Engine) Resume(name string) error { return e.switchPhase(name, Paused, Active) }
 
-func (e *Engine) turn(name string, from, to Phase) error {
-	p, err := e.plan(name)
+// switchPhase changes a plan's phase between Active and Paused. It does nothing if the plan is in the
+// target phase already.
+func (e *Engine) switchPhase(name string, from, to Phase) error {
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -189,19 +203,19 @@
 	if p.Phase != from {
 		return refuse("plan %q is %s", name, p.Phase)
 	}
-	if to == Active && p.GateClosedReason != "" { // the operator's word for the gate
+	if to == Active && p.GateClosedReason != "" { // the operator overrides the gate
 		p.GateClosedReason = ""
-		p.pass(p.PassedWaves)
+		p.passWave(p.PassedWaves)
 	}
 	p.Phase = to
-	p.gen++
+	p.generation++
 	return nil
 }
 
-// Cancel ends a plan: its machines are wanted again, but for those that are being
-// given back, which can't be undone.
+// Cancel ends a plan. Its machines become usable again, except those that are being returned to the
+// cloud, which can't be undone.
 func (e *Engine) Cancel(now time.Duration, name string) error {
-	p, err := e.plan(name)
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -211,27 +225,28 @@
 	if p.Phase == Done || p.ended() {
 		return refuse("plan %q is %s", name, p.Phase)
 	}
-	e.end(now, p, Cancelled)
+	e.endPlan(now, p, Cancelled)
 	return nil
 }
 
-// end lets go of all steps that can still be undone.
-func (e *Engine) end(now time.Duration, p *Plan, to Phase) {
+// endPlan abandons the plan's steps that can still be undone. When the plan is overdue, only steps
+// that have not started draining are abandoned.
+func (e *Engine) endPlan(now time.Duration, p *Plan, to Phase) {
 	p.Phase = to
-	p.gen++
+	p.generation++
 	for i := range p.Steps {
 		s := p.Steps[i].State
-		if s.over() || s == Returning || to == Overdue && s != Waiting && s != Renting {
+		if s.isFinal() || s == Returning || to == Overdue && s != Waiting && s != Renting {
 			continue
 		}
-		p.set(now, i, Abandoned)
+		p.setState(now, i, Abandoned)
 	}
 }
 
-// Patched takes an operator's word that a machine of a plan is patched: it is
-// wanted again.
+// Patched records that an operator has patched a machine of a plan, so that it becomes usable again.
+// Repeating the call has no effect.
 func (e *Engine) Patched(now time.Duration, name string, id model.MachineID, machine string) error {
-	p, err := e.plan(name)
+	p, err := e.editablePlan(name)
 	if err != nil {
 		return err
 	}
@@ -243,45 +258,48 @@
 		case Finished:
 			return nil
 		case Patching:
-			p.set(now, i, Finished)
+			p.setState(now, i, Finished)
 			return nil
 		}
-		return refuse("%s is %s: only a machine that is patching can be patched", machine, p.Steps[i].State)
+		return refuse("%s is %s: only a machine in state patching can be reported as patched", machine, p.Steps[i].State)
 	}
 	return refuse("plan %q has no machine %s", name, machine)
 }
 
-// DrainForPrice drains machines for their price: they go once they are empty. That is
-// not stored: a new leader judges prices anew.
+// DrainForPrice starts draining machines that cost too much: each is returned once it is empty.
+// Machines of plans are left out. These drains are not stored, because a new leader evaluates prices
+// again.
 func (e *Engine) DrainForPrice(ids []model.MachineID) {
-	wanted := e.wanted()
+	inPlans := e.machinesInPlans()
 	for _, id := range ids {
-		if !wanted[id] {
-			e.price[id] = true
+		if !inPlans[id] {
+			e.priceDrains[id] = true
 		}
 	}
 }
 
-// CancelPriceDrain wants machines again that were drained for their price.
+// CancelPriceDrain makes machines usable again that were drained for their price, unless they are
+// being returned already.
 func (e *Engine) CancelPriceDrain(ids []model.MachineID) {
 	for _, id := range ids {
-		if !e.giving[id] {
-			delete(e.price, id)
+		if !e.priceReturns[id] {
+			delete(e.priceDrains, id)
 		}
 	}
 }
 
-// wanted are the machines that plans have, and the replacements of those that are not emptied
-// yet: their tasks are to move there.
-func (e *Engine) wanted() map[model.MachineID]bool {
+// machinesInPlans returns the machines of unfinished steps and their replacements. A replacement
+// belongs to the plan until the machine that it replaces is done with, because the tasks are to move
+// there.
+func (e *Engine) machinesInPlans() map[model.MachineID]bool {
 	out := map[model.MachineID]bool{}
 	for _, p := range e.plans {
 		for i := range p.Steps {
-			if p.Steps[i].State.over() {
+			if p.Steps[i].State.isFinal() {
 				continue
 			}
 			out[p.Steps[i].Machine] = true
-			if id := p.rt[i].renewed; id != 0 {
+			if id := p.runtime[i].replacement; id != 0 {
 				out[id] = true
 			}
 		}
@@ -289,84 +307,88 @@
 	return out
 }
 
-// MachinePlans tells whether a plan drains a machine now, and whether one has it at all, or rented it
-// for one that it has.
-func (e *Engine) MachinePlans() func(model.MachineID) (drains, wants bool) {
-	wanted := e.wanted()
-	return func(id model.MachineID) (bool, bool) { return e.barred[id] && wanted[id], wanted[id] }
+// MachinePlans returns a function that reports whether a plan drains a machine now, and whether a plan
+// has it in an unfinished step or rented it as a replacement.
+func (e *Engine) MachinePlans() func(model.MachineID) (drains, inPlan bool) {
+	inPlans := e.machinesInPlans()
+	return func(id model.MachineID) (bool, bool) { return e.cordoned[id] && inPlans[id], inPlans[id] }
 }
 
-// TasksListed takes what a machine's owner told of its tasks, in answer to the Look of
-// that number. Only the answer to the newest counts: one that was asked before
-// the machine was barred proves nothing of after.
-func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, on []model.PlacedTask,
-	spec func(model.JobID) *model.Spec) {
-	if a, ok := e.asked[id]; !ok || a.seq != seq {
+// TasksListed takes the answer of a machine's owner to the ListTasks request numbered seq. Only the
+// answer to the newest request counts: an older one may have been given before the machine was
+// cordoned, and proves nothing about the time after.
+func (e *Engine) TasksListed(now time.Duration, id model.MachineID, seq uint64, tasks []model.PlacedTask,
+	specOf func(model.JobID) *model.Spec) {
+	if request, ok := e.taskListRequests[id]; !ok || request.seq != seq {
 		return
 	}
-	s := seen{at: now, none: len(on) == 0}
-	for _, t := range on {
-		if sp := spec(t.Task.Job); sp != nil {
-			s.tasks = append(s.tasks, task{t, sp})
+	list := taskList{receivedAt: now, empty: len(tasks) == 0}
+	for _, t := range tasks {
+		if spec := specOf(t.Task.Job); spec != nil {
+			list.tasks = append(list.tasks, runningTask{t, spec})
 		}
 	}
-	e.seen[id] = s
+	e.taskLists[id] = list
 }
 
-// MachineRented takes the outcome of a rental: the machine, or why there is none.
-func (e *Engine) MachineRented(now time.Duration, a Action, got []model.MachineID, refused bool) {
-	p := e.plans[a.Plan]
-	if p == nil || a.Step >= len(p.Steps) || p.Steps[a.Step].State != Renting || a.Request != p.request(a.Step) {
+// MachineRented takes the outcome of a Rent action: the rented machine, or none, with refused set if
+// the cloud declined.
+func (e *Engine) MachineRented(now time.Duration, action Action, rented []model.MachineID, refused bool) {
+	p := e.plans[action.Plan]
+	if p == nil || action.Step >= len(p.Steps) || p.Steps[action.Step].State != Renting ||
+		action.Request != p.rentRequest(action.Step) {
 		return
 	}
-	r := &p.rt[a.Step]
-	r.asking, r.asked = false, now
+	step := &p.runtime[action.Step]
+	step.requestPending, step.lastAnswerAt = false, now
 	switch {
-	case len(got) > 0:
-		r.renewed = got[0]
-		e.CancelPriceDrain(got[:1]) // it may be drained for its price by a leader that did not know whose it is
+	case len(rented) > 0:
+		step.replacement = rented[0]
+		// A leader that did not know yet whose replacement this is may have drained it for its price.
+		e.CancelPriceDrain(rented[:1])
 	case refused:
-		r.held = "the cloud has no machine to replace it"
+		step.blockedReason = "the cloud has no machine to replace it"
 	default:
-		r.held = "the cloud does not answer"
+		step.blockedReason = "the cloud does not answer"
 	}
 }
 
-// MachineReturned takes the outcome of a return.
+// MachineReturned takes the outcome of a ReturnMachine action.
 func (e *Engine) MachineReturned(now time.Duration, id model.MachineID, ok bool) {
-	if e.price[id] {
-		delete(e.giving, id)
+	if e.priceDrains[id] {
+		delete(e.priceReturns, id)
 		if ok {
-			delete(e.price, id)
-			delete(e.barred, id)
+			delete(e.priceDrains, id)
+			delete(e.cordoned, id)
 		}
 		return
 	}
-	for _, p := range e.sorted() {
+	for _, p := range e.sortedPlans() {
 		for i := range p.Steps {
 			if p.Steps[i].Machine != id || p.Steps[i].State != Returning {
 				continue
 			}
-			p.rt[i].asking, p.rt[i].asked = false, now
+			p.runtime[i].requestPending, p.runtime[i].lastAnswerAt = false, now
 			if ok {
-				p.set(now, i, Finished)
+				p.setState(now, i, Finished)
 			} else {
-				p.rt[i].held = "the cloud does not take it back"
+				p.runtime[i].blockedReason = "the cloud does not take it back"
 			}
 		}
 	}
 }
 
-// request is the name under which a step's replacement is asked for: the same for
-// every leader, so that it is rented once.
-func (p *Plan) request(i int) string {
+// rentRequest is the idempotency key for renting a step's replacement. All leaders use the same key,
+// so that only one machine is rented.
+func (p *Plan) rentRequest(i int) string {
 	return fmt.Sprintf("drain-%s-%d-%d", p.UID, i, p.Steps[i].RentAttempt)
 }
 
-func (e *Engine) act(a Action) { e.out = append(e.out, a) }
+// emit adds an action to those that the current call returns.
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// names joins a few names for people.
-func names(all []string) string {
+// joinNames joins up to three names for a message, and counts the rest.
+func joinNames(all []string) string {
 	if len(all) > 3 {
 		return strings.Join(all[:3], ", ") + fmt.Sprintf(" and %d more", len(all)-3)
 	}
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -13,336 +13,351 @@
 	"honeylock/internal/core/shard"
 )
 
-// ending is a task that completes then, if it has not been stopped before.
-type ending struct {
-	at      time.Duration
+// completion is the time at which an attempt of a task completes unless it is stopped before.
+type completion struct {
+	endsAt  time.Duration
 	task    model.Task
 	attempt uint64
 }
 
-type endings []ending
+// completionHeap implements heap.Interface, the earliest completion first.
+type completionHeap []completion
 
-func (h endings) Len() int { return len(h) }
-func (h endings) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), h[i].task.Compare(h[j].task)) < 0
+func (h completionHeap) Len() int { return len(h) }
+func (h completionHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].endsAt, h[j].endsAt), h[i].task.Compare(h[j].task)) < 0
 }
-func (h endings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *endings) Push(x any)   { *h = append(*h, x.(ending)) }
-func (h *endings) Pop() any {
+func (h completionHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)   { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// job while it is played.
+// job is a job in a simulated run.
 type job struct {
 	*Job
-	left    int     // tasks not done
-	undealt []int32 // tasks not given to the shard yet
-	running int
-	price   float64
-	within  bool
-	waited  time.Duration // within its guarantee without room since, 0: it does not wait
-	zones   int           // of a job that spreads: the next
-	saved   map[int32]time.Duration
+	unfinished      int     // tasks not done
+	undispatched    []int32 // tasks not handed to the shard yet
+	runningTasks    int     // tasks on machines
+	price           float64
+	withinGuarantee bool                    // it fits into its team's guarantee
+	waitingSince    time.Duration           // since when it waits for capacity within its guarantee, 0: it does not
+	zoneIndex       int                     // offset of the zone last used, if its tasks are spread over zones
+	saved           map[int32]time.Duration // run time saved in checkpoints, by task index
 }
 
-// run is one play, without or with the plan.
+// run is one simulated run, without or with the plan.
 type run struct {
-	f       *Forecast
-	r       *shard.Simulation
-	e       *drain.Engine // nil: without the plan
-	now     time.Duration
-	over    bool
-	jobs    []*job
-	byID    map[model.JobID]*job
-	open    int // jobs that will end
-	usage   []model.Resources
-	heap    endings
-	zones   []model.Name
-	booting []boot
-	patched map[model.MachineID]time.Duration
-	next    model.MachineID
-	priced  time.Duration
-	loaded  int                            // machines of the snapshot brought in
-	on      map[model.JobID]map[int32]bool // tasks that run, while that is done
+	forecast       *Forecast
+	simulation     *shard.Simulation
+	engine         *drain.Engine // nil: without the plan
+	now            time.Duration
+	done           bool // the run is over
+	jobs           []*job
+	byID           map[model.JobID]*job
+	unfinishedJobs int               // jobs still to end; services never do
+	usage          []model.Resources // resources in use, by team
+	completions    completionHeap
+	zones          []model.Name                      // of all machines
+	booting        []bootingMachine                  // rented machines that are not up yet
+	patchDoneAt    map[model.MachineID]time.Duration // when machines being patched will be patched
+	lastMachineID  model.MachineID                   // newest ID of a rented machine
+	repricedAt     time.Duration                     // when prices were last updated
+	loadedMachines int                               // number of the snapshot's machines loaded into the simulation
+	loadedTasks    map[model.JobID]map[int32]bool    // tasks that run at the start, while machines are loaded
 
-	ends    map[model.JobID]time.Duration
-	costs   map[model.JobID]cost
-	waits   []time.Duration
-	planEnd time.Duration
-	held    string
+	jobEnds        map[model.JobID]time.Duration // when jobs ended, from the start of the forecast
+	costs          map[model.JobID]cost
+	guaranteeWaits []time.Duration // longest wait for capacity within the guarantee, by team
+	planDuration   time.Duration   // 0: the plan has not ended yet
+	blockedReason  string          // what the plan waited for at the end, if it did not end
 }
 
-type boot struct {
-	at time.Duration
-	m  model.Machine
+// bootingMachine is a rented machine that comes up at upAt.
+type bootingMachine struct {
+	upAt    time.Duration
+	machine model.Machine
 }
 
+// newRun returns a run that starts from the snapshot. A nil plan means the run without the plan.
 func newRun(f *Forecast, plan StartPlan) *run {
-	s := f.s
-	x := &run{f: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
-		usage: make([]model.Resources, len(s.Teams)), on: map[model.JobID]map[int32]bool{},
-		patched: map[model.MachineID]time.Duration{}, next: 1 << 40,
-		ends: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{}, waits: make([]time.Duration, len(s.Teams)),
-		r: shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.p.Seed, uint64(f.play))))}
+	s := f.snapshot
+	r := &run{forecast: f, now: s.Now, byID: make(map[model.JobID]*job, len(s.Jobs)),
+		usage: make([]model.Resources, len(s.Teams)), loadedTasks: map[model.JobID]map[int32]bool{},
+		patchDoneAt: map[model.MachineID]time.Duration{}, lastMachineID: 1 << 40,
+		jobEnds: map[model.JobID]time.Duration{}, costs: map[model.JobID]cost{},
+		guaranteeWaits: make([]time.Duration, len(s.Teams)),
+		simulation:     shard.NewSimulation(s.Shard, rand.New(rand.NewPCG(f.params.Seed, uint64(f.runIndex))))}
 	for i := range s.Jobs {
-		j := &job{Job: &s.Jobs[i], left: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
-		x.jobs = append(x.jobs, j)
-		x.byID[j.Spec.ID] = j
+		j := &job{Job: &s.Jobs[i], unfinished: s.Jobs[i].UnfinishedTasks, price: dispatcher.Price(s.Jobs[i].Spec.Rank, false)}
+		r.jobs = append(r.jobs, j)
+		r.byID[j.Spec.ID] = j
 		if !j.Spec.Daemon {
-			x.open++
+			r.unfinishedJobs++
 		}
 	}
-	x.reprice()
+	r.repriceJobs()
 	if plan != nil {
-		x.e = drain.New(drain.Params{Term: 1, ReportInterval: f.p.Step, RetryInterval: 15 * time.Second, MaxMachines: len(s.Machines) + 1})
-		f.err = plan(x.e, x.now, s.Wall)
-		x.over = f.err != nil
+		r.engine = drain.New(drain.Params{Term: 1, ReportInterval: f.params.Step, RetryInterval: 15 * time.Second,
+			MaxMachines: len(s.Machines) + 1})
+		f.err = plan(r.engine, r.now, s.Wall)
+		r.done = f.err != nil
 	}
-	return x
+	return r
 }
 
-// loadAtOnce machines are brought in at a time: all 1,636 of the largest known
-// deployment, with 40,000 tasks, take 100 ms.
-const loadAtOnce = 200
+// machinesPerStep is how many machines of the snapshot one step loads. Loading all 1,636 machines of
+// the largest known deployment, with 40,000 tasks, takes 100 ms, which is too long for one step.
+const machinesPerStep = 200
 
-// load brings some of the snapshot's machines in, with what runs there; false
-// tells that all are.
-func (x *run) load() bool {
-	all := x.f.s.Machines
-	if x.loaded == len(all) {
+// loadMachines loads some of the snapshot's machines with their tasks. It returns false if all were
+// loaded before.
+func (r *run) loadMachines() bool {
+	all := r.forecast.snapshot.Machines
+	if r.loadedMachines == len(all) {
 		return false
 	}
-	next := min(len(all), x.loaded+loadAtOnce)
-	for i := x.loaded; i < next; i++ {
-		x.machine(&all[i])
+	next := min(len(all), r.loadedMachines+machinesPerStep)
+	for i := r.loadedMachines; i < next; i++ {
+		r.loadMachine(&all[i])
 	}
-	if x.loaded = next; x.loaded == len(all) {
-		x.rest()
+	if r.loadedMachines = next; r.loadedMachines == len(all) {
+		r.queueWaiting()
 	}
 	return true
 }
 
-func (x *run) machine(m *Machine) {
-	x.r.AddMachine(x.now, m.Machine, m.Usable)
-	if !slices.Contains(x.zones, m.Zone) {
-		x.zones = append(x.zones, m.Zone)
+// loadMachine adds a machine and its running tasks to the simulation. A task that is on two machines
+// counts only on the first.
+func (r *run) loadMachine(m *Machine) {
+	r.simulation.AddMachine(r.now, m.Machine, m.Usable)
+	if !slices.Contains(r.zones, m.Zone) {
+		r.zones = append(r.zones, m.Zone)
 	}
 	for _, t := range m.Tasks {
-		j := x.byID[t.Task.Job]
-		if j == nil || x.on[t.Task.Job][t.Task.Index] {
+		j := r.byID[t.Task.Job]
+		if j == nil || r.loadedTasks[t.Task.Job][t.Task.Index] {
 			continue
 		}
-		if x.on[t.Task.Job] == nil {
-			x.on[t.Task.Job] = map[int32]bool{}
+		if r.loadedTasks[t.Task.Job] == nil {
+			r.loadedTasks[t.Task.Job] = map[int32]bool{}
 		}
-		x.on[t.Task.Job][t.Task.Index] = true
-		b := x.r.AddRunning(x.now, m.ID, x.deal(j, t.Task.Index, model.None), t.RunTime)
-		j.running++
-		x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Add(j.Spec.PerTask)
-		left := x.whole(j, t.Task, t.RunTime) - t.RunTime
-		if t.Adopted { // it has run for some part of that already
-			left = time.Duration(float64(left) * x.f.luck(model.Task{Job: ^t.Task.Job, Index: t.Task.Index}))
+		r.loadedTasks[t.Task.Job][t.Task.Index] = true
+		started := r.simulation.AddRunning(r.now, m.ID, r.assignment(j, t.Task.Index, model.None), t.RunTime)
+		j.runningTasks++
+		r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Add(j.Spec.PerTask)
+		remaining := r.totalRunTime(j, t.Task, t.RunTime) - t.RunTime
+		if t.Adopted { // it had already run for an unknown part of that time when it was found
+			remaining = time.Duration(float64(remaining) * r.forecast.randomQuantile(model.Task{Job: ^t.Task.Job,
+				Index: t.Task.Index}))
 		}
-		x.schedule(j, b, left)
+		r.scheduleCompletion(j, started, remaining)
 	}
 }
 
-// rest lets the tasks wait that run nowhere.
-func (x *run) rest() {
-	for _, j := range x.jobs {
-		n := j.left - len(x.on[j.Spec.ID])
-		for no := int32(0); n > 0; no++ {
-			if !x.on[j.Spec.ID][no] {
-				j.undealt = append(j.undealt, no)
-				n--
+// queueWaiting makes all unfinished tasks wait that run on no machine.
+func (r *run) queueWaiting() {
+	for _, j := range r.jobs {
+		remaining := j.unfinished - len(r.loadedTasks[j.Spec.ID])
+		for index := int32(0); remaining > 0; index++ {
+			if !r.loadedTasks[j.Spec.ID][index] {
+				j.undispatched = append(j.undispatched, index)
+				remaining--
 			}
 		}
 	}
-	x.on = nil
+	r.loadedTasks = nil
 }
 
-func (x *run) deal(j *job, no int32, zone model.Name) model.Assignment {
-	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: no}, Spec: j.Spec, Price: j.price, Zone: zone, WaitingSince: j.Since}
+// assignment returns the assignment of a task to the shard.
+func (r *run) assignment(j *job, index int32, zone model.Name) model.Assignment {
+	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: index}, Spec: j.Spec, Price: j.price, Zone: zone,
+		WaitingSince: j.Since}
 }
 
-// whole is a task's run time in this play; one that has run for long is known to
-// take longer.
-func (x *run) whole(j *job, t model.Task, ran time.Duration) time.Duration {
-	part := x.f.luck(t)
+// totalRunTime returns a task's run time in this run. The quantile is raised for a task that has
+// already run for longer.
+func (r *run) totalRunTime(j *job, t model.Task, elapsed time.Duration) time.Duration {
+	quantile := r.forecast.randomQuantile(t)
 	for range 8 {
-		d := time.Duration(float64(j.Spec.Estimate) * x.f.s.RunTimeFactor(j.Spec.Class, part))
-		if d > ran {
+		d := time.Duration(float64(j.Spec.Estimate) * r.forecast.snapshot.RunTimeFactor(j.Spec.Class, quantile))
+		if d > elapsed {
 			return d
 		}
-		part = (part + 1) / 2
+		quantile = (quantile + 1) / 2
 	}
-	return ran + j.Spec.Estimate/20 + time.Millisecond
+	return elapsed + j.Spec.Estimate/20 + time.Millisecond
 }
 
-// schedule lets a task that runs come to its end.
-func (x *run) schedule(j *job, b shard.StartedTask, left time.Duration) {
+// scheduleCompletion schedules the completion of a task that has started. Replicas of services never
+// complete.
+func (r *run) scheduleCompletion(j *job, started shard.StartedTask, remaining time.Duration) {
 	if !j.Spec.Daemon {
-		heap.Push(&x.heap, ending{x.now + b.FetchTime + max(left, time.Millisecond), b.Task, b.Attempt})
+		heap.Push(&r.completions, completion{r.now + started.FetchTime + max(remaining, time.Millisecond), started.Task,
+			started.Attempt})
 	}
 }
 
-// step plays one step of time.
-func (x *run) step() {
-	if x.load() {
+// step simulates one step of time, or loads machines if some are left.
+func (r *run) step() {
+	if r.loadMachines() {
 		return
 	}
-	x.now += x.f.p.Step
-	for len(x.heap) > 0 && x.heap[0].at <= x.now {
-		x.ended(heap.Pop(&x.heap).(ending))
+	r.now += r.forecast.params.Step
+	for len(r.completions) > 0 && r.completions[0].endsAt <= r.now {
+		r.completeTask(heap.Pop(&r.completions).(completion))
 	}
-	if x.now-x.priced >= 5*time.Second {
-		x.reprice()
+	if r.now-r.repricedAt >= 5*time.Second {
+		r.repriceJobs()
 	}
-	x.arrivals()
-	if x.e != nil {
-		x.drain()
+	r.updateMachines()
+	if r.engine != nil {
+		r.advancePlan()
 	}
-	x.dealAll()
-	begun, stopped := x.r.Place(x.now)
-	for _, s := range stopped {
-		x.stopped(s, false)
+	r.dispatchAll()
+	started, stopped := r.simulation.Place(r.now)
+	for _, task := range stopped {
+		r.taskStopped(task, false)
 	}
-	for _, b := range begun {
-		x.begun(b)
+	for _, task := range started {
+		r.taskStarted(task)
 	}
-	x.wait()
-	planned := x.e == nil || x.planEnd > 0
-	if x.open == 0 && planned || x.now-x.f.s.Now >= x.f.p.MaxDuration {
-		x.over = true
-		if x.e != nil && x.planEnd == 0 {
-			x.planEnd, x.held = x.f.p.MaxDuration, x.waitsFor()
+	r.recordWaits()
+	planEnded := r.engine == nil || r.planDuration > 0
+	if r.unfinishedJobs == 0 && planEnded || r.now-r.forecast.snapshot.Now >= r.forecast.params.MaxDuration {
+		r.done = true
+		if r.engine != nil && r.planDuration == 0 {
+			r.planDuration, r.blockedReason = r.forecast.params.MaxDuration, r.planBlocker()
 		}
 	}
 }
 
-// part is how much of this run is played, at a guess.
-func (x *run) part() float64 {
-	if x.over || len(x.jobs) == 0 {
+// progress estimates the completed fraction of this run by the number of jobs that have ended.
+func (r *run) progress() float64 {
+	if r.done || len(r.jobs) == 0 {
 		return 1
 	}
-	return 1 - float64(x.open)/float64(len(x.jobs)+1)
+	return 1 - float64(r.unfinishedJobs)/float64(len(r.jobs)+1)
 }
 
-func (x *run) ended(e ending) {
-	j := x.byID[e.task.Job]
-	if j == nil || !x.r.FinishTask(x.now, e.task, e.attempt) {
+// completeTask finishes a task, unless it was stopped since the completion was scheduled.
+func (r *run) completeTask(completed completion) {
+	j := r.byID[completed.task.Job]
+	if j == nil || !r.simulation.FinishTask(r.now, completed.task, completed.attempt) {
 		return
 	}
-	j.left--
-	j.running--
-	x.usage[j.Spec.Team] = x.usage[j.Spec.Team].Sub(j.Spec.PerTask)
-	if j.left == 0 {
-		x.ends[j.Spec.ID] = e.at - x.f.s.Now
-		x.open--
+	j.unfinished--
+	j.runningTasks--
+	r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Sub(j.Spec.PerTask)
+	if j.unfinished == 0 {
+		r.jobEnds[j.Spec.ID] = completed.endsAt - r.forecast.snapshot.Now
+		r.unfinishedJobs--
 	}
 }
 
-func (x *run) begun(b shard.StartedTask) {
-	j := x.byID[b.Task.Job]
-	j.running++
-	left := x.whole(j, b.Task, 0) - j.saved[b.Task.Index]
-	x.schedule(j, b, left)
-	if c, ok := x.costs[b.Task.Job]; ok && x.e != nil && c.moved > 0 {
-		c.refetch += b.FetchTime
-		x.costs[b.Task.Job] = c
+// taskStarted schedules the completion of a started task, less the run time that it has saved.
+func (r *run) taskStarted(started shard.StartedTask) {
+	j := r.byID[started.Task.Job]
+	j.runningTasks++
+	remaining := r.totalRunTime(j, started.Task, 0) - j.saved[started.Task.Index]
+	r.scheduleCompletion(j, started, remaining)
+	if c, ok := r.costs[started.Task.Job]; ok && r.engine != nil && c.moved > 0 {
+		c.refetch += started.FetchTime
+		r.costs[started.Task.Job] = c
 	}
 }
 
-// stopped keeps what a task has saved: all where it was given time to, else what
-// it saved by itself.
-func (x *run) stopped(s shard.StoppedTask, moved bool) {
-	j := x.byID[s.Task.Job]
-	j.running--
-	ran := max(0, s.RunTime)
-	kept := time.Duration(0)
+// taskStopped keeps the progress that a stopped task with checkpoints has saved: all of it if the task
+// was moved, because it then saves before it stops; otherwise that of its last periodic checkpoint.
+func (r *run) taskStopped(stopped shard.StoppedTask, moved bool) {
+	j := r.byID[stopped.Task.Job]
+	j.runningTasks--
+	runTime := max(0, stopped.RunTime)
+	savedTime := time.Duration(0)
 	if cp := j.Spec.CheckpointInterval; cp > 0 {
-		if kept = ran - ran%cp; moved {
-			kept = ran
+		if savedTime = runTime - runTime%cp; moved {
+			savedTime = runTime
 		}
 	}
-	if kept > 0 {
+	if savedTime > 0 {
 		if j.saved == nil {
 			j.saved = map[int32]time.Duration{}
 		}
-		j.saved[s.Task.Index] += kept
+		j.saved[stopped.Task.Index] += savedTime
 	}
 	if moved {
-		c := x.costs[s.Task.Job]
+		c := r.costs[stopped.Task.Job]
 		c.moved++
-		c.lost += ran - kept
-		x.costs[s.Task.Job] = c
+		c.lost += runTime - savedTime
+		r.costs[stopped.Task.Job] = c
 	}
 }
 
-// reprice tells which jobs fit into their team's guarantee.
-func (x *run) reprice() {
-	x.priced = x.now
-	g := dispatcher.NewGuaranteeChecker(x.f.s.Teams)
-	for _, j := range x.jobs {
-		if j.left == 0 {
+// repriceJobs updates which jobs fit into their team's guarantee, and their prices.
+func (r *run) repriceJobs() {
+	r.repricedAt = r.now
+	guarantees := dispatcher.NewGuaranteeChecker(r.forecast.snapshot.Teams)
+	for _, j := range r.jobs {
+		if j.unfinished == 0 {
 			continue
 		}
-		j.within = g.Fits(j.Spec, int64(j.left))
-		if p := dispatcher.Price(j.Spec.Rank, j.within); p != j.price {
-			j.price = p
-			x.r.RepriceJob(j.Spec.ID, p)
+		j.withinGuarantee = guarantees.Fits(j.Spec, int64(j.unfinished))
+		if price := dispatcher.Price(j.Spec.Rank, j.withinGuarantee); price != j.price {
+			j.price = price
+			r.simulation.RepriceJob(j.Spec.ID, price)
 		}
 	}
 }
 
-// dealAll gives the shard what teams' limits allow, the highest price times wait
-// first.
-func (x *run) dealAll() {
+// dispatchAll hands waiting tasks to the shard as far as teams' limits allow, in order of the jobs'
+// scores, the highest first.
+func (r *run) dispatchAll() {
 	var jobs []*job
-	for _, j := range x.jobs {
-		if len(j.undealt) > 0 {
+	for _, j := range r.jobs {
+		if len(j.undispatched) > 0 {
 			jobs = append(jobs, j)
 		}
 	}
-	score := func(j *job) float64 { return j.Spec.Score(j.price, x.now-j.Since) }
+	score := func(j *job) float64 { return j.Spec.Score(j.price, r.now-j.Since) }
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
-		n := min(int64(len(j.undealt)), j.Spec.PerTask.Count(x.f.s.Teams[team].Remaining(x.usage[team])))
-		for _, no := range j.undealt[:n] {
-			x.r.AddWaiting(x.now, x.deal(j, no, x.zone(j)))
+		count := min(int64(len(j.undispatched)),
+			j.Spec.PerTask.Count(r.forecast.snapshot.Teams[team].Remaining(r.usage[team])))
+		for _, index := range j.undispatched[:count] {
+			r.simulation.AddWaiting(r.now, r.assignment(j, index, r.nextZone(j)))
 		}
-		j.undealt = j.undealt[n:]
-		x.usage[team] = x.usage[team].Add(j.Spec.PerTask.Times(n))
+		j.undispatched = j.undispatched[count:]
+		r.usage[team] = r.usage[team].Add(j.Spec.PerTask.Times(count))
 	}
 }
 
-// zone is where a job whose tasks' zones depend on each other goes next: all to
-// one, or to all in turn.
-func (x *run) zone(j *job) model.Name {
+// nextZone returns the zone for a job's next task: one zone for all tasks, or each zone in turn, if
+// the job asks for either; otherwise none.
+func (r *run) nextZone(j *job) model.Name {
 	switch {
-	case len(x.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
+	case len(r.zones) == 0 || !j.Spec.SameZone && !j.Spec.Spread:
 		return model.None
 	case j.Spec.Spread:
-		j.zones++
+		j.zoneIndex++
 	}
-	return x.zones[(int(j.Spec.ID)+j.zones)%len(x.zones)]
+	return r.zones[(int(j.Spec.ID)+j.zoneIndex)%len(r.zones)]
 }
 
-// wait notes for how long work within its guarantee has had no room.
-func (x *run) wait() {
-	waiting := x.r.WaitingJobs()
-	for _, j := range x.jobs {
-		if j.left == 0 || !j.within || !waiting[j.Spec.ID] {
-			j.waited = 0
+// recordWaits updates how long jobs within their team's guarantee have waited for capacity.
+func (r *run) recordWaits() {
+	waiting := r.simulation.WaitingJobs()
+	for _, j := range r.jobs {
+		if j.unfinished == 0 || !j.withinGuarantee || !waiting[j.Spec.ID] {
+			j.waitingSince = 0
 			continue
 		}
-		if j.waited == 0 {
-			j.waited = x.now
+		if j.waitingSince == 0 {
+			j.waitingSince = r.now
 		}
-		x.waits[j.Spec.Team] = max(x.waits[j.Spec.Team], x.now-j.waited)
+		r.guaranteeWaits[j.Spec.Team] = max(r.guaranteeWaits[j.Spec.Team], r.now-j.waitingSince)
 	}
 }
--- a/internal/core/jobs/dependencies_test.go
+++ b/internal/core/jobs/dependencies_test.go
@@ -8,16 +8,17 @@
 	"honeylock/internal/core/model"
 )
 
-// shelf is a store of scripted records: a job is open at a version, or has a stage.
-type shelf struct {
+// fakeStore is a store with an open record's version or a final stage for each job.
+type fakeStore struct {
 	open  map[model.JobID]uint64
 	final map[model.JobID]Stage
-	// before is called for each operation.
+	// before is called before each operation.
 	before func(Op)
 	ops    []Op
 }
 
-func (s *shelf) do(op Op) Result {
+// execute carries out an operation.
+func (s *fakeStore) execute(op Op) Result {
 	s.ops = append(s.ops, op)
 	if s.before != nil {
 		s.before(op)
@@ -28,8 +29,8 @@
 			return Result{Version: v}
 		}
 	case ReadFinal:
-		if st := s.final[op.Job]; st != "" {
-			return Result{Stage: st}
+		if stage := s.final[op.Job]; stage != "" {
+			return Result{Stage: stage}
 		}
 	case Create:
 		if s.open[op.Job] != 0 || s.final[op.Job] != "" || slices.ContainsFunc(op.Guards, func(g Guard) bool {
@@ -47,13 +48,14 @@
 	return Result{Outcome: Missing}
 }
 
-func (s *shelf) submit(t *testing.T, seen map[model.JobID]uint64, awaits ...model.JobID) Answer {
+// submit runs a submission of job 1, with at most two guards, until its answer.
+func (s *fakeStore) submit(t *testing.T, openVersions map[model.JobID]uint64, dependsOn ...model.JobID) Answer {
 	t.Helper()
-	req, op := NewWithDependencies(1, awaits, seen, 2)
+	req, op := NewWithDependencies(1, dependsOn, openVersions, 2)
 	for range 40 {
-		next, a := req.Next(op, s.do(op))
-		if a != nil {
-			return *a
+		next, answer := req.Next(op, s.execute(op))
+		if answer != nil {
+			return *answer
 		}
 		op = next
 	}
@@ -61,62 +63,65 @@
 	return Answer{}
 }
 
-func TestSubmissionThatAwaits(t *testing.T) {
+// A submission reads only the dependencies whose versions it does not know, and is stored as cancelled
+// if one of them is.
+func TestSubmissionWithDependencies(t *testing.T) {
 	open, final := map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, map[model.JobID]Stage{5: Done, 6: Cancelled}
 	for name, c := range map[string]struct {
-		seen   map[model.JobID]uint64
-		awaits []model.JobID
-		status int
-		stage  Stage
-		ops    int
+		openVersions map[model.JobID]uint64
+		dependsOn    []model.JobID
+		status       int
+		stage        Stage
+		ops          int
 	}{
-		"open ones that were seen": {map[model.JobID]uint64{2: 7, 3: 8}, []model.JobID{2, 3},
+		"open, versions known": {map[model.JobID]uint64{2: 7, 3: 8}, []model.JobID{2, 3},
 			http.StatusCreated, Queued, 1},
-		"one that is read":             {map[model.JobID]uint64{}, []model.JobID{2}, http.StatusCreated, Queued, 2},
-		"one that is done":             {map[model.JobID]uint64{}, []model.JobID{5}, http.StatusCreated, Queued, 3},
-		"one that is cancelled":        {map[model.JobID]uint64{}, []model.JobID{2, 6}, http.StatusCreated, Cancelled, 4},
-		"one seen open that has ended": {map[model.JobID]uint64{6: 3}, []model.JobID{6}, http.StatusCreated, Cancelled, 6},
-		"one that was never accepted": {map[model.JobID]uint64{}, []model.JobID{2, 99},
+		"open, read":                   {map[model.JobID]uint64{}, []model.JobID{2}, http.StatusCreated, Queued, 2},
+		"done":                         {map[model.JobID]uint64{}, []model.JobID{5}, http.StatusCreated, Queued, 3},
+		"cancelled":                    {map[model.JobID]uint64{}, []model.JobID{2, 6}, http.StatusCreated, Cancelled, 4},
+		"ended after it was read open": {map[model.JobID]uint64{6: 3}, []model.JobID{6}, http.StatusCreated, Cancelled, 6},
+		"never accepted": {map[model.JobID]uint64{}, []model.JobID{2, 99},
 			http.StatusUnprocessableEntity, "", 5},
-		"more than a transaction takes": {map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, []model.JobID{2, 3, 4},
+		"more than the allowed guards": {map[model.JobID]uint64{2: 7, 3: 8, 4: 9}, []model.JobID{2, 3, 4},
 			http.StatusCreated, Queued, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &shelf{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{}}
+			s := &fakeStore{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{}}
 			for id, v := range open {
 				s.open[id] = v
 			}
 			for id, st := range final {
 				s.final[id] = st
 			}
-			a := s.submit(t, c.seen, c.awaits...)
+			a := s.submit(t, c.openVersions, c.dependsOn...)
 			if a.Status != c.status || a.Stage != c.stage || len(s.ops) != c.ops {
-				t.Errorf("%+v after %+v, want %d %q after %d", a, s.ops, c.status, c.stage, c.ops)
+				t.Errorf("%+v after %+v, want %d %q after %d operations", a, s.ops, c.status, c.stage, c.ops)
 			}
 			if last := s.ops[len(s.ops)-1]; len(last.Guards) > 2 {
-				t.Errorf("%d guards, two may be", len(last.Guards))
+				t.Errorf("%d guards, at most two are allowed", len(last.Guards))
 			}
 		})
 	}
 }
 
-// An accepted submission once more has its job's state, whatever it names now.
-func TestKnownJobThatAwaitsStaysKnown(t *testing.T) {
-	s := &shelf{open: map[model.JobID]uint64{1: 50}, final: map[model.JobID]Stage{}}
+// A repeated submission of an accepted job returns the job's state, whatever dependencies it names
+// now.
+func TestResubmissionKeepsJobState(t *testing.T) {
+	s := &fakeStore{open: map[model.JobID]uint64{1: 50}, final: map[model.JobID]Stage{}}
 	if a := s.submit(t, nil, 99); a.Status != http.StatusOK || a.Stage != Queued {
 		t.Errorf("%+v for a job that is open", a)
 	}
-	s = &shelf{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{1: Done}}
+	s = &fakeStore{open: map[model.JobID]uint64{}, final: map[model.JobID]Stage{1: Done}}
 	if a := s.submit(t, nil, 99); a.Status != http.StatusOK || a.Stage != Done {
 		t.Errorf("%+v for a job that is done", a)
 	}
 }
 
-// What is awaited is cancelled between the look and the transaction: the transaction
-// fails, and the next one takes the job as cancelled. Without the guard it would be
-// called queued for as long as no leader looks.
-func TestCancellationBetweenLookAndTransaction(t *testing.T) {
-	s := &shelf{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
+// A dependency is cancelled after it was read and before the transaction. The transaction must fail,
+// and the next one store the job as cancelled. Without the guard the job would be reported as queued
+// until a leader finds out.
+func TestDependencyCancelledBeforeTransaction(t *testing.T) {
+	s := &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
 		if op.Kind == Create && s.open[2] != 0 {
 			delete(s.open, 2)
@@ -127,13 +132,13 @@
 	if a.Status != http.StatusCreated || a.Stage != Cancelled || s.open[1] != 0 {
 		t.Errorf("%+v, open %v", a, s.open)
 	}
-	// It changes for ever: nothing is told.
-	n := uint64(7)
-	s = &shelf{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
+	// The dependency changes before every transaction: the user gets no state.
+	version := uint64(7)
+	s = &fakeStore{open: map[model.JobID]uint64{2: 7}, final: map[model.JobID]Stage{}}
 	s.before = func(op Op) {
 		if op.Kind == Create {
-			n++
-			s.open[2] = n
+			version++
+			s.open[2] = version
 		}
 	}
 	if a := s.submit(t, map[model.JobID]uint64{}, 2); a.Status != http.StatusServiceUnavailable {
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -11,32 +11,34 @@
 
 var gate = Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
 
-// play has tasks of two classes end on machines 0 to 9, of which 0 and 1 are new.
-func play(rng *rand.Rand, tasks int, slower, fails float64) *Evaluator {
-	k := New()
+// runTasks ends tasks of two classes on machines 0 to 9, of which 0 and 1 are renewed.
+func runTasks(rng *rand.Rand, tasks int, slowdown, errorRate float64) *Evaluator {
+	evaluator := New()
 	for range tasks {
 		id := model.MachineID(rng.IntN(10))
 		class := model.Name(rng.IntN(2))
-		fresh := id < 2
-		if p := 0.01; rng.Float64() < p || fresh && rng.Float64() < fails {
-			k.AddFailed(id)
+		renewed := id < 2
+		if p := 0.01; rng.Float64() < p || renewed && rng.Float64() < errorRate {
+			evaluator.AddFailed(id)
 			continue
 		}
 		ran := 20 * float64(time.Second) * (0.7 + 0.6*rng.Float64()) * (1 + float64(class))
-		if fresh {
-			ran *= slower
+		if renewed {
+			ran *= slowdown
 		}
-		k.AddCompleted(id, class, 20*time.Second, time.Duration(ran))
+		evaluator.AddCompleted(id, class, 20*time.Second, time.Duration(ran))
 	}
-	return k
+	return evaluator
 }
 
-func TestGates(t *testing.T) {
+// Gates open on enough similar tasks, close on significantly slower or failing ones, and wait
+// otherwise.
+func TestEvaluateGate(t *testing.T) {
 	for name, c := range map[string]struct {
-		tasks         int
-		slower, fails float64
-		open, closed  bool
-		why           string
+		tasks               int
+		slowdown, errorRate float64
+		open, closed        bool
+		reason              string
 	}{
 		"too few":      {60, 1, 0, false, false, "of 20 tasks have ended"},
 		"alike":        {400, 1, 0, true, false, ""},
@@ -47,8 +49,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				v := play(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slower, c.fails).Evaluate(gate, []model.MachineID{0, 1})
-				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.why) {
+				v := runTasks(rand.New(rand.NewPCG(seed, 1)), c.tasks, c.slowdown, c.errorRate).Evaluate(gate,
+					[]model.MachineID{0, 1})
+				if v.Open != c.open || v.Closed != c.closed || !strings.Contains(v.Reason, c.reason) {
 					t.Fatalf("seed %d: %+v", seed, v)
 				}
 			}
@@ -56,11 +59,11 @@
 	}
 }
 
-// A gate without a reason to close stays open nearly always.
-func TestChanceClosesHardlyAnyGate(t *testing.T) {
+// Without a difference between the machines, nearly all gates stay open.
+func TestGateRarelyClosesByChance(t *testing.T) {
 	closed := 0
 	for seed := range uint64(2000) {
-		if play(rand.New(rand.NewPCG(seed, 2)), 300, 1, 0).Evaluate(gate, []model.MachineID{0, 1}).Closed {
+		if runTasks(rand.New(rand.NewPCG(seed, 2)), 300, 1, 0).Evaluate(gate, []model.MachineID{0, 1}).Closed {
 			closed++
 		}
 	}
