--- a/internal/core/audit/audit.go
+++ b/internal/core/audit/audit.go
@@ -29,15 +29,15 @@
 
 // Log is the state machine.
 type Log struct {
-	slots   uint64
-	next    uint64
-	entries []*Entry // oldest first, at most slots
-	by      map[string]*Entry
+	slots     uint64
+	nextSeq   uint64
+	entries   []*Entry // oldest first, at most slots
+	byRequest map[string]*Entry
 }
 
 // New returns a log of so many entries.
 func New(slots int) *Log {
-	return &Log{slots: uint64(slots), next: 1, by: map[string]*Entry{}}
+	return &Log{slots: uint64(slots), nextSeq: 1, byRequest: map[string]*Entry{}}
 }
 
 // Load takes a stored entry. What a newer release wrote is kept as far as it is
@@ -52,31 +52,31 @@
 		return
 	}
 	l.entries = slices.Insert(l.entries, i, &e)
-	l.by[e.Request] = &e
-	l.next = max(l.next, e.Seq+1)
+	l.byRequest[e.Request] = &e
+	l.nextSeq = max(l.nextSeq, e.Seq+1)
 	l.trim()
 }
 
 // trim forgets the oldest entries; their slots are written anew.
 func (l *Log) trim() {
-	for len(l.entries) > 0 && l.next-l.entries[0].Seq > l.slots {
+	for len(l.entries) > 0 && l.nextSeq-l.entries[0].Seq > l.slots {
 		old := l.entries[0]
 		l.entries = l.entries[1:]
-		if l.by[old.Request] == old {
-			delete(l.by, old.Request)
+		if l.byRequest[old.Request] == old {
+			delete(l.byRequest, old.Request)
 		}
 	}
 }
 
 // ByRequest returns the entry of a request, nil if it is not known.
-func (l *Log) ByRequest(request string) *Entry { return l.by[request] }
+func (l *Log) ByRequest(request string) *Entry { return l.byRequest[request] }
 
 // Add takes a new entry, to be stored.
 func (l *Log) Add(e Entry) *Entry {
-	e.V, e.Seq, e.stored = EntryVersion, l.next, false
-	l.next++
+	e.V, e.Seq, e.stored = EntryVersion, l.nextSeq, false
+	l.nextSeq++
 	l.entries = append(l.entries, &e)
-	l.by[e.Request] = &e
+	l.byRequest[e.Request] = &e
 	l.trim()
 	return &e
 }
--- a/internal/core/audit/audit_test.go
+++ b/internal/core/audit/audit_test.go
@@ -4,7 +4,7 @@
 
 // A new leader that loads what was stored answers what was asked before, in
 // bounded space, and numbers on from there.
-func TestEntriesOutliveTheirLeader(t *testing.T) {
+func TestNewLeaderLoadsStoredEntries(t *testing.T) {
 	l, stored := New(4), map[uint64]Entry{}
 	for _, r := range []string{"a", "b", "c", "d", "e", "f"} {
 		e := l.Add(Entry{Request: r, Name: "p", Outcome: "did " + r})
@@ -20,7 +20,8 @@
 	for _, e := range stored {
 		next.Load(e)
 	}
-	if len(stored) != 4 || next.ByRequest("a") != nil || next.ByRequest("f") == nil || next.ByRequest("f").Outcome != "did f" ||
+	if len(stored) != 4 || next.ByRequest("a") != nil || next.ByRequest("f") == nil ||
+		next.ByRequest("f").Outcome != "did f" ||
 		!next.IsStored(next.ByRequest("f")) {
 		t.Errorf("%v", stored)
 	}
--- a/internal/core/cancellog/cancellog_test.go
+++ b/internal/core/cancellog/cancellog_test.go
@@ -10,7 +10,7 @@
 
 const s = time.Second
 
-func TestAPictureIsAsYoungAsTheOldestWord(t *testing.T) {
+func TestViewIsAsRecentAsOldestCoverage(t *testing.T) {
 	for name, c := range map[string]struct {
 		words []Coverage
 		want  time.Duration
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestALogIsToldOnceAndSaysFromWhenOnItIsWhole(t *testing.T) {
+func TestLogReturnsEntriesOnceAndItsStart(t *testing.T) {
 	l := NewLog(3 * s)
 	for i, job := range []model.JobID{7, 8, 7} {
 		l.Acknowledge(4*s+time.Duration(i)*time.Minute, job)
@@ -62,7 +62,7 @@
 	if again, _ := l.EntriesFrom(next); len(again) != 0 {
 		t.Errorf("told %v again", again)
 	}
-	l.Acknowledge(4*s+keptFor+s, 9) // the first is too old
+	l.Acknowledge(4*s+retention+s, 9) // the first is too old
 	if jobs, next = l.EntriesFrom(next); !slices.Equal(jobs, []model.JobID{9}) || l.CompleteSince() <= 4*s {
 		t.Errorf("%v since %v", jobs, l.CompleteSince())
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestAnAnswerAskedForBeforeATellingShowsNothing(t *testing.T) {
+func TestCancelledJobIsKeptUntilLaterRead(t *testing.T) {
 	var p OpenJobsView
 	p.Read(10 * s)
 	if !p.AddCancelled(20*s, 7) || p.AddCancelled(21*s, 7) || !p.IsCancelled(7) || p.IsCancelled(8) {
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -50,31 +50,31 @@
 
 // Election is the state machine.
 type Election struct {
-	host    string
-	ttl     time.Duration
-	margin  time.Duration
-	stagger time.Duration
-	idle    time.Duration // between a follower's readings of the leader's key
+	host                 string
+	ttl                  time.Duration
+	clockMargin          time.Duration
+	stagger              time.Duration
+	followerReadInterval time.Duration // between a follower's readings of the leader's key
 
-	busy     bool
-	next     time.Duration
-	seen     LeaderRecord
-	lease    uint64
-	sentAt   time.Duration // of the lease's last successful renewal or grant
-	leading  bool
-	term     uint64
-	version  uint64
-	renewing bool
-	asked    time.Duration // when the last renewal was sent
-	nextTry  time.Duration // of the next renewal
-	orphans  []uint64      // leases of ours that must end
+	operationPending bool
+	nextOperationAt  time.Duration
+	observed         LeaderRecord
+	lease            uint64
+	leaseSentAt      time.Duration // of the lease's last successful renewal or grant
+	leading          bool
+	term             uint64
+	version          uint64
+	renewalPending   bool
+	renewalSentAt    time.Duration // when the last renewal was sent
+	nextRenewalAt    time.Duration // of the next renewal
+	leasesToRevoke   []uint64      // leases of ours that must end
 
-	// promised: this controller does not take leadership before, for a leader
+	// ownPromiseUntil: this controller does not take leadership before, for a leader
 	// counts on it. A process that has just started may have promised in its
 	// earlier life, and holds off for as long.
-	promised time.Duration
-	vowed    bool          // has promised in this life
-	backed   time.Duration // until when all siblings have promised
+	ownPromiseUntil       time.Duration
+	promisedThisRun       bool          // has promised in this life
+	siblingsPromisedUntil time.Duration // until when all siblings have promised
 }
 
 // New returns a follower. ttl is the lease's length; stagger sets apart
@@ -82,38 +82,40 @@
 // of promises, now is the start of the process.
 func New(host string, ttl, stagger, promise, now time.Duration) *Election {
 	return &Election{
-		host:     host,
-		ttl:      ttl,
-		idle:     leastIdle,
-		margin:   ttl/500 + 150*time.Millisecond,
-		stagger:  stagger,
-		promised: now + promise,
+		host:                 host,
+		ttl:                  ttl,
+		followerReadInterval: minReadInterval,
+		clockMargin:          ttl/500 + 150*time.Millisecond,
+		stagger:              stagger,
+		ownPromiseUntil:      now + promise,
 	}
 }
 
 // SetSiblings says how many other controllers there are. All followers together then read
 // the leader's key about twice a second, whatever their number: a watch tells them sooner
 // that it is gone, and a link that breaks has them look at once.
-func (e *Election) SetSiblings(n int) { e.idle = max(leastIdle, time.Duration(n)*leastIdle/2) }
+func (e *Election) SetSiblings(n int) {
+	e.followerReadInterval = max(minReadInterval, time.Duration(n)*minReadInterval/2)
+}
 
 // CheckSoon has a follower look at the leader's key soon: its link to the leader is gone.
 func (e *Election) CheckSoon(now time.Duration) {
 	if !e.leading {
-		e.next = min(e.next, now+retry)
+		e.nextOperationAt = min(e.nextOperationAt, now+retryInterval)
 	}
 }
 
 // Promise keeps this controller from taking leadership before until.
 func (e *Election) Promise(until time.Duration) {
-	e.promised, e.vowed = max(e.promised, until), true
+	e.ownPromiseUntil, e.promisedThisRun = max(e.ownPromiseUntil, until), true
 }
 
 // ClearPriorPromise tells a controller that has just started that no sibling leads, so
 // that nobody can count on a promise of its last life.
 func (e *Election) ClearPriorPromise(now time.Duration) {
-	if !e.vowed {
-		e.promised = min(e.promised, now)
-		e.next = min(e.next, now)
+	if !e.promisedThisRun {
+		e.ownPromiseUntil = min(e.ownPromiseUntil, now)
+		e.nextOperationAt = min(e.nextOperationAt, now)
 	}
 }
 
@@ -121,12 +123,16 @@
 // before until: its authority lasts as long, whatever the state service says.
 // While the service is out the key can't change hands; and if this controller
 // alone is refused, the key may go, but nobody takes it.
-func (e *Election) ExtendAuthority(until time.Duration) { e.backed = max(e.backed, until) }
+func (e *Election) ExtendAuthority(until time.Duration) {
+	e.siblingsPromisedUntil = max(e.siblingsPromisedUntil, until)
+}
 
 // Deadline is when authority ends unless it is renewed: counted from sending
 // the last successful renewal, less the clocks' drift and late timers; or, if
 // that is later, the end of all siblings' promises.
-func (e *Election) Deadline() time.Duration { return max(e.sentAt+e.ttl-e.margin, e.backed) }
+func (e *Election) Deadline() time.Duration {
+	return max(e.leaseSentAt+e.ttl-e.clockMargin, e.siblingsPromisedUntil)
+}
 
 // Leading tells whether this controller may act as the leader now.
 func (e *Election) Leading(now time.Duration) bool { return e.leading && now < e.Deadline() }
@@ -142,20 +148,20 @@
 	if e.leading {
 		return e.host
 	}
-	if !e.seen.Present {
+	if !e.observed.Present {
 		return ""
 	}
-	return e.seen.Host
+	return e.observed.Host
 }
 
 // Observe takes news of the leader's key from a watch.
 func (e *Election) Observe(now time.Duration, r LeaderRecord) {
-	if r.Version < e.seen.Version && r.Present {
+	if r.Version < e.observed.Version && r.Present {
 		return
 	}
-	e.seen = r
+	e.observed = r
 	if !r.Present && !e.leading {
-		e.next = min(e.next, max(now, e.promised)+e.stagger)
+		e.nextOperationAt = min(e.nextOperationAt, max(now, e.ownPromiseUntil)+e.stagger)
 	}
 }
 
@@ -165,37 +171,37 @@
 	if !e.leading {
 		return
 	}
-	e.drop()
-	e.next = now + pause
+	e.stepDown()
+	e.nextOperationAt = now + pause
 }
 
-func (e *Election) drop() {
+func (e *Election) stepDown() {
 	if e.lease != 0 {
-		e.orphans = append(e.orphans, e.lease)
+		e.leasesToRevoke = append(e.leasesToRevoke, e.lease)
 	}
-	e.leading, e.lease, e.renewing, e.backed = false, 0, false, 0
-	e.seen = LeaderRecord{}
+	e.leading, e.lease, e.renewalPending, e.siblingsPromisedUntil = false, 0, false, 0
+	e.observed = LeaderRecord{}
 }
 
 // Step returns the operations to run now.
 func (e *Election) Step(now time.Duration) []Op {
 	var ops []Op
 	if e.leading && now >= e.Deadline() {
-		e.drop()
-		e.next = now
+		e.stepDown()
+		e.nextOperationAt = now
 	}
 	if e.leading {
 		// An answer that is late does not hold up the next try.
-		if now >= e.nextTry && (!e.renewing || now-e.asked >= e.ttl/5) {
-			e.renewing, e.asked = true, now
+		if now >= e.nextRenewalAt && (!e.renewalPending || now-e.renewalSentAt >= e.ttl/5) {
+			e.renewalPending, e.renewalSentAt = true, now
 			ops = append(ops, Op{Verb: Renew, Lease: e.lease, SentAt: now})
 		}
 		return ops
 	}
-	if !e.busy && now >= e.next {
-		e.busy = true
-		if n := len(e.orphans); n > 0 {
-			ops = append(ops, Op{Verb: Revoke, Lease: e.orphans[n-1], SentAt: now})
+	if !e.operationPending && now >= e.nextOperationAt {
+		e.operationPending = true
+		if n := len(e.leasesToRevoke); n > 0 {
+			ops = append(ops, Op{Verb: Revoke, Lease: e.leasesToRevoke[n-1], SentAt: now})
 		} else {
 			ops = append(ops, Op{Verb: Read, SentAt: now})
 		}
@@ -204,101 +210,101 @@
 }
 
 const (
-	retry     = 250 * time.Millisecond
-	leastIdle = time.Second
+	retryInterval   = 250 * time.Millisecond
+	minReadInterval = time.Second
 )
 
 // HandleResult takes an operation's result and returns what follows at once.
 func (e *Election) HandleResult(now time.Duration, r Result) []Op {
 	if r.Op.Verb == Renew {
-		return e.renewed(now, r)
+		return e.handleRenewal(now, r)
 	}
-	e.busy = false
-	e.next = now + retry
+	e.operationPending = false
+	e.nextOperationAt = now + retryInterval
 	switch r.Op.Verb {
 	case Revoke:
 		if r.OK || r.NotExecuted {
-			e.orphans = remove(e.orphans, r.Op.Lease)
-			e.next = now
+			e.leasesToRevoke = withoutLease(e.leasesToRevoke, r.Op.Lease)
+			e.nextOperationAt = now
 		}
 	case Read:
 		if !r.OK {
 			break
 		}
-		e.seen = r.Leader
+		e.observed = r.Leader
 		if r.Leader.Present {
 			if r.Leader.Host == e.host {
 				// An earlier incarnation's, or a late transaction's: one
 				// process per controller, so nobody acts under it.
-				e.orphans = append(remove(e.orphans, r.Leader.Lease), r.Leader.Lease)
-				e.next = now
-				if !e.vowed {
+				e.leasesToRevoke = append(withoutLease(e.leasesToRevoke, r.Leader.Lease), r.Leader.Lease)
+				e.nextOperationAt = now
+				if !e.promisedThisRun {
 					// Our last life led, so no other leader counts on its promise.
-					e.promised = now
+					e.ownPromiseUntil = now
 				}
 			} else {
-				e.next = now + e.idle
+				e.nextOperationAt = now + e.followerReadInterval
 			}
 			break
 		}
-		if now < e.promised {
-			e.next = e.promised
+		if now < e.ownPromiseUntil {
+			e.nextOperationAt = e.ownPromiseUntil
 			break
 		}
-		e.busy = true
+		e.operationPending = true
 		return []Op{{Verb: Grant, Term: r.Term + 1, TermVersion: r.TermVersion, SentAt: now}}
 	case Grant:
 		if !r.OK {
 			break
 		}
-		e.busy = true
+		e.operationPending = true
 		e.lease = r.Lease
 		return []Op{{Verb: Acquire, Lease: r.Lease, Term: r.Op.Term, TermVersion: r.Op.TermVersion, SentAt: r.Op.SentAt}}
 	case Acquire:
-		if !r.OK || now < e.promised {
+		if !r.OK || now < e.ownPromiseUntil {
 			// In doubt, it may yet be applied late: ending its lease makes it
 			// fail for ever.
-			e.orphans = append(e.orphans, e.lease)
+			e.leasesToRevoke = append(e.leasesToRevoke, e.lease)
 			e.lease = 0
 			break
 		}
 		e.leading, e.term, e.version = true, r.Op.Term, r.Version
-		e.sentAt = r.Op.SentAt // the lease was asked for then
-		e.nextTry = now
-		e.renewing = false
+		e.leaseSentAt = r.Op.SentAt // the lease was asked for then
+		e.nextRenewalAt = now
+		e.renewalPending = false
 	}
 	return nil
 }
 
-func (e *Election) renewed(now time.Duration, r Result) []Op {
+func (e *Election) handleRenewal(now time.Duration, r Result) []Op {
 	if !e.leading || r.Op.Lease != e.lease {
 		return nil
 	}
-	e.renewing = false
+	e.renewalPending = false
 	switch {
 	case r.NotExecuted, now >= e.Deadline():
 		// The lease has ended, or authority was over before this answer came, and
 		// whatever went with the term has been dropped. Taken up again, the term would
 		// give tokens and attempts out for a second time.
-		e.drop()
-		e.next = now
+		e.stepDown()
+		e.nextOperationAt = now
 	case r.OK:
-		if r.Op.SentAt > e.sentAt {
-			e.sentAt = r.Op.SentAt
+		if r.Op.SentAt > e.leaseSentAt {
+			e.leaseSentAt = r.Op.SentAt
 		}
-		e.nextTry = r.Op.SentAt + max(e.ttl/8, 300*time.Millisecond)
+		e.nextRenewalAt = r.Op.SentAt + max(e.ttl/8, 300*time.Millisecond)
 	default:
-		e.nextTry = now + retry
+		e.nextRenewalAt = now + retryInterval
 	}
 	return nil
 }
 
-func remove(s []uint64, v uint64) []uint64 {
-	out := s[:0]
-	for _, x := range s {
-		if x != v {
-			out = append(out, x)
+func withoutLease(leases []uint64, lease uint64) []uint64 {
+	kept := leases[:0]
+	for _, other := range leases {
+		if other != lease {
+			kept = append(kept, other)
 		}
 	}
-	return out
+	return kept
 }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -7,8 +7,8 @@
 
 const ttl = 4 * time.Second
 
-// lead makes e leader of term 1 under lease 7, granted at the given time.
-func lead(t *testing.T, e *Election, now time.Duration) {
+// makeLeader makes e leader of term 1 under lease 7, granted at the given time.
+func makeLeader(t *testing.T, e *Election, now time.Duration) {
 	t.Helper()
 	ops := e.Step(now)
 	if len(ops) != 1 || ops[0].Verb != Read {
@@ -27,7 +27,7 @@
 
 func TestAuthorityCountsFromSending(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
-	lead(t, e, 0)
+	makeLeader(t, e, 0)
 	if !e.Leading(2*time.Second) || e.Leading(ttl) {
 		t.Fatal("authority must end a lease's length after asking for it, not after its answer")
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestAcquireInDoubtEndsItsLease(t *testing.T) {
+func TestAcquireInDoubtRevokesLease(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	ops := e.Step(0)
 	ops = e.HandleResult(0, Result{Op: ops[0], OK: true})
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOwnEarlierLeaseIsEnded(t *testing.T) {
+func TestOwnEarlierLeaseIsRevoked(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
 	ops := e.Step(0)
 	e.HandleResult(0, Result{Op: ops[0], OK: true, Leader: LeaderRecord{Present: true, Host: "a", Lease: 3}})
@@ -67,33 +67,33 @@
 		t.Fatalf("ops %v, want lease 3 ended", ops)
 	}
 	e.HandleResult(0, Result{Op: ops[0], OK: true})
-	lead(t, e, 0) // at once: whoever led needs no promise of its own
+	makeLeader(t, e, 0) // at once: whoever led needs no promise of its own
 }
 
 func TestPromiseIsKept(t *testing.T) {
 	e := New("a", ttl, 0, time.Second, 0)
-	try := func(now time.Duration) bool {
+	acquires := func(now time.Duration) bool {
 		ops := e.Step(now)
 		if len(ops) == 0 {
 			return false
 		}
 		return len(e.HandleResult(now, Result{Op: ops[0], OK: true})) > 0
 	}
-	if try(500 * time.Millisecond) {
+	if acquires(500 * time.Millisecond) {
 		t.Fatal("a process just started may have promised in its last life")
 	}
 	e.Promise(3 * time.Second)
-	if try(2 * time.Second) {
+	if acquires(2 * time.Second) {
 		t.Fatal("ran for leadership against its promise")
 	}
-	if !try(3 * time.Second) {
+	if !acquires(3 * time.Second) {
 		t.Fatal("the promise is over")
 	}
 }
 
-func TestSiblingsPromisesOutlastAnOutage(t *testing.T) {
+func TestSiblingPromisesExtendAuthority(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
-	lead(t, e, 0)
+	makeLeader(t, e, 0)
 	e.ExtendAuthority(10 * time.Second)
 	if !e.Leading(9 * time.Second) {
 		t.Fatal("all siblings have promised until 10 s")
@@ -111,10 +111,10 @@
 
 // After a crash of all controllers nobody leads: their last lives' promises bind
 // nobody, and waiting for them costs the workers' leases.
-func TestNobodyLeadsSoNobodyIsBound(t *testing.T) {
+func TestPriorPromiseIsClearedWithoutLeader(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
 	e.ClearPriorPromise(time.Second)
-	lead(t, e, time.Second)
+	makeLeader(t, e, time.Second)
 	// A promise of this life binds.
 	e = New("a", ttl, 0, time.Minute, 0)
 	e.Promise(time.Minute)
@@ -127,9 +127,9 @@
 
 // A renewal that is answered after authority was over once took the same term up
 // again, with a new dealer: tokens and attempts of that term were given out twice.
-func TestATermThatWasOverIsNotTakenUpAgain(t *testing.T) {
+func TestEndedTermIsNotResumed(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
-	lead(t, e, 0)
+	makeLeader(t, e, 0)
 	ops := e.Step(2500 * time.Millisecond)
 	late := e.Deadline() + time.Millisecond
 	if e.Leading(late) {
@@ -146,7 +146,7 @@
 
 // All followers together read the leader's key about twice a second, however many there are;
 // one whose link to the leader is gone looks soon.
-func TestFollowersReadTogether(t *testing.T) {
+func TestFollowersShareReadRate(t *testing.T) {
 	for _, siblings := range []int{2, 6, 19} {
 		e := New("b", 3*time.Second, 0, 0, 0)
 		e.SetSiblings(siblings)
--- a/internal/core/fleet/capacity.go
+++ b/internal/core/fleet/capacity.go
@@ -9,48 +9,50 @@
 	"honeylock/internal/core/model"
 )
 
-type room struct {
-	m      model.Machine
-	avail  model.Resources
-	used   bool // by demand
-	status *model.MachineStatus
+type availableMachine struct {
+	machine      model.Machine
+	free         model.Resources
+	usedByDemand bool // by demand
+	status       *model.MachineStatus
 }
 
-// rooms are the machines that are or will be up, with what they have free.
-func (f *Fleet) rooms(now time.Duration, status []model.MachineStatus) []room {
-	out := make([]room, 0, len(f.units)+maxRent)
-	f.turn++
+// availableMachines are the machines that are or will be up, with what they have free.
+func (f *Fleet) availableMachines(now time.Duration, status []model.MachineStatus) []availableMachine {
+	machines := make([]availableMachine, 0, len(f.machines)+maxRentCount)
+	f.cycle++
 	for i := range status {
 		s := &status[i]
-		u := f.units[s.Machine.ID]
-		u.up = f.turn
-		if !s.Draining && !s.Faulty && u.silent == 0 && !u.drain && !u.held {
-			out = append(out, room{m: s.Machine, avail: s.Avail, status: s})
+		state := f.machines[s.Machine.ID]
+		state.lastSeenCycle = f.cycle
+		if !s.Draining && !s.Faulty && state.leaseExpiredSince == 0 && !state.draining && !state.planDraining {
+			machines = append(machines, availableMachine{machine: s.Machine, free: s.Avail, status: s})
 		}
 	}
-	for id, u := range f.units {
-		t := f.typeOf(u.typ)
-		if u.up == f.turn || u.drop || u.held || u.failed || t == nil || now-u.since > 2*t.Boot+10*time.Second {
+	for id, state := range f.machines {
+		t := f.typeOf(state.machineType)
+		if state.lastSeenCycle == f.cycle || state.returning || state.planDraining || state.failed || t == nil ||
+			now-state.knownSince > 2*t.Boot+10*time.Second {
 			continue
 		}
-		out = append(out, room{m: model.Machine{ID: id, Type: u.typ, Zone: u.zone, Spot: u.spot, Cap: t.Cap}, avail: t.Cap})
+		machines = append(machines, availableMachine{machine: model.Machine{ID: id, Type: state.machineType,
+			Zone: state.zone, Spot: state.spot, Cap: t.Cap}, free: t.Cap})
 	}
-	slices.SortFunc(out, func(a, b room) int { return cmp.Compare(a.m.ID, b.m.ID) })
+	slices.SortFunc(machines, func(a, b availableMachine) int { return cmp.Compare(a.machine.ID, b.machine.ID) })
 	for _, a := range f.renting {
 		if t := f.typeOf(a.Type); t != nil {
 			for range a.Count {
-				out = append(out, room{m: a.machine(t), avail: t.Cap})
+				machines = append(machines, availableMachine{machine: a.machine(t), free: t.Cap})
 			}
 		}
 	}
-	return out
+	return machines
 }
 
 // freeCPU is what the machines have free in all.
-func freeCPU(rooms []room) int64 {
+func freeCPU(machines []availableMachine) int64 {
 	var free int64
-	for i := range rooms {
-		free += max(0, rooms[i].avail.CPU)
+	for i := range machines {
+		free += max(0, machines[i].free.CPU)
 	}
 	return free
 }
@@ -60,122 +62,122 @@
 	return model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot, Cap: t.Cap}
 }
 
-// cover is what is still lacking once a rental has been carried out.
-func (f *Fleet) cover(lacking []lack, a Action) []lack {
+// shortagesAfterRental is what is still lacking once a rental has been carried out.
+func (f *Fleet) shortagesAfterRental(shortages []shortage, a Action) []shortage {
 	t := f.typeOf(a.Type)
 	m := a.machine(t)
-	return fill(lacking, &m, t.Cap.Times(int64(a.Count)))
+	return shortagesAfterPlacing(shortages, &m, t.Cap.Times(int64(a.Count)))
 }
 
-// fill is what is still lacking beside so much more room on machines of a kind.
-func fill(lacking []lack, m *model.Machine, free model.Resources) []lack {
-	var left []lack
-	for _, l := range lacking {
-		if l.spec.Allows(m) && l.spec.PerTask.Fits(m.Cap) {
-			k := min(l.n, l.spec.PerTask.Count(free))
-			free = free.Sub(l.spec.PerTask.Times(k))
-			l.n, l.stuck = l.n-k, false
+// shortagesAfterPlacing is what is still lacking beside so much more room on machines of a kind.
+func shortagesAfterPlacing(shortages []shortage, m *model.Machine, free model.Resources) []shortage {
+	var remaining []shortage
+	for _, missing := range shortages {
+		if missing.spec.Allows(m) && missing.spec.PerTask.Fits(m.Cap) {
+			placed := min(missing.tasks, missing.spec.PerTask.Count(free))
+			free = free.Sub(missing.spec.PerTask.Times(placed))
+			missing.tasks, missing.fitsNoMachine = missing.tasks-placed, false
 		}
-		if l.n > 0 {
-			left = append(left, l)
+		if missing.tasks > 0 {
+			remaining = append(remaining, missing)
 		}
 	}
-	return left
+	return remaining
 }
 
-type lack struct {
-	spec *model.Spec
-	n    int64
-	// stuck: waiting does not help, for no machine that there is could take a
+type shortage struct {
+	spec  *model.Spec
+	tasks int64
+	// fitsNoMachine: waiting does not help, for no machine that there is could take a
 	// task even if it were empty.
-	stuck bool
+	fitsNoMachine bool
 }
 
-// pressing is the demand that machines are rented for: work that no aim speaks
+// rentableDemand is the demand that machines are rented for: work that no aim speaks
 // of waits for what stands idle, but not for ever.
-func (f *Fleet) pressing(now time.Duration, demand []Demand) []Demand {
-	out := make([]Demand, 0, len(demand))
+func (f *Fleet) rentableDemand(now time.Duration, demand []Demand) []Demand {
+	rentable := make([]Demand, 0, len(demand))
 	for _, d := range demand {
-		if d.Job.Spec.BestEffort && now-d.Job.WaitingSince < f.p.BestEffortWait {
+		if d.Job.Spec.BestEffort && now-d.Job.WaitingSince < f.params.BestEffortWait {
 			if !d.Job.Overdue {
 				continue
 			}
 			d.Job.Unfinished = min(d.Job.Unfinished, d.Placed+1) // it should have begun: room for its first task
 		}
-		out = append(out, d)
+		rentable = append(rentable, d)
 	}
-	return out
+	return rentable
 }
 
-// unmet is the waiting work for which there is no room, now or soon.
-func unmet(rooms []room, demand []Demand, limit func(model.Name) model.Resources) []lack {
-	left := map[model.Name]int64{}
+// findShortages is the waiting work for which there is no room, now or soon.
+func findShortages(machines []availableMachine, demand []Demand, limit func(model.Name) model.Resources) []shortage {
+	teamLimitLeft := map[model.Name]int64{}
 	for _, d := range demand {
-		t := d.Job.Spec.Team
-		if _, ok := left[t]; !ok {
-			left[t] = 1 << 50
-			if l := limit(t).CPU; l > 0 {
-				left[t] = l
+		team := d.Job.Spec.Team
+		if _, ok := teamLimitLeft[team]; !ok {
+			teamLimitLeft[team] = 1 << 50
+			if teamLimit := limit(team).CPU; teamLimit > 0 {
+				teamLimitLeft[team] = teamLimit
 			}
 		}
-		left[t] -= int64(d.Placed) * d.Job.Spec.PerTask.CPU
+		teamLimitLeft[team] -= int64(d.Placed) * d.Job.Spec.PerTask.CPU
 	}
-	var out []lack
-	open := openRooms(rooms, demand)
+	var shortages []shortage
+	candidates := largeEnoughMachines(machines, demand)
 	for _, d := range demand {
-		sp := d.Job.Spec
-		n := int64(d.Job.Unfinished - d.Placed)
-		n = min(n, max(0, left[sp.Team]/max(1, sp.PerTask.CPU)))
-		if n <= 0 {
+		spec := d.Job.Spec
+		missing := int64(d.Job.Unfinished - d.Placed)
+		missing = min(missing, max(0, teamLimitLeft[spec.Team]/max(1, spec.PerTask.CPU)))
+		if missing <= 0 {
 			continue
 		}
-		left[sp.Team] -= n * sp.PerTask.CPU
-		full := 0
-		for _, r := range open {
-			if n <= 0 {
+		teamLimitLeft[spec.Team] -= missing * spec.PerTask.CPU
+		exhausted := 0
+		for _, candidate := range candidates {
+			if missing <= 0 {
 				break
 			}
-			if r.avail.CPU == 0 {
-				full++
+			if candidate.free.CPU == 0 {
+				exhausted++
 				continue
 			}
-			if !sp.Allows(&r.m) {
+			if !spec.Allows(&candidate.machine) {
 				continue
 			}
-			if k := min(n, sp.PerTask.Count(r.avail)); k > 0 {
-				r.avail = r.avail.Sub(sp.PerTask.Times(k))
-				r.used = true
-				n -= k
+			if placed := min(missing, spec.PerTask.Count(candidate.free)); placed > 0 {
+				candidate.free = candidate.free.Sub(spec.PerTask.Times(placed))
+				candidate.usedByDemand = true
+				missing -= placed
 			}
 		}
-		if full > len(open)/2 {
-			open = slices.DeleteFunc(open, func(r *room) bool { return r.avail.CPU == 0 })
+		if exhausted > len(candidates)/2 {
+			candidates = slices.DeleteFunc(candidates, func(candidate *availableMachine) bool { return candidate.free.CPU == 0 })
 		}
-		if n > 0 {
-			out = append(out, lack{sp, n, stuck(sp, rooms)})
+		if missing > 0 {
+			shortages = append(shortages, shortage{spec, missing, fitsNoMachine(spec, machines)})
 		}
 	}
-	return out
+	return shortages
 }
 
-// openRooms are the rooms that could hold the smallest of the tasks.
-func openRooms(rooms []room, demand []Demand) []*room {
-	least := int64(math.MaxInt64)
+// largeEnoughMachines are the rooms that could hold the smallest of the tasks.
+func largeEnoughMachines(machines []availableMachine, demand []Demand) []*availableMachine {
+	minCPU := int64(math.MaxInt64)
 	for i := range demand {
-		least = min(least, demand[i].Job.Spec.PerTask.CPU)
+		minCPU = min(minCPU, demand[i].Job.Spec.PerTask.CPU)
 	}
-	out := make([]*room, 0, len(rooms))
-	for i := range rooms {
-		if rooms[i].avail.CPU >= least {
-			out = append(out, &rooms[i])
+	large := make([]*availableMachine, 0, len(machines))
+	for i := range machines {
+		if machines[i].free.CPU >= minCPU {
+			large = append(large, &machines[i])
 		}
 	}
-	return out
+	return large
 }
 
-func stuck(sp *model.Spec, rooms []room) bool {
-	for i := range rooms {
-		if sp.Allows(&rooms[i].m) && sp.PerTask.Fits(rooms[i].m.Cap) {
+func fitsNoMachine(spec *model.Spec, machines []availableMachine) bool {
+	for i := range machines {
+		if spec.Allows(&machines[i].machine) && spec.PerTask.Fits(machines[i].machine.Cap) {
 			return false
 		}
 	}
--- a/internal/core/fleet/drain.go
+++ b/internal/core/fleet/drain.go
@@ -14,87 +14,90 @@
 // for a while, the dearest machines get no more tasks, and go when what runs
 // there has ended. Should work lack room before that, they are wanted again.
 const (
-	reserve = 0.2 // of all CPUs are kept free
-	dear    = 3   // times the cheapest kind's price: such machines are drained
+	freeShare      = 0.2 // of all CPUs are kept free
+	expensiveRatio = 3   // times the cheapest kind's price: such machines are drained
 )
 
-// drain tells which machines are to get no more tasks. How they are emptied and
+// drainActions tells which machines are to get no more tasks. How they are emptied and
 // given back is core/drain's.
-func (f *Fleet) drain(now time.Duration, rooms []room, moving int64) []Action {
-	ids := f.toDrain(now, rooms, moving)
+func (f *Fleet) drainActions(now time.Duration, machines []availableMachine, movingCPU int64) []Action {
+	ids := f.selectMachinesToDrain(now, machines, movingCPU)
 	if len(ids) == 0 {
 		return nil
 	}
 	return []Action{{Kind: Drain, Machines: ids}}
 }
 
-// toDrain picks machines to run empty, once nothing has lacked room for a while. moving is the
+// selectMachinesToDrain picks machines to run empty, once nothing has lacked room for a while. moving is the
 // room that plans' moves will take.
-func (f *Fleet) toDrain(now time.Duration, rooms []room, moving int64) []model.MachineID {
-	free := freeCPU(rooms) - moving
-	var have int64
-	for i := range rooms {
-		have += rooms[i].m.Cap.CPU
+func (f *Fleet) selectMachinesToDrain(now time.Duration, machines []availableMachine,
+	movingCPU int64) []model.MachineID {
+	free := freeCPU(machines) - movingCPU
+	var total int64
+	for i := range machines {
+		total += machines[i].machine.Cap.CPU
 	}
-	if float64(free) < reserve*float64(have) {
-		f.tight = now
+	if float64(free) < freeShare*float64(total) {
+		f.lastScarceAt = now
 	}
-	if now-max(f.tight, f.p.TermStart) < f.p.Horizon/2 {
+	if now-max(f.lastScarceAt, f.params.TermStart) < f.params.Horizon/2 {
 		return nil
 	}
-	var cands []*room
-	low := f.cheapest()
-	for i := range rooms {
-		if r := &rooms[i]; r.status != nil && !f.units[r.m.ID].wanted && f.price(&r.m) >= dear*low {
-			cands = append(cands, r)
+	var candidates []*availableMachine
+	minCost := f.minCPUCost()
+	for i := range machines {
+		if r := &machines[i]; r.status != nil && !f.machines[r.machine.ID].planScheduled &&
+			f.cpuCost(&r.machine) >= expensiveRatio*minCost {
+			candidates = append(candidates, r)
 		}
 	}
-	slices.SortStableFunc(cands, func(a, b *room) int {
-		return cmp.Or(cmp.Compare(f.price(&b.m), f.price(&a.m)), cmp.Compare(b.avail.CPU, a.avail.CPU))
+	slices.SortStableFunc(candidates, func(a, b *availableMachine) int {
+		return cmp.Or(cmp.Compare(f.cpuCost(&b.machine), f.cpuCost(&a.machine)), cmp.Compare(b.free.CPU, a.free.CPU))
 	})
 	var ids []model.MachineID
-	for _, r := range cands {
-		if left := free - max(0, r.avail.CPU); float64(left) >= reserve*float64(have-r.m.Cap.CPU) {
-			free, have = left, have-r.m.Cap.CPU
-			f.units[r.m.ID].drain = true
-			ids = append(ids, r.m.ID)
+	for _, r := range candidates {
+		if remaining := free - max(0, r.free.CPU); float64(remaining) >= freeShare*float64(total-r.machine.Cap.CPU) {
+			free, total = remaining, total-r.machine.Cap.CPU
+			f.machines[r.machine.ID].draining = true
+			ids = append(ids, r.machine.ID)
 		}
 	}
 	return ids
 }
 
-// price is what a CPU of the machine costs.
-func (f *Fleet) price(m *model.Machine) float64 {
+// cpuCost is what a CPU of the machine costs.
+func (f *Fleet) cpuCost(m *model.Machine) float64 {
 	if t := f.typeOf(m.Type); t != nil {
-		return perCPU(t, m.Spot)
+		return hourlyCPUCost(t, m.Spot)
 	}
 	return 0
 }
 
-// undrain wants drained machines again for work that lacks room, the cheapest
+// undrainActions wants drained machines again for work that lacks room, the cheapest
 // first, and returns what is still lacking.
-func (f *Fleet) undrain(status []model.MachineStatus, lacking []lack) ([]Action, []lack) {
-	var cands []*model.MachineStatus
+func (f *Fleet) undrainActions(status []model.MachineStatus, shortages []shortage) ([]Action, []shortage) {
+	var candidates []*model.MachineStatus
 	for i := range status {
-		if u := f.units[status[i].Machine.ID]; u != nil && u.drain && !u.drop && !u.held && u.silent == 0 &&
+		if u := f.machines[status[i].Machine.ID]; u != nil && u.draining && !u.returning && !u.planDraining &&
+			u.leaseExpiredSince == 0 &&
 			!status[i].Faulty && !status[i].Draining {
-			cands = append(cands, &status[i])
+			candidates = append(candidates, &status[i])
 		}
 	}
-	slices.SortStableFunc(cands, func(a, b *model.MachineStatus) int {
-		return cmp.Or(cmp.Compare(f.price(&a.Machine), f.price(&b.Machine)), cmp.Compare(b.Avail.CPU, a.Avail.CPU))
+	slices.SortStableFunc(candidates, func(a, b *model.MachineStatus) int {
+		return cmp.Or(cmp.Compare(f.cpuCost(&a.Machine), f.cpuCost(&b.Machine)), cmp.Compare(b.Avail.CPU, a.Avail.CPU))
 	})
 	var ids []model.MachineID
-	for _, s := range cands {
-		if len(lacking) == 0 {
+	for _, s := range candidates {
+		if len(shortages) == 0 {
 			break
 		}
-		f.units[s.Machine.ID].drain = false
+		f.machines[s.Machine.ID].draining = false
 		ids = append(ids, s.Machine.ID)
-		lacking = fill(lacking, &s.Machine, s.Avail)
+		shortages = shortagesAfterPlacing(shortages, &s.Machine, s.Avail)
 	}
 	if len(ids) == 0 {
-		return nil, lacking
+		return nil, shortages
 	}
-	return []Action{{Kind: Undrain, Machines: ids}}, lacking
+	return []Action{{Kind: Undrain, Machines: ids}}, shortages
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -22,24 +22,24 @@
 	BestEffortWait    time.Duration // work that no aim speaks of waits so long for idle room
 }
 
-type kind struct {
-	typ, zone model.Name
-	spot      bool
+type machineKind struct {
+	machineType, zone model.Name
+	spot              bool
 }
 
-type unit struct {
-	kind
-	since  time.Duration // known since
-	heard  bool          // its worker has reported
-	listed time.Duration // last time that it was listed
-	first  time.Duration // first time that it was, by this leader
-	failed bool
-	silent time.Duration // since when it is silent, 0: it is not
-	drop   bool          // being returned
-	drain  bool          // gets no tasks any more, and goes once it is empty
-	held   bool          // a plan drains it: neither room nor surplus
-	wanted bool          // a plan will drain it
-	up     uint64        // the turn in which a shard last told of it
+type machineState struct {
+	machineKind
+	knownSince        time.Duration // known since
+	reported          bool          // its worker has reported
+	lastListed        time.Duration // last time that it was listed
+	firstListed       time.Duration // first time that it was, by this leader
+	failed            bool
+	leaseExpiredSince time.Duration // since when it is silent, 0: it is not
+	returning         bool          // being returned
+	draining          bool          // gets no tasks any more, and goes once it is empty
+	planDraining      bool          // a plan drains it: neither room nor surplus
+	planScheduled     bool          // a plan will drain it
+	lastSeenCycle     uint64        // the turn in which a shard last told of it
 }
 
 // Action to carry out. The cloud's outcome comes back through Rented or Returned.
@@ -66,25 +66,26 @@
 
 // Fleet is the state machine.
 type Fleet struct {
-	p       Params
-	types   []model.MachineType
-	units   map[model.MachineID]*unit
-	listed  bool
-	refused map[kind]time.Duration
-	renting map[string]Action // rentals under way, by their request's name
-	giving  bool
-	deaf    []model.MachineID                 // to be given up
-	again   []Action                          // rentals in doubt: asked for again
-	gone    map[model.MachineID]time.Duration // given back; the list shows them for a while
-	n       uint64
-	turn    uint64
-	want    time.Duration
-	tight   time.Duration // little room was free, or work lacked some
+	params           Params
+	types            []model.MachineType
+	machines         map[model.MachineID]*machineState
+	listed           bool
+	refusedUntil     map[machineKind]time.Duration
+	renting          map[string]Action // rentals under way, by their request's name
+	returnInProgress bool
+	unreachable      []model.MachineID                 // to be given up
+	retries          []Action                          // rentals in doubt: asked for again
+	gone             map[model.MachineID]time.Duration // given back; the list shows them for a while
+	requestCount     uint64
+	cycle            uint64
+	lastShortageAt   time.Duration
+	lastScarceAt     time.Duration // little room was free, or work lacked some
 }
 
 // New returns a fleet that knows no machines.
 func New(p Params) *Fleet {
-	return &Fleet{p: p, units: map[model.MachineID]*unit{}, renting: map[string]Action{}, refused: map[kind]time.Duration{}, gone: map[model.MachineID]time.Duration{}}
+	return &Fleet{params: p, machines: map[model.MachineID]*machineState{}, renting: map[string]Action{},
+		refusedUntil: map[machineKind]time.Duration{}, gone: map[model.MachineID]time.Duration{}}
 }
 
 // SetTypes takes the catalog with its current prices.
@@ -99,11 +100,11 @@
 	return nil
 }
 
-func (f *Fleet) unit(now time.Duration, id model.MachineID, k kind) *unit {
-	u := f.units[id]
+func (f *Fleet) ensureMachine(now time.Duration, id model.MachineID, k machineKind) *machineState {
+	u := f.machines[id]
 	if u == nil {
-		u = &unit{kind: k, since: now}
-		f.units[id] = u
+		u = &machineState{machineKind: k, knownSince: now}
+		f.machines[id] = u
 	}
 	return u
 }
@@ -123,35 +124,35 @@
 // absence alone proves nothing; but a machine, once listed, stays so until it is
 // gone, and one that was listed long enough before the question was asked must
 // be there.
-func (f *Fleet) UpdateListed(now, asked time.Duration, l []ListedMachine) []model.MachineID {
+func (f *Fleet) UpdateListed(now, askedAt time.Duration, listed []ListedMachine) []model.MachineID {
 	f.listed = true
 	for id, at := range f.gone {
-		if now-at > 3*f.p.ListLag+time.Minute {
+		if now-at > 3*f.params.ListLag+time.Minute {
 			delete(f.gone, id)
 		}
 	}
-	for _, e := range l {
+	for _, e := range listed {
 		if _, ok := f.gone[e.ID]; ok {
 			continue
 		}
-		u := f.units[e.ID]
+		u := f.machines[e.ID]
 		if u == nil {
-			u = f.unit(now, e.ID, kind{e.Type, e.Zone, e.Spot})
-			u.since = now - e.Age
+			u = f.ensureMachine(now, e.ID, machineKind{e.Type, e.Zone, e.Spot})
+			u.knownSince = now - e.Age
 		}
 		// What a new leader first heard of by a report is older than that.
-		u.since = min(u.since, now-e.Age)
-		u.listed = now
-		if u.first == 0 {
-			u.first = now
+		u.knownSince = min(u.knownSince, now-e.Age)
+		u.lastListed = now
+		if u.firstListed == 0 {
+			u.firstListed = now
 		}
 		u.failed = u.failed || e.Failed
 	}
 	var gone []model.MachineID
-	for id, u := range f.units {
-		if u.first != 0 && u.listed != now && asked-u.first > 2*f.p.ListLag+listMargin {
+	for id, u := range f.machines {
+		if u.firstListed != 0 && u.lastListed != now && askedAt-u.firstListed > 2*f.params.ListLag+listLagMargin {
 			gone = append(gone, id)
-			delete(f.units, id)
+			delete(f.machines, id)
 			f.gone[id] = now
 		}
 	}
@@ -159,41 +160,41 @@
 	return gone
 }
 
-// listMargin is on top of twice the list's lag, for drifting clocks and slow answers.
-const listMargin = 5 * time.Second
+// listLagMargin is on top of twice the list's lag, for drifting clocks and slow answers.
+const listLagMargin = 5 * time.Second
 
 // RentDone takes the outcome of a rental: the machines, or why there are none.
-func (f *Fleet) RentDone(now time.Duration, a Action, got []model.MachineID, refused, doubt bool) {
+func (f *Fleet) RentDone(now time.Duration, a Action, rented []model.MachineID, refused, inDoubt bool) {
 	delete(f.renting, a.RequestName)
-	k := kind{a.Type, a.Zone, a.Spot}
+	kind := machineKind{a.Type, a.Zone, a.Spot}
 	switch {
-	case doubt:
+	case inDoubt:
 		// It may have been carried out: the same request again tells.
-		f.again = append(f.again, a)
-	case refused || len(got) < a.Count:
-		f.refused[k] = now + f.p.RetryRefusedAfter
+		f.retries = append(f.retries, a)
+	case refused || len(rented) < a.Count:
+		f.refusedUntil[kind] = now + f.params.RetryRefusedAfter
 	}
-	for _, id := range got {
-		f.unit(now, id, k)
+	for _, id := range rented {
+		f.ensureMachine(now, id, kind)
 	}
 }
 
 // ReturnDone takes the outcome of a return.
 func (f *Fleet) ReturnDone(now time.Duration, a Action, ok bool) {
-	f.giving = false
+	f.returnInProgress = false
 	for _, id := range a.Machines {
 		if ok {
-			delete(f.units, id)
+			delete(f.machines, id)
 			f.gone[id] = now
-		} else if u := f.units[id]; u != nil {
-			u.drop = false
+		} else if u := f.machines[id]; u != nil {
+			u.returning = false
 		}
 	}
 }
 
 const (
-	atOnce  = 3  // rentals under way
-	maxRent = 50 // machines the cloud rents in one call
+	maxConcurrentRentals = 3  // rentals under way
+	maxRentCount         = 50 // machines the cloud rents in one call
 )
 
 // MaxReturn is how many machines the cloud takes back in one call.
@@ -206,128 +207,129 @@
 }
 
 // Observe brings the fleet up to date with the shards' machines.
-func (f *Fleet) Observe(now time.Duration, status []model.MachineStatus, silent func(model.MachineID) bool) {
+func (f *Fleet) Observe(now time.Duration, status []model.MachineStatus, leaseExpired func(model.MachineID) bool) {
 	for i := range status {
 		m := &status[i].Machine
-		f.unit(now, m.ID, kind{m.Type, m.Zone, m.Spot})
+		f.ensureMachine(now, m.ID, machineKind{m.Type, m.Zone, m.Spot})
 	}
-	for id, u := range f.units {
-		if !silent(id) {
-			u.heard, u.silent = true, 0
-		} else if u.heard && u.silent == 0 {
-			u.silent = now
+	for id, u := range f.machines {
+		if !leaseExpired(id) {
+			u.reported, u.leaseExpiredSince = true, 0
+		} else if u.reported && u.leaseExpiredSince == 0 {
+			u.leaseExpiredSince = now
 		}
 	}
 }
 
 // Step returns what to ask of the cloud now.
-func (f *Fleet) Step(now time.Duration, status []model.MachineStatus, demand []Demand, limit func(model.Name) model.Resources) []Action {
+func (f *Fleet) Step(now time.Duration, status []model.MachineStatus, demand []Demand,
+	limit func(model.Name) model.Resources) []Action {
 	if !f.listed || len(f.types) == 0 {
 		return nil
 	}
 	var out []Action
-	for _, a := range f.again {
+	for _, a := range f.retries {
 		f.renting[a.RequestName] = a
 		out = append(out, a)
 	}
-	f.again = nil
-	rooms := f.rooms(now, status)
-	pressing := f.pressing(now, demand)
-	lacking := unmet(rooms, pressing, limit)
-	if len(lacking) > 0 {
-		f.want, f.tight = now, now
-		var again []Action
-		again, lacking = f.undrain(status, lacking)
-		out = append(out, again...)
+	f.retries = nil
+	machines := f.availableMachines(now, status)
+	rentable := f.rentableDemand(now, demand)
+	shortages := findShortages(machines, rentable, limit)
+	if len(shortages) > 0 {
+		f.lastShortageAt, f.lastScarceAt = now, now
+		var undrained []Action
+		undrained, shortages = f.undrainActions(status, shortages)
+		out = append(out, undrained...)
 	}
-	moving := f.moving(status)
-	out = append(out, f.drain(now, rooms, moving)...)
-	left := lacking
-	for len(f.renting) < atOnce && len(left) > 0 {
-		a, ok := f.rent(now, left)
+	movingCPU := f.movingCPU(status)
+	out = append(out, f.drainActions(now, machines, movingCPU)...)
+	remaining := shortages
+	for len(f.renting) < maxConcurrentRentals && len(remaining) > 0 {
+		a, ok := f.selectRental(now, remaining)
 		if !ok {
 			break
 		}
 		f.renting[a.RequestName] = a
 		out = append(out, a)
-		left = f.cover(left, a)
+		remaining = f.shortagesAfterRental(remaining, a)
 	}
-	if !f.giving {
-		ids := f.givenUp()
+	if !f.returnInProgress {
+		ids := f.selectUnreachable()
 		if len(ids) == 0 {
-			ids = f.surplus(now, status, rooms, slackening(rooms, demand), moving)
+			ids = f.selectReturns(now, status, machines, demandIsLow(machines, demand), movingCPU)
 		}
 		if len(ids) > 0 {
 			out = append(out, Action{Kind: Return, Machines: ids})
-			f.giving = true
+			f.returnInProgress = true
 		}
 	}
 	return out
 }
 
-// perCPU is what a machine's CPU costs an hour, boot time included in
+// hourlyCPUCost is what a machine's CPU costs an hour, boot time included in
 // proportion.
-func perCPU(t *model.MachineType, spot bool) float64 {
-	p := t.Price
+func hourlyCPUCost(t *model.MachineType, spot bool) float64 {
+	price := t.Price
 	if spot {
-		p = t.SpotPrice
+		price = t.SpotPrice
 	}
-	return p / float64(t.Cap.CPU) * (1 + t.Boot.Minutes()/4)
+	return price / float64(t.Cap.CPU) * (1 + t.Boot.Minutes()/4)
 }
 
-// cheapest is the least that a CPU costs.
-func (f *Fleet) cheapest() float64 {
-	low := 0.0
+// minCPUCost is the least that a CPU costs.
+func (f *Fleet) minCPUCost() float64 {
+	minCost := 0.0
 	for i := range f.types {
 		for _, spot := range []bool{true, false} {
-			if p := perCPU(&f.types[i], spot); low == 0 || p < low {
-				low = p
+			if cost := hourlyCPUCost(&f.types[i], spot); minCost == 0 || cost < minCost {
+				minCost = cost
 			}
 		}
 	}
-	return low
+	return minCost
 }
 
-// worth is how many tasks justify a machine at this price: the dearer it is,
+// tasksWorthRenting is how many tasks justify a machine at this price: the dearer it is,
 // the longer work may wait for room that there is already.
-func (f *Fleet) worth(l lack, ratio float64) int64 {
-	if l.stuck {
-		return l.n
+func (f *Fleet) tasksWorthRenting(missing shortage, costRatio float64) int64 {
+	if missing.fitsNoMachine {
+		return missing.tasks
 	}
-	horizon := time.Duration(float64(f.p.Horizon) * ratio)
-	if est := l.spec.Estimate; est > 0 && est < horizon {
-		return int64(float64(l.n) * float64(est) / float64(horizon))
+	horizon := time.Duration(float64(f.params.Horizon) * costRatio)
+	if estimate := missing.spec.Estimate; estimate > 0 && estimate < horizon {
+		return int64(float64(missing.tasks) * float64(estimate) / float64(horizon))
 	}
-	return l.n
+	return missing.tasks
 }
 
-// rent picks the cheapest kind of machine for the work that lacks room.
-func (f *Fleet) rent(now time.Duration, unmet []lack) (Action, bool) {
-	low := f.cheapest()
-	counts := f.counts()
+// selectRental picks the cheapest kind of machine for the work that lacks room.
+func (f *Fleet) selectRental(now time.Duration, shortages []shortage) (Action, bool) {
+	minCost := f.minCPUCost()
+	counts := f.countByKind()
 	total := 0
 	for _, n := range counts {
 		total += n
 	}
-	for _, l := range unmet {
-		var best *kind
-		var bestCost, ratio float64
+	for _, missing := range shortages {
+		var best *machineKind
+		var bestCost, costRatio float64
 		for i := range f.types {
 			t := &f.types[i]
-			if l.spec.PerTask.Count(t.Cap) == 0 {
+			if missing.spec.PerTask.Count(t.Cap) == 0 {
 				continue
 			}
-			for _, z := range t.Zones {
+			for _, zone := range t.Zones {
 				for _, spot := range []bool{true, false} {
-					k := kind{t.Name, z, spot}
-					m := model.Machine{Type: t.Name, Zone: z, Spot: spot}
-					if !l.spec.Allows(&m) || now < f.refused[k] {
+					kind := machineKind{t.Name, zone, spot}
+					m := model.Machine{Type: t.Name, Zone: zone, Spot: spot}
+					if !missing.spec.Allows(&m) || now < f.refusedUntil[kind] {
 						continue
 					}
 					// Among equals spread over the zones, however many there are.
-					cost := perCPU(t, spot) * (1 + 0.2*float64(counts[k])/float64(total+10))
+					cost := hourlyCPUCost(t, spot) * (1 + 0.2*float64(counts[kind])/float64(total+10))
 					if best == nil || cost < bestCost {
-						best, bestCost, ratio = &k, cost, max(1, perCPU(t, spot)/low)
+						best, bestCost, costRatio = &kind, cost, max(1, hourlyCPUCost(t, spot)/minCost)
 					}
 				}
 			}
@@ -335,52 +337,53 @@
 		if best == nil {
 			continue
 		}
-		var need, demand int64
-		for _, o := range unmet {
-			m := model.Machine{Type: best.typ, Zone: best.zone, Spot: best.spot}
-			if o.spec.Allows(&m) {
-				need += f.worth(o, ratio) * o.spec.PerTask.CPU
-				demand += o.n * o.spec.PerTask.CPU
+		var worthCPU, totalCPU int64
+		for _, other := range shortages {
+			m := model.Machine{Type: best.machineType, Zone: best.zone, Spot: best.spot}
+			if other.spec.Allows(&m) {
+				worthCPU += f.tasksWorthRenting(other, costRatio) * other.spec.PerTask.CPU
+				totalCPU += other.tasks * other.spec.PerTask.CPU
 			}
 		}
-		size := f.typeOf(best.typ).Cap.CPU
-		count := (need + size/2) / size
-		if count == 0 && need > 0 && counts[*best] == 0 && demand >= size {
+		size := f.typeOf(best.machineType).Cap.CPU
+		count := (worthCPU + size/2) / size
+		if count == 0 && worthCPU > 0 && counts[*best] == 0 && totalCPU >= size {
 			count = 1
 		}
-		if count == 0 && l.stuck {
+		if count == 0 && missing.fitsNoMachine {
 			count = 1
 		}
 		if count == 0 {
 			continue
 		}
-		f.n++
-		return Action{Kind: Rent, RequestName: fmt.Sprintf("t%d-%d", f.p.Term, f.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRent))}, true
+		f.requestCount++
+		return Action{Kind: Rent, RequestName: fmt.Sprintf("t%d-%d", f.params.Term, f.requestCount), Type: best.machineType,
+			Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRentCount))}, true
 	}
 	return Action{}, false
 }
 
-// counts are the machines of each kind, those asked for included.
-func (f *Fleet) counts() map[kind]int {
-	n := map[kind]int{}
-	for _, u := range f.units {
-		n[u.kind]++
+// countByKind are the machines of each kind, those asked for included.
+func (f *Fleet) countByKind() map[machineKind]int {
+	n := map[machineKind]int{}
+	for _, u := range f.machines {
+		n[u.machineKind]++
 	}
 	for _, a := range f.renting {
-		n[kind{a.Type, a.Zone, a.Spot}] += a.Count
+		n[machineKind{a.Type, a.Zone, a.Spot}] += a.Count
 	}
 	return n
 }
 
-// slackening tells that open work has become little beside the machines: a day
+// demandIsLow tells that open work has become little beside the machines: a day
 // ends, and what is idle will hardly be wanted soon.
-func slackening(rooms []room, demand []Demand) bool {
-	var cpu, have int64
+func demandIsLow(machines []availableMachine, demand []Demand) bool {
+	var demandCPU, totalCPU int64
 	for i := range demand {
-		cpu += int64(demand[i].Job.Unfinished) * demand[i].Job.Spec.PerTask.CPU
+		demandCPU += int64(demand[i].Job.Unfinished) * demand[i].Job.Spec.PerTask.CPU
 	}
-	for i := range rooms {
-		have += rooms[i].m.Cap.CPU
+	for i := range machines {
+		totalCPU += machines[i].machine.Cap.CPU
 	}
-	return cpu < have/8
+	return demandCPU < totalCPU/8
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -10,20 +10,23 @@
 )
 
 func newFleet() *Fleet {
-	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
-	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
+	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second,
+		RetryRefusedAfter: 15 * time.Second})
+	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3,
+		Boot: 20 * time.Second, Zones: []model.Name{0}}})
 	f.UpdateListed(0, 0, nil)
 	return f
 }
 
 func noLimit(model.Name) model.Resources { return model.Resources{} }
 
-func demand(tasks int32, spot bool) []Demand {
-	sp := &model.Spec{ID: 1, Tasks: tasks, PerTask: model.Request(4, 0, 4), Zone: model.None, Spot: spot, Estimate: 10 * time.Minute}
+func testDemand(tasks int32, spot bool) []Demand {
+	sp := &model.Spec{ID: 1, Tasks: tasks, PerTask: model.Request(4, 0, 4), Zone: model.None, Spot: spot,
+		Estimate: 10 * time.Minute}
 	return []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: tasks}}}
 }
 
-func rented(as []Action) *Action {
+func findRental(as []Action) *Action {
 	for i := range as {
 		if as[i].RequestName != "" {
 			return &as[i]
@@ -32,60 +35,62 @@
 	return nil
 }
 
-func TestRentsTheCheapestThatIsAllowed(t *testing.T) {
+func TestRentsCheapestAllowedKind(t *testing.T) {
 	for _, spot := range []bool{true, false} {
-		a := rented(newFleet().Step(time.Second, nil, demand(4, spot), noLimit))
+		a := findRental(newFleet().Step(time.Second, nil, testDemand(4, spot), noLimit))
 		if a == nil || a.Spot != spot || a.Count != 2 {
 			t.Errorf("%+v, want two machines for four tasks, spot %v", a, spot)
 		}
 	}
 }
 
-func TestBootingMachinesCountAndNamesAreNotReused(t *testing.T) {
+func TestBootingMachinesCountAsCapacity(t *testing.T) {
 	f := newFleet()
-	a := rented(f.Step(time.Second, nil, demand(4, true), noLimit))
+	a := findRental(f.Step(time.Second, nil, testDemand(4, true), noLimit))
 	f.RentDone(2*time.Second, *a, []model.MachineID{1, 2}, false, false)
-	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b != nil {
+	if b := findRental(f.Step(3*time.Second, nil, testDemand(4, true), noLimit)); b != nil {
 		t.Errorf("%+v though two machines boot", b)
 	}
-	b := rented(f.Step(3*time.Second, nil, demand(8, true), noLimit))
+	b := findRental(f.Step(3*time.Second, nil, testDemand(8, true), noLimit))
 	if b == nil || b.RequestName == a.RequestName {
 		t.Errorf("%+v, want another request than %q", b, a.RequestName)
 	}
 }
 
-func TestRefusedKindGivesWay(t *testing.T) {
+func TestRefusedKindIsReplacedByAnother(t *testing.T) {
 	f := newFleet()
-	a := rented(f.Step(time.Second, nil, demand(40, true), noLimit))
+	a := findRental(f.Step(time.Second, nil, testDemand(40, true), noLimit))
 	f.RentDone(time.Second, *a, nil, true, false)
-	if b := rented(f.Step(2*time.Second, nil, demand(40, true), noLimit)); b == nil || b.Spot {
+	if b := findRental(f.Step(2*time.Second, nil, testDemand(40, true), noLimit)); b == nil || b.Spot {
 		t.Errorf("%+v, want ordinary machines once spot ones are refused", b)
 	}
 }
 
 // A rental without an answer may have been carried out: the same request tells.
-func TestRentalInDoubtIsRepeatedUnderItsName(t *testing.T) {
+func TestRentalInDoubtIsRetriedUnderSameName(t *testing.T) {
 	f := newFleet()
-	a := rented(f.Step(time.Second, nil, demand(4, true), noLimit))
+	a := findRental(f.Step(time.Second, nil, testDemand(4, true), noLimit))
 	f.RentDone(2*time.Second, *a, nil, false, true)
-	if b := rented(f.Step(3*time.Second, nil, demand(4, true), noLimit)); b == nil || b.RequestName != a.RequestName {
+	if b := findRental(f.Step(3*time.Second, nil, testDemand(4, true), noLimit)); b == nil ||
+		b.RequestName != a.RequestName {
 		t.Errorf("%+v, want %q again", b, a.RequestName)
 	}
 }
 
 // Short work waits for room, but not where no machine could ever take it.
-func TestWorkThatFitsNoMachineThereIsRentsOne(t *testing.T) {
+func TestTaskThatFitsNoMachineRentsOne(t *testing.T) {
 	f := newFleet()
-	d := demand(1, true)
+	d := testDemand(1, true)
 	d[0].Job.Spec.Estimate = time.Second
-	if a := rented(f.Step(time.Second, nil, d, noLimit)); a == nil || a.Count != 1 {
+	if a := findRental(f.Step(time.Second, nil, d, noLimit)); a == nil || a.Count != 1 {
 		t.Errorf("%+v, want one machine", a)
 	}
 }
 
 func TestIdleAndLostMachinesAreReturned(t *testing.T) {
 	f := newFleet()
-	status := []model.MachineStatus{{Machine: model.Machine{ID: 1, Spot: true, Cap: model.Capacity(8, 0, 32)}, Avail: model.Capacity(8, 0, 32), Ready: true}}
+	status := []model.MachineStatus{{Machine: model.Machine{ID: 1, Spot: true, Cap: model.Capacity(8, 0, 32)},
+		Avail: model.Capacity(8, 0, 32), Ready: true}}
 	alive := func(model.MachineID) bool { return false }
 	f.Observe(0, status, alive)
 	// In a lull it is kept for a while: rented anew it would boot and fetch
@@ -102,24 +107,26 @@
 	f.ReturnDone(2*time.Minute, as[0], true)
 	// The list lags: it is not a new machine.
 	f.UpdateListed(2*time.Minute+time.Second, 2*time.Minute+time.Second, []ListedMachine{{ID: 1, Spot: true}})
-	if len(f.units) != 0 {
+	if len(f.machines) != 0 {
 		t.Error("a returned machine is back")
 	}
 }
 
 // A new leader has heard of no machine yet, however long ago the list says that
 // it was rented: once it gave back a hundred that were busy.
-func TestNewLeaderGivesNothingBackBeforeItCouldHear(t *testing.T) {
+func TestNewLeaderWaitsForReportsBeforeReturning(t *testing.T) {
 	began := time.Hour
-	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
-	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []model.Name{0}}})
+	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute,
+		Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
+	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3,
+		Boot: 20 * time.Second, Zones: []model.Name{0}}})
 	f.UpdateListed(began, began, []ListedMachine{{ID: 1, Age: time.Hour}})
-	silent := func(model.MachineID) bool { return true }
+	expired := func(model.MachineID) bool { return true }
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{10 * time.Second, 0}, {2 * time.Minute, 1}} {
-		f.Observe(began+c.after, nil, silent)
+		f.Observe(began+c.after, nil, expired)
 		n := 0
 		for _, a := range f.Step(began+c.after, nil, nil, noLimit) {
 			n += len(a.Machines)
@@ -133,7 +140,7 @@
 // A machine taken without notice leaves the list long before its lease is over,
 // and its tasks need not wait for that. But a list may be older than the one
 // before: a machine listed only lately may be missing from it.
-func TestAMachineThatLeavesTheListIsGone(t *testing.T) {
+func TestUnlistedMachineIsGone(t *testing.T) {
 	f := newFleet()
 	both, one := []ListedMachine{{ID: 1}, {ID: 2}}, []ListedMachine{{ID: 1}}
 	f.UpdateListed(5*time.Second, 5*time.Second, both)
@@ -153,29 +160,30 @@
 
 // No machine is rented for guests' work that can wait for idle ones, yet it is
 // not forgotten where there never are any.
-func TestWorkWithoutAnAimRentsOnlyAfterAWhile(t *testing.T) {
+func TestBestEffortRentsOnlyAfterWait(t *testing.T) {
 	f := newFleet()
-	f.p.BestEffortWait = 5 * time.Minute
-	d := demand(40, true)
+	f.params.BestEffortWait = 5 * time.Minute
+	d := testDemand(40, true)
 	d[0].Job.Spec.BestEffort = true
-	if a := rented(f.Step(time.Second, nil, d, noLimit)); a != nil {
+	if a := findRental(f.Step(time.Second, nil, d, noLimit)); a != nil {
 		t.Errorf("%+v for work that can wait", a)
 	}
-	if a := rented(f.Step(6*time.Minute, nil, d, noLimit)); a == nil {
+	if a := findRental(f.Step(6*time.Minute, nil, d, noLimit)); a == nil {
 		t.Error("it waits for ever")
 	}
 }
 
 // Spread tasks kept every dear machine of a burst from ever standing empty.
-func TestDearMachinesAreDrainedAndWantedAgain(t *testing.T) {
+func TestExpensiveMachinesAreDrainedAndUndrained(t *testing.T) {
 	f := newFleet()
 	var status []model.MachineStatus
 	for id := range model.MachineID(10) {
-		status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Spot: id < 5, Cap: model.Capacity(8, 0, 32)},
+		status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Spot: id < 5,
+			Cap: model.Capacity(8, 0, 32)},
 			Avail: model.Capacity(4, 0, 16), Slots: 1, Ready: true})
 	}
 	f.Observe(0, status, func(model.MachineID) bool { return false })
-	kinds := func(as []Action) (drained, wanted []model.MachineID) {
+	drainsAndUndrains := func(as []Action) (drained, wanted []model.MachineID) {
 		for _, a := range as {
 			switch a.Kind {
 			case Drain:
@@ -186,10 +194,10 @@
 		}
 		return drained, wanted
 	}
-	if d, _ := kinds(f.Step(time.Second, status, nil, noLimit)); d != nil {
+	if d, _ := drainsAndUndrains(f.Step(time.Second, status, nil, noLimit)); d != nil {
 		t.Fatalf("%v drained at once", d)
 	}
-	d, _ := kinds(f.Step(20*time.Second, status, nil, noLimit))
+	d, _ := drainsAndUndrains(f.Step(20*time.Second, status, nil, noLimit))
 	if len(d) == 0 {
 		t.Fatal("half of all room is free, and nothing is drained")
 	}
@@ -198,25 +206,25 @@
 			t.Errorf("machine %d is cheap, and drained", id)
 		}
 	}
-	if again, _ := kinds(f.Step(20*time.Second, status, nil, noLimit)); again != nil {
+	if again, _ := drainsAndUndrains(f.Step(20*time.Second, status, nil, noLimit)); again != nil {
 		t.Errorf("%v drained once more", again)
 	}
 	// More work than the rest has room for: they are wanted before any is rented.
-	as := f.Step(21*time.Second, status, demand(8, true), noLimit)
-	if _, w := kinds(as); len(w) == 0 || rented(as) != nil {
+	as := f.Step(21*time.Second, status, testDemand(8, true), noLimit)
+	if _, w := drainsAndUndrains(as); len(w) == 0 || findRental(as) != nil {
 		t.Errorf("%+v, want drained machines again, and none rented", as)
 	}
 	// What a plan drains is neither room nor surplus, and not drained for its price.
 	f.SetDrainPlans(func(id model.MachineID) (bool, bool) { return true, true })
-	as = f.Step(22*time.Second, status, demand(8, true), noLimit)
-	if rented(as) == nil {
+	as = f.Step(22*time.Second, status, testDemand(8, true), noLimit)
+	if findRental(as) == nil {
 		t.Errorf("%+v: held machines count as room", as)
 	}
 	for i := range status {
 		status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
 	}
 	as = f.Step(time.Hour, status, nil, noLimit)
-	if d, _ := kinds(as); d != nil || slices.ContainsFunc(as,
+	if d, _ := drainsAndUndrains(as); d != nil || slices.ContainsFunc(as,
 		func(a Action) bool { return a.Kind == Return && slices.Contains(a.Machines, 0) }) {
 		t.Errorf("%+v of machines that plans drain", as)
 	}
@@ -224,7 +232,7 @@
 
 // What runs on machines that plans drain is to move: a plan stood still for as long as tasks
 // ran, because the machines that it had rented for them were drained and returned meanwhile.
-func TestRoomForWhatPlansMoveIsKept(t *testing.T) {
+func TestCapacityForMovedTasksIsKept(t *testing.T) {
 	const drained, free = 4, 5
 	var status []model.MachineStatus
 	for id := range model.MachineID(drained + free) {
--- a/internal/core/fleet/surplus.go
+++ b/internal/core/fleet/surplus.go
@@ -6,77 +6,79 @@
 	"honeylock/internal/core/model"
 )
 
-// patience is how long a machine may stand idle: the dearer, the shorter. In a
+// idleLimit is how long a machine may stand idle: the dearer, the shorter. In a
 // lull it is long, for a machine that is rented anew boots and fetches images
 // first.
-func (f *Fleet) patience(m *model.Machine, slackening bool) time.Duration {
-	d := f.p.IdleReturn
-	if slackening {
-		d /= 6
+func (f *Fleet) idleLimit(machine *model.Machine, lowDemand bool) time.Duration {
+	limit := f.params.IdleReturn
+	if lowDemand {
+		limit /= 6
 	}
-	return time.Duration(float64(d) / max(1, f.price(m)/f.cheapest()))
+	return time.Duration(float64(limit) / max(1, f.cpuCost(machine)/f.minCPUCost()))
 }
 
-// surplus picks machines to give back: those that never came up, failed, or
+// selectReturns picks machines to give back: those that never came up, failed, or
 // went silent for good, and those that stand idle and that plans' moves need no room on.
-func (f *Fleet) surplus(now time.Duration, status []model.MachineStatus, rooms []room, slackening bool,
-	moving int64) []model.MachineID {
-	out := f.lost(now)
-	out = append(out, f.idle(now, rooms, slackening, moving)...)
+func (f *Fleet) selectReturns(now time.Duration, status []model.MachineStatus, machines []availableMachine,
+	lowDemand bool,
+	movingCPU int64) []model.MachineID {
+	returns := f.lostMachines(now)
+	returns = append(returns, f.idleMachines(now, machines, lowDemand, movingCPU)...)
 	for i := range status {
 		s := &status[i]
-		if u := f.units[s.Machine.ID]; u != nil && !u.drop && !u.held && s.Faulty && s.Slots == 0 {
-			out = append(out, s.Machine.ID)
+		if u := f.machines[s.Machine.ID]; u != nil && !u.returning && !u.planDraining && s.Faulty && s.Slots == 0 {
+			returns = append(returns, s.Machine.ID)
 		}
 	}
-	return f.giveBack(out)
+	return f.markReturning(returns)
 }
 
-// lost are the machines that never came up, failed, or went silent for good.
-func (f *Fleet) lost(now time.Duration) []model.MachineID {
-	var out []model.MachineID
-	cut := f.cutZones()
-	for id, u := range f.units {
-		if u.drop {
+// lostMachines are the machines that never came up, failed, or went silent for good.
+func (f *Fleet) lostMachines(now time.Duration) []model.MachineID {
+	var lost []model.MachineID
+	partitioned := f.partitionedZones()
+	for id, u := range f.machines {
+		if u.returning {
 			continue
 		}
-		t := f.typeOf(u.typ)
-		patience := silentLong
-		if cut[u.zone] {
-			patience = cutLong
+		t := f.typeOf(u.machineType)
+		limit := leaseExpiredLimit
+		if partitioned[u.zone] {
+			limit = partitionLimit
 		}
 		switch {
 		case u.failed,
-			!u.heard && t != nil && now-max(u.since, f.p.TermStart) > 4*t.Boot+20*time.Second,
-			u.silent != 0 && now-u.silent > 20*time.Second && now-u.listed > 2*f.p.ListLag,
-			u.silent != 0 && now-u.silent > patience:
-			out = append(out, id)
+			!u.reported && t != nil && now-max(u.knownSince, f.params.TermStart) > 4*t.Boot+20*time.Second,
+			u.leaseExpiredSince != 0 && now-u.leaseExpiredSince > 20*time.Second && now-u.lastListed > 2*f.params.ListLag,
+			u.leaseExpiredSince != 0 && now-u.leaseExpiredSince > limit:
+			lost = append(lost, id)
 		}
 	}
-	return out
+	return lost
 }
 
-// idle are the machines that stand idle for longer than their price allows, as far as enough
+// idleMachines are the machines that stand idle for longer than their price allows, as far as enough
 // room is left for what moves.
-func (f *Fleet) idle(now time.Duration, rooms []room, slackening bool, moving int64) []model.MachineID {
-	var out []model.MachineID
-	free := freeCPU(rooms)
-	for i := range rooms {
-		r := &rooms[i]
-		if r.status == nil || r.used || r.status.Slots > 0 {
+func (f *Fleet) idleMachines(now time.Duration, machines []availableMachine, lowDemand bool,
+	movingCPU int64) []model.MachineID {
+	var idle []model.MachineID
+	free := freeCPU(machines)
+	for i := range machines {
+		r := &machines[i]
+		if r.status == nil || r.usedByDemand || r.status.Slots > 0 {
 			continue
 		}
-		if p := f.patience(&r.m, slackening); now-r.status.IdleSince < p || now-f.want < p/2 {
+		if limit := f.idleLimit(&r.machine, lowDemand); now-r.status.IdleSince < limit || now-f.lastShortageAt < limit/2 {
 			continue
 		}
-		left := free - max(0, r.avail.CPU)
-		if left < moving {
+		remaining := free - max(0, r.free.CPU)
+		if remaining < movingCPU {
 			continue
 		}
-		if u := f.units[r.m.ID]; u != nil && !u.drop && u.silent == 0 {
-			out = append(out, r.m.ID)
-			free = left
+		if u := f.machines[r.machine.ID]; u != nil && !u.returning && u.leaseExpiredSince == 0 {
+			idle = append(idle, r.machine.ID)
+			free = remaining
 		}
 	}
-	return out
+	return idle
 }
--- a/internal/core/fleet/unreachable_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -9,7 +9,7 @@
 
 // Machines that answer nobody are given back, unless they are too many to be at fault
 // themselves; one that is heard again stays.
-func TestFewDeafMachinesAreGivenUp(t *testing.T) {
+func TestFewUnreachableMachinesAreReturned(t *testing.T) {
 	for name, c := range map[string]struct{ deaf, again, want int }{
 		"a few":                 {deaf: 10, want: 10},
 		"more than a part":      {deaf: 20, want: 0},
@@ -22,8 +22,8 @@
 				status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Cap: model.Capacity(8, 0, 32)},
 					Ready: true, Slots: 1})
 			}
-			alive := func(model.MachineID) bool { return false }
-			f.Observe(0, status, alive)
+			notExpired := func(model.MachineID) bool { return false }
+			f.Observe(0, status, notExpired)
 			ids := make([]model.MachineID, c.deaf)
 			for i := range ids {
 				ids[i] = model.MachineID(i)
@@ -31,7 +31,7 @@
 			f.SetUnreachable(ids)
 			f.SetUnreachable(ids[c.again:])
 			got := 0
-			for _, a := range f.Step(2*time.Second, status, demand(1, true), noLimit) {
+			for _, a := range f.Step(2*time.Second, status, testDemand(1, true), noLimit) {
 				if a.Kind == Return {
 					got += len(a.Machines)
 				}
@@ -45,7 +45,7 @@
 
 // Machines that are silent for long are given back, but not most of a zone: that is a cut,
 // and they come back with it.
-func TestAZoneThatIsSilentIsNotGivenBack(t *testing.T) {
+func TestPartitionedZoneIsNotReturnedEarly(t *testing.T) {
 	for _, c := range []struct {
 		silent int
 		after  time.Duration
@@ -65,7 +65,7 @@
 		}
 		f.UpdateListed(time.Second+c.after, c.after, listed)
 		got := 0
-		for _, a := range f.Step(time.Second+c.after, status, demand(1, true), noLimit) {
+		for _, a := range f.Step(time.Second+c.after, status, testDemand(1, true), noLimit) {
 			if a.Kind == Return {
 				got += len(a.Machines)
 			}
--- a/internal/core/model/messages.go
+++ b/internal/core/model/messages.go
@@ -79,8 +79,8 @@
 )
 
 // ObjectiveFor is the aim of a job that an aim speaks of, or not.
-func ObjectiveFor(yes bool) Objective {
-	if yes {
+func ObjectiveFor(hasObjective bool) Objective {
+	if hasObjective {
 		return HasObjective
 	}
 	return NoObjective
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -40,11 +40,11 @@
 // had to be done in minutes waited behind them. The price is the same, so neither
 // can evict the other.
 func (s *Spec) Priority(price float64) float64 {
-	p := price * price
+	priority := price * price
 	if s.BestEffort {
-		p /= waiting
+		priority /= bestEffortWaitFactor
 	}
-	return p
+	return priority
 }
 
 // Score orders waiting work, the highest first: the price's priority times how long
@@ -53,9 +53,9 @@
 	return s.Priority(price) * (waited + time.Second/10).Seconds()
 }
 
-// waiting is how much longer work that no aim speaks of waits than other work of
+// bestEffortWaitFactor is how much longer work that no aim speaks of waits than other work of
 // its price.
-const waiting = 100
+const bestEffortWaitFactor = 100
 
 // Resources are amounts in thousandths, so that sums are exact.
 type Resources struct{ CPU, GPU, Mem int64 }
@@ -86,22 +86,22 @@
 func (r Resources) Times(n int64) Resources { return Resources{r.CPU * n, r.GPU * n, r.Mem * n} }
 
 // Fits tells whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.GPU <= room.GPU && r.Mem <= room.Mem
+func (r Resources) Fits(capacity Resources) bool {
+	return r.CPU <= capacity.CPU && r.GPU <= capacity.GPU && r.Mem <= capacity.Mem
 }
 
 // Count tells how many requests of size r fit into room.
-func (r Resources) Count(room Resources) int64 {
-	n := int64(math.MaxInt64)
-	for _, p := range [3][2]int64{{r.CPU, room.CPU}, {r.GPU, room.GPU}, {r.Mem, room.Mem}} {
-		if p[0] > 0 {
-			n = min(n, max(0, p[1]/p[0]))
+func (r Resources) Count(capacity Resources) int64 {
+	count := int64(math.MaxInt64)
+	for _, pair := range [3][2]int64{{r.CPU, capacity.CPU}, {r.GPU, capacity.GPU}, {r.Mem, capacity.Mem}} {
+		if pair[0] > 0 {
+			count = min(count, max(0, pair[1]/pair[0]))
 		}
 	}
-	if n == math.MaxInt64 {
+	if count == math.MaxInt64 {
 		return 0
 	}
-	return n
+	return count
 }
 
 // Spec is an accepted job.
--- a/internal/core/model/model_test.go
+++ b/internal/core/model/model_test.go
@@ -4,7 +4,7 @@
 
 // Types, zones, spot machines and GPUs are the controllers' to check: a worker
 // starts whatever it is told to.
-func TestWhereAJobMayRun(t *testing.T) {
+func TestSpecAllowsAndTaskCount(t *testing.T) {
 	m := Machine{Type: 1, Zone: 2, Spot: true, Cap: Capacity(96, 8, 768)}
 	for name, c := range map[string]struct {
 		change func(*Spec)
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -24,55 +24,55 @@
 )
 
 const (
-	// eased is the lateness below which nothing is left undone.
-	eased = 80 * time.Millisecond
-	// half is how long until a lateness that does not recur counts for half.
-	half = 400 * time.Millisecond
-	// pollsAt and changesAt: from this lateness on they are turned away.
-	pollsAt   = 250 * time.Millisecond
-	changesAt = 700 * time.Millisecond
-	mostLate  = 3 * time.Second
+	// minLag is the lateness below which nothing is left undone.
+	minLag = 80 * time.Millisecond
+	// lagHalfLife is how long until a lateness that does not recur counts for half.
+	lagHalfLife = 400 * time.Millisecond
+	// refusePollsAt and changesAt: from this lateness on they are turned away.
+	refusePollsAt   = 250 * time.Millisecond
+	refuseChangesAt = 700 * time.Millisecond
+	maxLag          = 3 * time.Second
 )
 
 // Detector is the state machine.
 type Detector struct {
-	lag time.Duration // decaying peak of the lateness
-	at  time.Duration
+	peakLag    time.Duration // decaying peak of the lateness
+	recordedAt time.Duration
 }
 
 // RecordDelay takes how late a timer fired, now.
-func (s *Detector) RecordDelay(now, by time.Duration) {
-	s.lag = min(mostLate, max(by, s.Lag(now)))
-	s.at = now
+func (d *Detector) RecordDelay(now, delay time.Duration) {
+	d.peakLag = min(maxLag, max(delay, d.Lag(now)))
+	d.recordedAt = now
 }
 
 // Lag is how far behind this process is.
-func (s *Detector) Lag(now time.Duration) time.Duration {
-	return time.Duration(float64(s.lag) * math.Exp2(-float64(max(0, now-s.at))/float64(half)))
+func (d *Detector) Lag(now time.Duration) time.Duration {
+	return time.Duration(float64(d.peakLag) * math.Exp2(-float64(max(0, now-d.recordedAt))/float64(lagHalfLife)))
 }
 
 // Admits tells whether a request of a kind is worth starting: it would be answered
 // before its asker has given up.
-func (s *Detector) Admits(now time.Duration, k Kind) bool {
+func (d *Detector) Admits(now time.Duration, k Kind) bool {
 	if k == Poll {
-		return s.Lag(now) < pollsAt
+		return d.Lag(now) < refusePollsAt
 	}
-	return s.Lag(now) < changesAt
+	return d.Lag(now) < refuseChangesAt
 }
 
 // RetryAfter is after how long somebody who was turned away should ask again: the longer,
 // the further behind this process is. spread, from 0 to 1, sets askers apart.
-func (s *Detector) RetryAfter(now time.Duration, spread float64) time.Duration {
-	lag := s.Lag(now)
+func (d *Detector) RetryAfter(now time.Duration, spread float64) time.Duration {
+	lag := d.Lag(now)
 	return time.Second + time.Duration(float64(3*lag)*(0.5+spread))
 }
 
 // Scale is how much of up to most things at a time this process should do of its own
 // accord: all while it is not behind, then in proportion less, but always some.
-func (s *Detector) Scale(now time.Duration, most int) int {
-	lag := s.Lag(now)
-	if lag <= eased {
-		return most
+func (d *Detector) Scale(now time.Duration, limit int) int {
+	lag := d.Lag(now)
+	if lag <= minLag {
+		return limit
 	}
-	return max(1, most/12, int(int64(most)*int64(eased)/int64(lag)))
+	return max(1, limit/12, int(int64(limit)*int64(minLag)/int64(lag)))
 }
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -7,16 +7,16 @@
 
 const ms = time.Millisecond
 
-// TestThingsAreLeftInOrder: the further behind, the more is turned away: polls
+// TestRequestsAreRefusedByLag: the further behind, the more is turned away: polls
 // before changes, and own work shrinks but never ends.
-func TestThingsAreLeftInOrder(t *testing.T) {
+func TestRequestsAreRefusedByLag(t *testing.T) {
 	for _, c := range []struct {
 		lag           time.Duration
 		polls, change bool
 		least, most   int
 	}{
 		{0, true, true, 48, 48},
-		{eased, true, true, 48, 48},
+		{minLag, true, true, 48, 48},
 		{200 * ms, true, true, 10, 30},
 		{300 * ms, false, true, 5, 20},
 		{time.Second, false, false, 4, 4},
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestItRecovers: once nothing is late any more everything is taken again within a
+// TestLagRecovers: once nothing is late any more everything is taken again within a
 // few seconds, however long the process stood still.
-func TestItRecovers(t *testing.T) {
+func TestLagRecovers(t *testing.T) {
 	var s Detector
 	s.RecordDelay(time.Second, time.Minute)
 	for now := time.Second; now < 4*time.Second; now += 50 * ms {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAskersAreSpread: they would all come back at the same moment.
-func TestAskersAreSpread(t *testing.T) {
+// TestRetryTimesAreSpread: they would all come back at the same moment.
+func TestRetryTimesAreSpread(t *testing.T) {
 	var s Detector
 	s.RecordDelay(0, time.Second)
 	if lo, hi := s.RetryAfter(0, 0), s.RetryAfter(0, 1); lo < time.Second || hi-lo < 2*time.Second {
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -36,11 +36,11 @@
 	return c.LimitCPU == nil && c.LimitGPU == nil && c.GuaranteeCPU == nil && c.GuaranteeGPU == nil
 }
 
-// over tells whether the time that a change was made for has come.
-func (c *Change) over(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
+// expired tells whether the time that a change was made for has come.
+func (c *Change) expired(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
 
-// on is a team with the change made.
-func (c *Change) on(t dispatcher.Team) dispatcher.Team {
+// applyTo is a team with the change made.
+func (c *Change) applyTo(t dispatcher.Team) dispatcher.Team {
 	for _, f := range []struct {
 		to *int64
 		v  *int64
@@ -60,46 +60,46 @@
 
 // entry is what is kept of a team that was changed.
 type entry struct {
-	want, acts Change
-	version    uint64 // of the stored record, 0: none
-	gen        uint64
-	stored     uint64
-	sending    uint64
-	foreign    string // why this release does not touch the record
+	requested, active Change
+	version           uint64 // of the stored record, 0: none
+	generation        uint64
+	storedGeneration  uint64
+	sendingGeneration uint64
+	readOnlyReason    string // why this release does not touch the record
 }
 
 // Overrides is the state machine.
 type Overrides struct {
-	base []dispatcher.Team
-	of   map[model.Name]*entry
+	platform []dispatcher.Team
+	byTeam   map[model.Name]*entry
 }
 
 // New returns a book without changes to the platform's teams.
-func New(base []dispatcher.Team) *Overrides {
-	return &Overrides{base: base, of: map[model.Name]*entry{}}
+func New(platform []dispatcher.Team) *Overrides {
+	return &Overrides{platform: platform, byTeam: map[model.Name]*entry{}}
 }
 
-func (b *Overrides) entry(team model.Name) *entry {
-	e := b.of[team]
+func (o *Overrides) ensureEntry(team model.Name) *entry {
+	e := o.byTeam[team]
 	if e == nil {
 		e = &entry{}
-		b.of[team] = e
+		o.byTeam[team] = e
 	}
 	return e
 }
 
 // Load takes a stored change.
-func (b *Overrides) Load(team model.Name, value []byte, version uint64) {
-	e := b.entry(team)
+func (o *Overrides) Load(team model.Name, value []byte, version uint64) {
+	e := o.ensureEntry(team)
 	e.version = version
 	var r record
 	switch err := json.Unmarshal(value, &r); {
 	case err != nil:
-		e.foreign = "its record is unreadable: " + err.Error()
+		e.readOnlyReason = "its record is unreadable: " + err.Error()
 	case r.V != recordVersion:
-		e.foreign = fmt.Sprintf("a newer release wrote it (version %d)", r.V)
+		e.readOnlyReason = fmt.Sprintf("a newer release wrote it (version %d)", r.V)
 	default:
-		e.want, e.acts = r.Change, r.Change
+		e.requested, e.active = r.Change, r.Change
 	}
 }
 
@@ -111,24 +111,25 @@
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Set changes a team; what c leaves out stays as it was changed before.
-func (b *Overrides) Set(wall time.Time, team model.Name, c Change) error {
-	e := b.entry(team)
-	if e.foreign != "" {
-		return refuse("the team can't be changed here: %s", e.foreign)
+func (o *Overrides) Set(wall time.Time, team model.Name, change Change) error {
+	e := o.ensureEntry(team)
+	if e.readOnlyReason != "" {
+		return refuse("the team can't be changed here: %s", e.readOnlyReason)
 	}
-	next := e.want
-	for _, f := range []struct{ to, v **int64 }{{&next.LimitCPU, &c.LimitCPU}, {&next.LimitGPU, &c.LimitGPU},
-		{&next.GuaranteeCPU, &c.GuaranteeCPU}, {&next.GuaranteeGPU, &c.GuaranteeGPU}} {
+	next := e.requested
+	for _, f := range []struct{ to, v **int64 }{{&next.LimitCPU, &change.LimitCPU}, {&next.LimitGPU, &change.LimitGPU},
+		{&next.GuaranteeCPU, &change.GuaranteeCPU}, {&next.GuaranteeGPU, &change.GuaranteeGPU}} {
 		if *f.v != nil {
 			*f.to = *f.v
 		}
 	}
-	next.UntilMS, next.By, next.AtMS = c.UntilMS, c.By, wall.UnixMilli()
-	base, t := b.base[team], next.on(b.base[team])
+	next.UntilMS, next.By, next.AtMS = change.UntilMS, change.By, wall.UnixMilli()
+	platform, changed := o.platform[team], next.applyTo(o.platform[team])
 	for _, x := range []struct {
 		what             string
 		base, limit, has int64
-	}{{"cpus", base.Limit.CPU, t.Limit.CPU, t.Guarantee.CPU}, {"gpus", base.Limit.GPU, t.Limit.GPU, t.Guarantee.GPU}} {
+	}{{"cpus", platform.Limit.CPU, changed.Limit.CPU, changed.Guarantee.CPU},
+		{"gpus", platform.Limit.GPU, changed.Limit.GPU, changed.Guarantee.GPU}} {
 		if x.base > 0 && x.limit > x.base {
 			return refuse("limit_%s: %g is above the platform's limit of %g", x.what, amount(x.limit), amount(x.base))
 		}
@@ -136,67 +137,67 @@
 			return refuse("guarantee_%s: %g is above the limit of %g", x.what, amount(x.has), amount(x.limit))
 		}
 	}
-	if next.over(wall) {
+	if next.expired(wall) {
 		return refuse("until: %s is over", time.UnixMilli(next.UntilMS).UTC().Format(time.RFC3339))
 	}
-	e.want = next
-	e.gen++
+	e.requested = next
+	e.generation++
 	return nil
 }
 
 func amount(n int64) float64 { return float64(n) / 1000 }
 
 // Unset takes a team's changes back.
-func (b *Overrides) Unset(team model.Name) error {
-	e := b.of[team]
-	if e != nil && e.foreign != "" {
-		return refuse("the team can't be changed here: %s", e.foreign)
+func (o *Overrides) Unset(team model.Name) error {
+	e := o.byTeam[team]
+	if e != nil && e.readOnlyReason != "" {
+		return refuse("the team can't be changed here: %s", e.readOnlyReason)
 	}
-	if e == nil || e.want.empty() {
+	if e == nil || e.requested.empty() {
 		return nil
 	}
-	e.want = Change{}
-	e.gen++
+	e.requested = Change{}
+	e.generation++
 	return nil
 }
 
 // Expire takes changes back whose time is over.
-func (b *Overrides) Expire(wall time.Time) {
-	for _, e := range b.of {
-		if e.foreign == "" && !e.want.empty() && e.want.over(wall) {
-			e.want = Change{}
-			e.gen++
+func (o *Overrides) Expire(wall time.Time) {
+	for _, e := range o.byTeam {
+		if e.readOnlyReason == "" && !e.requested.empty() && e.requested.expired(wall) {
+			e.requested = Change{}
+			e.generation++
 		}
 	}
 }
 
 // Team is a team's limit and guarantee now.
-func (b *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
-	if e := b.of[team]; e != nil && !e.acts.over(wall) {
-		return e.acts.on(b.base[team])
+func (o *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
+	if e := o.byTeam[team]; e != nil && !e.active.expired(wall) {
+		return e.active.applyTo(o.platform[team])
 	}
-	return b.base[team]
+	return o.platform[team]
 }
 
 // Active is the change that acts on a team, and whether there is one.
-func (b *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
-	e := b.of[team]
-	if e == nil || e.acts.empty() || e.acts.over(wall) {
+func (o *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
+	e := o.byTeam[team]
+	if e == nil || e.active.empty() || e.active.expired(wall) {
 		return Change{}, false
 	}
-	return e.acts, true
+	return e.active, true
 }
 
 // Synced tells whether all that was changed about a team is surely stored.
-func (b *Overrides) Synced(team model.Name) bool {
-	e := b.of[team]
-	return e == nil || e.stored == e.gen
+func (o *Overrides) Synced(team model.Name) bool {
+	e := o.byTeam[team]
+	return e == nil || e.storedGeneration == e.generation
 }
 
 // HasPendingWrites tells whether anything is to be stored.
-func (b *Overrides) HasPendingWrites() bool {
-	for _, e := range b.of {
-		if e.foreign == "" && e.stored != e.gen {
+func (o *Overrides) HasPendingWrites() bool {
+	for _, e := range o.byTeam {
+		if e.readOnlyReason == "" && e.storedGeneration != e.generation {
 			return true
 		}
 	}
@@ -205,23 +206,23 @@
 
 // Write is a change for the state service. It comes back through Wrote.
 type Write struct {
-	Team    model.Name
-	Version uint64 // of the record that it replaces, 0: none
-	Value   []byte // nil: the record goes
-	gen     uint64
-	change  Change
+	Team       model.Name
+	Version    uint64 // of the record that it replaces, 0: none
+	Value      []byte // nil: the record goes
+	generation uint64
+	change     Change
 }
 
 // Writes returns at most n records to be stored.
-func (b *Overrides) Writes(n int) []Write {
+func (o *Overrides) Writes(n int) []Write {
 	var out []Write
-	for team, e := range b.of {
-		if e.foreign != "" || e.sending != 0 || e.stored == e.gen {
+	for team, e := range o.byTeam {
+		if e.readOnlyReason != "" || e.sendingGeneration != 0 || e.storedGeneration == e.generation {
 			continue
 		}
-		w := Write{Team: team, Version: e.version, gen: e.gen, change: e.want}
-		if !e.want.empty() {
-			v, err := json.Marshal(record{recordVersion, e.want})
+		w := Write{Team: team, Version: e.version, generation: e.generation, change: e.requested}
+		if !e.requested.empty() {
+			v, err := json.Marshal(record{recordVersion, e.requested})
 			if err != nil {
 				continue // plain values always encode
 			}
@@ -232,25 +233,25 @@
 	slices.SortFunc(out, func(a, b Write) int { return cmp.Compare(a.Team, b.Team) })
 	out = out[:min(max(0, n), len(out))]
 	for _, w := range out {
-		b.of[w.Team].sending = w.gen
+		o.byTeam[w.Team].sendingGeneration = w.generation
 	}
 	return out
 }
 
 // WriteDone takes a write's outcome. conflict tells that the record is at version at: a write
 // of this leader's without an answer got through after all.
-func (b *Overrides) WriteDone(w Write, rev uint64, ok, conflict bool, at uint64) {
-	e := b.of[w.Team]
-	if e.sending != w.gen {
+func (o *Overrides) WriteDone(w Write, newVersion uint64, ok, conflict bool, currentVersion uint64) {
+	e := o.byTeam[w.Team]
+	if e.sendingGeneration != w.generation {
 		return
 	}
-	e.sending = 0
+	e.sendingGeneration = 0
 	switch {
 	case ok && w.Value == nil:
-		e.version, e.stored, e.acts = 0, w.gen, w.change
+		e.version, e.storedGeneration, e.active = 0, w.generation, w.change
 	case ok:
-		e.version, e.stored, e.acts = rev, w.gen, w.change
+		e.version, e.storedGeneration, e.active = newVersion, w.generation, w.change
 	case conflict:
-		e.version = at
+		e.version = currentVersion
 	}
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -19,7 +19,7 @@
 
 // A change acts once it is stored, whatever becomes of the answers; any leader takes it
 // up, and lets go of it when its time is over or it is unset.
-func TestAChangeActsOnceItIsStored(t *testing.T) {
+func TestChangeTakesEffectOnceStored(t *testing.T) {
 	b := New(teams())
 	if err := b.Set(wall, 0, Change{LimitCPU: cpus(50), UntilMS: wall.Add(time.Hour).UnixMilli(), By: "ops"}); err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestWhatCantBeChanged(t *testing.T) {
+func TestInvalidChangesAreRefused(t *testing.T) {
 	for why, c := range map[string]Change{
 		"limit_cpus: 101 is above the platform's limit of 100": {LimitCPU: cpus(101)},
 		"guarantee_cpus: 40 is above the limit of 30":          {LimitCPU: cpus(30)},
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -42,13 +42,13 @@
 }
 
 const (
-	most   = 0.9                    // of the service's rate, for one controller alone
-	equal  = 0.5                    // ... for all together, shared equally: where it begins; the rest is a new leader's
-	least  = 0.5                    // ... which stay to each, however often they are refused
-	growth = 0.03                   // of the service's rate, a second
-	shrink = 0.75                   // what is left of a share when a request was refused
-	pause  = 400 * time.Millisecond // one refusal in so long counts: others were under way
-	sure   = 10 * time.Second       // two refusals within so long: the announced limit holds
+	maxShare            = 0.9                    // of the service's rate, for one controller alone
+	initialTotalShare   = 0.5                    // ... for all together, shared equally: where it begins; the rest is a new leader's
+	minShare            = 0.5                    // ... which stay to each, however often they are refused
+	shareGrowth         = 0.03                   // of the service's rate, a second
+	shrinkFactor        = 0.75                   // what is left of a share when a request was refused
+	refusalInterval     = 400 * time.Millisecond // one refusal in so long counts: others were under way
+	announcedRateWindow = 10 * time.Second       // two refusals within so long: the announced limit holds
 )
 
 // Ticket is a request that asked to go.
@@ -65,53 +65,53 @@
 type Allocation struct{ Requests, Writes float64 }
 
 const (
-	// recovery is how much of its part, a second, a controller takes up again after a refusal.
-	recovery = 0.1
-	// urgentBurst is the part of the service's burst (one second's worth) that users' changes
+	// allocationRecovery is how much of its part, a second, a controller takes up again after a refusal.
+	allocationRecovery = 0.1
+	// minBurstShare is the part of the service's burst (one second's worth) that users' changes
 	// may take at any controller: a load balancer may send them all to one, and seldom do all
 	// controllers take it at once.
-	urgentBurst = 0.2
-	// needOver is over what time needs are counted.
-	needOver = time.Second
+	minBurstShare = 0.2
+	// demandWindow is over what time needs are counted.
+	demandWindow = time.Second
 )
 
 // bucket of tokens: one for requests, one for changes.
 type bucket struct {
 	rate, share, tokens float64
-	need                counter
+	demand              counter
 }
 
 // counter counts what was asked for in the present span of time and in the one before.
 type counter struct {
-	span      time.Duration // number of the present one
-	now, last float64
+	window            time.Duration // number of the present one
+	current, previous float64
 }
 
-func (c *counter) roll(now time.Duration) {
-	span := now / needOver
+func (c *counter) advance(now time.Duration) {
+	window := now / demandWindow
 	switch {
-	case span == c.span:
+	case window == c.window:
 		return
-	case span == c.span+1:
-		c.last = c.now
+	case window == c.window+1:
+		c.previous = c.current
 	default:
-		c.last = 0
+		c.previous = 0
 	}
-	c.span, c.now = span, 0
+	c.window, c.current = window, 0
 }
 
 func (c *counter) add(now time.Duration, n float64) {
-	c.roll(now)
-	c.now += n
+	c.advance(now)
+	c.current += n
 }
 
 // perSecond is what was asked for lately.
 func (c *counter) perSecond(now time.Duration) float64 {
-	c.roll(now)
-	return max(c.now, c.last) / needOver.Seconds()
+	c.advance(now)
+	return max(c.current, c.previous) / demandWindow.Seconds()
 }
 
-func (b *bucket) fill(seconds float64) {
+func (b *bucket) refill(seconds float64) {
 	b.tokens = min(b.tokens+b.rate*b.share*seconds, b.burst())
 }
 
@@ -120,48 +120,48 @@
 
 // burst is what may go at once of urgent classes: a part of the service's own burst even
 // where the share is small.
-func (b *bucket) burst() float64 { return max(b.ownBurst(), b.rate*urgentBurst) }
+func (b *bucket) burst() float64 { return max(b.ownBurst(), b.rate*minBurstShare) }
 
 // allows tells whether n may go for a class now.
 func (b *bucket) allows(c Class, n float64) bool {
 	if n == 0 || c == Authority {
 		return true
 	}
-	return b.tokens-min(n, b.burst()) >= b.floor(c)
+	return b.tokens-min(n, b.burst()) >= b.minTokens(c)
 }
 
-// lacks is how long until n may go for a class if nothing else does meanwhile, in
+// waitSeconds is how long until n may go for a class if nothing else does meanwhile, in
 // seconds.
-func (b *bucket) lacks(c Class, n float64) float64 {
+func (b *bucket) waitSeconds(c Class, n float64) float64 {
 	if n == 0 || c == Authority {
 		return 0
 	}
-	return max(0, n+b.floor(c)-b.tokens) / (b.rate * b.share)
+	return max(0, n+b.minTokens(c)-b.tokens) / (b.rate * b.share)
 }
 
-// floor is what a class has to leave: urgent ones may overdraw, the others leave to them what
+// minTokens is what a class has to leave: urgent ones may overdraw, the others leave to them what
 // is above their own burst.
-func (b *bucket) floor(c Class) float64 {
+func (b *bucket) minTokens(c Class) float64 {
 	if c > Changes {
 		return b.burst() - b.ownBurst()
 	}
-	return -overdraft[c] * max(2, b.rate*b.share, b.rate*urgentBurst)
+	return -overdraft[c] * max(2, b.rate*b.share, b.rate*minBurstShare)
 }
 
 // Limiter is the state machine.
 type Limiter struct {
-	p        Params
-	share    float64 // of the service's rate, where nobody tells a part
-	part     Allocation
-	told     time.Duration // the part is good until then
-	health   float64       // of the part: below 1 after refusals
-	spare    float64       // of the rate of changes: what may be used while nobody is refused
-	at       time.Duration
-	shrunk   time.Duration
-	lowered  bool // the announced limit holds
-	requests bucket
-	writes   bucket
-	queue    [classes][]*Ticket
+	params           Params
+	ownShare         float64 // of the service's rate, where nobody tells a part
+	allocation       Allocation
+	allocationUntil  time.Duration // the part is good until then
+	allocationHealth float64       // of the part: below 1 after refusals
+	spareWriteShare  float64       // of the rate of changes: what may be used while nobody is refused
+	refilledAt       time.Duration
+	lastShrinkAt     time.Duration
+	writeRateLowered bool // the announced limit holds
+	requests         bucket
+	writes           bucket
+	queue            [classes][]*Ticket
 	// Stats count what was refused here, by class, and by the service.
 	Shed            [classes]uint64
 	ServiceRefusals uint64
@@ -170,198 +170,202 @@
 // New returns a limiter with an equal share.
 func New(p Params) *Limiter {
 	p.Controllers = max(1, p.Controllers)
-	share := equal / float64(p.Controllers)
-	q := &Limiter{p: p, share: share, health: 1,
+	share := initialTotalShare / float64(p.Controllers)
+	q := &Limiter{params: p, ownShare: share, allocationHealth: 1,
 		requests: bucket{rate: p.RequestRate, share: share}, writes: bucket{rate: p.WriteRate, share: share}}
 	q.requests.tokens, q.writes.tokens = q.requests.burst(), q.writes.burst()
 	return q
 }
 
 // SetAllocation takes the part that the leader has given to this controller, good until then.
-func (q *Limiter) SetAllocation(now time.Duration, p Allocation, until time.Duration) {
-	q.fill(now)
-	q.part, q.told = p, until
-	q.setShares(now)
+func (l *Limiter) SetAllocation(now time.Duration, allocation Allocation, until time.Duration) {
+	l.refill(now)
+	l.allocation, l.allocationUntil = allocation, until
+	l.setShares(now)
 }
 
 // Demand are what was asked for lately and what waits, but for upkeep, as parts of the
 // service's rate.
-func (q *Limiter) Demand(now time.Duration) Allocation {
-	requests, writes := q.requests.need.perSecond(now), q.writes.need.perSecond(now)
+func (l *Limiter) Demand(now time.Duration) Allocation {
+	requests, writes := l.requests.demand.perSecond(now), l.writes.demand.perSecond(now)
 	for c := range classes {
 		if c == Background {
 			continue
 		}
-		for _, t := range q.queue[c] {
+		for _, t := range l.queue[c] {
 			requests++
 			writes += t.writes
 		}
 	}
-	return Allocation{Requests: requests / q.requests.rate, Writes: writes / q.writes.rate}
+	return Allocation{Requests: requests / l.requests.rate, Writes: writes / l.writes.rate}
 }
 
-// hasPart tells whether a leader has told this controller its part lately.
-func (q *Limiter) hasPart(now time.Duration) bool { return now < q.told }
+// hasAllocation tells whether a leader has told this controller its part lately.
+func (l *Limiter) hasAllocation(now time.Duration) bool { return now < l.allocationUntil }
 
-func (q *Limiter) setShares(now time.Duration) {
-	if q.hasPart(now) {
+func (l *Limiter) setShares(now time.Duration) {
+	if l.hasAllocation(now) {
 		// Changes may go beyond the part as long as nothing is refused: submissions waited for
 		// what others were told and did not use.
-		q.requests.share, q.writes.share = q.part.Requests*q.health, max(q.part.Writes*q.health, q.spare)
+		l.requests.share, l.writes.share = l.allocation.Requests*l.allocationHealth,
+			max(l.allocation.Writes*l.allocationHealth, l.spareWriteShare)
 		return
 	}
-	q.requests.share, q.writes.share = q.share, q.share
+	l.requests.share, l.writes.share = l.ownShare, l.ownShare
 }
 
 // Share is the part of the service's rate that this controller uses at most.
-func (q *Limiter) Share() float64 { return q.requests.share }
+func (l *Limiter) Share() float64 { return l.requests.share }
 
 // WriteRate is the service's rate of changes as far as is known, and whether that is the
 // one that was announced.
-func (q *Limiter) WriteRate() (perSecond float64, lowered bool) { return q.writes.rate, q.lowered }
+func (l *Limiter) WriteRate() (perSecond float64, lowered bool) {
+	return l.writes.rate, l.writeRateLowered
+}
 
-func (q *Limiter) fill(now time.Duration) {
-	s := (now - q.at).Seconds()
-	if s <= 0 {
+func (l *Limiter) refill(now time.Duration) {
+	seconds := (now - l.refilledAt).Seconds()
+	if seconds <= 0 {
 		return
 	}
-	q.at = now
-	if q.hasPart(now) {
-		q.health = min(1, q.health+recovery*s)
-		q.spare = min(q.spare+growth*min(s, 1), most)
-		q.share = equal / float64(q.p.Controllers) // where it begins once no part is told any more
+	l.refilledAt = now
+	if l.hasAllocation(now) {
+		l.allocationHealth = min(1, l.allocationHealth+allocationRecovery*seconds)
+		l.spareWriteShare = min(l.spareWriteShare+shareGrowth*min(seconds, 1), maxShare)
+		l.ownShare = initialTotalShare / float64(l.params.Controllers) // where it begins once no part is told any more
 	} else {
-		q.share = min(q.share+growth*min(s, 1), most)
+		l.ownShare = min(l.ownShare+shareGrowth*min(seconds, 1), maxShare)
 	}
-	q.setShares(now)
-	q.requests.fill(s)
-	q.writes.fill(s)
+	l.setShares(now)
+	l.requests.refill(seconds)
+	l.writes.refill(seconds)
 }
 
 // HandleRefusal takes the news that the service refused a request for its rate.
-func (q *Limiter) HandleRefusal(now time.Duration) {
-	q.fill(now)
-	q.ServiceRefusals++
-	if q.shrunk != 0 && now-q.shrunk < pause {
+func (l *Limiter) HandleRefusal(now time.Duration) {
+	l.refill(now)
+	l.ServiceRefusals++
+	if l.lastShrinkAt != 0 && now-l.lastShrinkAt < refusalInterval {
 		return
 	}
 	// Nobody says when an announced limit begins to hold. Taken for refusals of the old
 	// rate, every leader's share would grow into them again and again.
-	if q.p.NextWriteRate > 0 && q.p.NextWriteRate < q.writes.rate && q.shrunk != 0 && now-q.shrunk < sure {
-		q.lowered, q.writes.rate = true, q.p.NextWriteRate
+	if l.params.NextWriteRate > 0 && l.params.NextWriteRate < l.writes.rate && l.lastShrinkAt != 0 &&
+		now-l.lastShrinkAt < announcedRateWindow {
+		l.writeRateLowered, l.writes.rate = true, l.params.NextWriteRate
 	}
-	q.shrunk = now
-	if q.hasPart(now) {
-		q.health = max(q.health*shrink, least)
-		q.spare *= shrink
+	l.lastShrinkAt = now
+	if l.hasAllocation(now) {
+		l.allocationHealth = max(l.allocationHealth*shrinkFactor, minShare)
+		l.spareWriteShare *= shrinkFactor
 	} else {
-		q.share = max(q.share*shrink, least/float64(q.p.Controllers))
+		l.ownShare = max(l.ownShare*shrinkFactor, minShare/float64(l.params.Controllers))
 	}
-	q.setShares(now)
-	q.requests.tokens = min(q.requests.tokens, 0)
-	q.writes.tokens = min(q.writes.tokens, 0)
+	l.setShares(now)
+	l.requests.tokens = min(l.requests.tokens, 0)
+	l.writes.tokens = min(l.writes.tokens, 0)
 }
 
 // Request asks for one request with so many changes to go, by until at the latest. The
 // ticket's channel is closed at once where it may go now, or could not in time.
-func (q *Limiter) Request(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
-	q.fill(now)
+func (l *Limiter) Request(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
+	l.refill(now)
 	if c != Background { // that takes what is left
-		q.requests.need.add(now, 1)
-		q.writes.need.add(now, float64(writes))
+		l.requests.demand.add(now, 1)
+		l.writes.demand.add(now, float64(writes))
 	}
 	t := &Ticket{class: c, writes: float64(writes), until: until, Decided: make(chan struct{})}
-	if len(q.queue[c]) == 0 && q.passes(t) {
-		q.spend(t)
+	if len(l.queue[c]) == 0 && l.canProceed(t) {
+		l.takeTokens(t)
 		close(t.Decided)
 		return t
 	}
-	if now+q.estimate(t) > until {
-		q.refuse(t)
+	if now+l.estimateWait(t) > until {
+		l.refuse(t)
 		return t
 	}
-	q.queue[c] = append(q.queue[c], t)
+	l.queue[c] = append(l.queue[c], t)
 	return t
 }
 
-// passes: the bucket of each allows it, and nothing more urgent waits for what it takes.
-func (q *Limiter) passes(t *Ticket) bool {
+// canProceed: the bucket of each allows it, and nothing more urgent waits for what it takes.
+func (l *Limiter) canProceed(t *Ticket) bool {
 	for c := range t.class {
-		if len(q.queue[c]) == 0 || c == Authority {
+		if len(l.queue[c]) == 0 || c == Authority {
 			continue
 		}
-		if t.writes > 0 || !q.requests.allows(c, 1) {
+		if t.writes > 0 || !l.requests.allows(c, 1) {
 			return false
 		}
 	}
-	return q.requests.allows(t.class, 1) && q.writes.allows(t.class, t.writes)
+	return l.requests.allows(t.class, 1) && l.writes.allows(t.class, t.writes)
 }
 
-func (q *Limiter) spend(t *Ticket) {
-	q.requests.tokens--
-	q.writes.tokens -= t.writes
+func (l *Limiter) takeTokens(t *Ticket) {
+	l.requests.tokens--
+	l.writes.tokens -= t.writes
 }
 
-func (q *Limiter) refuse(t *Ticket) {
+func (l *Limiter) refuse(t *Ticket) {
 	t.Refused = true
-	q.Shed[t.class]++
+	l.Shed[t.class]++
 	close(t.Decided)
 }
 
-// estimate is how long a ticket would wait behind those of its class and of more
+// estimateWait is how long a ticket would wait behind those of its class and of more
 // urgent ones. What waits for the rate of changes is in nobody's way who makes none.
-func (q *Limiter) estimate(t *Ticket) time.Duration {
+func (l *Limiter) estimateWait(t *Ticket) time.Duration {
 	requests, writes := 1.0, t.writes
 	for c := range t.class + 1 {
-		for _, o := range q.queue[c] {
-			if t.writes == 0 && o.writes > 0 {
+		for _, other := range l.queue[c] {
+			if t.writes == 0 && other.writes > 0 {
 				continue
 			}
 			requests++
-			writes += o.writes
+			writes += other.writes
 		}
 	}
-	s := q.requests.lacks(t.class, requests)
+	seconds := l.requests.waitSeconds(t.class, requests)
 	if t.writes > 0 {
-		s = max(s, q.writes.lacks(t.class, writes))
+		seconds = max(seconds, l.writes.waitSeconds(t.class, writes))
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
 // Step lets go what may go now, and refuses what has waited too long. next is when
 // to call again; 0 where nothing waits.
-func (q *Limiter) Step(now time.Duration) (next time.Duration) {
-	q.fill(now)
+func (l *Limiter) Step(now time.Duration) (next time.Duration) {
+	l.refill(now)
 	for c := range classes {
-		q.queue[c] = slices.DeleteFunc(q.queue[c], func(t *Ticket) bool {
+		l.queue[c] = slices.DeleteFunc(l.queue[c], func(t *Ticket) bool {
 			if now < t.until {
 				return false
 			}
-			q.refuse(t)
+			l.refuse(t)
 			return true
 		})
 	}
 	for c := range classes {
-		for len(q.queue[c]) > 0 && q.passes(q.queue[c][0]) {
-			t := q.queue[c][0]
-			q.queue[c] = q.queue[c][1:]
-			q.spend(t)
+		for len(l.queue[c]) > 0 && l.canProceed(l.queue[c][0]) {
+			t := l.queue[c][0]
+			l.queue[c] = l.queue[c][1:]
+			l.takeTokens(t)
 			close(t.Decided)
 		}
-		if len(q.queue[c]) > 0 {
-			next = q.wake(now, next, c)
+		if len(l.queue[c]) > 0 {
+			next = l.earliestWake(now, next, c)
 		}
 	}
 	return next
 }
 
-// wake is the earlier of next, unless it is 0, and of when the first of a class may
+// earliestWake is the earlier of next, unless it is 0, and of when the first of a class may
 // go or is to be refused.
-func (q *Limiter) wake(now, next time.Duration, c Class) time.Duration {
-	t := q.queue[c][0]
-	n := min(t.writes, q.writes.burst())
-	s := max(q.requests.lacks(c, 1), q.writes.lacks(c, n))
-	at := min(now+max(time.Millisecond, time.Duration(s*float64(time.Second))), t.until)
+func (l *Limiter) earliestWake(now, next time.Duration, c Class) time.Duration {
+	t := l.queue[c][0]
+	writes := min(t.writes, l.writes.burst())
+	seconds := max(l.requests.waitSeconds(c, 1), l.writes.waitSeconds(c, writes))
+	at := min(now+max(time.Millisecond, time.Duration(seconds*float64(time.Second))), t.until)
 	if next != 0 {
 		at = min(at, next)
 	}
@@ -369,6 +373,6 @@
 }
 
 // Cancel gives a ticket up that nobody waits for any more.
-func (q *Limiter) Cancel(t *Ticket) {
-	q.queue[t.class] = slices.DeleteFunc(q.queue[t.class], func(o *Ticket) bool { return o == t })
+func (l *Limiter) Cancel(t *Ticket) {
+	l.queue[t.class] = slices.DeleteFunc(l.queue[t.class], func(o *Ticket) bool { return o == t })
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func went(t *Ticket) bool {
+func allowed(t *Ticket) bool {
 	select {
 	case <-t.Decided:
 		return !t.Refused
@@ -26,7 +26,7 @@
 	served, busy int
 }
 
-func (s *service) ask(now time.Duration) bool {
+func (s *service) serve(now time.Duration) bool {
 	s.tokens = min(s.rate, s.tokens+s.rate*(now-s.at).Seconds())
 	s.at = now
 	if s.tokens < 1 {
@@ -38,44 +38,44 @@
 	return true
 }
 
-// storm has controllers ask for much more than the service allows, for a time.
-func storm(s *service, qs []*Limiter, want []float64, length time.Duration, rng *rand.Rand) []int {
-	got := make([]int, len(qs))
-	waiting := make([][]*Ticket, len(qs))
+// runOverload has controllers ask for much more than the service allows, for a time.
+func runOverload(s *service, limiters []*Limiter, demand []float64, length time.Duration, rng *rand.Rand) []int {
+	got := make([]int, len(limiters))
+	waiting := make([][]*Ticket, len(limiters))
 	for now := time.Second; now < length; now += 5 * ms {
-		for i, q := range qs {
+		for i, q := range limiters {
 			q.Step(now)
-			if rng.Float64() < want[i]*0.005 {
+			if rng.Float64() < demand[i]*0.005 {
 				waiting[i] = append(waiting[i], q.Request(now, Reads, 0, now+time.Second))
 			}
-			keep := waiting[i][:0]
+			remaining := waiting[i][:0]
 			for _, t := range waiting[i] {
 				switch {
 				case t.Refused:
-				case !went(t):
-					keep = append(keep, t)
-				case s.ask(now):
+				case !allowed(t):
+					remaining = append(remaining, t)
+				case s.serve(now):
 					got[i]++
 				default:
 					q.HandleRefusal(now)
 				}
 			}
-			waiting[i] = keep
+			waiting[i] = remaining
 		}
 	}
 	return got
 }
 
-// TestSharesFollowNeed: all ask for four times what there is: each gets about an
+// TestSharesFollowDemand: all ask for four times what there is: each gets about an
 // equal part, hardly anything is refused for the rate. Then one alone gets most.
-func TestSharesFollowNeed(t *testing.T) {
+func TestSharesFollowDemand(t *testing.T) {
 	s := &service{rate: 70, tokens: 70}
 	var qs []*Limiter
 	for range 3 {
 		qs = append(qs, New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3}))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	got := storm(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
+	got := runOverload(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
 	if s.served < 70*60*8/10 {
 		t.Errorf("%d of %d served in a minute: too timid", s.served, 70*60)
 	}
@@ -89,14 +89,14 @@
 	}
 	lone := &service{rate: 70, tokens: 70, at: time.Second}
 	one := New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3})
-	if n := storm(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
+	if n := runOverload(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
 		t.Errorf("alone it got %d of %d", n, 70*60)
 	}
 }
 
-// TestUrgentGoesFirst: behind a queue of reads, authority goes at once, a leader's
+// TestUrgentClassesGoFirst: behind a queue of reads, authority goes at once, a leader's
 // reads and finals overdraw, and changes go before reads that came earlier.
-func TestUrgentGoesFirst(t *testing.T) {
+func TestUrgentClassesGoFirst(t *testing.T) {
 	q := New(Params{RequestRate: 60, WriteRate: 30, Controllers: 3})
 	for range 40 {
 		q.Request(0, Reads, 0, time.Second)
@@ -106,15 +106,15 @@
 		n int
 	}{{Changes, 3}, {Leader, 8}, {Authority, 20}} {
 		for i := range a.n {
-			if !went(q.Request(0, a.c, 0, time.Second)) {
+			if !allowed(q.Request(0, a.c, 0, time.Second)) {
 				t.Errorf("class %d: request %d waits behind reads", a.c, i)
 			}
 		}
 	}
 }
 
-// TestWhatCannotGoInTimeIsRefusedAtOnce: its asker would have given up by then.
-func TestWhatCannotGoInTimeIsRefusedAtOnce(t *testing.T) {
+// TestLateRequestsAreRefusedAtOnce: its asker would have given up by then.
+func TestLateRequestsAreRefusedAtOnce(t *testing.T) {
 	q := New(Params{RequestRate: 30, WriteRate: 30, Controllers: 3})
 	var last *Ticket
 	for range 200 {
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestNothingIsForgotten: whatever is asked, in any order, every ticket is let go or
+// TestEveryTicketIsDecided: whatever is asked, in any order, every ticket is let go or
 // refused by its time, and Step names a time at which something happens.
-func TestNothingIsForgotten(t *testing.T) {
+func TestEveryTicketIsDecided(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Params{RequestRate: 20, WriteRate: 8, Controllers: rapid.IntRange(1, 7).Draw(t, "controllers")})
 		var open []*Ticket
@@ -164,7 +164,7 @@
 
 // Where changes are scarce, the ends of jobs go before progress that asked earlier:
 // they once shared a class, and 170 jobs that had ended waited to be told of.
-func TestEndsOfJobsGoBeforeProgress(t *testing.T) {
+func TestJobEndsGoBeforeProgress(t *testing.T) {
 	const rate = 10
 	q := New(Params{RequestRate: 1000, WriteRate: rate, Controllers: 1})
 	var ends []*Ticket
@@ -173,7 +173,7 @@
 	for i := range 200 { // 20 s with three times the changes that the service takes
 		now += 100 * time.Millisecond
 		for range 2 {
-			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); went(k) {
+			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); allowed(k) {
 				progress++
 			}
 		}
@@ -184,7 +184,7 @@
 	}
 	gone := 0
 	for _, k := range ends {
-		if went(k) {
+		if allowed(k) {
 			gone++
 		}
 	}
@@ -213,7 +213,7 @@
 
 // A part that a leader has told is kept to at once, shrinks for a while after a refusal, and
 // when nobody tells one any more an equal part is where the controller begins again.
-func TestPartIsKeptTo(t *testing.T) {
+func TestAllocationIsFollowed(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 50, Controllers: 20})
 	q.SetAllocation(0, Allocation{Requests: 0.4, Writes: 0.2}, 2*time.Second)
 	if q.Share() != 0.4 {
@@ -223,7 +223,7 @@
 	got := 0
 	for now := 5 * ms; now < 20*time.Second; now += 5 * ms {
 		q.SetAllocation(now, Allocation{Requests: 0.4, Writes: 0.2}, now+2*time.Second)
-		if k := q.Request(now, Reads, 0, now); went(k) && s.ask(now) {
+		if k := q.Request(now, Reads, 0, now); allowed(k) && s.serve(now) {
 			got++
 		}
 		q.Step(now)
@@ -236,13 +236,13 @@
 		t.Errorf("share %v after a refusal", q.Share())
 	}
 	q.Step(22*time.Second + ms) // the part is over
-	if want := equal/20 + growth; q.Share() > want+1e-9 {
+	if want := initialTotalShare/20 + shareGrowth; q.Share() > want+1e-9 {
 		t.Errorf("share %v without a part, want at most %v", q.Share(), want)
 	}
 }
 
 // Needs count what was asked for, whether or not it went.
-func TestNeedsAreWhatWasAskedFor(t *testing.T) {
+func TestDemandCountsRequests(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 10, Controllers: 20})
 	for i := range 30 {
 		q.Request(time.Second+time.Duration(i)*ms, Reads, 1, 0)
@@ -266,7 +266,7 @@
 	for now := 10 * ms; now < 5*time.Second; now += 100 * ms {
 		k := q.Request(now, Reads, 0, now+time.Second)
 		q.Step(now)
-		if !went(k) {
+		if !allowed(k) {
 			late++
 		}
 	}
@@ -281,7 +281,7 @@
 	for now := 5 * time.Second; now < 6500*ms; now += 10 * ms {
 		q.Step(now)
 	}
-	if !went(k) {
+	if !allowed(k) {
 		t.Error("a read was refused, though it could have gone within a second")
 	}
 }
--- a/internal/core/rateshare/rateshare.go
+++ b/internal/core/rateshare/rateshare.go
@@ -17,11 +17,11 @@
 	// TotalShare is what all controllers together use at most. The rest is for those that know no
 	// parts, and for bursts.
 	TotalShare = 0.9
-	// leaderLeast is what the leader keeps at least, needed or not: a change of leader, or
+	// minLeaderShare is what the leader keeps at least, needed or not: a change of leader, or
 	// many jobs that end at once, must find it free.
-	leaderLeast = 0.3
-	// slack is how much more than it asked for lately a member gets, where there is enough.
-	slack = 1.5
+	minLeaderShare = 0.3
+	// slackFactor is how much more than it asked for lately a member gets, where there is enough.
+	slackFactor = 1.5
 )
 
 // Rate is one of the state service's two.
@@ -33,10 +33,10 @@
 	Changes
 )
 
-// membersLeast is what the members keep together at least, so that submissions go on beside a
+// minMembersShare is what the members keep together at least, so that submissions go on beside a
 // leader that is far behind. Of requests they need few: the leader compares for them. Of
 // changes each submission is one, and an end three.
-var membersLeast = [...]float64{Requests: 0.25, Changes: 0.4}
+var minMembersShare = [...]float64{Requests: 0.25, Changes: 0.4}
 
 // AllocationTTL is how long a part is good for that a member was told. A leader tells it with each
 // grant; who hears of no leader any more goes by what the service refuses.
@@ -44,48 +44,48 @@
 
 // Divide divides the rate, of which the leader and the members asked for the given parts
 // lately. The parts add up to All.
-func Divide(r Rate, leader float64, members []float64) (leaderPart float64, parts []float64) {
-	if len(members) == 0 {
+func Divide(r Rate, leaderDemand float64, memberDemands []float64) (leaderShare float64, memberShares []float64) {
+	if len(memberDemands) == 0 {
 		return TotalShare, nil
 	}
-	leaderMost := TotalShare - membersLeast[r]
-	leaderPart = max(leaderLeast, min(leader, leaderMost))
-	wanted := 0.0
-	for _, need := range members {
-		wanted += slack * need
+	maxLeaderShare := TotalShare - minMembersShare[r]
+	leaderShare = max(minLeaderShare, min(leaderDemand, maxLeaderShare))
+	membersWanted := 0.0
+	for _, demand := range memberDemands {
+		membersWanted += slackFactor * demand
 	}
 	// The leader's slack is half of what nobody asked for: users of the leader submit jobs too,
 	// behind its own writes. What members ask for goes before it.
-	spare := max(0, TotalShare-leaderPart-wanted) / 2
-	leaderPart = min(leaderPart+spare, max(leaderPart, leaderMost))
-	return leaderPart, fair(TotalShare-leaderPart, members)
+	spare := max(0, TotalShare-leaderShare-membersWanted) / 2
+	leaderShare = min(leaderShare+spare, max(leaderShare, maxLeaderShare))
+	return leaderShare, fairShares(TotalShare-leaderShare, memberDemands)
 }
 
-// fair divides a total by need: those that need less than an equal part get that and a
+// fairShares divides a total by need: those that need less than an equal part get that and a
 // little more, the others share the rest equally. What nobody needs is shared equally.
-func fair(total float64, needs []float64) []float64 {
-	order := make([]int, len(needs))
+func fairShares(total float64, demands []float64) []float64 {
+	order := make([]int, len(demands))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		switch {
-		case needs[a] < needs[b]:
+		case demands[a] < demands[b]:
 			return -1
-		case needs[a] > needs[b]:
+		case demands[a] > demands[b]:
 			return 1
 		}
 		return a - b
 	})
-	out := make([]float64, len(needs))
-	left := total
+	shares := make([]float64, len(demands))
+	remaining := total
 	for n, i := range order {
-		equal := left / float64(len(order)-n)
-		out[i] = min(slack*needs[i], equal)
-		left -= out[i]
+		equalShare := remaining / float64(len(order)-n)
+		shares[i] = min(slackFactor*demands[i], equalShare)
+		remaining -= shares[i]
 	}
-	for i := range out {
-		out[i] += left / float64(len(out))
+	for i := range shares {
+		shares[i] += remaining / float64(len(shares))
 	}
-	return out
+	return shares
 }
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -27,21 +27,21 @@
 	MaxBatch int           // of a comparison, in questions
 }
 
-// underWay is how many comparisons may be under way at once: a slow answer does not hold up
+// maxInFlight is how many comparisons may be under way at once: a slow answer does not hold up
 // the next.
-const underWay = 3
+const maxInFlight = 3
 
 // forgetAfter is how long it is kept since when a job goes unanswered if nobody asks again.
 const forgetAfter = 2 * time.Minute
 
-// waiting are those that wait for an answer to one question.
-type waiting map[Waiter]question
+// waiterChecks are those that wait for an answer to one question.
+type waiterChecks map[Waiter]check
 
-// question is one asker's.
-type question struct {
-	guard     jobs.Guard
-	from      Waiter
-	at, until time.Duration
+// check is one asker's.
+type check struct {
+	guard             jobs.Guard
+	waiter            Waiter
+	askedAt, deadline time.Duration
 }
 
 // unanswered is since when a job's questions are without an answer.
@@ -62,189 +62,190 @@
 
 // Batcher is the state machine.
 type Batcher struct {
-	p       Params
-	last    Waiter
-	batches uint64
-	pending map[jobs.Guard]waiting
-	sent    map[uint64]map[jobs.Guard]waiting
-	queue   []question // in the order of asking; those that no longer wait among them
-	silent  map[model.JobID]unanswered
-	tidied  time.Duration
-	held    time.Duration // no comparison before then: the last found no rate
+	params      Params
+	lastWaiter  Waiter
+	lastBatch   uint64
+	pending     map[jobs.Guard]waiterChecks
+	inFlight    map[uint64]map[jobs.Guard]waiterChecks
+	queue       []check // in the order of asking; those that no longer wait among them
+	unanswered  map[model.JobID]unanswered
+	lastCleanup time.Duration
+	notBefore   time.Duration // no comparison before then: the last found no rate
 	// Questions and Comparisons count questions and comparisons.
 	Questions, Comparisons uint64
 }
 
 // New returns a batcher with nothing to ask.
 func New(p Params) *Batcher {
-	return &Batcher{p: p, pending: map[jobs.Guard]waiting{}, sent: map[uint64]map[jobs.Guard]waiting{},
-		silent: map[model.JobID]unanswered{}}
+	return &Batcher{params: p, pending: map[jobs.Guard]waiterChecks{}, inFlight: map[uint64]map[jobs.Guard]waiterChecks{},
+		unanswered: map[model.JobID]unanswered{}}
 }
 
 // SetInterval changes for how long questions are gathered.
-func (b *Batcher) SetInterval(d time.Duration) { b.p.Interval = d }
+func (b *Batcher) SetInterval(d time.Duration) { b.params.Interval = d }
 
 // Ask takes a question; an answer is of use until then.
 func (b *Batcher) Ask(now time.Duration, g jobs.Guard, until time.Duration) Waiter {
-	b.last++
+	b.lastWaiter++
 	b.Questions++
 	if b.pending[g] == nil {
-		b.pending[g] = waiting{}
+		b.pending[g] = waiterChecks{}
 	}
-	q := question{g, b.last, now, until}
-	b.pending[g][b.last] = q
+	q := check{g, b.lastWaiter, now, until}
+	b.pending[g][b.lastWaiter] = q
 	b.queue = append(b.queue, q)
-	s, ok := b.silent[g.Job]
+	s, ok := b.unanswered[g.Job]
 	if !ok {
 		s.since = now
 	}
 	s.last = now
-	b.silent[g.Job] = s
-	return b.last
+	b.unanswered[g.Job] = s
+	return b.lastWaiter
 }
 
 // Step returns the comparisons to make now, the answers to those whose time is over, and
 // when to call again; 0 where nothing waits.
-func (b *Batcher) Step(now time.Duration) (batches []Batch, over []Answer, next time.Duration) {
-	over = b.expire(now)
-	b.tidy(now)
-	for len(b.pending) > 0 && len(b.sent) < underWay && now >= b.due() {
-		batches = append(batches, b.take())
+func (b *Batcher) Step(now time.Duration) (batches []Batch, expired []Answer, next time.Duration) {
+	expired = b.expire(now)
+	b.cleanUp(now)
+	for len(b.pending) > 0 && len(b.inFlight) < maxInFlight && now >= b.nextBatchAt() {
+		batches = append(batches, b.makeBatch())
 	}
-	return batches, over, b.next()
+	return batches, expired, b.nextWake()
 }
 
 // oldest is the first of those that wait.
-func (b *Batcher) oldest() question {
+func (b *Batcher) oldest() check {
 	for {
 		q := b.queue[0]
-		if _, waits := b.pending[q.guard][q.from]; waits {
+		if _, waits := b.pending[q.guard][q.waiter]; waits {
 			return q
 		}
 		b.queue = b.queue[1:]
 	}
 }
 
-// due is when the next comparison is to be made, if anybody waits.
-func (b *Batcher) due() time.Duration {
-	if len(b.pending) >= b.p.MaxBatch {
-		return b.held
+// nextBatchAt is when the next comparison is to be made, if anybody waits.
+func (b *Batcher) nextBatchAt() time.Duration {
+	if len(b.pending) >= b.params.MaxBatch {
+		return b.notBefore
 	}
-	return max(b.held, b.oldest().at+b.p.Interval)
+	return max(b.notBefore, b.oldest().askedAt+b.params.Interval)
 }
 
-// next is when something is due without anything new.
-func (b *Batcher) next() time.Duration {
+// nextWake is when something is due without anything new.
+func (b *Batcher) nextWake() time.Duration {
 	if len(b.pending) == 0 {
 		b.queue = nil
 		return 0
 	}
-	next := b.oldest().until
-	if len(b.sent) < underWay {
-		next = min(next, b.due())
+	next := b.oldest().deadline
+	if len(b.inFlight) < maxInFlight {
+		next = min(next, b.nextBatchAt())
 	}
 	return next
 }
 
 // expire answers those whose time is over. Askers are about as patient as each other, so it
 // is the first that are looked at.
-func (b *Batcher) expire(now time.Duration) (over []Answer) {
+func (b *Batcher) expire(now time.Duration) (expired []Answer) {
 	for len(b.pending) > 0 {
 		q := b.oldest()
-		if now < q.until {
+		if now < q.deadline {
 			break
 		}
-		over = append(over, Answer{Waiter: q.from, Guard: q.guard, Result: jobs.Result{Outcome: jobs.Busy}})
-		b.drop(q.guard, q.from)
+		expired = append(expired, Answer{Waiter: q.waiter, Guard: q.guard, Result: jobs.Result{Outcome: jobs.Busy}})
+		b.removeWaiter(q.guard, q.waiter)
 	}
-	return over
+	return expired
 }
 
-func (b *Batcher) drop(g jobs.Guard, id Waiter) {
+func (b *Batcher) removeWaiter(g jobs.Guard, id Waiter) {
 	delete(b.pending[g], id)
 	if len(b.pending[g]) == 0 {
 		delete(b.pending, g)
 	}
 }
 
-// tidy forgets what nobody asks about any more.
-func (b *Batcher) tidy(now time.Duration) {
-	if now-b.tidied < forgetAfter/4 {
+// cleanUp forgets what nobody asks about any more.
+func (b *Batcher) cleanUp(now time.Duration) {
+	if now-b.lastCleanup < forgetAfter/4 {
 		return
 	}
-	b.tidied = now
-	for id, s := range b.silent {
+	b.lastCleanup = now
+	for id, s := range b.unanswered {
 		if now-s.last > forgetAfter {
-			delete(b.silent, id)
+			delete(b.unanswered, id)
 		}
 	}
 }
 
-// take makes a comparison of the questions that have gone unanswered for longest.
-func (b *Batcher) take() Batch {
+// makeBatch makes a comparison of the questions that have gone unanswered for longest.
+func (b *Batcher) makeBatch() Batch {
 	guards := make([]jobs.Guard, 0, len(b.pending))
 	for g := range b.pending {
 		guards = append(guards, g)
 	}
 	slices.SortFunc(guards, func(x, y jobs.Guard) int {
-		return cmp.Or(cmp.Compare(b.silent[x.Job].since, b.silent[y.Job].since), cmp.Compare(x.Job, y.Job),
+		return cmp.Or(cmp.Compare(b.unanswered[x.Job].since, b.unanswered[y.Job].since), cmp.Compare(x.Job, y.Job),
 			cmp.Compare(x.Version, y.Version))
 	})
-	guards = guards[:min(len(guards), b.p.MaxBatch)]
-	b.batches++
+	guards = guards[:min(len(guards), b.params.MaxBatch)]
+	b.lastBatch++
 	b.Comparisons++
-	out := map[jobs.Guard]waiting{}
+	sent := map[jobs.Guard]waiterChecks{}
 	for _, g := range guards {
-		out[g] = b.pending[g]
+		sent[g] = b.pending[g]
 		delete(b.pending, g)
 	}
-	b.sent[b.batches] = out
-	return Batch{b.batches, guards}
+	b.inFlight[b.lastBatch] = sent
+	return Batch{b.lastBatch, guards}
 }
 
 // HandleOutcome takes a comparison's outcome and returns the answers. Questions that found no rate
 // wait for the next one.
-func (b *Batcher) HandleOutcome(now time.Duration, batch Batch, outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
-	sent := b.sent[batch.id]
-	delete(b.sent, batch.id)
-	var again []question
+func (b *Batcher) HandleOutcome(now time.Duration, batch Batch,
+	outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
+	sent := b.inFlight[batch.id]
+	delete(b.inFlight, batch.id)
+	var retries []check
 	for _, g := range batch.Guards {
 		o := outcome(g)
 		if o == jobs.Busy {
-			b.held = now + b.p.Interval
-			again = slices.AppendSeq(again, maps.Values(sent[g]))
+			b.notBefore = now + b.params.Interval
+			retries = slices.AppendSeq(retries, maps.Values(sent[g]))
 			continue
 		}
 		if o != jobs.Failed {
-			delete(b.silent, g.Job)
+			delete(b.unanswered, g.Job)
 		}
 		for id := range sent[g] {
 			answers = append(answers, Answer{Waiter: id, Guard: g, Result: jobs.Result{Outcome: o, Version: g.Version}})
 		}
 	}
-	b.again(again)
+	b.requeue(retries)
 	return answers
 }
 
-// again has questions wait once more, in front of those that have come since.
-func (b *Batcher) again(qs []question) {
-	if len(qs) == 0 {
+// requeue has questions wait once more, in front of those that have come since.
+func (b *Batcher) requeue(checks []check) {
+	if len(checks) == 0 {
 		return
 	}
-	slices.SortFunc(qs, func(x, y question) int { return cmp.Compare(x.from, y.from) })
-	for _, q := range qs {
+	slices.SortFunc(checks, func(x, y check) int { return cmp.Compare(x.waiter, y.waiter) })
+	for _, q := range checks {
 		if b.pending[q.guard] == nil {
-			b.pending[q.guard] = waiting{}
+			b.pending[q.guard] = waiterChecks{}
 		}
-		b.pending[q.guard][q.from] = q
+		b.pending[q.guard][q.waiter] = q
 	}
-	b.queue = append(qs, b.queue...)
+	b.queue = append(checks, b.queue...)
 }
 
 // Cancel gives up a waiter that nobody waits for any more.
 func (b *Batcher) Cancel(g jobs.Guard, id Waiter) {
-	b.drop(g, id)
-	for _, sent := range b.sent {
+	b.removeWaiter(g, id)
+	for _, sent := range b.inFlight {
 		delete(sent[g], id)
 	}
 }
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -18,7 +18,7 @@
 
 // A question that comes while a comparison is under way waits for the next one: its answer
 // may not be older than itself.
-func TestAQuestionWaitsForAComparisonOfItsOwn(t *testing.T) {
+func TestCheckWaitsForLaterComparison(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	first := b.Ask(0, guard(1), time.Second)
 	if batches, _, next := b.Step(50 * ms); len(batches) != 0 || next != 100*ms {
@@ -41,7 +41,7 @@
 
 // Over the rate, questions wait until their askers' time is over, and the job that has gone
 // unanswered for longest is the first to be compared.
-func TestTheLongestUnansweredIsFirst(t *testing.T) {
+func TestLongestUnansweredGoesFirst(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 2})
 	b.Ask(0, guard(9), time.Second)
 	sent, _, _ := b.Step(100 * ms)
@@ -59,8 +59,8 @@
 	for _, id := range []int{1, 2, 3, 9} {
 		b.Ask(2*time.Second, guard(id), 3*time.Second)
 	}
-	for id := range b.sent {
-		delete(b.sent, id) // whatever is under way
+	for id := range b.inFlight {
+		delete(b.inFlight, id) // whatever is under way
 	}
 	batches, _, _ := b.Step(2 * time.Second)
 	if len(batches) == 0 || batches[0].Guards[0] != guard(9) || len(batches[0].Guards) != 2 {
@@ -69,7 +69,7 @@
 }
 
 // Whoever leaves is not answered, and holds nothing up.
-func TestDropped(t *testing.T) {
+func TestCancelledWaiterIsForgotten(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	w := b.Ask(0, guard(1), time.Second)
 	b.Cancel(guard(1), w)
@@ -79,14 +79,14 @@
 }
 
 // A leader that leaves a question unanswered is not asked for a while, and again afterwards.
-func TestRoute(t *testing.T) {
+func TestRouteAvoidsFailedLeader(t *testing.T) {
 	var r Route
 	if r.UseLeader(0) {
 		t.Error("by a leader that there is not")
 	}
 	r.SetLeaderCompares(true)
 	r.LeaderFailed(time.Second)
-	if r.UseLeader(2*time.Second) || !r.UseLeader(time.Second+shunFor) {
+	if r.UseLeader(2*time.Second) || !r.UseLeader(time.Second+avoidLeaderFor) {
 		t.Error("not shunned for its time")
 	}
 }
--- a/internal/core/runtimes/runtimes_test.go
+++ b/internal/core/runtimes/runtimes_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestFactorsAreLearnt(t *testing.T) {
+func TestFactorsAreEstimated(t *testing.T) {
 	b := New()
 	near := func(what string, got, want float64) {
 		t.Helper()
--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -57,83 +57,83 @@
 
 const (
 	// MinBegunFraction is below which part a group is reported; the rules ask for one half.
-	MinBegunFraction = 0.7
-	enough           = 4 // jobs that are due, for a part to say something
-	largest          = 90
-	mostSize         = 100_000 // tasks of a job, by the protocol
+	MinBegunFraction  = 0.7
+	minDueJobs        = 4 // jobs that are due, for a part to say something
+	largestPercentile = 90
+	maxTasks          = 100_000 // tasks of a job, by the protocol
 )
 
 // Detector is the state machine; a leader has one.
 type Detector struct {
-	within time.Duration
-	jobs   map[model.JobID]Job
-	begun  map[Group]*GroupStats
-	sizes  map[model.Name]*hdrhistogram.Histogram
-	late   []model.JobID
+	beginWithin time.Duration
+	jobs        map[model.JobID]Job
+	stats       map[Group]*GroupStats
+	sizes       map[model.Name]*hdrhistogram.Histogram
+	overdue     []model.JobID
 }
 
 // New returns a detector for jobs that should begin within so long.
-func New(within time.Duration) *Detector {
-	return &Detector{within: within, jobs: map[model.JobID]Job{}, begun: map[Group]*GroupStats{},
+func New(beginWithin time.Duration) *Detector {
+	return &Detector{beginWithin: beginWithin, jobs: map[model.JobID]Job{}, stats: map[Group]*GroupStats{},
 		sizes: map[model.Name]*hdrhistogram.Histogram{}}
 }
 
 // Update takes all open jobs that may begin. What is no longer among them has ended: one
 // that had not begun was cancelled, or done before this leader saw it run.
 func (d *Detector) Update(now time.Duration, jobs []Job) {
-	seen := make(map[model.JobID]Job, len(jobs))
-	d.late = d.late[:0]
+	current := make(map[model.JobID]Job, len(jobs))
+	d.overdue = d.overdue[:0]
 	for _, j := range jobs {
-		was, known := d.jobs[j.ID]
+		previous, known := d.jobs[j.ID]
 		if !known {
-			_ = d.size(j.Class).RecordValue(int64(max(1, j.Tasks))) // it is in range
+			_ = d.sizeHistogram(j.Class).RecordValue(int64(max(1, j.Tasks))) // it is in range
 		}
-		if j.Begun && !was.Begun {
-			for _, group := range d.groups(&j) {
-				s := d.share(group)
+		if j.Begun && !previous.Begun {
+			for _, group := range d.groupsOf(&j) {
+				s := d.statsFor(group)
 				s.Begun++
 				if known {
 					s.LongestWait = max(s.LongestWait, now-j.Since)
 				}
 			}
 		}
-		j.Begun = j.Begun || was.Begun
-		if !j.Begun && now-j.Since > d.within {
-			d.late = append(d.late, j.ID)
+		j.Begun = j.Begun || previous.Begun
+		if !j.Begun && now-j.Since > d.beginWithin {
+			d.overdue = append(d.overdue, j.ID)
 		}
-		seen[j.ID] = j
+		current[j.ID] = j
 	}
-	d.jobs = seen
-	slices.SortFunc(d.late, func(x, y model.JobID) int {
-		return cmp.Or(cmp.Compare(seen[x].Since, seen[y].Since), cmp.Compare(x, y))
+	d.jobs = current
+	slices.SortFunc(d.overdue, func(x, y model.JobID) int {
+		return cmp.Or(cmp.Compare(current[x].Since, current[y].Since), cmp.Compare(x, y))
 	})
 }
 
 // Overdue are the jobs that should have begun, the longest wait first.
-func (d *Detector) Overdue() []model.JobID { return d.late }
+func (d *Detector) Overdue() []model.JobID { return d.overdue }
 
-func (d *Detector) size(class model.Name) *hdrhistogram.Histogram {
+func (d *Detector) sizeHistogram(class model.Name) *hdrhistogram.Histogram {
 	h := d.sizes[class]
 	if h == nil {
-		h = hdrhistogram.New(1, mostSize, 2)
+		h = hdrhistogram.New(1, maxTasks, 2)
 		d.sizes[class] = h
 	}
 	return h
 }
 
-func (d *Detector) share(group Group) *GroupStats {
-	s := d.begun[group]
+func (d *Detector) statsFor(group Group) *GroupStats {
+	s := d.stats[group]
 	if s == nil {
 		s = &GroupStats{Group: group}
-		d.begun[group] = s
+		d.stats[group] = s
 	}
 	return s
 }
 
-// groups are those that a job counts for.
-func (d *Detector) groups(j *Job) []Group {
+// groupsOf are those that a job counts for.
+func (d *Detector) groupsOf(j *Job) []Group {
 	out := []Group{{Class, j.Class}, {Team, j.Team}}
-	if int64(j.Tasks) > d.size(j.Class).ValueAtPercentile(largest) {
+	if int64(j.Tasks) > d.sizeHistogram(j.Class).ValueAtPercentile(largestPercentile) {
 		out = append(out, Group{Largest, j.Class})
 	}
 	return out
@@ -141,13 +141,13 @@
 
 // GroupStats are those of all groups, with the jobs that are late now.
 func (d *Detector) GroupStats(now time.Duration) []GroupStats {
-	all := make(map[Group]GroupStats, len(d.begun))
-	for group, s := range d.begun {
+	all := make(map[Group]GroupStats, len(d.stats))
+	for group, s := range d.stats {
 		all[group] = *s
 	}
-	for _, id := range d.late {
+	for _, id := range d.overdue {
 		j := d.jobs[id]
-		for _, group := range d.groups(&j) {
+		for _, group := range d.groupsOf(&j) {
 			s := all[group]
 			s.Group = group
 			s.Overdue++
@@ -166,12 +166,12 @@
 }
 
 // Starved are the groups of which too little has begun.
-func Starved(shares []GroupStats) []GroupStats {
-	var out []GroupStats
-	for _, s := range shares {
-		if s.Begun+s.Overdue >= enough && s.BegunFraction() < MinBegunFraction {
-			out = append(out, s)
+func Starved(stats []GroupStats) []GroupStats {
+	var starved []GroupStats
+	for _, s := range stats {
+		if s.Begun+s.Overdue >= minDueJobs && s.BegunFraction() < MinBegunFraction {
+			starved = append(starved, s)
 		}
 	}
-	return out
+	return starved
 }
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -7,14 +7,14 @@
 
 const ms = time.Millisecond
 
-// script notes one outcome every 300 ms from one time to another.
-func script(s *Health, from, to time.Duration, o Outcome) {
+// recordOutcomes notes one outcome every 300 ms from one time to another.
+func recordOutcomes(s *Health, from, to time.Duration, o Outcome) {
 	for at := from; at < to; at += 300 * ms {
 		s.RecordOutcome(at, o)
 	}
 }
 
-func TestOnlyARefusalWhileASiblingIsServedIsOne(t *testing.T) {
+func TestRefusedAloneNeedsAServedSibling(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome Outcome
 		sibling time.Duration
@@ -28,8 +28,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s Health
-			script(&s, 0, 10*time.Second, Served)
-			script(&s, 10*time.Second, 13*time.Second, c.outcome)
+			recordOutcomes(&s, 0, 10*time.Second, Served)
+			recordOutcomes(&s, 10*time.Second, 13*time.Second, c.outcome)
 			if got := s.RefusedAlone(13*time.Second, c.sibling); got != c.want {
 				t.Errorf("alone: %v, want %v", got, c.want)
 			}
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestALeaderYieldsOnlyToOneThatIsServed: refused or cut off alone, then out for all, or back
+// TestLeaderYieldsOnlyToServedSibling: refused or cut off alone, then out for all, or back
 // for all. It is asked every 100 ms, and each failure is known a while after it was sent.
-func TestALeaderYieldsOnlyToOneThatIsServed(t *testing.T) {
+func TestLeaderYieldsOnlyToServedSibling(t *testing.T) {
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
 	for name, c := range map[string]struct {
@@ -90,28 +90,28 @@
 // would give up leadership for that.
 func TestOwnSlownessIsNoRefusal(t *testing.T) {
 	var s Health
-	script(&s, 0, 10*time.Second, Served)
-	script(&s, 10*time.Second, 13*time.Second, NoAnswer)
-	s.RecordDelay(13*time.Second, lateBy)
+	recordOutcomes(&s, 0, 10*time.Second, Served)
+	recordOutcomes(&s, 10*time.Second, 13*time.Second, NoAnswer)
+	s.RecordDelay(13*time.Second, minTimerDelay)
 	if s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("silence was held against the service while this process was late")
 	}
-	script(&s, 13*time.Second, 14*time.Second, NoAnswer)
+	recordOutcomes(&s, 13*time.Second, 14*time.Second, NoAnswer)
 	if !s.RefusedAlone(14*time.Second, 14*time.Second) {
 		t.Error("silence after the halt counts for nothing")
 	}
 }
 
-// TestLateAnswersDoNotCount: an answer to a question from before the cut says
+// TestOldAnswersDoNotCount: an answer to a question from before the cut says
 // nothing about now, and one failure alone proves nothing.
-func TestLateAnswersDoNotCount(t *testing.T) {
+func TestOldAnswersDoNotCount(t *testing.T) {
 	var s Health
 	s.RecordOutcome(10*time.Second, Served)
 	s.RecordOutcome(12*time.Second, NoAnswer)
 	if s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("one unlucky request made it alone")
 	}
-	script(&s, 11*time.Second, 12*time.Second, Refused)
+	recordOutcomes(&s, 11*time.Second, 12*time.Second, Refused)
 	s.RecordOutcome(9*time.Second, Served)
 	if !s.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("an older answer hides the refusal")
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestALeaderGivesWayOnceThatIsConfirmed: the service goes out for all as the leader's lease ends;
+// TestLeaderYieldsOnceSiblingIsConfirmed: the service goes out for all as the leader's lease ends;
 // its siblings were served until just then.
-func TestALeaderGivesWayOnceThatIsConfirmed(t *testing.T) {
+func TestLeaderYieldsOnceSiblingIsConfirmed(t *testing.T) {
 	const cut, out = 10 * time.Second, 12900 * ms
 	for name, c := range map[string]struct {
 		out  time.Duration
@@ -131,7 +131,7 @@
 	}{"a sibling is served still": {time.Hour, true}, "out for all just now": {out, false}} {
 		t.Run(name, func(t *testing.T) {
 			var s Health
-			script(&s, 0, cut, Served)
+			recordOutcomes(&s, 0, cut, Served)
 			gave, asked, would := false, 0, false
 			for now := cut; now < cut+30*time.Second; now += 100 * ms {
 				if now%(300*ms) == 0 {
@@ -157,7 +157,7 @@
 
 // A controller that has nothing to ask for a while is not cut off: only a request that was
 // sent and failed shows that.
-func TestSilenceOfItsOwnIsNotMissing(t *testing.T) {
+func TestNoRequestsAreNotUnreachable(t *testing.T) {
 	var h Health
 	if !h.Unreachable(3 * time.Second) {
 		t.Error("never served, and not missing")
