--- a/internal/core/fleet/capacity.go
+++ b/internal/core/fleet/capacity.go
@@ -9,14 +9,16 @@
 	"honeylock/internal/core/model"
 )
 
+// availableMachine is a machine that tasks can be placed on now, or after it has booted.
 type availableMachine struct {
 	machine      model.Machine
 	free         model.Resources
-	usedByDemand bool // by demand
+	usedByDemand bool // tasks of the present demand would be placed here
 	status       *model.MachineStatus
 }
 
-// availableMachines are the machines that are or will be up, with what they have free.
+// availableMachines returns the machines that are usable or booting, including those of rentals in
+// progress, with their free resources. status is nil for machines that no shard has reported.
 func (f *Fleet) availableMachines(now time.Duration, status []model.MachineStatus) []availableMachine {
 	machines := make([]availableMachine, 0, len(f.machines)+maxRentCount)
 	f.cycle++
@@ -48,7 +50,7 @@
 	return machines
 }
 
-// freeCPU is what the machines have free in all.
+// freeCPU sums the free CPU of the machines.
 func freeCPU(machines []availableMachine) int64 {
 	var free int64
 	for i := range machines {
@@ -57,19 +59,20 @@
 	return free
 }
 
-// machine is one of those that a rental asks for.
+// machine returns one of the machines that a rental requests.
 func (a *Action) machine(t *model.MachineType) model.Machine {
 	return model.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot, Cap: t.Cap}
 }
 
-// shortagesAfterRental is what is still lacking once a rental has been carried out.
+// shortagesAfterRental returns the shortages that remain once a rental has been carried out.
 func (f *Fleet) shortagesAfterRental(shortages []shortage, a Action) []shortage {
 	t := f.typeOf(a.Type)
 	m := a.machine(t)
 	return shortagesAfterPlacing(shortages, &m, t.Cap.Times(int64(a.Count)))
 }
 
-// shortagesAfterPlacing is what is still lacking beside so much more room on machines of a kind.
+// shortagesAfterPlacing returns the shortages that remain if machines like m offer the free
+// resources in addition.
 func shortagesAfterPlacing(shortages []shortage, m *model.Machine, free model.Resources) []shortage {
 	var remaining []shortage
 	for _, missing := range shortages {
@@ -85,16 +88,17 @@
 	return remaining
 }
 
+// shortage is a number of waiting tasks of a job for which there is no capacity.
 type shortage struct {
 	spec  *model.Spec
 	tasks int64
-	// fitsNoMachine: waiting does not help, for no machine that there is could take a
-	// task even if it were empty.
+	// fitsNoMachine: no available machine could run a task even if it were empty, so waiting
+	// does not help.
 	fitsNoMachine bool
 }
 
-// rentableDemand is the demand that machines are rented for: work that no aim speaks
-// of waits for what stands idle, but not for ever.
+// rentableDemand returns the demand that machines are rented for. Best-effort jobs wait for idle
+// machines first, but not longer than Params.BestEffortWait.
 func (f *Fleet) rentableDemand(now time.Duration, demand []Demand) []Demand {
 	rentable := make([]Demand, 0, len(demand))
 	for _, d := range demand {
@@ -102,14 +106,15 @@
 			if !d.Job.Overdue {
 				continue
 			}
-			d.Job.Unfinished = min(d.Job.Unfinished, d.Placed+1) // it should have begun: room for its first task
+			d.Job.Unfinished = min(d.Job.Unfinished, d.Placed+1) // overdue: capacity for its first task
 		}
 		rentable = append(rentable, d)
 	}
 	return rentable
 }
 
-// findShortages is the waiting work for which there is no room, now or soon.
+// findShortages returns the waiting tasks for which there is no capacity, now or once machines have
+// booted. Tasks beyond their team's limit are not counted. It marks the machines that the demand uses.
 func findShortages(machines []availableMachine, demand []Demand, limit func(model.Name) model.Resources) []shortage {
 	teamLimitLeft := map[model.Name]int64{}
 	for _, d := range demand {
@@ -160,7 +165,7 @@
 	return shortages
 }
 
-// largeEnoughMachines are the rooms that could hold the smallest of the tasks.
+// largeEnoughMachines returns the machines with enough free CPU for the smallest of the tasks.
 func largeEnoughMachines(machines []availableMachine, demand []Demand) []*availableMachine {
 	minCPU := int64(math.MaxInt64)
 	for i := range demand {
@@ -175,6 +180,7 @@
 	return large
 }
 
+// fitsNoMachine reports whether no machine could run a task of the job even if it were empty.
 func fitsNoMachine(spec *model.Spec, machines []availableMachine) bool {
 	for i := range machines {
 		if spec.Allows(&machines[i].machine) && spec.PerTask.Fits(machines[i].machine.Cap) {
--- a/internal/core/fleet/drain.go
+++ b/internal/core/fleet/drain.go
@@ -8,18 +8,18 @@
 	"honeylock/internal/core/model"
 )
 
-// Placing spreads tasks over the machines that run the lowest priority, so that
-// hardly a machine ever stands empty, and none of the dear ones rented for a
-// burst was given back before the day's end. Once much of the room has been free
-// for a while, the dearest machines get no more tasks, and go when what runs
-// there has ended. Should work lack room before that, they are wanted again.
+// Placement spreads tasks over the machines that run the lowest priority, so hardly any machine is
+// ever empty, and expensive machines rented for a burst would be kept until the end of the day. So
+// once much of the capacity has been free for a while, the most expensive machines are drained:
+// they get no more tasks, and are returned when they are empty. If there are shortages before
+// that, they are undrained.
 const (
-	freeShare      = 0.2 // of all CPUs are kept free
-	expensiveRatio = 3   // times the cheapest kind's price: such machines are drained
+	freeShare      = 0.2 // of all CPUs that draining leaves free
+	expensiveRatio = 3   // multiple of the lowest CPU cost from which machines are drained
 )
 
-// drainActions tells which machines are to get no more tasks. How they are emptied and
-// given back is core/drain's.
+// drainActions returns the action for the machines to be drained now. Package drain empties and
+// returns them.
 func (f *Fleet) drainActions(now time.Duration, machines []availableMachine, movingCPU int64) []Action {
 	ids := f.selectMachinesToDrain(now, machines, movingCPU)
 	if len(ids) == 0 {
@@ -28,8 +28,8 @@
 	return []Action{{Kind: Drain, Machines: ids}}
 }
 
-// selectMachinesToDrain picks machines to run empty, once nothing has lacked room for a while. moving is the
-// room that plans' moves will take.
+// selectMachinesToDrain picks expensive machines to drain, once capacity has not been scarce for
+// half the horizon. movingCPU is the CPU that the tasks moved by plans will need.
 func (f *Fleet) selectMachinesToDrain(now time.Duration, machines []availableMachine,
 	movingCPU int64) []model.MachineID {
 	free := freeCPU(machines) - movingCPU
@@ -65,7 +65,7 @@
 	return ids
 }
 
-// cpuCost is what a CPU of the machine costs.
+// cpuCost returns the hourly cost of a CPU of the machine, 0 if its type is not in the catalog.
 func (f *Fleet) cpuCost(m *model.Machine) float64 {
 	if t := f.typeOf(m.Type); t != nil {
 		return hourlyCPUCost(t, m.Spot)
@@ -73,8 +73,8 @@
 	return 0
 }
 
-// undrainActions wants drained machines again for work that lacks room, the cheapest
-// first, and returns what is still lacking.
+// undrainActions undrains machines for the shortages, the cheapest first, and returns the shortages
+// that remain.
 func (f *Fleet) undrainActions(status []model.MachineStatus, shortages []shortage) ([]Action, []shortage) {
 	var candidates []*model.MachineStatus
 	for i := range status {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet decides what machines to rent and which to give back. It is a
-// state machine of the leader's; the cloud's answers come in as inputs.
+// Package fleet decides which machines to rent from the cloud, which to drain because they are
+// expensive, and which to return. It is a state machine of the leader, without input or output:
+// the shards' machine statuses, the demand and the cloud's answers are passed in.
 package fleet
 
 import (
@@ -11,41 +12,43 @@
 	"honeylock/internal/core/model"
 )
 
-// Params of a fleet.
+// Params are the parameters of a Fleet.
 type Params struct {
 	Term              uint64
-	TermStart         time.Duration // nothing could be heard of any machine before
+	TermStart         time.Duration // no machine can have reported to this leader before
 	ListLag           time.Duration
-	IdleReturn        time.Duration // an unneeded machine is given back after so long
-	Horizon           time.Duration // waiting work should be done within so long
-	RetryRefusedAfter time.Duration // a kind that was refused is asked for again after
-	BestEffortWait    time.Duration // work that no aim speaks of waits so long for idle room
+	IdleReturn        time.Duration // an unneeded machine is returned after this time
+	Horizon           time.Duration // waiting work should be done within this time
+	RetryRefusedAfter time.Duration // a refused kind of machine is requested again after this time
+	BestEffortWait    time.Duration // best-effort work waits so long for idle capacity before machines are rented for it
 }
 
+// machineKind is what a rental chooses: machines of a kind are interchangeable.
 type machineKind struct {
 	machineType, zone model.Name
 	spot              bool
 }
 
+// machineState is what the fleet knows about one machine.
 type machineState struct {
 	machineKind
-	knownSince        time.Duration // known since
-	reported          bool          // its worker has reported
-	lastListed        time.Duration // last time that it was listed
-	firstListed       time.Duration // first time that it was, by this leader
+	knownSince        time.Duration // when it was rented or first seen
+	reported          bool          // its worker has reported to this leader
+	lastListed        time.Duration // when the cloud's list last contained it
+	firstListed       time.Duration // when this leader first read a list that contained it; 0: never
 	failed            bool
-	leaseExpiredSince time.Duration // since when it is silent, 0: it is not
-	returning         bool          // being returned
-	draining          bool          // gets no tasks any more, and goes once it is empty
-	planDraining      bool          // a plan drains it: neither room nor surplus
-	planScheduled     bool          // a plan will drain it
-	lastSeenCycle     uint64        // the turn in which a shard last told of it
+	leaseExpiredSince time.Duration // since when no shard has renewed its lease; 0: renewed
+	returning         bool          // being returned to the cloud
+	draining          bool          // drained for its price: gets no tasks, and is returned once empty
+	planDraining      bool          // a plan drains it: counts neither as capacity nor as surplus
+	planScheduled     bool          // a plan will drain it later
+	lastSeenCycle     uint64        // the cycle in which a shard last reported it
 }
 
-// Action to carry out. The cloud's outcome comes back through Rented or Returned.
+// Action is a request to carry out. The outcome comes back through RentDone or ReturnDone.
 type Action struct {
 	Kind        ActionKind
-	RequestName string // Rent: the request's name
+	RequestName string // Rent: makes retries idempotent at the cloud
 	Type        model.Name
 	Zone        model.Name
 	Spot        bool
@@ -53,15 +56,15 @@
 	Machines    []model.MachineID
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Actions.
+// Kinds of actions.
 const (
 	Return ActionKind = iota
 	Rent
-	Drain   // no more tasks for these machines
-	Undrain // they are wanted again
+	Drain   // place no more tasks on these machines
+	Undrain // place tasks on these machines again
 )
 
 // Fleet is the state machine.
@@ -71,24 +74,24 @@
 	machines         map[model.MachineID]*machineState
 	listed           bool
 	refusedUntil     map[machineKind]time.Duration
-	renting          map[string]Action // rentals under way, by their request's name
+	renting          map[string]Action // rentals in progress, by request name
 	returnInProgress bool
-	unreachable      []model.MachineID                 // to be given up
-	retries          []Action                          // rentals in doubt: asked for again
-	gone             map[model.MachineID]time.Duration // given back; the list shows them for a while
+	unreachable      []model.MachineID                 // machines to return although their leases may last
+	retries          []Action                          // rentals with an unknown outcome, to be requested again
+	gone             map[model.MachineID]time.Duration // returned or gone; the list may contain them for a while
 	requestCount     uint64
 	cycle            uint64
 	lastShortageAt   time.Duration
-	lastScarceAt     time.Duration // little room was free, or work lacked some
+	lastScarceAt     time.Duration // when little capacity was free, or there were shortages
 }
 
-// New returns a fleet that knows no machines.
+// New returns a Fleet that knows no machines.
 func New(p Params) *Fleet {
 	return &Fleet{params: p, machines: map[model.MachineID]*machineState{}, renting: map[string]Action{},
 		refusedUntil: map[machineKind]time.Duration{}, gone: map[model.MachineID]time.Duration{}}
 }
 
-// SetTypes takes the catalog with its current prices.
+// SetTypes sets the cloud's machine types with their current prices.
 func (f *Fleet) SetTypes(t []model.MachineType) { f.types = t }
 
 func (f *Fleet) typeOf(n model.Name) *model.MachineType {
@@ -109,7 +112,7 @@
 	return u
 }
 
-// ListedMachine is an entry of the machine list.
+// ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
 	ID     model.MachineID
 	Type   model.Name
@@ -119,11 +122,10 @@
 	Age    time.Duration
 }
 
-// UpdateListed takes the machine list that was asked for then, and returns the machines
-// that it shows to be gone. It describes a time up to twice its lag ago, so that
-// absence alone proves nothing; but a machine, once listed, stays so until it is
-// gone, and one that was listed long enough before the question was asked must
-// be there.
+// UpdateListed takes the cloud's machine list, requested at askedAt, and returns the machines that
+// no longer exist. The list may show a state of up to twice its lag ago, so a machine that is
+// missing may only be too new. But a machine stays listed until it is gone, so one that was listed
+// long enough before askedAt and is missing now is gone.
 func (f *Fleet) UpdateListed(now, askedAt time.Duration, listed []ListedMachine) []model.MachineID {
 	f.listed = true
 	for id, at := range f.gone {
@@ -140,7 +142,7 @@
 			u = f.ensureMachine(now, e.ID, machineKind{e.Type, e.Zone, e.Spot})
 			u.knownSince = now - e.Age
 		}
-		// What a new leader first heard of by a report is older than that.
+		// A new leader may know a machine from a report first; its age says since when it exists.
 		u.knownSince = min(u.knownSince, now-e.Age)
 		u.lastListed = now
 		if u.firstListed == 0 {
@@ -160,16 +162,17 @@
 	return gone
 }
 
-// listLagMargin is on top of twice the list's lag, for drifting clocks and slow answers.
+// listLagMargin is added to twice the list's lag, for clock drift and slow answers.
 const listLagMargin = 5 * time.Second
 
-// RentDone takes the outcome of a rental: the machines, or why there are none.
+// RentDone takes the outcome of a rental: the machines, or that it was refused or its outcome is
+// unknown (inDoubt).
 func (f *Fleet) RentDone(now time.Duration, a Action, rented []model.MachineID, refused, inDoubt bool) {
 	delete(f.renting, a.RequestName)
 	kind := machineKind{a.Type, a.Zone, a.Spot}
 	switch {
 	case inDoubt:
-		// It may have been carried out: the same request again tells.
+		// It may have been carried out: the same request name returns its result.
 		f.retries = append(f.retries, a)
 	case refused || len(rented) < a.Count:
 		f.refusedUntil[kind] = now + f.params.RetryRefusedAfter
@@ -179,7 +182,7 @@
 	}
 }
 
-// ReturnDone takes the outcome of a return.
+// ReturnDone takes the outcome of a Return action.
 func (f *Fleet) ReturnDone(now time.Duration, a Action, ok bool) {
 	f.returnInProgress = false
 	for _, id := range a.Machines {
@@ -193,20 +196,21 @@
 }
 
 const (
-	maxConcurrentRentals = 3  // rentals under way
-	maxRentCount         = 50 // machines the cloud rents in one call
+	maxConcurrentRentals = 3  // rentals in progress at the same time
+	maxRentCount         = 50 // machines that the cloud rents in one call
 )
 
-// MaxReturn is how many machines the cloud takes back in one call.
+// MaxReturn is the number of machines that the cloud takes back in one call.
 const MaxReturn = 100
 
-// Demand is what the dealer needs.
+// Demand is a job that needs capacity.
 type Demand struct {
 	Job    dispatcher.JobDemand
-	Placed int32 // of its tasks are on machines
+	Placed int32 // number of its tasks that are on machines
 }
 
-// Observe brings the fleet up to date with the shards' machines.
+// Observe updates the fleet with the shards' machines. leaseExpired reports whether no shard has
+// renewed a machine's lease for its whole length.
 func (f *Fleet) Observe(now time.Duration, status []model.MachineStatus, leaseExpired func(model.MachineID) bool) {
 	for i := range status {
 		m := &status[i].Machine
@@ -221,7 +225,7 @@
 	}
 }
 
-// Step returns what to ask of the cloud now.
+// Step returns the actions to carry out now. limit returns a team's limit.
 func (f *Fleet) Step(now time.Duration, status []model.MachineStatus, demand []Demand,
 	limit func(model.Name) model.Resources) []Action {
 	if !f.listed || len(f.types) == 0 {
@@ -267,8 +271,7 @@
 	return out
 }
 
-// hourlyCPUCost is what a machine's CPU costs an hour, boot time included in
-// proportion.
+// hourlyCPUCost returns the price of one CPU for an hour, raised in proportion to the boot time.
 func hourlyCPUCost(t *model.MachineType, spot bool) float64 {
 	price := t.Price
 	if spot {
@@ -277,7 +280,7 @@
 	return price / float64(t.Cap.CPU) * (1 + t.Boot.Minutes()/4)
 }
 
-// minCPUCost is the least that a CPU costs.
+// minCPUCost returns the lowest hourly cost of a CPU.
 func (f *Fleet) minCPUCost() float64 {
 	minCost := 0.0
 	for i := range f.types {
@@ -290,8 +293,9 @@
 	return minCost
 }
 
-// tasksWorthRenting is how many tasks justify a machine at this price: the dearer it is,
-// the longer work may wait for room that there is already.
+// tasksWorthRenting returns for how many of the missing tasks machines should be rented whose CPU
+// costs costRatio times the lowest. The more expensive they are, the longer tasks may wait for
+// existing machines: short tasks count only in part.
 func (f *Fleet) tasksWorthRenting(missing shortage, costRatio float64) int64 {
 	if missing.fitsNoMachine {
 		return missing.tasks
@@ -303,7 +307,8 @@
 	return missing.tasks
 }
 
-// selectRental picks the cheapest kind of machine for the work that lacks room.
+// selectRental picks the cheapest allowed kind of machine for the first shortage that is worth a
+// rental, and the number of machines for all shortages that can use that kind.
 func (f *Fleet) selectRental(now time.Duration, shortages []shortage) (Action, bool) {
 	minCost := f.minCPUCost()
 	counts := f.countByKind()
@@ -326,7 +331,7 @@
 					if !missing.spec.Allows(&m) || now < f.refusedUntil[kind] {
 						continue
 					}
-					// Among equals spread over the zones, however many there are.
+					// Kinds of equal cost are spread over the zones, in proportion to the machines rented.
 					cost := hourlyCPUCost(t, spot) * (1 + 0.2*float64(counts[kind])/float64(total+10))
 					if best == nil || cost < bestCost {
 						best, bestCost, costRatio = &kind, cost, max(1, hourlyCPUCost(t, spot)/minCost)
@@ -363,7 +368,7 @@
 	return Action{}, false
 }
 
-// countByKind are the machines of each kind, those asked for included.
+// countByKind counts the machines of each kind, including those being rented.
 func (f *Fleet) countByKind() map[machineKind]int {
 	n := map[machineKind]int{}
 	for _, u := range f.machines {
@@ -375,8 +380,8 @@
 	return n
 }
 
-// demandIsLow tells that open work has become little beside the machines: a day
-// ends, and what is idle will hardly be wanted soon.
+// demandIsLow reports whether the unfinished work is small compared to the machines, as at the end
+// of a day: idle machines will hardly be needed soon.
 func demandIsLow(machines []availableMachine, demand []Demand) bool {
 	var demandCPU, totalCPU int64
 	for i := range demand {
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// A rental without an answer may have been carried out: the same request tells.
+// A rental without an answer may have been carried out: the same request name returns its result.
 func TestRentalInDoubtIsRetriedUnderSameName(t *testing.T) {
 	f := newFleet()
 	a := findRental(f.Step(time.Second, nil, testDemand(4, true), noLimit))
@@ -77,7 +77,7 @@
 	}
 }
 
-// Short work waits for room, but not where no machine could ever take it.
+// Short tasks wait for existing machines, unless none of them could ever run them.
 func TestTaskThatFitsNoMachineRentsOne(t *testing.T) {
 	f := newFleet()
 	d := testDemand(1, true)
@@ -93,27 +93,27 @@
 		Avail: model.Capacity(8, 0, 32), Ready: true}}
 	alive := func(model.MachineID) bool { return false }
 	f.Observe(0, status, alive)
-	// In a lull it is kept for a while: rented anew it would boot and fetch
-	// images first. When open work has become little it goes soon.
+	// While there is demand an idle machine is kept for a while, because a replacement must boot
+	// and fetch images first. When demand is low it is returned soon.
 	sp := &model.Spec{ID: 1, Tasks: 1, PerTask: model.Request(4, 0, 4), Zone: model.None, Estimate: time.Minute}
 	lull := []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: 1, Assigned: 1}, Placed: 1}}
 	if as := f.Step(30*time.Second, status, lull, noLimit); len(as) != 0 {
-		t.Errorf("%+v, too early in a lull", as)
+		t.Errorf("%+v returned too early while there is demand", as)
 	}
 	as := f.Step(30*time.Second, status, nil, noLimit)
 	if len(as) != 1 || len(as[0].Machines) != 1 {
 		t.Fatalf("%+v, want the idle machine returned", as)
 	}
 	f.ReturnDone(2*time.Minute, as[0], true)
-	// The list lags: it is not a new machine.
+	// The list lags: the machine is not new.
 	f.UpdateListed(2*time.Minute+time.Second, 2*time.Minute+time.Second, []ListedMachine{{ID: 1, Spot: true}})
 	if len(f.machines) != 0 {
-		t.Error("a returned machine is back")
+		t.Error("a returned machine was added again")
 	}
 }
 
-// A new leader has heard of no machine yet, however long ago the list says that
-// it was rented: once it gave back a hundred that were busy.
+// To a new leader no machine has reported yet, however old the list says it is. It must not return
+// machines for that before they could report, or it returns busy ones.
 func TestNewLeaderWaitsForReportsBeforeReturning(t *testing.T) {
 	began := time.Hour
 	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute,
@@ -132,48 +132,49 @@
 			n += len(a.Machines)
 		}
 		if n != c.want {
-			t.Errorf("%v after the term began %d machines are given back, want %d", c.after, n, c.want)
+			t.Errorf("%v after the term began %d machines are returned, want %d", c.after, n, c.want)
 		}
 	}
 }
 
-// A machine taken without notice leaves the list long before its lease is over,
-// and its tasks need not wait for that. But a list may be older than the one
-// before: a machine listed only lately may be missing from it.
+// A machine that the cloud takes without notice leaves the list long before its lease is over, and
+// its tasks need not wait for the lease. But a list may be older than the one before: a machine
+// that was listed only recently may be missing from it.
 func TestUnlistedMachineIsGone(t *testing.T) {
 	f := newFleet()
 	both, one := []ListedMachine{{ID: 1}, {ID: 2}}, []ListedMachine{{ID: 1}}
 	f.UpdateListed(5*time.Second, 5*time.Second, both)
 	if gone := f.UpdateListed(29*time.Second, 29*time.Second, one); len(gone) != 0 {
-		t.Fatalf("%v gone by a list that may be older than the first", gone)
+		t.Fatalf("%v gone, by a list that may be older than the first", gone)
 	}
 	if gone := f.UpdateListed(40*time.Second, 29*time.Second, one); len(gone) != 0 {
-		t.Fatalf("%v gone by a list that was asked for too early", gone)
+		t.Fatalf("%v gone, by a list that was requested too early", gone)
 	}
 	if gone := f.UpdateListed(31*time.Second, 31*time.Second, one); len(gone) != 1 || gone[0] != 2 {
-		t.Fatalf("%v gone, want the machine that is listed no more", gone)
+		t.Fatalf("%v gone, want the machine that is no longer listed", gone)
 	}
 	if gone := f.UpdateListed(35*time.Second, 35*time.Second, one); len(gone) != 0 {
-		t.Fatalf("%v gone once more", gone)
+		t.Fatalf("%v gone for a second time", gone)
 	}
 }
 
-// No machine is rented for guests' work that can wait for idle ones, yet it is
-// not forgotten where there never are any.
+// No machine is rented for best-effort work at first, as it can wait for idle ones. After a while
+// one is rented, or it would wait for ever where no machine is ever idle.
 func TestBestEffortRentsOnlyAfterWait(t *testing.T) {
 	f := newFleet()
 	f.params.BestEffortWait = 5 * time.Minute
 	d := testDemand(40, true)
 	d[0].Job.Spec.BestEffort = true
 	if a := findRental(f.Step(time.Second, nil, d, noLimit)); a != nil {
-		t.Errorf("%+v for work that can wait", a)
+		t.Errorf("%+v rented for work that can wait", a)
 	}
 	if a := findRental(f.Step(6*time.Minute, nil, d, noLimit)); a == nil {
-		t.Error("it waits for ever")
+		t.Error("nothing is rented after the wait")
 	}
 }
 
-// Spread tasks kept every dear machine of a burst from ever standing empty.
+// Tasks spread over all machines keep the expensive machines of a burst from ever being empty, so
+// these must be drained; for new work they are undrained before others are rented.
 func TestExpensiveMachinesAreDrainedAndUndrained(t *testing.T) {
 	f := newFleet()
 	var status []model.MachineStatus
@@ -199,26 +200,26 @@
 	}
 	d, _ := drainsAndUndrains(f.Step(20*time.Second, status, nil, noLimit))
 	if len(d) == 0 {
-		t.Fatal("half of all room is free, and nothing is drained")
+		t.Fatal("half of the capacity is free, and nothing is drained")
 	}
 	for _, id := range d {
 		if id < 5 {
-			t.Errorf("machine %d is cheap, and drained", id)
+			t.Errorf("machine %d is cheap, but drained", id)
 		}
 	}
 	if again, _ := drainsAndUndrains(f.Step(20*time.Second, status, nil, noLimit)); again != nil {
-		t.Errorf("%v drained once more", again)
+		t.Errorf("%v drained for a second time", again)
 	}
-	// More work than the rest has room for: they are wanted before any is rented.
+	// More work than the other machines can run: machines are undrained before any is rented.
 	as := f.Step(21*time.Second, status, testDemand(8, true), noLimit)
 	if _, w := drainsAndUndrains(as); len(w) == 0 || findRental(as) != nil {
-		t.Errorf("%+v, want drained machines again, and none rented", as)
+		t.Errorf("%+v, want drained machines undrained, and none rented", as)
 	}
-	// What a plan drains is neither room nor surplus, and not drained for its price.
+	// Machines that a plan drains are neither capacity nor surplus, and not drained for their price.
 	f.SetDrainPlans(func(id model.MachineID) (bool, bool) { return true, true })
 	as = f.Step(22*time.Second, status, testDemand(8, true), noLimit)
 	if findRental(as) == nil {
-		t.Errorf("%+v: held machines count as room", as)
+		t.Errorf("%+v: machines that plans drain count as capacity", as)
 	}
 	for i := range status {
 		status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
@@ -226,12 +227,12 @@
 	as = f.Step(time.Hour, status, nil, noLimit)
 	if d, _ := drainsAndUndrains(as); d != nil || slices.ContainsFunc(as,
 		func(a Action) bool { return a.Kind == Return && slices.Contains(a.Machines, 0) }) {
-		t.Errorf("%+v of machines that plans drain", as)
+		t.Errorf("%+v, though plans drain these machines", as)
 	}
 }
 
-// What runs on machines that plans drain is to move: a plan stood still for as long as tasks
-// ran, because the machines that it had rented for them were drained and returned meanwhile.
+// Tasks on machines that plans drain must move. If the machines rented for them are drained or
+// returned meanwhile, the plan makes no progress until the tasks end.
 func TestCapacityForMovedTasksIsKept(t *testing.T) {
 	const drained, free = 4, 5
 	var status []model.MachineStatus
@@ -256,10 +257,10 @@
 			}
 		}
 		if moving && len(gone) > free-drained {
-			t.Errorf("%d of %d free machines drained or returned: the tasks of %d have no room", len(gone), free, drained)
+			t.Errorf("%d of %d free machines drained or returned: no capacity for the tasks of %d", len(gone), free, drained)
 		}
 		if !moving && len(gone) != free {
-			t.Errorf("%d of %d idle machines returned once nothing is to move", len(gone), free)
+			t.Errorf("%d of %d idle machines returned once there is nothing to move", len(gone), free)
 		}
 		for i := range drained { // the tasks have ended
 			status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
--- a/internal/core/fleet/plans.go
+++ b/internal/core/fleet/plans.go
@@ -6,8 +6,8 @@
 	"honeylock/internal/core/model"
 )
 
-// SetDrainPlans takes which machines plans drain, which are neither room nor surplus, and
-// which they will, whose price is no longer asked about.
+// SetDrainPlans sets which machines plans are draining, and which they are scheduled to drain. The
+// former count neither as capacity nor as surplus; the latter are not drained for their price.
 func (f *Fleet) SetDrainPlans(plans func(model.MachineID) (draining, scheduled bool)) {
 	for id, u := range f.machines {
 		u.planDraining, u.planScheduled = plans(id)
@@ -15,8 +15,9 @@
 	}
 }
 
-// movingCPU is the CPU of what runs on machines that plans drain: it needs room elsewhere, unless
-// it ends first. None of that room is surplus, or the plans' moves wait until tasks end.
+// movingCPU returns the CPU of the tasks on machines that plans are draining. They need capacity
+// elsewhere unless they end first. If that capacity were treated as surplus and returned, the
+// plans' moves would have to wait until tasks end.
 func (f *Fleet) movingCPU(status []model.MachineStatus) int64 {
 	var cpu int64
 	for i := range status {
@@ -28,8 +29,8 @@
 	return cpu
 }
 
-// BeginReturn begins a return that somebody else has decided on; false tells that one is
-// under way, and to come back.
+// BeginReturn marks machines as being returned by the caller. It returns false, and marks none, if
+// another return is in progress: the caller should retry later.
 func (f *Fleet) BeginReturn(ids []model.MachineID) bool {
 	if f.returnInProgress {
 		return false
@@ -43,26 +44,27 @@
 	return true
 }
 
-// AddRented takes machines that somebody else has rented, as room to come.
+// AddRented adds machines that the caller has rented. They count as capacity while they boot.
 func (f *Fleet) AddRented(now time.Duration, ids []model.MachineID, template model.Machine) {
 	for _, id := range ids {
 		f.ensureMachine(now, id, machineKind{template.Type, template.Zone, template.Spot})
 	}
 }
 
-// ForEachMachine are the machines that the cloud has, with since when: those listed, and
-// those too new to be. listed tells that the list has been read.
+// ForEachMachine calls do for each machine that the cloud has, with when it came to exist: those
+// listed, and those that are too new to be listed. listed reports whether the list has been read.
 func (f *Fleet) ForEachMachine(now time.Duration, do func(m model.Machine, since time.Duration)) (listed bool) {
 	for id, u := range f.machines {
 		if u.firstListed == 0 && now-max(u.knownSince, f.params.TermStart) > 2*f.params.ListLag+listLagMargin {
-			continue // it would be listed by now
+			continue // it would be listed by now if it existed
 		}
 		do(model.Machine{ID: id, Type: u.machineType, Zone: u.zone, Spot: u.spot}, u.knownSince)
 	}
 	return f.listed
 }
 
-// BootTime is how long a machine of a type takes to come up, as the catalog has it.
+// BootTime returns how long a machine of a type takes to boot, by the catalog; one minute if the
+// type is unknown.
 func (f *Fleet) BootTime(machineType model.Name) time.Duration {
 	if t := f.typeOf(machineType); t != nil {
 		return t.Boot
--- a/internal/core/fleet/surplus.go
+++ b/internal/core/fleet/surplus.go
@@ -6,9 +6,9 @@
 	"honeylock/internal/core/model"
 )
 
-// idleLimit is how long a machine may stand idle: the dearer, the shorter. In a
-// lull it is long, for a machine that is rented anew boots and fetches images
-// first.
+// idleLimit returns how long a machine may be idle before it is returned: the more expensive, the
+// shorter. Unless demand is low the limit is long, because a replacement must boot and fetch
+// images first.
 func (f *Fleet) idleLimit(machine *model.Machine, lowDemand bool) time.Duration {
 	limit := f.params.IdleReturn
 	if lowDemand {
@@ -17,8 +17,8 @@
 	return time.Duration(float64(limit) / max(1, f.cpuCost(machine)/f.minCPUCost()))
 }
 
-// selectReturns picks machines to give back: those that never came up, failed, or
-// went silent for good, and those that stand idle and that plans' moves need no room on.
+// selectReturns picks the machines to return: those that are lost, those that are idle and not
+// needed for plans' moves, and faulty ones without tasks.
 func (f *Fleet) selectReturns(now time.Duration, status []model.MachineStatus, machines []availableMachine,
 	lowDemand bool,
 	movingCPU int64) []model.MachineID {
@@ -33,7 +33,8 @@
 	return f.markReturning(returns)
 }
 
-// lostMachines are the machines that never came up, failed, or went silent for good.
+// lostMachines returns the machines that failed, never reported, or whose leases expired long ago
+// or are no longer renewed while the cloud no longer lists the machine.
 func (f *Fleet) lostMachines(now time.Duration) []model.MachineID {
 	var lost []model.MachineID
 	partitioned := f.partitionedZones()
@@ -57,8 +58,8 @@
 	return lost
 }
 
-// idleMachines are the machines that stand idle for longer than their price allows, as far as enough
-// room is left for what moves.
+// idleMachines returns the machines that have been idle for longer than their limit, as long as
+// enough free capacity is left for tasks that plans move.
 func (f *Fleet) idleMachines(now time.Duration, machines []availableMachine, lowDemand bool,
 	movingCPU int64) []model.MachineID {
 	var idle []model.MachineID
--- a/internal/core/fleet/unreachable.go
+++ b/internal/core/fleet/unreachable.go
@@ -7,13 +7,13 @@
 	"honeylock/internal/core/model"
 )
 
-// maxUnreachableShare is the part of all machines that may be given up at a time: more is no
-// matter of machines.
+// maxUnreachableShare is the share of all machines that may be returned as unreachable at a time.
+// If there are more, the fault is not in the machines.
 const maxUnreachableShare = 0.15
 
-// SetUnreachable takes the machines whose workers neither report nor answer though others of
-// their zone do. What ran on them goes on elsewhere as soon as they are surely gone,
-// which they are once given back, while their leases are over much later.
+// SetUnreachable sets the machines whose workers neither report nor answer while others of their
+// zone do. They are returned, because their tasks can be restarted elsewhere as soon as the machines
+// are certainly gone, which is much earlier than the end of their leases.
 func (f *Fleet) SetUnreachable(ids []model.MachineID) {
 	reported := 0
 	for _, u := range f.machines {
@@ -27,7 +27,7 @@
 	}
 }
 
-// selectUnreachable are the machines to give back for that.
+// selectUnreachable picks the unreachable machines to return.
 func (f *Fleet) selectUnreachable() (unreachable []model.MachineID) {
 	for _, id := range f.unreachable {
 		if u := f.machines[id]; u != nil && !u.returning {
@@ -37,7 +37,7 @@
 	return f.markReturning(unreachable)
 }
 
-// markReturning notes that machines are being returned, as many as go in one call.
+// markReturning marks as many of the machines as one call can return, and returns these.
 func (f *Fleet) markReturning(ids []model.MachineID) []model.MachineID {
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
@@ -51,14 +51,15 @@
 }
 
 const (
-	// leaseExpiredLimit: a machine that is silent for so long is given back.
+	// leaseExpiredLimit: a machine is returned if its lease has been expired for this time.
 	leaseExpiredLimit = 90 * time.Second
-	// partitionLimit is the same where most of a zone is: that is a cut, not machines, and they
-	// come back with it.
+	// partitionLimit is the limit in a zone where most leases have expired: the zone is
+	// partitioned, and its machines will return with it.
 	partitionLimit = 5 * time.Minute
 )
 
-// partitionedZones are the zones of which most machines that were ever heard are silent.
+// partitionedZones returns the zones where the leases of most machines that ever reported have
+// expired.
 func (f *Fleet) partitionedZones() map[model.Name]bool {
 	reported, expired := map[model.Name]int{}, map[model.Name]int{}
 	for _, u := range f.machines {
--- a/internal/core/fleet/unreachable_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -7,13 +7,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Machines that answer nobody are given back, unless they are too many to be at fault
-// themselves; one that is heard again stays.
+// Unreachable machines are returned unless they are too many to be at fault themselves. One that
+// reports again is kept.
 func TestFewUnreachableMachinesAreReturned(t *testing.T) {
 	for name, c := range map[string]struct{ deaf, again, want int }{
-		"a few":                 {deaf: 10, want: 10},
-		"more than a part":      {deaf: 20, want: 0},
-		"heard again meanwhile": {deaf: 10, again: 4, want: 6},
+		"few":                 {deaf: 10, want: 10},
+		"more than the limit": {deaf: 20, want: 0},
+		"some report again":   {deaf: 10, again: 4, want: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet()
@@ -37,14 +37,14 @@
 				}
 			}
 			if got != c.want {
-				t.Errorf("%d machines given back, want %d", got, c.want)
+				t.Errorf("%d machines returned, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// Machines that are silent for long are given back, but not most of a zone: that is a cut,
-// and they come back with it.
+// Machines whose leases have long expired are returned, but only much later if they are most of a
+// zone: then the zone is partitioned, and they come back with it.
 func TestPartitionedZoneIsNotReturnedEarly(t *testing.T) {
 	for _, c := range []struct {
 		silent int
@@ -71,7 +71,7 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%d of 10 silent for %v: %d given back, want %d", c.silent, c.after, got, c.want)
+			t.Errorf("%d of 10 expired for %v: %d returned, want %d", c.silent, c.after, got, c.want)
 		}
 	}
 }
--- a/internal/core/model/messages.go
+++ b/internal/core/model/messages.go
@@ -2,83 +2,93 @@
 
 import "time"
 
-// Assignment gives a task to a shard.
+// Assignment is a task that the dispatcher assigns to a shard.
 type Assignment struct {
 	Task  Task
 	Spec  *Spec
 	Price float64
-	Zone  Name // pinned zone, or None
-	// WaitingSince is when the task began to wait.
+	Zone  Name // zone that the task must run in, or None
+	// WaitingSince is when the task started to wait.
 	WaitingSince time.Duration
-	// Adopted: the task was found on this machine in this attempt.
+	// Machine and Attempt are set if the task was found running and is adopted: where, and in
+	// which attempt. Attempt is 0 for a task that is to be started.
 	Machine MachineID
-	Attempt uint64 // 0: not adopted
-	// WithinLimits: the adopted task is within its team's limit and its job's zones, as one that is
-	// dispatched. Otherwise it may run on, but only the dispatcher may have it started again.
+	Attempt uint64
+	// WithinLimits reports that an adopted task fits its team's limit and its job's zones, which
+	// are checked for every dispatched task. Otherwise the task may continue to run, but if it
+	// stops, only the dispatcher may have it started again.
 	WithinLimits bool
-	// Redispatched: it was out of work; the shard tells when it is at work again.
+	// Redispatched reports that the task was interrupted before. The shard sends TaskResumed
+	// once it runs again.
 	Redispatched bool
 }
 
-// ShardID names one incarnation of a controller's shard; ids are never reused
-// within a term.
+// ShardID identifies a shard of a controller from the time it joins the leader until it is
+// lost. IDs are never reused within a term.
 type ShardID uint32
 
-// Order is what the dealer tells a shard.
+// Order is a message from the dispatcher to a shard. The comments name the kinds that use a
+// field.
 type Order struct {
-	To         ShardID
-	Kind       OrderKind
-	Machine    Machine    // Own
-	Token      uint64     // Own
-	Usable     bool       // Own, Use: tasks may be placed there
-	ID         MachineID  // Disown, Use, Clear, Kill, LookAt, Elsewhere; Recall: only if it is there, 0: anywhere
-	Assignment Assignment // Deal
-	Task       Task       // Recall, Clear, Kill
-	Attempt    uint64     // Clear, Kill
-	Job        JobID      // EndJob, Price
-	Price      float64    // Price
-	Count      int        // RecallWaiting
-	RedirectTo string     // Release, Elsewhere: where its worker should report instead
-	Objective  Objective  // Reprice
-	// Own: others could not show that its worker hears; it is answered only once it does.
+	To      ShardID
+	Kind    OrderKind
+	Machine Machine // OwnMachine
+	Token   uint64  // OwnMachine, InspectMachine
+	Usable  bool    // OwnMachine, SetUsable: tasks may be placed there
+	// ID is the machine in all kinds about a machine but OwnMachine. RecallTask: the task is
+	// recalled only if it is on this machine; 0: wherever it is.
+	ID         MachineID
+	Assignment Assignment // AssignTask
+	Task       Task       // RecallTask, ClearAttempt, KillAttempt
+	Attempt    uint64     // ClearAttempt, KillAttempt
+	Job        JobID      // EndJob, RepriceJob, RecallWaitingTasks, ExpediteJob
+	Price      float64    // RepriceJob
+	Count      int        // RecallWaitingTasks
+	RedirectTo string     // ReleaseMachine, RedirectWorker: host that its worker should report to instead
+	Objective  Objective  // RepriceJob
+	// VerifyFirst (OwnMachine): earlier owners could not show that the worker receives messages.
+	// Its reports are answered, which renews its lease, only after it has shown that.
 	VerifyFirst bool
-	// Release: of the report that came in elsewhere; none: let go in any case.
+	// MessageID (ReleaseMachine) is that of the worker's report that another shard received.
+	// Zero: the machine is released in any case.
 	MessageID
 }
 
-// OrderKind tells orders apart.
+// OrderKind is the kind of an Order.
 type OrderKind uint8
 
-// Orders.
+// Kinds of orders.
 const (
-	OwnMachine         OrderKind = iota // this shard owns the machine under the token
-	RemoveMachine                       // the machine is surely gone
-	SetUsable                           // Usable changed
-	AssignTask                          // Deal
-	RecallTask                          // give the task back: stop it where it runs
-	ClearAttempt                        // the attempt's exit is accounted for: clear it
-	KillAttempt                         // an attempt that must not be
-	EndJob                              // the job is over: stop all, then clear all
+	OwnMachine         OrderKind = iota // the shard owns the machine under the token
+	RemoveMachine                       // the machine no longer exists
+	SetUsable                           // Usable has changed
+	AssignTask                          // the shard is to run the task
+	RecallTask                          // return the task: stop it if it runs
+	ClearAttempt                        // the attempt's exit is recorded: the worker may forget it
+	KillAttempt                         // the attempt must not run
+	EndJob                              // the job has ended: stop all its tasks, then clear them
 	RepriceJob                          // the job's tasks have a new price
-	RecallWaitingTasks                  // give back up to Count waiting tasks of Job
-	ReleaseMachine                      // another shard is to own the machine: let go of it
-	ConfirmLeaseExpiry                  // its worker's lease is surely over
-	InspectMachine                      // tell what runs on the machine
-	RedirectWorker                      // a machine that is not this shard's is another's: its worker should report there
-	ExpediteJob                         // the job should have begun: its first task comes before all else
+	RecallWaitingTasks                  // return up to Count waiting tasks of Job
+	ReleaseMachine                      // another shard is to own the machine
+	// ConfirmLeaseExpiry: no other shard has renewed the worker's lease. Unless this shard has
+	// done so since, the lease is over, and so is whatever the worker ran.
+	ConfirmLeaseExpiry
+	InspectMachine // report what runs on the machine
+	RedirectWorker // another shard owns the machine: its worker should report there
+	ExpediteJob    // the job is overdue: place its first task before all others
 )
 
-// Objective tells whether an aim speaks of a job, or of one that needs it.
+// Objective reports whether a service level objective covers a job, or a job that depends on it.
 type Objective uint8
 
-// Aims.
+// Values of Objective.
 const (
-	ObjectiveUnchanged Objective = iota // as before: a leader of 0.4 does not say
+	ObjectiveUnchanged Objective = iota // leaders of version 0.4 and earlier do not send it
 	NoObjective
 	HasObjective
 )
 
-// ObjectiveFor is the aim of a job that an aim speaks of, or not.
+// ObjectiveFor converts whether a job has an objective.
 func ObjectiveFor(hasObjective bool) Objective {
 	if hasObjective {
 		return HasObjective
@@ -86,59 +96,66 @@
 	return NoObjective
 }
 
-// Event is what a shard tells the dealer.
+// Event is a message from a shard to the dispatcher. The comments name the kinds that use a
+// field.
 type Event struct {
 	Kind    EventKind
 	Machine MachineID
-	Report  *Report // Unowned
+	Report  *Report // UnownedWorker
 	Task    Task
 	Attempt uint64
-	Status  AttemptStatus // Found
-	Cause   Cause         // Gone
-	Token   uint64        // Superseded
-	// Finished: the task held here ended with it. Released: its worker was never answered
-	// here. Unanswered: its report is overdue as
-	// well, while others of its zone report.
+	Status  AttemptStatus // AttemptFound
+	Cause   Cause         // TaskReturned, TaskInterrupted
+	Token   uint64        // LeaseExpired, LeaseExpiryConfirmed, MachineInspected, TokenSuperseded
+	// Held has a meaning for each kind. TaskFinished: the attempt is of a task that is assigned
+	// to this shard. MachineReleased: this shard never answered the worker, so it has launched
+	// nothing there and has not renewed its lease. CommandUnanswered: the worker is unreachable,
+	// that is, it does not report in time either, while most others of its zone do.
+	// TaskInterrupted: the dispatcher had recalled the task.
 	Held   bool
-	Tasks  []Task       // Released: tasks that were on the machine
-	Placed []PlacedTask // Looked
-	// Unowned: of the report.
+	Tasks  []Task       // MachineReleased: assigned tasks that are on the machine
+	Placed []PlacedTask // MachineInspected
+	// MessageID (UnownedWorker) is that of the report.
 	MessageID
-	RunTime time.Duration // Finished: it was seen running for so long; 0: not known. Idled: so much is lost
+	// RunTime is, for TaskFinished, how long the task was seen running (0: unknown), and for
+	// TaskInterrupted, how much of its work is lost.
+	RunTime time.Duration
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Events.
+// Kinds of events.
 const (
-	UnownedWorker        EventKind = iota // a worker that nobody here owns reports
-	WorkerFenced                          // the worker has shown our token; all it holds was told
-	LeaseExpired                          // its lease is over, if nobody else has answered it
-	WorkerBack                            // a worker that was told silent reports again
-	LeaseExpiryConfirmed                  // its lease is surely over: nothing is there
-	MachineReleased                       // the machine is let go of
-	TokenNeeded                           // a launch is in doubt: the worker's token must rise
-	TokenSuperseded                       // the worker has seen a higher token
-	AttemptFound                          // an attempt that the shard doesn't know
-	TaskFinished                          // a task completed
-	TaskReturned                          // a task is nowhere, and this shard holds it no more
-	CommandUnanswered                     // a direct command to a worker that is not fenced, or is overdue, went unanswered
-	MachineRemembered                     // the controller's shard of an earlier term owned the machine
-	RejectedAttemptGone                   // a found attempt that was not adopted is nowhere now
-	MachineInspected                      // what runs on the machine
-	TaskInterrupted                       // a task that ran is out of work, for other reasons than its own: Held: it was recalled
-	TaskResumed                           // a task that was told idle, or dealt again, runs
-	MachineKept                           // the machine is not let go of: its worker reports here
+	UnownedWorker EventKind = iota // a worker reports whose machine this shard does not own
+	// WorkerFenced: the worker has shown this shard's token, so it refuses commands of earlier
+	// owners. All that it runs has been reported before.
+	WorkerFenced
+	LeaseExpired         // the worker's lease is over unless another shard has renewed it
+	WorkerBack           // a worker whose lease had expired or that was unreachable reports again
+	LeaseExpiryConfirmed // the worker's lease is over: nothing runs there
+	MachineReleased      // the shard no longer owns the machine
+	TokenNeeded          // a launch may still arrive late: a higher token makes the worker refuse it
+	TokenSuperseded      // the worker has seen a higher token than this shard's
+	AttemptFound         // the worker runs an attempt that the shard does not know
+	TaskFinished         // a task has completed
+	TaskReturned         // a task runs nowhere, and is no longer assigned to this shard
+	CommandUnanswered    // a worker that is unreachable or not fenced yet left a direct command unanswered
+	MachineRemembered    // this controller's shard owned the machine in an earlier term
+	RejectedAttemptGone  // an attempt that was found and not adopted no longer runs
+	MachineInspected     // what runs on the machine
+	TaskInterrupted      // a running task has stopped for reasons that are not its own
+	TaskResumed          // a task that was interrupted, or dispatched again, runs
+	MachineKept          // the shard keeps the machine, because the worker still reports to it
 )
 
-// PlacedTask is a task on a machine, as its owner sees it.
+// PlacedTask is a task on a machine, as the shard that owns the machine sees it.
 type PlacedTask struct {
 	Task     Task
 	Stage    Stage
-	RunTime  time.Duration // seen running for so long
-	Stopping bool          // it was told to stop
-	// Adopted: it ran before it was seen, nobody knows for how long; Ran is the least.
+	RunTime  time.Duration // how long it was seen running
+	Stopping bool          // it has been ordered to stop
+	// Adopted: the task ran for an unknown time before this shard saw it. RunTime is a lower bound.
 	Adopted bool
 }
 
@@ -146,15 +163,15 @@
 type MachineStatus struct {
 	Machine   Machine
 	Avail     Resources
-	Ready     bool // may get tasks now
+	Ready     bool // tasks may be placed there now
 	Draining  bool
 	Slots     int
 	IdleSince time.Duration
-	Faulty    bool // held to be faulty
+	Faulty    bool // considered faulty: tasks keep failing there
 }
 
-// BrokenJobMachines is how many machines a job without a completed task fails on until
-// it, and not they, is held to be at fault.
+// BrokenJobMachines is the number of machines on which a job without a completed task must fail
+// until the job is considered broken, rather than the machines faulty.
 const BrokenJobMachines = 2
 
 // TaskCounts counts a job's tasks at a shard.
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -1,6 +1,6 @@
-// Package model holds the terms that honeylock's cores share: jobs, tasks,
-// machines, attempts, reports and commands. Every name from outside is a dense
-// index here; the wire package turns names into indices and back.
+// Package model defines the types that honeylock's core packages share: jobs, tasks, machines,
+// attempts, reports, commands, and the messages between the dispatcher and the shards. Names that
+// come from outside are represented by dense indices; package wire converts between the two.
 package model
 
 import (
@@ -15,13 +15,13 @@
 // MachineID is the number in a machine's name.
 type MachineID uint64
 
-// Name is a dense index for a name met at the door; None means "not given".
+// Name is the dense index of a name received from outside, such as that of a team or zone.
 type Name int32
 
-// None is the Name of what was not given.
+// None is the Name of an optional name that is not given.
 const None Name = -1
 
-// Rank orders jobs by importance.
+// Rank is the importance of a job.
 type Rank uint8
 
 // Ranks, least important first.
@@ -32,13 +32,14 @@
 	Prod
 )
 
-// Priority of a job's tasks at that price, which their wait is multiplied by: the
-// price squared. Prices a factor of ten apart would let low work that has waited
-// for minutes, as in a burst or with a zone cut off, go before high work that has
-// waited for seconds. Work that no aim speaks of comes after work of its price
-// that has one: guests' jobs for idle time once filled a whole cluster, and what
-// had to be done in minutes waited behind them. The price is the same, so neither
-// can evict the other.
+// Priority returns the priority of the job's tasks at a price: the price squared. Score
+// multiplies it by the waiting time. The price alone is not enough: with prices a factor of ten
+// apart, low-priority tasks that have waited for minutes, as in a burst or while a zone is
+// partitioned, would go before high-priority tasks that have waited for seconds.
+//
+// Best-effort jobs come after jobs of the same price that have an objective. Otherwise they can
+// fill a whole cluster while work with a deadline of minutes waits behind them. As the price is
+// the same, neither can evict the other.
 func (s *Spec) Priority(price float64) float64 {
 	priority := price * price
 	if s.BestEffort {
@@ -47,26 +48,26 @@
 	return priority
 }
 
-// Score orders waiting work, the highest first: the price's priority times how long
-// it has waited.
+// Score returns the order in which waiting tasks are placed, highest first: their priority times
+// how long they have waited.
 func (s *Spec) Score(price float64, waited time.Duration) float64 {
 	return s.Priority(price) * (waited + time.Second/10).Seconds()
 }
 
-// bestEffortWaitFactor is how much longer work that no aim speaks of waits than other work of
-// its price.
+// bestEffortWaitFactor is how many times longer a best-effort task must wait than a task with an
+// objective of the same price to reach the same score.
 const bestEffortWaitFactor = 100
 
-// Resources are amounts in thousandths, so that sums are exact.
+// Resources are amounts in thousandths. They are integers so that sums are exact.
 type Resources struct{ CPU, GPU, Mem int64 }
 
-// Request rounds up: a task never takes more than it is charged for.
+// Request converts what a task requests. It rounds up: a task never uses more than it is charged for.
 func Request(cpu, gpu, mem float64) Resources {
 	up := func(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
 	return Resources{up(cpu), up(gpu), up(mem)}
 }
 
-// Capacity rounds down: a machine never offers more than it has.
+// Capacity converts what a machine has. It rounds down: a machine never offers more than it has.
 func Capacity(cpu, gpu, mem float64) Resources {
 	down := func(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
 	return Resources{down(cpu), down(gpu), down(mem)}
@@ -85,12 +86,12 @@
 // Times returns n*r.
 func (r Resources) Times(n int64) Resources { return Resources{r.CPU * n, r.GPU * n, r.Mem * n} }
 
-// Fits tells whether r fits into room.
+// Fits reports whether r fits into capacity.
 func (r Resources) Fits(capacity Resources) bool {
 	return r.CPU <= capacity.CPU && r.GPU <= capacity.GPU && r.Mem <= capacity.Mem
 }
 
-// Count tells how many requests of size r fit into room.
+// Count returns how many requests of size r fit into capacity, 0 for an empty request.
 func (r Resources) Count(capacity Resources) int64 {
 	count := int64(math.MaxInt64)
 	for _, pair := range [3][2]int64{{r.CPU, capacity.CPU}, {r.GPU, capacity.GPU}, {r.Mem, capacity.Mem}} {
@@ -120,11 +121,11 @@
 	CheckpointInterval     time.Duration
 	CheckpointTime         time.Duration
 	Deadline               time.Duration // from submission; 0: none
-	BestEffort             bool          // no aim is stated for its class, and its team has no guarantee
-	SubmittedMS            int64         // time of day at acceptance; ordering and deadlines only, never a rule
+	BestEffort             bool          // its class has no objective, and its team no guarantee
+	SubmittedMS            int64         // time of day at acceptance; only for ordering and deadlines
 }
 
-// Allows tells whether the job's tasks may run on such a machine.
+// Allows reports whether the job's tasks may run on a machine, by its type, zone and whether it is spot.
 func (s *Spec) Allows(m *Machine) bool {
 	if m.Spot && !s.Spot || s.Zone != None && s.Zone != m.Zone {
 		return false
@@ -140,18 +141,18 @@
 	return false
 }
 
-// Task names one task of a job.
+// Task identifies one task of a job.
 type Task struct {
 	Job   JobID
 	Index int32
 }
 
-// Compare orders tasks by job, then by number.
+// Compare orders tasks by job, then by index.
 func (t Task) Compare(o Task) int {
 	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Index, o.Index))
 }
 
-// Machine is what is fixed about a machine.
+// Machine holds the properties of a machine that do not change.
 type Machine struct {
 	ID         MachineID
 	Addr       string
@@ -171,7 +172,7 @@
 	Zones            []Name
 }
 
-// Stage of an attempt on a machine.
+// Stage is the stage of an attempt on a machine.
 type Stage uint8
 
 // Stages of an attempt.
@@ -182,10 +183,10 @@
 	Exited
 )
 
-// Cause of an attempt's exit.
+// Cause is why an attempt exited.
 type Cause uint8
 
-// Causes of an exit.
+// Causes of an attempt's exit.
 const (
 	CauseOther Cause = iota
 	CauseDone
@@ -196,7 +197,7 @@
 	CauseUnknown
 )
 
-// AttemptStatus is one attempt in a worker's report.
+// AttemptStatus is the state of one attempt in a worker's report.
 type AttemptStatus struct {
 	Task    Task
 	Attempt uint64
@@ -205,43 +206,43 @@
 	Saved   bool
 }
 
-// Report is a worker's account of itself.
+// Report is a worker's report of its state.
 type Report struct {
 	Machine          Machine // Cap and FetchRate are not filled in
 	Session          uint64
 	Seq              uint64
 	Token            uint64
-	PreemptionNotice time.Duration // until the cloud takes the machine; <0: no notice
+	PreemptionNotice time.Duration // until the cloud preempts the machine; <0: no notice
 	Attempts         []AttemptStatus
 }
 
-// MessageID order a worker's messages.
+// MessageID orders the messages of one worker: by session, and by sequence number within one.
 type MessageID struct{ Session, Seq uint64 }
 
-// AtLeast tells whether a message with these numbers is as new as another one.
+// AtLeast reports whether message n is at least as new as o.
 func (n MessageID) AtLeast(o MessageID) bool {
 	return n.Session > o.Session || n.Session == o.Session && n.Seq >= o.Seq
 }
 
-// Newer orders messages of one worker.
+// Newer reports whether the report is newer than the message of that session and number.
 func (r *Report) Newer(session, seq uint64) bool {
 	return !(MessageID{session, seq}).AtLeast(r.MessageID())
 }
 
-// MessageID of the report.
+// MessageID returns the ID of the report.
 func (r *Report) MessageID() MessageID { return MessageID{r.Session, r.Seq} }
 
-// Verb of a command.
+// Verb is what a command does.
 type Verb uint8
 
-// Verbs.
+// Verbs of commands.
 const (
 	Launch Verb = iota
 	Kill
 	Clear
 )
 
-// Command tells a worker what to do with an attempt.
+// Command orders a worker to launch, kill or clear an attempt.
 type Command struct {
 	Verb    Verb
 	Task    Task
--- a/internal/core/model/model_test.go
+++ b/internal/core/model/model_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Types, zones, spot machines and GPUs are the controllers' to check: a worker
-// starts whatever it is told to.
+// Controllers must check types, zones, spot machines and GPUs: a worker starts whatever it is
+// ordered to.
 func TestSpecAllowsAndTaskCount(t *testing.T) {
 	m := Machine{Type: 1, Zone: 2, Spot: true, Cap: Capacity(96, 8, 768)}
 	for name, c := range map[string]struct {
