--- a/internal/core/audit/audit.go
+++ b/internal/core/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit keeps what operators changed: who, when, what and with what
-// outcome, in bounded space, so that a change repeated under its request's id is
-// answered and not made again. It is a state machine of the leader's.
+// Package audit records operators' changes: who made them, when, what and with which outcome. The
+// space is bounded. A change that is repeated under the same request ID is answered from its record
+// and not made again. It is a state machine of the leader, without input or output.
 package audit
 
 import (
@@ -8,26 +8,26 @@
 	"slices"
 )
 
-// Entry is one change, made or refused.
+// Entry is the record of one change, made or refused.
 type Entry struct {
 	V       int    `json:"v"`
 	Seq     uint64 `json:"seq"`
 	AtMS    int64  `json:"at_ms"` // time of day, for people
 	Who     string `json:"who"`
-	Request string `json:"request"` // the asker's id
-	Digest  string `json:"digest"`  // of what was asked
+	Request string `json:"request"` // ID chosen by the caller
+	Digest  string `json:"digest"`  // of the request's content
 	What    string `json:"what"`    // such as drain apply
 	Name    string `json:"name"`
-	Status  int    `json:"status"` // as HTTP has it
+	Status  int    `json:"status"` // HTTP status
 	Outcome string `json:"outcome"`
 
 	stored bool
 }
 
-// EntryVersion of stored entries.
+// EntryVersion is the version of stored entries.
 const EntryVersion = 1
 
-// Log is the state machine.
+// Log is the state machine. It keeps the newest entries, one in each storage slot.
 type Log struct {
 	slots     uint64
 	nextSeq   uint64
@@ -35,13 +35,12 @@
 	byRequest map[string]*Entry
 }
 
-// New returns a log of so many entries.
+// New returns a Log with a number of storage slots, and so of entries.
 func New(slots int) *Log {
 	return &Log{slots: uint64(slots), nextSeq: 1, byRequest: map[string]*Entry{}}
 }
 
-// Load takes a stored entry. What a newer release wrote is kept as far as it is
-// understood.
+// Load adds a stored entry. Of an entry written by a newer release, the known fields are kept.
 func (l *Log) Load(e Entry) {
 	if e.Seq == 0 {
 		return
@@ -57,7 +56,7 @@
 	l.trim()
 }
 
-// trim forgets the oldest entries; their slots are written anew.
+// trim drops the oldest entries, whose slots newer entries use.
 func (l *Log) trim() {
 	for len(l.entries) > 0 && l.nextSeq-l.entries[0].Seq > l.slots {
 		old := l.entries[0]
@@ -68,10 +67,10 @@
 	}
 }
 
-// ByRequest returns the entry of a request, nil if it is not known.
+// ByRequest returns the entry of a request ID, nil if there is none.
 func (l *Log) ByRequest(request string) *Entry { return l.byRequest[request] }
 
-// Add takes a new entry, to be stored.
+// Add adds a new entry, which has still to be stored.
 func (l *Log) Add(e Entry) *Entry {
 	e.V, e.Seq, e.stored = EntryVersion, l.nextSeq, false
 	l.nextSeq++
@@ -81,11 +80,11 @@
 	return &e
 }
 
-// Slot is where an entry is stored.
+// Slot returns the storage slot of an entry.
 func (l *Log) Slot(e *Entry) uint64 { return e.Seq % l.slots }
 
-// Unstored returns at most n entries about a name that are not known to be
-// stored, the oldest first.
+// Unstored returns at most n entries that are not known to be stored and whose Name is accepted by
+// about, the oldest first.
 func (l *Log) Unstored(n int, about func(name string) bool) []*Entry {
 	var out []*Entry
 	for _, e := range l.entries {
@@ -99,13 +98,13 @@
 	return out
 }
 
-// MarkStored tells that an entry is surely stored.
+// MarkStored records that an entry is certainly stored.
 func (l *Log) MarkStored(e *Entry) { e.stored = true }
 
-// IsStored tells whether an entry is surely stored.
+// IsStored reports whether an entry is certainly stored.
 func (l *Log) IsStored(e *Entry) bool { return e.stored }
 
-// List returns the newest entries, at most n, the newest first.
+// List returns at most n entries, the newest first.
 func (l *Log) List(n int) []Entry {
 	var out []Entry
 	for i := len(l.entries) - 1; i >= 0 && len(out) < n; i-- {
--- a/internal/core/audit/audit_test.go
+++ b/internal/core/audit/audit_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A new leader that loads what was stored answers what was asked before, in
-// bounded space, and numbers on from there.
+// A new leader that loads the stored entries knows the outcomes of earlier requests, keeps only as
+// many entries as there are slots, and continues their numbering.
 func TestNewLeaderLoadsStoredEntries(t *testing.T) {
 	l, stored := New(4), map[uint64]Entry{}
 	for _, r := range []string{"a", "b", "c", "d", "e", "f"} {
--- a/internal/core/cancellog/cancellog.go
+++ b/internal/core/cancellog/cancellog.go
@@ -1,11 +1,13 @@
-// Package cancellog keeps a leader's picture of the open jobs young while the state service
-// answers nobody: controllers tell the leader of which jobs they told users that they are
-// cancelled. Once all have, whatever users were told before that is known, so the picture is
-// as young as the oldest of their acknowledgements. It is a state machine without input or output;
-// times are the steady clock's.
+// Package cancellog keeps the leader's view of the open jobs recent while the state service is out.
+// Once a user has been told that a job is cancelled, the leader must not treat it as open. So each
+// controller logs the cancellations that it has acknowledged, and sends the leader that log.
+// Once all controllers have, the leader knows every cancellation acknowledged up to some time, and its
+// view is as recent as the oldest of these logs.
 //
-// Only what users were told counts for the rule. A job that is stored as cancelled, and of
-// which nobody was told, may run on until somebody is.
+// Only acknowledged cancellations matter. A job that is stored as cancelled may run on until a user
+// is told so.
+//
+// The types are state machines without input or output; times are those of the monotonic clock.
 package cancellog
 
 import (
@@ -16,31 +18,33 @@
 )
 
 const (
-	// retention is how long an acknowledgement is kept for a leader to come: one who lived through a
-	// longer outage than that goes by the state service again.
+	// retention is how long an acknowledgement is kept for later leaders. A leader whose view is
+	// older than that must read the state service again.
 	retention  = 10 * time.Minute
 	maxEntries = 20_000
 )
 
+// entry is an acknowledged cancellation.
 type entry struct {
 	job model.JobID
 	at  time.Duration
 }
 
-// Log is what one controller has told users in this life.
+// Log holds the cancellations that one controller has acknowledged to users since it started.
 type Log struct {
-	completeSince time.Duration // it is complete from then on
-	droppedCount  int           // entries that are kept no longer
+	completeSince time.Duration // the log is complete from then on
+	droppedCount  int           // number of entries removed from the front
 	entries       []entry
-	acknowledged  map[model.JobID]bool // of kept
+	acknowledged  map[model.JobID]bool // the jobs in entries
 }
 
-// NewLog begins with the controller's life.
+// NewLog returns an empty log of a controller that starts now.
 func NewLog(now time.Duration) *Log {
 	return &Log{completeSince: now, acknowledged: map[model.JobID]bool{}}
 }
 
-// Acknowledge notes that a user is about to be told that a job is cancelled.
+// Acknowledge records that a user is about to be told that a job is cancelled. It removes entries that
+// are too old or too many.
 func (l *Log) Acknowledge(now time.Duration, job model.JobID) {
 	if !l.acknowledged[job] {
 		l.acknowledged[job] = true
@@ -56,10 +60,10 @@
 	l.droppedCount += drop
 }
 
-// CompleteSince is the moment from which on nothing is missing.
+// CompleteSince returns the time from which on the log is complete.
 func (l *Log) CompleteSince() time.Duration { return l.completeSince }
 
-// EntriesFrom returns the jobs told from the n-th entry on, and what to ask from next time.
+// EntriesFrom returns the jobs acknowledged from the n-th entry on, and the n for the next call.
 func (l *Log) EntriesFrom(n int) (jobs []model.JobID, next int) {
 	for _, e := range l.entries[max(0, n-l.droppedCount):] {
 		jobs = append(jobs, e.job)
@@ -67,23 +71,23 @@
 	return jobs, l.droppedCount + len(l.entries)
 }
 
-// Coverage is how far one controller's acknowledgements are known: all that it told users in between.
+// Coverage is the period for which the leader knows all acknowledgements of one controller.
 type Coverage struct {
 	Since, Until time.Duration
 }
 
-// OpenJobsView is a leader's of the open jobs. It knows of every cancellation that a user was told
-// of up to some moment; before the open jobs were read, of none.
+// OpenJobsView is the state of the leader's view of the open jobs: up to what time it includes every
+// cancellation that was acknowledged to a user. Before the open jobs are read it is not valid.
 type OpenJobsView struct {
 	loaded bool
 	asOf   time.Duration
-	// cancelled are the cancelled jobs that a controller told of, and when the leader heard it:
-	// what was asked for before may still show them as open.
+	// cancelled are the cancelled jobs reported by controllers, and when each was reported: reads
+	// that were sent before may still show the job as open.
 	cancelled map[model.JobID]time.Duration
 }
 
-// ValidUntil is until when a leader may act on the picture, where it may be so old at most: never
-// (0) before the open jobs were read.
+// ValidUntil returns until when the leader may act on the view if that may be at most maxAge old. It
+// is 0 before the open jobs are read.
 func (v *OpenJobsView) ValidUntil(maxAge time.Duration) time.Duration {
 	if !v.loaded {
 		return 0
@@ -91,15 +95,15 @@
 	return v.asOf + maxAge
 }
 
-// Read takes that the open jobs were read, as of when they were asked for: nobody can have
-// been told of an end that was not stored by then.
+// Read records that the open jobs were read by a request sent at askedAt. Every cancellation that was
+// acknowledged before is included, because it was stored by then.
 func (v *OpenJobsView) Read(askedAt time.Duration) {
 	v.loaded, v.asOf = true, max(v.asOf, askedAt)
 	maps.DeleteFunc(v.cancelled, func(_ model.JobID, addedAt time.Duration) bool { return addedAt < askedAt })
 }
 
-// AddCancelled takes a controller's word that it told a user of a cancellation; anew is false if
-// that was heard before.
+// AddCancelled records that a controller has acknowledged the cancellation of a job. added is false if
+// that was known.
 func (v *OpenJobsView) AddCancelled(now time.Duration, job model.JobID) (added bool) {
 	if v.cancelled == nil {
 		v.cancelled = map[model.JobID]time.Duration{}
@@ -111,15 +115,16 @@
 	return !known
 }
 
-// IsCancelled tells whether a job that was asked for before it was heard of is cancelled.
+// IsCancelled reports whether a job has been reported as cancelled since the last read was sent.
 func (v *OpenJobsView) IsCancelled(job model.JobID) bool {
 	_, cancelled := v.cancelled[job]
 	return cancelled
 }
 
-// ApplyCoverage takes the words of all other controllers, and the leader's own, which is always of
-// now. A word that begins later than the picture leaves a gap: its controller may have told
-// anything in an earlier life.
+// ApplyCoverage updates the time of the view from the coverages of all other controllers; the leader's
+// own acknowledgements are known up to now. If a coverage begins later than the view there is a gap:
+// its controller may have acknowledged other cancellations before, in a previous run. Then the view
+// stays as it is.
 func (v *OpenJobsView) ApplyCoverage(now time.Duration, coverages []Coverage) {
 	if !v.loaded {
 		return
--- a/internal/core/cancellog/cancellog_test.go
+++ b/internal/core/cancellog/cancellog_test.go
@@ -15,12 +15,12 @@
 		words []Coverage
 		want  time.Duration
 	}{
-		"all have told":                      {[]Coverage{{0, 30 * s}, {5 * s, 28 * s}}, 28 * s},
-		"alone":                              {nil, 40 * s},
-		"one has not told since":             {[]Coverage{{0, 30 * s}, {0, 12 * s}}, 20 * s},
-		"one began after the picture":        {[]Coverage{{0, 30 * s}, {21 * s, 30 * s}}, 20 * s},
-		"one began just with it":             {[]Coverage{{20 * s, 30 * s}}, 30 * s},
-		"one has said nothing at all so far": {[]Coverage{{}, {0, 30 * s}}, 20 * s},
+		"all are known":            {[]Coverage{{0, 30 * s}, {5 * s, 28 * s}}, 28 * s},
+		"alone":                    {nil, 40 * s},
+		"one is not known since":   {[]Coverage{{0, 30 * s}, {0, 12 * s}}, 20 * s},
+		"one began after the view": {[]Coverage{{0, 30 * s}, {21 * s, 30 * s}}, 20 * s},
+		"one began with the view":  {[]Coverage{{20 * s, 30 * s}}, 30 * s},
+		"one is not known at all":  {[]Coverage{{}, {0, 30 * s}}, 20 * s},
 	} {
 		var p OpenJobsView
 		p.Read(20 * s)
@@ -29,19 +29,19 @@
 			t.Errorf("%s: %v, want %v", name, p.ValidUntil(0), c.want)
 		}
 	}
-	// Nobody acts on a picture that was never made.
+	// A view that was never read is not valid.
 	var none OpenJobsView
 	none.ApplyCoverage(40*s, nil)
 	if none.ValidUntil(30*s) != 0 {
-		t.Errorf("good until %v before anything was read", none.ValidUntil(30*s))
+		t.Errorf("valid until %v before anything was read", none.ValidUntil(30*s))
 	}
-	// What was known once stays known; a gap is closed by the state service alone.
+	// The view does not get older; only a read of the state service closes a gap.
 	var p OpenJobsView
 	p.Read(20 * s)
 	p.ApplyCoverage(40*s, []Coverage{{0, 39 * s}})
 	p.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
 	if p.ValidUntil(0) != 39*s {
-		t.Errorf("a word from after the gap made it %v", p.ValidUntil(0))
+		t.Errorf("a coverage from after the gap made it %v", p.ValidUntil(0))
 	}
 	p.Read(46 * s)
 	p.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
@@ -60,14 +60,14 @@
 		t.Fatalf("%v since %v", jobs, l.CompleteSince())
 	}
 	if again, _ := l.EntriesFrom(next); len(again) != 0 {
-		t.Errorf("told %v again", again)
+		t.Errorf("returned %v again", again)
 	}
-	l.Acknowledge(4*s+retention+s, 9) // the first is too old
+	l.Acknowledge(4*s+retention+s, 9) // the first entry is too old
 	if jobs, next = l.EntriesFrom(next); !slices.Equal(jobs, []model.JobID{9}) || l.CompleteSince() <= 4*s {
 		t.Errorf("%v since %v", jobs, l.CompleteSince())
 	}
 	if jobs, _ = l.EntriesFrom(0); !slices.Equal(jobs, []model.JobID{8, 9}) || next != 3 {
-		t.Errorf("%v to one who asks for all, next %d", jobs, next)
+		t.Errorf("%v for all entries, next %d", jobs, next)
 	}
 }
 
@@ -75,14 +75,14 @@
 	var p OpenJobsView
 	p.Read(10 * s)
 	if !p.AddCancelled(20*s, 7) || p.AddCancelled(21*s, 7) || !p.IsCancelled(7) || p.IsCancelled(8) {
-		t.Error("a telling counts once, for its job")
+		t.Error("a cancellation must be added once, for its job only")
 	}
-	p.Read(19 * s) // asked for before: it may have shown the job
+	p.Read(19 * s) // sent before the cancellation was reported: it may have shown the job as open
 	if !p.IsCancelled(7) {
-		t.Error("forgotten too early")
+		t.Error("the cancelled job was dropped too early")
 	}
 	p.Read(21 * s)
 	if p.IsCancelled(7) {
-		t.Error("kept for ever")
+		t.Error("the cancelled job is never dropped")
 	}
 }
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,23 +1,26 @@
-// Package election decides whether this controller is the leader, and until
-// when by its own steady clock. It asks for store operations and is told their
-// results; it reads no clock and opens no socket.
+// Package election decides whether this controller is the leader, and until when by its own
+// monotonic clock. It is a state machine without input or output: it returns operations on the
+// state service to run, and takes their results and the time as arguments.
+//
+// The leader's key in the state service is attached to a lease. A controller becomes leader by
+// putting that key, together with the next term, in a transaction that fails if the key exists.
 package election
 
 import "time"
 
-// Verb of a store operation that the election asks for.
+// Verb is what an Op does.
 type Verb uint8
 
-// Operations.
+// Verbs of operations.
 const (
-	Read    Verb = iota // read the leader's key and the term's key
-	Grant               // ask for a lease
-	Acquire             // one transaction: leader's key absent, term as read; put both
-	Renew               // extend the lease
+	Read    Verb = iota // read the leader's key and the term
+	Grant               // request a lease
+	Acquire             // in one transaction: if the leader's key is absent and the term as read, put both
+	Renew               // renew the lease
 	Revoke              // end a lease
 )
 
-// Op is an operation to run; its result comes back through Done.
+// Op is an operation to run on the state service. Its result comes back through HandleResult.
 type Op struct {
 	Verb        Verb
 	Lease       uint64
@@ -26,7 +29,7 @@
 	SentAt      time.Duration
 }
 
-// LeaderRecord is what the leader's key held when it was read.
+// LeaderRecord is the leader's key as read from the state service.
 type LeaderRecord struct {
 	Present bool
 	Host    string
@@ -35,51 +38,51 @@
 	Version uint64
 }
 
-// Result is an operation's outcome.
+// Result is the outcome of an Op.
 type Result struct {
 	Op          Op
 	OK          bool
-	NotExecuted bool // surely not executed: guard failed, lease unknown
-	// Read:
+	NotExecuted bool // certainly not executed: its guard failed, or the lease is unknown
+	// Leader, Term and TermVersion are set for Read.
 	Leader      LeaderRecord
 	Term        uint64
 	TermVersion uint64
-	// Grant: the lease. Acquire: the leader key's version.
+	// Lease is set for Grant; Version, that of the leader's key, for Acquire.
 	Lease, Version uint64
 }
 
-// Election is the state machine.
+// Election is the state machine of one controller.
 type Election struct {
 	host                 string
 	ttl                  time.Duration
 	clockMargin          time.Duration
 	stagger              time.Duration
-	followerReadInterval time.Duration // between a follower's readings of the leader's key
+	followerReadInterval time.Duration // between a follower's reads of the leader's key
 
 	operationPending bool
 	nextOperationAt  time.Duration
 	observed         LeaderRecord
 	lease            uint64
-	leaseSentAt      time.Duration // of the lease's last successful renewal or grant
+	leaseSentAt      time.Duration // when the last successful renewal, or the grant, was sent
 	leading          bool
 	term             uint64
 	version          uint64
 	renewalPending   bool
 	renewalSentAt    time.Duration // when the last renewal was sent
-	nextRenewalAt    time.Duration // of the next renewal
-	leasesToRevoke   []uint64      // leases of ours that must end
+	nextRenewalAt    time.Duration // when the next renewal is due
+	leasesToRevoke   []uint64      // leases of this controller that must be ended
 
-	// ownPromiseUntil: this controller does not take leadership before, for a leader
-	// counts on it. A process that has just started may have promised in its
-	// earlier life, and holds off for as long.
+	// ownPromiseUntil: this controller must not take leadership before, because a leader relies on
+	// its promise. A process that has just started may have promised in its previous run, so it
+	// waits for the length of a promise.
 	ownPromiseUntil       time.Duration
-	promisedThisRun       bool          // has promised in this life
-	siblingsPromisedUntil time.Duration // until when all siblings have promised
+	promisedThisRun       bool          // has promised since the process started
+	siblingsPromisedUntil time.Duration // all siblings have promised not to take leadership before
 }
 
-// New returns a follower. ttl is the lease's length; stagger sets apart
-// controllers that find the key free at the same moment; promise is the length
-// of promises, now is the start of the process.
+// New returns the election of a follower. ttl is the length of the lease; stagger, which differs
+// between controllers, delays this one when a watch shows that the key is free; promise is the
+// length of promises, and now is the start of the process.
 func New(host string, ttl, stagger, promise, now time.Duration) *Election {
 	return &Election{
 		host:                 host,
@@ -91,27 +94,27 @@
 	}
 }
 
-// SetSiblings says how many other controllers there are. All followers together then read
-// the leader's key about twice a second, whatever their number: a watch tells them sooner
-// that it is gone, and a link that breaks has them look at once.
+// SetSiblings sets the number of other controllers. All followers together read the leader's key
+// about twice a second, whatever their number. They learn sooner from a watch that the key is gone,
+// and read it soon after their link to the leader breaks.
 func (e *Election) SetSiblings(n int) {
 	e.followerReadInterval = max(minReadInterval, time.Duration(n)*minReadInterval/2)
 }
 
-// CheckSoon has a follower look at the leader's key soon: its link to the leader is gone.
+// CheckSoon makes a follower read the leader's key soon, because its link to the leader broke.
 func (e *Election) CheckSoon(now time.Duration) {
 	if !e.leading {
 		e.nextOperationAt = min(e.nextOperationAt, now+retryInterval)
 	}
 }
 
-// Promise keeps this controller from taking leadership before until.
+// Promise records the promise not to take leadership before until.
 func (e *Election) Promise(until time.Duration) {
 	e.ownPromiseUntil, e.promisedThisRun = max(e.ownPromiseUntil, until), true
 }
 
-// ClearPriorPromise tells a controller that has just started that no sibling leads, so
-// that nobody can count on a promise of its last life.
+// ClearPriorPromise is called when it is known that no sibling leads, so that no leader can rely on
+// a promise of this controller's previous run. It doesn't affect promises of this run.
 func (e *Election) ClearPriorPromise(now time.Duration) {
 	if !e.promisedThisRun {
 		e.ownPromiseUntil = min(e.ownPromiseUntil, now)
@@ -119,31 +122,31 @@
 	}
 }
 
-// ExtendAuthority tells the leader that every sibling has promised not to take over
-// before until: its authority lasts as long, whatever the state service says.
-// While the service is out the key can't change hands; and if this controller
-// alone is refused, the key may go, but nobody takes it.
+// ExtendAuthority records that every sibling has promised not to take leadership before until. The
+// leader's authority lasts until then even if its lease is not renewed: while the state service is
+// out the key can't change hands, and if the service refuses only this controller, the key may
+// expire, but nobody takes it.
 func (e *Election) ExtendAuthority(until time.Duration) {
 	e.siblingsPromisedUntil = max(e.siblingsPromisedUntil, until)
 }
 
-// Deadline is when authority ends unless it is renewed: counted from sending
-// the last successful renewal, less the clocks' drift and late timers; or, if
-// that is later, the end of all siblings' promises.
+// Deadline returns when the leader's authority ends unless it is renewed: the lease's length after
+// the last successful renewal was sent, less a margin for clock drift and late timers; or, if that
+// is later, the end of all siblings' promises.
 func (e *Election) Deadline() time.Duration {
 	return max(e.leaseSentAt+e.ttl-e.clockMargin, e.siblingsPromisedUntil)
 }
 
-// Leading tells whether this controller may act as the leader now.
+// Leading reports whether this controller may act as the leader now.
 func (e *Election) Leading(now time.Duration) bool { return e.leading && now < e.Deadline() }
 
-// Term is the current term while leading.
+// Term returns the current term. It is only valid while leading.
 func (e *Election) Term() uint64 { return e.term }
 
-// Version is the leader key's version, the guard of every leader's write.
+// Version returns the version of the leader's key, which guards every write of the leader.
 func (e *Election) Version() uint64 { return e.version }
 
-// Holder is the last seen holder of the leader's key, "" if none.
+// Holder returns the last known holder of the leader's key, "" if there is none.
 func (e *Election) Holder() string {
 	if e.leading {
 		return e.host
@@ -154,7 +157,7 @@
 	return e.observed.Host
 }
 
-// Observe takes news of the leader's key from a watch.
+// Observe takes the state of the leader's key from a watch.
 func (e *Election) Observe(now time.Duration, r LeaderRecord) {
 	if r.Version < e.observed.Version && r.Present {
 		return
@@ -165,8 +168,8 @@
 	}
 }
 
-// Resign gives leadership up at once: from here on nothing more is done under
-// this term, and the lease is ended so that another need not wait for it.
+// Resign gives up leadership at once: nothing more is done under this term. The lease is ended so
+// that no other controller has to wait for it. This one does not run for leadership during pause.
 func (e *Election) Resign(now, pause time.Duration) {
 	if !e.leading {
 		return
@@ -175,6 +178,7 @@
 	e.nextOperationAt = now + pause
 }
 
+// stepDown ends leadership and schedules the end of its lease.
 func (e *Election) stepDown() {
 	if e.lease != 0 {
 		e.leasesToRevoke = append(e.leasesToRevoke, e.lease)
@@ -183,7 +187,7 @@
 	e.observed = LeaderRecord{}
 }
 
-// Step returns the operations to run now.
+// Step returns the operations to run now. It is called at every tick.
 func (e *Election) Step(now time.Duration) []Op {
 	var ops []Op
 	if e.leading && now >= e.Deadline() {
@@ -191,7 +195,7 @@
 		e.nextOperationAt = now
 	}
 	if e.leading {
-		// An answer that is late does not hold up the next try.
+		// A late answer does not delay the next renewal.
 		if now >= e.nextRenewalAt && (!e.renewalPending || now-e.renewalSentAt >= e.ttl/5) {
 			e.renewalPending, e.renewalSentAt = true, now
 			ops = append(ops, Op{Verb: Renew, Lease: e.lease, SentAt: now})
@@ -214,7 +218,7 @@
 	minReadInterval = time.Second
 )
 
-// HandleResult takes an operation's result and returns what follows at once.
+// HandleResult takes the result of an operation and returns the operations to run next at once.
 func (e *Election) HandleResult(now time.Duration, r Result) []Op {
 	if r.Op.Verb == Renew {
 		return e.handleRenewal(now, r)
@@ -234,12 +238,12 @@
 		e.observed = r.Leader
 		if r.Leader.Present {
 			if r.Leader.Host == e.host {
-				// An earlier incarnation's, or a late transaction's: one
-				// process per controller, so nobody acts under it.
+				// The key is from the previous run, or from a transaction that was applied
+				// late. Nobody acts under it, because there is one process per controller.
 				e.leasesToRevoke = append(withoutLease(e.leasesToRevoke, r.Leader.Lease), r.Leader.Lease)
 				e.nextOperationAt = now
 				if !e.promisedThisRun {
-					// Our last life led, so no other leader counts on its promise.
+					// The previous run led, so no other leader relies on a promise of it.
 					e.ownPromiseUntil = now
 				}
 			} else {
@@ -262,20 +266,21 @@
 		return []Op{{Verb: Acquire, Lease: r.Lease, Term: r.Op.Term, TermVersion: r.Op.TermVersion, SentAt: r.Op.SentAt}}
 	case Acquire:
 		if !r.OK || now < e.ownPromiseUntil {
-			// In doubt, it may yet be applied late: ending its lease makes it
-			// fail for ever.
+			// The transaction may still be applied later. Ending its lease makes it fail for
+			// ever.
 			e.leasesToRevoke = append(e.leasesToRevoke, e.lease)
 			e.lease = 0
 			break
 		}
 		e.leading, e.term, e.version = true, r.Op.Term, r.Version
-		e.leaseSentAt = r.Op.SentAt // the lease was asked for then
+		e.leaseSentAt = r.Op.SentAt // when the lease was requested
 		e.nextRenewalAt = now
 		e.renewalPending = false
 	}
 	return nil
 }
 
+// handleRenewal takes the result of a renewal.
 func (e *Election) handleRenewal(now time.Duration, r Result) []Op {
 	if !e.leading || r.Op.Lease != e.lease {
 		return nil
@@ -283,9 +288,9 @@
 	e.renewalPending = false
 	switch {
 	case r.NotExecuted, now >= e.Deadline():
-		// The lease has ended, or authority was over before this answer came, and
-		// whatever went with the term has been dropped. Taken up again, the term would
-		// give tokens and attempts out for a second time.
+		// The lease has ended, or authority ended before this answer came, and the state of
+		// the term has been dropped. If the term were resumed, tokens and attempt numbers would
+		// be assigned a second time.
 		e.stepDown()
 		e.nextOperationAt = now
 	case r.OK:
@@ -299,6 +304,7 @@
 	return nil
 }
 
+// withoutLease removes a lease from a list, in place.
 func withoutLease(leases []uint64, lease uint64) []uint64 {
 	kept := leases[:0]
 	for _, other := range leases {
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -7,7 +7,7 @@
 
 const ttl = 4 * time.Second
 
-// makeLeader makes e leader of term 1 under lease 7, granted at the given time.
+// makeLeader makes e the leader of term 1 under lease 7, requested at now.
 func makeLeader(t *testing.T, e *Election, now time.Duration) {
 	t.Helper()
 	ops := e.Step(now)
@@ -29,7 +29,7 @@
 	e := New("a", ttl, 0, 0, 0)
 	makeLeader(t, e, 0)
 	if !e.Leading(2*time.Second) || e.Leading(ttl) {
-		t.Fatal("authority must end a lease's length after asking for it, not after its answer")
+		t.Fatal("authority must end a lease's length after requesting it, not after the answer")
 	}
 	// A renewal sent at 2.5 s and answered at 3.5 s counts from 2.5 s.
 	ops := e.Step(2500 * time.Millisecond)
@@ -49,9 +49,9 @@
 	ops = e.HandleResult(0, Result{Op: ops[0], OK: true, Lease: 7})
 	e.HandleResult(time.Second, Result{Op: ops[0]}) // no answer
 	if e.Leading(time.Second) {
-		t.Fatal("leads on a transaction in doubt")
+		t.Fatal("leads though the transaction is in doubt")
 	}
-	// The transaction may be applied late: ending its lease makes it fail.
+	// The transaction may be applied later: ending its lease makes it fail.
 	ops = e.Step(2 * time.Second)
 	if len(ops) != 1 || ops[0].Verb != Revoke || ops[0].Lease != 7 {
 		t.Fatalf("ops %v, want lease 7 ended", ops)
@@ -67,7 +67,7 @@
 		t.Fatalf("ops %v, want lease 3 ended", ops)
 	}
 	e.HandleResult(0, Result{Op: ops[0], OK: true})
-	makeLeader(t, e, 0) // at once: whoever led needs no promise of its own
+	makeLeader(t, e, 0) // at once: the previous run led, so no leader relies on its promise
 }
 
 func TestPromiseIsKept(t *testing.T) {
@@ -80,11 +80,11 @@
 		return len(e.HandleResult(now, Result{Op: ops[0], OK: true})) > 0
 	}
 	if acquires(500 * time.Millisecond) {
-		t.Fatal("a process just started may have promised in its last life")
+		t.Fatal("a process that just started may have promised in its previous run")
 	}
 	e.Promise(3 * time.Second)
 	if acquires(2 * time.Second) {
-		t.Fatal("ran for leadership against its promise")
+		t.Fatal("ran for leadership in spite of its promise")
 	}
 	if !acquires(3 * time.Second) {
 		t.Fatal("the promise is over")
@@ -101,32 +101,32 @@
 	if e.Leading(10 * time.Second) {
 		t.Fatal("the promises are over")
 	}
-	// A key that is surely gone ends it all the same.
+	// If the key is certainly gone, authority ends all the same.
 	ops := e.Step(9 * time.Second)
 	e.HandleResult(9*time.Second, Result{Op: ops[0], NotExecuted: true})
 	if e.Leading(9 * time.Second) {
-		t.Fatal("leads without its lease")
+		t.Fatal("leads without a lease")
 	}
 }
 
-// After a crash of all controllers nobody leads: their last lives' promises bind
-// nobody, and waiting for them costs the workers' leases.
+// After a crash of all controllers nobody leads, so promises of their previous runs do not matter.
+// Waiting for these to end would let the workers' leases expire.
 func TestPriorPromiseIsClearedWithoutLeader(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
 	e.ClearPriorPromise(time.Second)
 	makeLeader(t, e, time.Second)
-	// A promise of this life binds.
+	// A promise of this run counts.
 	e = New("a", ttl, 0, time.Minute, 0)
 	e.Promise(time.Minute)
 	e.ClearPriorPromise(time.Second)
 	ops := e.Step(time.Second)
 	if got := e.HandleResult(time.Second, Result{Op: ops[0], OK: true}); len(got) > 0 {
-		t.Fatalf("ops %v against a promise", got)
+		t.Fatalf("ops %v in spite of a promise", got)
 	}
 }
 
-// A renewal that is answered after authority was over once took the same term up
-// again, with a new dealer: tokens and attempts of that term were given out twice.
+// A renewal that is answered after authority has ended must not resume the term: the dispatcher's
+// state is gone, so tokens and attempt numbers of the term would be assigned twice.
 func TestEndedTermIsNotResumed(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	makeLeader(t, e, 0)
@@ -137,15 +137,15 @@
 	}
 	e.HandleResult(late, Result{Op: ops[0], OK: true})
 	if e.Leading(late) {
-		t.Fatal("the term is taken up again")
+		t.Fatal("the term was resumed")
 	}
 	if ops = e.Step(late); len(ops) != 1 || ops[0].Verb != Revoke || ops[0].Lease != 7 {
 		t.Fatalf("ops %v, want the term's lease ended", ops)
 	}
 }
 
-// All followers together read the leader's key about twice a second, however many there are;
-// one whose link to the leader is gone looks soon.
+// All followers together read the leader's key about twice a second, however many there are. One
+// whose link to the leader breaks reads it soon.
 func TestFollowersShareReadRate(t *testing.T) {
 	for _, siblings := range []int{2, 6, 19} {
 		e := New("b", 3*time.Second, 0, 0, 0)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -32,7 +32,7 @@
 // machineState is what the fleet knows about one machine.
 type machineState struct {
 	machineKind
-	knownSince        time.Duration // when it was rented or first seen
+	knownSince        time.Duration // since when it exists, as far as known
 	reported          bool          // its worker has reported to this leader
 	lastListed        time.Duration // when the cloud's list last contained it
 	firstListed       time.Duration // when this leader first read a list that contained it; 0: never
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -1,12 +1,12 @@
-// Package overload judges from a timer's lateness how far this process is behind what
-// is asked of it, and what it should leave for that. It is a state machine without
-// input or output; times are the steady clock's.
+// Package overload estimates from the delay of timers how far this process is behind its work, and
+// decides which requests to refuse because of that. It is a state machine without input or output;
+// times are those of the monotonic clock.
 //
-// A controller has a small part of one core. What it can't serve in time waits in its
-// sockets and its run queue, and everything waits behind it: renewals, grants, the
-// workers' reports, whose senders give up and ask another controller, which is as far
-// behind. So what can wait is turned away the earlier the further behind it is, and
-// what the controller does of its own accord is done less at a time.
+// A controller has a small share of one core. Requests that it can't serve in time wait in its sockets
+// and its run queue, and delay everything else: lease renewals, grants, and the workers' reports,
+// whose senders time out and try another controller that is equally overloaded. So requests that can
+// wait are refused, the less urgent ones at a smaller lag, and the concurrency of the controller's own
+// work is reduced.
 package overload
 
 import (
@@ -14,45 +14,45 @@
 	"time"
 )
 
-// Kind of what may be turned away.
+// Kind is the kind of a request that may be refused.
 type Kind uint8
 
-// Kinds, what is turned away first first. Reports, grants and renewals never are.
+// Kinds, in the order in which they are refused. Reports, grants and renewals never are.
 const (
-	Poll   Kind = iota // how a job stands: asked again a little later in any case
-	Change             // a submission or cancellation: tried again for a minute
+	Poll   Kind = iota // status of a job: will be polled again a little later in any case
+	Change             // a submission or cancellation: is retried for a minute
 )
 
 const (
-	// minLag is the lateness below which nothing is left undone.
+	// minLag is the lag up to which concurrency is not reduced.
 	minLag = 80 * time.Millisecond
-	// lagHalfLife is how long until a lateness that does not recur counts for half.
+	// lagHalfLife is the time in which the lag halves if no further delay is recorded.
 	lagHalfLife = 400 * time.Millisecond
-	// refusePollsAt and changesAt: from this lateness on they are turned away.
+	// refusePollsAt and refuseChangesAt are the lags from which polls and changes are refused.
 	refusePollsAt   = 250 * time.Millisecond
 	refuseChangesAt = 700 * time.Millisecond
 	maxLag          = 3 * time.Second
 )
 
-// Detector is the state machine.
+// Detector is the state machine of one process.
 type Detector struct {
-	peakLag    time.Duration // decaying peak of the lateness
+	peakLag    time.Duration // peak of the recorded delays, decayed until recordedAt
 	recordedAt time.Duration
 }
 
-// RecordDelay takes how late a timer fired, now.
+// RecordDelay records how late a timer fired that fired now.
 func (d *Detector) RecordDelay(now, delay time.Duration) {
 	d.peakLag = min(maxLag, max(delay, d.Lag(now)))
 	d.recordedAt = now
 }
 
-// Lag is how far behind this process is.
+// Lag returns how far behind this process is: the decayed peak of the delays.
 func (d *Detector) Lag(now time.Duration) time.Duration {
 	return time.Duration(float64(d.peakLag) * math.Exp2(-float64(max(0, now-d.recordedAt))/float64(lagHalfLife)))
 }
 
-// Admits tells whether a request of a kind is worth starting: it would be answered
-// before its asker has given up.
+// Admits reports whether a request of a kind should be served. If not, it would be answered only after
+// its caller has given up.
 func (d *Detector) Admits(now time.Duration, k Kind) bool {
 	if k == Poll {
 		return d.Lag(now) < refusePollsAt
@@ -60,8 +60,8 @@
 	return d.Lag(now) < refuseChangesAt
 }
 
-// RetryAfter is after how long somebody who was turned away should ask again: the longer,
-// the further behind this process is. spread, from 0 to 1, sets askers apart.
+// RetryAfter returns after what time the caller of a refused request should retry: the larger the lag,
+// the later. spread, from 0 to 1, distributes the retries of several callers.
 func (d *Detector) RetryAfter(now time.Duration, spread float64) time.Duration {
 	lag := d.Lag(now)
 	return time.Second + time.Duration(float64(3*lag)*(0.5+spread))
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// TestRequestsAreRefusedByLag: the further behind, the more is turned away: polls
-// before changes, and own work shrinks but never ends.
+// The larger the lag, the more is refused: polls before changes. The process's own work is reduced,
+// but never to zero.
 func TestRequestsAreRefusedByLag(t *testing.T) {
 	for _, c := range []struct {
 		lag           time.Duration
@@ -25,10 +25,10 @@
 		var s Detector
 		s.RecordDelay(time.Second, c.lag)
 		if got := s.Admits(time.Second, Poll); got != c.polls {
-			t.Errorf("lag %v: polls taken: %v", c.lag, got)
+			t.Errorf("lag %v: polls admitted: %v", c.lag, got)
 		}
 		if got := s.Admits(time.Second, Change); got != c.change {
-			t.Errorf("lag %v: changes taken: %v", c.lag, got)
+			t.Errorf("lag %v: changes admitted: %v", c.lag, got)
 		}
 		if got := s.Scale(time.Second, 48); got < c.least || got > c.most {
 			t.Errorf("lag %v: %d at a time, want %d to %d", c.lag, got, c.least, c.most)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestLagRecovers: once nothing is late any more everything is taken again within a
-// few seconds, however long the process stood still.
+// Once timers fire in time again, everything is admitted within a few seconds, however long the
+// process was stopped.
 func TestLagRecovers(t *testing.T) {
 	var s Detector
 	s.RecordDelay(time.Second, time.Minute)
@@ -49,11 +49,11 @@
 	}
 }
 
-// TestRetryTimesAreSpread: they would all come back at the same moment.
+// Callers of refused requests must not all retry at the same time.
 func TestRetryTimesAreSpread(t *testing.T) {
 	var s Detector
 	s.RecordDelay(0, time.Second)
 	if lo, hi := s.RetryAfter(0, 0), s.RetryAfter(0, 1); lo < time.Second || hi-lo < 2*time.Second {
-		t.Errorf("back after %v to %v", lo, hi)
+		t.Errorf("retry after %v to %v", lo, hi)
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota keeps what operators have changed about teams' limits and guarantees
-// while the service runs: at once or until a time of day, stored, and taken up by any
-// leader. It is a state machine of the leader's, without input or output.
+// Package quota holds operators' overrides of teams' limits and guarantees. They are made while the
+// service runs, may expire at a time of day, and are stored, so that any later leader applies them. It
+// is a state machine of the leader, without input or output.
 //
-// A change acts once it is surely stored: before, a leader that follows would not know of
-// it. A limit never goes above the platform's, which users count on.
+// A change takes effect once it is certainly stored: before that, a later leader would not know of
+// it. A limit can't be raised above the platform's limit, on which users rely.
 package quota
 
 import (
@@ -18,28 +18,29 @@
 	"honeylock/internal/core/model"
 )
 
-// recordVersion of stored changes. What a newer release wrote is left alone.
+// recordVersion is the version of stored records. Records of newer versions are not changed.
 const recordVersion = 1
 
-// Change of a team. Amounts are in thousandths; nil: as the platform has it.
+// Change overrides a team's settings. Amounts are in thousandths; nil: the platform's value.
 type Change struct {
 	LimitCPU     *int64 `json:"limit_cpu,omitempty"`
 	LimitGPU     *int64 `json:"limit_gpu,omitempty"`
 	GuaranteeCPU *int64 `json:"guarantee_cpu,omitempty"`
 	GuaranteeGPU *int64 `json:"guarantee_gpu,omitempty"`
-	UntilMS      int64  `json:"until_ms,omitempty"` // time of day; 0: until it is unset
+	UntilMS      int64  `json:"until_ms,omitempty"` // time of day when it expires; 0: never
 	By           string `json:"by"`
 	AtMS         int64  `json:"at_ms"`
 }
 
+// empty reports whether the change overrides nothing.
 func (c *Change) empty() bool {
 	return c.LimitCPU == nil && c.LimitGPU == nil && c.GuaranteeCPU == nil && c.GuaranteeGPU == nil
 }
 
-// expired tells whether the time that a change was made for has come.
+// expired reports whether the time until which the change holds has passed.
 func (c *Change) expired(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
 
-// applyTo is a team with the change made.
+// applyTo returns the team with the change applied.
 func (c *Change) applyTo(t dispatcher.Team) dispatcher.Team {
 	for _, f := range []struct {
 		to *int64
@@ -53,28 +54,29 @@
 	return t
 }
 
+// record is the stored form of a Change.
 type record struct {
 	V int `json:"v"`
 	Change
 }
 
-// entry is what is kept of a team that was changed.
+// entry is the state of one team's override. Each change of requested gets a new generation.
 type entry struct {
-	requested, active Change
+	requested, active Change // as last set, and as last stored
 	version           uint64 // of the stored record, 0: none
 	generation        uint64
 	storedGeneration  uint64
 	sendingGeneration uint64
-	readOnlyReason    string // why this release does not touch the record
+	readOnlyReason    string // why this release must not change the record, "" if it may
 }
 
-// Overrides is the state machine.
+// Overrides is the state machine of all teams.
 type Overrides struct {
 	platform []dispatcher.Team
 	byTeam   map[model.Name]*entry
 }
 
-// New returns a book without changes to the platform's teams.
+// New returns Overrides without changes to the platform's teams, which are indexed by name.
 func New(platform []dispatcher.Team) *Overrides {
 	return &Overrides{platform: platform, byTeam: map[model.Name]*entry{}}
 }
@@ -88,7 +90,7 @@
 	return e
 }
 
-// Load takes a stored change.
+// Load takes a record from the store.
 func (o *Overrides) Load(team model.Name, value []byte, version uint64) {
 	e := o.ensureEntry(team)
 	e.version = version
@@ -103,14 +105,14 @@
 	}
 }
 
-// RefusedError says why a change can't be made.
+// RefusedError is why a change can't be made.
 type RefusedError struct{ Reason string }
 
 func (r *RefusedError) Error() string { return r.Reason }
 
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Set changes a team; what c leaves out stays as it was changed before.
+// Set requests a change of a team. Amounts that it leaves out keep earlier overrides.
 func (o *Overrides) Set(wall time.Time, team model.Name, change Change) error {
 	e := o.ensureEntry(team)
 	if e.readOnlyReason != "" {
@@ -145,9 +147,10 @@
 	return nil
 }
 
+// amount converts thousandths for messages.
 func amount(n int64) float64 { return float64(n) / 1000 }
 
-// Unset takes a team's changes back.
+// Unset removes a team's override.
 func (o *Overrides) Unset(team model.Name) error {
 	e := o.byTeam[team]
 	if e != nil && e.readOnlyReason != "" {
@@ -161,7 +164,7 @@
 	return nil
 }
 
-// Expire takes changes back whose time is over.
+// Expire removes the overrides whose time has passed.
 func (o *Overrides) Expire(wall time.Time) {
 	for _, e := range o.byTeam {
 		if e.readOnlyReason == "" && !e.requested.empty() && e.requested.expired(wall) {
@@ -171,7 +174,7 @@
 	}
 }
 
-// Team is a team's limit and guarantee now.
+// Team returns a team's present limit and guarantee.
 func (o *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
 	if e := o.byTeam[team]; e != nil && !e.active.expired(wall) {
 		return e.active.applyTo(o.platform[team])
@@ -179,7 +182,7 @@
 	return o.platform[team]
 }
 
-// Active is the change that acts on a team, and whether there is one.
+// Active returns the override in effect for a team, and whether there is one.
 func (o *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
 	e := o.byTeam[team]
 	if e == nil || e.active.empty() || e.active.expired(wall) {
@@ -188,13 +191,13 @@
 	return e.active, true
 }
 
-// Synced tells whether all that was changed about a team is surely stored.
+// Synced reports whether all requested changes of a team are certainly stored.
 func (o *Overrides) Synced(team model.Name) bool {
 	e := o.byTeam[team]
 	return e == nil || e.storedGeneration == e.generation
 }
 
-// HasPendingWrites tells whether anything is to be stored.
+// HasPendingWrites reports whether a change has still to be stored.
 func (o *Overrides) HasPendingWrites() bool {
 	for _, e := range o.byTeam {
 		if e.readOnlyReason == "" && e.storedGeneration != e.generation {
@@ -204,16 +207,16 @@
 	return false
 }
 
-// Write is a change for the state service. It comes back through Wrote.
+// Write is a change to be written to the state service. Its outcome comes back through WriteDone.
 type Write struct {
 	Team       model.Name
-	Version    uint64 // of the record that it replaces, 0: none
-	Value      []byte // nil: the record goes
+	Version    uint64 // version of the record that it replaces; 0: there is none
+	Value      []byte // nil: the record is deleted
 	generation uint64
 	change     Change
 }
 
-// Writes returns at most n records to be stored.
+// Writes returns at most n changes to be stored, which are then in progress.
 func (o *Overrides) Writes(n int) []Write {
 	var out []Write
 	for team, e := range o.byTeam {
@@ -238,8 +241,8 @@
 	return out
 }
 
-// WriteDone takes a write's outcome. conflict tells that the record is at version at: a write
-// of this leader's without an answer got through after all.
+// WriteDone takes the outcome of a write. conflict reports that the record has currentVersion instead
+// of the expected one: an earlier write of this leader that got no answer was executed after all.
 func (o *Overrides) WriteDone(w Write, newVersion uint64, ok, conflict bool, currentVersion uint64) {
 	e := o.byTeam[w.Team]
 	if e.sendingGeneration != w.generation {
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -17,8 +17,8 @@
 
 func cpus(n float64) *int64 { v := int64(n * 1000); return &v }
 
-// A change acts once it is stored, whatever becomes of the answers; any leader takes it
-// up, and lets go of it when its time is over or it is unset.
+// A change takes effect once it is stored, even if answers are lost. The next leader applies it, until
+// it expires or is unset.
 func TestChangeTakesEffectOnceStored(t *testing.T) {
 	b := New(teams())
 	if err := b.Set(wall, 0, Change{LimitCPU: cpus(50), UntilMS: wall.Add(time.Hour).UnixMilli(), By: "ops"}); err != nil {
@@ -26,9 +26,9 @@
 	}
 	w := b.Writes(9)
 	if len(w) != 1 || b.Synced(0) || b.Team(0, wall).Limit.CPU != 100_000 {
-		t.Fatalf("%+v: it acts before it is stored", w)
+		t.Fatalf("%+v: it takes effect before it is stored", w)
 	}
-	b.WriteDone(w[0], 0, false, false, 0) // no answer, though it is stored, at 7
+	b.WriteDone(w[0], 0, false, false, 0) // stored at version 7, but the answer is lost
 	w = b.Writes(9)
 	b.WriteDone(w[0], 0, false, true, 7)
 	w = b.Writes(9)
@@ -46,11 +46,11 @@
 	}
 	later := wall.Add(2 * time.Hour)
 	if got := next.Team(0, later); got.Limit.CPU != 100_000 {
-		t.Errorf("%+v when its time is over", got)
+		t.Errorf("%+v after it has expired", got)
 	}
 	next.Expire(later)
 	if w := next.Writes(9); len(w) != 1 || w[0].Value != nil || w[0].Version != 8 {
-		t.Errorf("%+v, want the record to go", w)
+		t.Errorf("%+v, want the record deleted", w)
 	}
 	if err := b.Unset(0); err != nil || b.Team(0, wall).Limit.CPU != 50_000 {
 		t.Errorf("%v, %+v before it is stored", err, b.Team(0, wall))
@@ -75,7 +75,7 @@
 			t.Errorf("%v, want %q", err, why)
 		}
 		if len(b.Writes(9)) > 0 {
-			t.Errorf("%s: something is stored", why)
+			t.Errorf("%s: something is to be stored", why)
 		}
 	}
 	b := New(teams())
@@ -84,6 +84,6 @@
 		t.Errorf("%v", err)
 	}
 	if b.Unset(1) == nil || len(b.Writes(9)) > 0 {
-		t.Error("a newer release's record is touched")
+		t.Error("a newer release's record is changed")
 	}
 }
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -1,14 +1,15 @@
-// Package ratelimit decides when a controller's requests go to the state service, whose
-// rate all controllers share without asking each other. It is a state machine
-// without input or output; times are the steady clock's.
+// Package ratelimit decides when a controller's requests may be sent to the state service, whose
+// rate limit all controllers share. It is a state machine without input or output; times are those
+// of the monotonic clock.
 //
-// Where a leader tells it its part (package rateshare), a controller keeps to that. Where
-// nobody does, it holds a share that grows slowly while nothing is refused for the
-// rate, and shrinks at once when something is (additive increase, multiplicative decrease):
-// so shares follow who needs them, and meet at equal ones where all do. What is urgent may
-// overdraw the share; the rest then waits for longer. What could not go in time is refused
-// at once, for its asker has given up by then and asks again: queues of dead requests are
-// how an overload keeps itself alive.
+// If the leader allocates a share of the rate to a controller (see package rateshare), it uses
+// that. Otherwise it uses a share of its own that grows slowly, and shrinks at once when the service
+// refuses a request for its rate (additive increase, multiplicative decrease). So the shares follow
+// demand, and converge to equal ones if all controllers need more.
+//
+// Urgent classes may overdraw the share, and the others then wait longer. A request that could not
+// be sent before its deadline is refused at once: its caller will have given up and retried by then,
+// and a queue of abandoned requests sustains an overload.
 package ratelimit
 
 import (
@@ -16,77 +17,79 @@
 	"time"
 )
 
-// Class of a request, the most urgent first.
+// Class is the urgency of a request.
 type Class uint8
 
-// Classes.
+// Classes, the most urgent first.
 const (
 	Authority   Class = iota // leases, the leader's key, watches: never wait
-	Leader                   // what a leader reads, ends of jobs, and records that placing waits for
+	Leader                   // reads of a leader, ends of jobs, and records that placing waits for
 	Changes                  // submissions, cancellations and operators' changes
-	Comparisons              // comparisons, each of which answers many users' questions
-	Background               // a leader's progress: nobody is told of it
-	Reads                    // polls, and whatever else nobody is held up by
+	Comparisons              // comparisons, each of which answers many users' checks
+	Background               // a leader's records of progress, which nobody waits for
+	Reads                    // polls, and other reads that block nothing
 	classes
 )
 
-// overdraft is the part of a second's share that a class may go below zero.
+// overdraft is how far the tokens may go below zero for a class, in seconds of the share.
 var overdraft = [classes]float64{Leader: 1.8, Changes: 0.9}
 
-// Params of a limiter.
+// Params are the parameters of a Limiter.
 type Params struct {
-	RequestRate, WriteRate float64 // a second that the service allows to all
-	// NextWriteRate is what it will allow from some moment on, without notice; 0: as now.
+	RequestRate, WriteRate float64 // per second, of the service for all controllers
+	// NextWriteRate is an announced lower WriteRate that will hold from an unknown time on; 0: none.
 	NextWriteRate float64
 	Controllers   int
 }
 
 const (
-	maxShare            = 0.9                    // of the service's rate, for one controller alone
-	initialTotalShare   = 0.5                    // ... for all together, shared equally: where it begins; the rest is a new leader's
-	minShare            = 0.5                    // ... which stay to each, however often they are refused
-	shareGrowth         = 0.03                   // of the service's rate, a second
-	shrinkFactor        = 0.75                   // what is left of a share when a request was refused
-	refusalInterval     = 400 * time.Millisecond // one refusal in so long counts: others were under way
-	announcedRateWindow = 10 * time.Second       // two refusals within so long: the announced limit holds
+	maxShare            = 0.9                    // of the service's rate, for one controller
+	initialTotalShare   = 0.5                    // initial share of all controllers together; the rest is for a new leader
+	minShare            = 0.5                    // lower bound: of allocationHealth, and of all controllers' own shares together
+	shareGrowth         = 0.03                   // of the service's rate per second
+	shrinkFactor        = 0.75                   // applied to the share when a request is refused
+	refusalInterval     = 400 * time.Millisecond // later refusals within it don't count: those requests were already sent
+	announcedRateWindow = 10 * time.Second       // two refusals within it show that the announced rate holds
 )
 
-// Ticket is a request that asked to go.
+// Ticket is a request that may be sent now, waits, or is refused.
 type Ticket struct {
 	class  Class
 	writes float64
 	until  time.Duration
-	// Decided is closed once the request may go, or must not: Refused tells.
+	// Decided is closed once the request may be sent, or is refused; then Refused tells which.
 	Decided chan struct{}
 	Refused bool
 }
 
-// Allocation of the service's rate, as a share of it.
+// Allocation is a controller's share of the service's rates, as fractions of them.
 type Allocation struct{ Requests, Writes float64 }
 
 const (
-	// allocationRecovery is how much of its part, a second, a controller takes up again after a refusal.
+	// allocationRecovery is the fraction of its allocation per second by which a controller recovers
+	// after a refusal.
 	allocationRecovery = 0.1
-	// minBurstShare is the part of the service's burst (one second's worth) that users' changes
-	// may take at any controller: a load balancer may send them all to one, and seldom do all
-	// controllers take it at once.
+	// minBurstShare is the fraction of the service's burst (one second's worth) that urgent
+	// requests may use at any controller, even if its share is small. A load balancer may send
+	// all users' changes to one controller, and all controllers rarely use it at once.
 	minBurstShare = 0.2
-	// demandWindow is over what time needs are counted.
+	// demandWindow is the length of the windows in which demand is counted.
 	demandWindow = time.Second
 )
 
-// bucket of tokens: one for requests, one for changes.
+// bucket is a token bucket. A Limiter has one for requests and one for changes (writes).
 type bucket struct {
 	rate, share, tokens float64
 	demand              counter
 }
 
-// counter counts what was asked for in the present span of time and in the one before.
+// counter counts demand in the current and in the previous time window.
 type counter struct {
-	window            time.Duration // number of the present one
+	window            time.Duration // index of the current window
 	current, previous float64
 }
 
+// advance moves to the window that contains now.
 func (c *counter) advance(now time.Duration) {
 	window := now / demandWindow
 	switch {
@@ -105,7 +108,7 @@
 	c.current += n
 }
 
-// perSecond is what was asked for lately.
+// perSecond returns the recent demand: the larger of the two windows.
 func (c *counter) perSecond(now time.Duration) float64 {
 	c.advance(now)
 	return max(c.current, c.previous) / demandWindow.Seconds()
@@ -115,14 +118,14 @@
 	b.tokens = min(b.tokens+b.rate*b.share*seconds, b.burst())
 }
 
-// ownBurst is what may go at once: half a second's share, as others have theirs.
+// ownBurst is the burst of classes that are not urgent: half a second of the share.
 func (b *bucket) ownBurst() float64 { return max(2, b.rate*b.share/2) }
 
-// burst is what may go at once of urgent classes: a part of the service's own burst even
-// where the share is small.
+// burst is the burst of urgent classes: at least a fraction of the service's own burst, even if the
+// share is small.
 func (b *bucket) burst() float64 { return max(b.ownBurst(), b.rate*minBurstShare) }
 
-// allows tells whether n may go for a class now.
+// allows reports whether n tokens are available for a class now.
 func (b *bucket) allows(c Class, n float64) bool {
 	if n == 0 || c == Authority {
 		return true
@@ -130,8 +133,8 @@
 	return b.tokens-min(n, b.burst()) >= b.minTokens(c)
 }
 
-// waitSeconds is how long until n may go for a class if nothing else does meanwhile, in
-// seconds.
+// waitSeconds returns after how many seconds n tokens will be available for a class, if no others
+// are taken meanwhile.
 func (b *bucket) waitSeconds(c Class, n float64) float64 {
 	if n == 0 || c == Authority {
 		return 0
@@ -139,8 +142,8 @@
 	return max(0, n+b.minTokens(c)-b.tokens) / (b.rate * b.share)
 }
 
-// minTokens is what a class has to leave: urgent ones may overdraw, the others leave to them what
-// is above their own burst.
+// minTokens is the number of tokens that a class must leave. Urgent classes may overdraw; the others
+// leave to these whatever exceeds ownBurst.
 func (b *bucket) minTokens(c Class) float64 {
 	if c > Changes {
 		return b.burst() - b.ownBurst()
@@ -148,26 +151,27 @@
 	return -overdraft[c] * max(2, b.rate*b.share, b.rate*minBurstShare)
 }
 
-// Limiter is the state machine.
+// Limiter is the state machine of one controller.
 type Limiter struct {
 	params           Params
-	ownShare         float64 // of the service's rate, where nobody tells a part
+	ownShare         float64 // of the service's rate, used without an allocation
 	allocation       Allocation
-	allocationUntil  time.Duration // the part is good until then
-	allocationHealth float64       // of the part: below 1 after refusals
-	spareWriteShare  float64       // of the rate of changes: what may be used while nobody is refused
+	allocationUntil  time.Duration // the allocation expires then
+	allocationHealth float64       // factor of the allocation: below 1 after refusals
+	spareWriteShare  float64       // of the write rate: may be used beyond the allocation while nothing is refused
 	refilledAt       time.Duration
 	lastShrinkAt     time.Duration
-	writeRateLowered bool // the announced limit holds
+	writeRateLowered bool // the announced rate holds
 	requests         bucket
 	writes           bucket
 	queue            [classes][]*Ticket
-	// Stats count what was refused here, by class, and by the service.
+	// Shed counts the requests refused here, by class; ServiceRefusals those that the service
+	// refused for its rate.
 	Shed            [classes]uint64
 	ServiceRefusals uint64
 }
 
-// New returns a limiter with an equal share.
+// New returns a Limiter with the initial share.
 func New(p Params) *Limiter {
 	p.Controllers = max(1, p.Controllers)
 	share := initialTotalShare / float64(p.Controllers)
@@ -177,15 +181,15 @@
 	return q
 }
 
-// SetAllocation takes the part that the leader has given to this controller, good until then.
+// SetAllocation sets the share that the leader allocates to this controller until then.
 func (l *Limiter) SetAllocation(now time.Duration, allocation Allocation, until time.Duration) {
 	l.refill(now)
 	l.allocation, l.allocationUntil = allocation, until
 	l.setShares(now)
 }
 
-// Demand are what was asked for lately and what waits, but for upkeep, as parts of the
-// service's rate.
+// Demand returns the recent and the waiting requests, as fractions of the service's rates. It leaves
+// out Background, which only uses what others leave.
 func (l *Limiter) Demand(now time.Duration) Allocation {
 	requests, writes := l.requests.demand.perSecond(now), l.writes.demand.perSecond(now)
 	for c := range classes {
@@ -200,13 +204,14 @@
 	return Allocation{Requests: requests / l.requests.rate, Writes: writes / l.writes.rate}
 }
 
-// hasAllocation tells whether a leader has told this controller its part lately.
+// hasAllocation reports whether the leader's allocation is still valid.
 func (l *Limiter) hasAllocation(now time.Duration) bool { return now < l.allocationUntil }
 
+// setShares sets the shares of both buckets from the allocation or, without one, from ownShare.
 func (l *Limiter) setShares(now time.Duration) {
 	if l.hasAllocation(now) {
-		// Changes may go beyond the part as long as nothing is refused: submissions waited for
-		// what others were told and did not use.
+		// Changes may exceed the allocation as long as nothing is refused. Otherwise submissions
+		// wait although other controllers do not use their allocations.
 		l.requests.share, l.writes.share = l.allocation.Requests*l.allocationHealth,
 			max(l.allocation.Writes*l.allocationHealth, l.spareWriteShare)
 		return
@@ -214,15 +219,16 @@
 	l.requests.share, l.writes.share = l.ownShare, l.ownShare
 }
 
-// Share is the part of the service's rate that this controller uses at most.
+// Share returns the fraction of the service's request rate that this controller may use.
 func (l *Limiter) Share() float64 { return l.requests.share }
 
-// WriteRate is the service's rate of changes as far as is known, and whether that is the
+// WriteRate returns the service's write rate as far as it is known, and whether that is the lower
 // one that was announced.
 func (l *Limiter) WriteRate() (perSecond float64, lowered bool) {
 	return l.writes.rate, l.writeRateLowered
 }
 
+// refill adds the tokens for the time since the last call, and raises the shares.
 func (l *Limiter) refill(now time.Duration) {
 	seconds := (now - l.refilledAt).Seconds()
 	if seconds <= 0 {
@@ -232,7 +238,7 @@
 	if l.hasAllocation(now) {
 		l.allocationHealth = min(1, l.allocationHealth+allocationRecovery*seconds)
 		l.spareWriteShare = min(l.spareWriteShare+shareGrowth*min(seconds, 1), maxShare)
-		l.ownShare = initialTotalShare / float64(l.params.Controllers) // where it begins once no part is told any more
+		l.ownShare = initialTotalShare / float64(l.params.Controllers) // the first share once the allocation expires
 	} else {
 		l.ownShare = min(l.ownShare+shareGrowth*min(seconds, 1), maxShare)
 	}
@@ -241,15 +247,15 @@
 	l.writes.refill(seconds)
 }
 
-// HandleRefusal takes the news that the service refused a request for its rate.
+// HandleRefusal records that the service refused a request because of its rate limit.
 func (l *Limiter) HandleRefusal(now time.Duration) {
 	l.refill(now)
 	l.ServiceRefusals++
 	if l.lastShrinkAt != 0 && now-l.lastShrinkAt < refusalInterval {
 		return
 	}
-	// Nobody says when an announced limit begins to hold. Taken for refusals of the old
-	// rate, every leader's share would grow into them again and again.
+	// It is not known when an announced rate takes effect. If its refusals were attributed to the
+	// old rate, the shares would grow beyond the new one again and again.
 	if l.params.NextWriteRate > 0 && l.params.NextWriteRate < l.writes.rate && l.lastShrinkAt != 0 &&
 		now-l.lastShrinkAt < announcedRateWindow {
 		l.writeRateLowered, l.writes.rate = true, l.params.NextWriteRate
@@ -266,11 +272,11 @@
 	l.writes.tokens = min(l.writes.tokens, 0)
 }
 
-// Request asks for one request with so many changes to go, by until at the latest. The
-// ticket's channel is closed at once where it may go now, or could not in time.
+// Request requests to send one request with a number of writes, by until at the latest. The
+// ticket is decided at once if the request may be sent now, or could not be sent in time.
 func (l *Limiter) Request(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
 	l.refill(now)
-	if c != Background { // that takes what is left
+	if c != Background { // Background only uses what is left
 		l.requests.demand.add(now, 1)
 		l.writes.demand.add(now, float64(writes))
 	}
@@ -288,7 +294,8 @@
 	return t
 }
 
-// canProceed: the bucket of each allows it, and nothing more urgent waits for what it takes.
+// canProceed reports whether both buckets allow the ticket and no more urgent ticket waits for
+// tokens that it would take.
 func (l *Limiter) canProceed(t *Ticket) bool {
 	for c := range t.class {
 		if len(l.queue[c]) == 0 || c == Authority {
@@ -312,8 +319,8 @@
 	close(t.Decided)
 }
 
-// estimateWait is how long a ticket would wait behind those of its class and of more
-// urgent ones. What waits for the rate of changes is in nobody's way who makes none.
+// estimateWait returns how long a ticket would wait behind those of its class and of more urgent
+// ones. Tickets that wait for the write rate do not delay one without writes.
 func (l *Limiter) estimateWait(t *Ticket) time.Duration {
 	requests, writes := 1.0, t.writes
 	for c := range t.class + 1 {
@@ -332,8 +339,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Step lets go what may go now, and refuses what has waited too long. next is when
-// to call again; 0 where nothing waits.
+// Step decides the tickets that may be sent now, and refuses those whose deadline has passed. next
+// is when to call it again; 0 if nothing waits.
 func (l *Limiter) Step(now time.Duration) (next time.Duration) {
 	l.refill(now)
 	for c := range classes {
@@ -359,8 +366,8 @@
 	return next
 }
 
-// earliestWake is the earlier of next, unless it is 0, and of when the first of a class may
-// go or is to be refused.
+// earliestWake returns when the first ticket of a class may be sent or must be refused, or next if
+// that is set (not 0) and earlier.
 func (l *Limiter) earliestWake(now, next time.Duration, c Class) time.Duration {
 	t := l.queue[c][0]
 	writes := min(t.writes, l.writes.burst())
@@ -372,7 +379,7 @@
 	return at
 }
 
-// Cancel gives a ticket up that nobody waits for any more.
+// Cancel removes a waiting ticket that nobody waits for any more.
 func (l *Limiter) Cancel(t *Ticket) {
 	l.queue[t.class] = slices.DeleteFunc(l.queue[t.class], func(o *Ticket) bool { return o == t })
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// service grants requests up to a rate, with a burst of one second's worth.
+// service serves requests up to a rate, with a burst of one second's worth.
 type service struct {
 	rate, tokens float64
 	at           time.Duration
@@ -38,7 +38,7 @@
 	return true
 }
 
-// runOverload has controllers ask for much more than the service allows, for a time.
+// runOverload lets controllers request much more than the service allows, until length.
 func runOverload(s *service, limiters []*Limiter, demand []float64, length time.Duration, rng *rand.Rand) []int {
 	got := make([]int, len(limiters))
 	waiting := make([][]*Ticket, len(limiters))
@@ -66,8 +66,8 @@
 	return got
 }
 
-// TestSharesFollowDemand: all ask for four times what there is: each gets about an
-// equal part, hardly anything is refused for the rate. Then one alone gets most.
+// Three controllers request four times the rate: each gets about an equal share, and the service
+// refuses hardly anything. A controller that is alone gets most of the rate.
 func TestSharesFollowDemand(t *testing.T) {
 	s := &service{rate: 70, tokens: 70}
 	var qs []*Limiter
@@ -77,10 +77,10 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	got := runOverload(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
 	if s.served < 70*60*8/10 {
-		t.Errorf("%d of %d served in a minute: too timid", s.served, 70*60)
+		t.Errorf("%d of %d served in a minute: too few", s.served, 70*60)
 	}
 	if s.busy > s.served/10 {
-		t.Errorf("%d refused for the rate beside %d served", s.busy, s.served)
+		t.Errorf("%d refused for the rate, %d served", s.busy, s.served)
 	}
 	for i, n := range got {
 		if n < s.served/6 {
@@ -90,12 +90,12 @@
 	lone := &service{rate: 70, tokens: 70, at: time.Second}
 	one := New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3})
 	if n := runOverload(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
-		t.Errorf("alone it got %d of %d", n, 70*60)
+		t.Errorf("a single controller got %d of %d", n, 70*60)
 	}
 }
 
-// TestUrgentClassesGoFirst: behind a queue of reads, authority goes at once, a leader's
-// reads and finals overdraw, and changes go before reads that came earlier.
+// Requests of urgent classes do not wait behind a queue of reads: those for authority are sent at
+// once, a leader's overdraw the share, and changes go before earlier reads.
 func TestUrgentClassesGoFirst(t *testing.T) {
 	q := New(Params{RequestRate: 60, WriteRate: 30, Controllers: 3})
 	for range 40 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestLateRequestsAreRefusedAtOnce: its asker would have given up by then.
+// A request that can't be sent in time is refused at once: its caller would have given up by then.
 func TestLateRequestsAreRefusedAtOnce(t *testing.T) {
 	q := New(Params{RequestRate: 30, WriteRate: 30, Controllers: 3})
 	var last *Ticket
@@ -121,15 +121,15 @@
 		last = q.Request(0, Reads, 0, time.Second)
 	}
 	if !last.Refused {
-		t.Error("the 200th of 9 a second waits, though it may wait for a second only")
+		t.Error("the 200th request at 9 per second waits, though its deadline is a second away")
 	}
 	if q.Shed[Reads] < 150 {
 		t.Errorf("%d shed", q.Shed[Reads])
 	}
 }
 
-// TestEveryTicketIsDecided: whatever is asked, in any order, every ticket is let go or
-// refused by its time, and Step names a time at which something happens.
+// Whatever is requested, in any order, every ticket is decided by its deadline, and Step returns a
+// time at which something happens.
 func TestEveryTicketIsDecided(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Params{RequestRate: 20, WriteRate: 8, Controllers: rapid.IntRange(1, 7).Draw(t, "controllers")})
@@ -149,28 +149,28 @@
 		for next := now; next != 0; {
 			now = next
 			if next = q.Step(now); next != 0 && next <= now {
-				t.Fatalf("at %v it is due at %v", now, next)
+				t.Fatalf("at %v the next call is due at %v", now, next)
 			}
 		}
 		for i, o := range open {
 			select {
 			case <-o.Decided:
 			default:
-				t.Fatalf("ticket %d of class %d is forgotten", i, o.class)
+				t.Fatalf("ticket %d of class %d is never decided", i, o.class)
 			}
 		}
 	})
 }
 
-// Where changes are scarce, the ends of jobs go before progress that asked earlier:
-// they once shared a class, and 170 jobs that had ended waited to be told of.
+// When the write rate is scarce, the ends of jobs go before earlier requests to store progress. In
+// one shared class, many ended jobs would wait to be reported.
 func TestJobEndsGoBeforeProgress(t *testing.T) {
 	const rate = 10
 	q := New(Params{RequestRate: 1000, WriteRate: rate, Controllers: 1})
 	var ends []*Ticket
 	var progress int
 	now := time.Duration(0)
-	for i := range 200 { // 20 s with three times the changes that the service takes
+	for i := range 200 { // 20 s with three times the writes that the service allows
 		now += 100 * time.Millisecond
 		for range 2 {
 			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); allowed(k) {
@@ -189,15 +189,15 @@
 		}
 	}
 	if gone < len(ends)-2 {
-		t.Errorf("%d of %d ends of jobs went, beside %d pieces of progress", gone, len(ends), progress)
+		t.Errorf("%d of %d ends of jobs were sent, and %d records of progress", gone, len(ends), progress)
 	}
 	if progress == 0 {
-		t.Error("no progress was stored though a third of the changes were left")
+		t.Error("no progress was stored though a third of the write rate was left")
 	}
 }
 
-// A rate that was announced holds from some moment on, which only refusals tell: one may
-// have any reason, two soon after each other are taken for it.
+// Only refusals show when an announced rate takes effect. One may have another reason; two within a
+// short time are attributed to it.
 func TestAnnouncedRateIsFollowed(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 60, NextWriteRate: 42, Controllers: 3})
 	q.HandleRefusal(time.Second)
@@ -211,8 +211,8 @@
 	}
 }
 
-// A part that a leader has told is kept to at once, shrinks for a while after a refusal, and
-// when nobody tells one any more an equal part is where the controller begins again.
+// An allocation by the leader is followed at once, and shrinks for a while after a refusal. When it
+// expires, the controller starts again from its initial share.
 func TestAllocationIsFollowed(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 50, Controllers: 20})
 	q.SetAllocation(0, Allocation{Requests: 0.4, Writes: 0.2}, 2*time.Second)
@@ -229,19 +229,19 @@
 		q.Step(now)
 	}
 	if got < 20*40*9/10 || got > 20*40*11/10 {
-		t.Errorf("%d of 800 went in 20 s", got)
+		t.Errorf("%d of 800 were sent in 20 s", got)
 	}
 	q.HandleRefusal(20 * time.Second)
 	if q.Share() >= 0.4 {
 		t.Errorf("share %v after a refusal", q.Share())
 	}
-	q.Step(22*time.Second + ms) // the part is over
+	q.Step(22*time.Second + ms) // the allocation has expired
 	if want := initialTotalShare/20 + shareGrowth; q.Share() > want+1e-9 {
-		t.Errorf("share %v without a part, want at most %v", q.Share(), want)
+		t.Errorf("share %v without an allocation, want at most %v", q.Share(), want)
 	}
 }
 
-// Needs count what was asked for, whether or not it went.
+// Demand counts all requests, whether or not they were sent.
 func TestDemandCountsRequests(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 10, Controllers: 20})
 	for i := range 30 {
@@ -251,12 +251,12 @@
 		t.Errorf("%+v", got)
 	}
 	if got := q.Demand(4 * time.Second); got != (Allocation{}) {
-		t.Errorf("%+v after a quiet second", got)
+		t.Errorf("%+v after a second without requests", got)
 	}
 }
 
-// What only reads waits for nobody's changes: behind a leader's queue of progress that found
-// no rate of changes, questions were once refused for as long as that lasted.
+// Reads do not wait for others' writes. Otherwise they are refused for as long as a leader's queue of
+// progress waits for the write rate.
 func TestReadsDoNotWaitForChanges(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 5, Controllers: 1})
 	for range 400 {
@@ -271,9 +271,9 @@
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of 50 reads waited or were refused, beside 50 requests a second that nobody used", late)
+		t.Errorf("%d of 50 reads waited or were refused, with 50 requests per second unused", late)
 	}
-	// Nor are they refused at once for it where a moment's wait is enough.
+	// Nor are they refused at once if a short wait is enough.
 	for range 60 {
 		q.Request(5*time.Second, Leader, 0, 6*time.Second)
 	}
@@ -282,6 +282,6 @@
 		q.Step(now)
 	}
 	if !allowed(k) {
-		t.Error("a read was refused, though it could have gone within a second")
+		t.Error("a read was refused, though it could have been sent within a second")
 	}
 }
--- a/internal/core/rateshare/rateshare.go
+++ b/internal/core/rateshare/rateshare.go
@@ -1,10 +1,10 @@
-// Package rateshare divides the state service's rate among the controllers of a region. The
-// leader does so and tells each member its part with its grants; it is a pure function of
-// what all have asked for lately.
+// Package rateshare divides the state service's rate among the controllers of a region. The leader
+// does so, and sends each member its share with its grants. The division is a pure function of the
+// recent demand of all.
 //
-// The leader's own part comes first: what it asked for lately, to keep its authority and to end
-// jobs, is never behind what users ask of its siblings; only its slack is. The rest is divided
-// by need, max-min fair: no member gets less than an equal part unless it needs less.
+// The leader's own demand comes first: its requests to keep its authority and to end jobs must not
+// wait because of users' requests to its siblings. Only its slack comes after these. The rest is
+// divided by max-min fairness: no member gets less than an equal share unless its demand is lower.
 package rateshare
 
 import (
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Parts of the service's rate.
+// Shares of the service's rate.
 const (
-	// TotalShare is what all controllers together use at most. The rest is for those that know no
-	// parts, and for bursts.
+	// TotalShare is the share that all controllers together may use. The rest is for controllers
+	// without an allocation, and for bursts.
 	TotalShare = 0.9
-	// minLeaderShare is what the leader keeps at least, needed or not: a change of leader, or
-	// many jobs that end at once, must find it free.
+	// minLeaderShare is the leader's share even if its demand is lower: it must be free for a
+	// change of leader, or for many jobs that end at once.
 	minLeaderShare = 0.3
-	// slackFactor is how much more than it asked for lately a member gets, where there is enough.
+	// slackFactor is the ratio of a member's share to its demand, if there is enough.
 	slackFactor = 1.5
 )
 
-// Rate is one of the state service's two.
+// Rate is one of the state service's two rate limits.
 type Rate uint8
 
 // Rates.
@@ -33,17 +33,17 @@
 	Changes
 )
 
-// minMembersShare is what the members keep together at least, so that submissions go on beside a
-// leader that is far behind. Of requests they need few: the leader compares for them. Of
-// changes each submission is one, and an end three.
+// minMembersShare is the lower bound of all members' shares together, so that submissions continue
+// while the leader has a large backlog. Members need few requests, because the leader sends their
+// comparisons. Of changes, a submission needs one and the end of a job three.
 var minMembersShare = [...]float64{Requests: 0.25, Changes: 0.4}
 
-// AllocationTTL is how long a part is good for that a member was told. A leader tells it with each
-// grant; who hears of no leader any more goes by what the service refuses.
+// AllocationTTL is how long an allocation is valid. The leader renews it with each grant. A member
+// without a leader adapts to the service's refusals instead.
 const AllocationTTL = 2 * time.Second
 
-// Divide divides the rate, of which the leader and the members asked for the given parts
-// lately. The parts add up to All.
+// Divide divides a rate by the recent demands of the leader and of the members, given as fractions of
+// the rate. The shares add up to TotalShare.
 func Divide(r Rate, leaderDemand float64, memberDemands []float64) (leaderShare float64, memberShares []float64) {
 	if len(memberDemands) == 0 {
 		return TotalShare, nil
@@ -54,15 +54,15 @@
 	for _, demand := range memberDemands {
 		membersWanted += slackFactor * demand
 	}
-	// The leader's slack is half of what nobody asked for: users of the leader submit jobs too,
-	// behind its own writes. What members ask for goes before it.
+	// The leader's slack is half of what nobody demands, because its users submit jobs too, which
+	// wait behind its own writes. Members' demand goes before it.
 	spare := max(0, TotalShare-leaderShare-membersWanted) / 2
 	leaderShare = min(leaderShare+spare, max(leaderShare, maxLeaderShare))
 	return leaderShare, fairShares(TotalShare-leaderShare, memberDemands)
 }
 
-// fairShares divides a total by need: those that need less than an equal part get that and a
-// little more, the others share the rest equally. What nobody needs is shared equally.
+// fairShares divides a total by demand: members that demand less than an equal share get their demand
+// and slack, the others share the rest equally. What nobody demands is shared equally.
 func fairShares(total float64, demands []float64) []float64 {
 	order := make([]int, len(demands))
 	for i := range order {
--- a/internal/core/rateshare/rateshare_test.go
+++ b/internal/core/rateshare/rateshare_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is needed: the parts add up to what all may use, the leader keeps its least, and
-// no member gets less than an equal part of the rest unless it needs less.
+// For any demands, the shares add up to TotalShare, the leader gets its minimum, and no member gets
+// less than an equal share of the rest unless its demand is lower.
 func TestSharesAreFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.Float64Range(0, 2)
@@ -21,7 +21,7 @@
 			sum += p
 		}
 		if math.Abs(sum-TotalShare) > 1e-9 {
-			t.Fatalf("the parts add up to %v", sum)
+			t.Fatalf("the shares add up to %v", sum)
 		}
 		if leaderShare < minLeaderShare {
 			t.Fatalf("the leader has %v", leaderShare)
@@ -32,13 +32,13 @@
 		}
 		for i, p := range shares {
 			if equal := rest / float64(len(shares)); p < min(equal, slackFactor*members[i])-1e-9 {
-				t.Fatalf("member %d needs %v and has %v of %v", i, members[i], p, rest)
+				t.Fatalf("member %d demands %v and gets %v of %v", i, members[i], p, rest)
 			}
 		}
 	})
 }
 
-// One busy member among nineteen idle ones gets nearly all that the leader does not need.
+// One busy member among idle ones gets nearly all that the leader does not need.
 func TestBusyMemberGetsUnusedRate(t *testing.T) {
 	members := make([]float64, 19)
 	members[7] = 0.3
@@ -47,14 +47,14 @@
 	}
 }
 
-// Members that are short of requests get what the leader did not ask for.
+// Members with a high demand get all that the leader does not demand.
 func TestMemberDemandGoesBeforeLeaderSlack(t *testing.T) {
 	const leader = 0.5
 	leaderShare, shares := Divide(Requests, leader, []float64{1.3, 0})
 	if leaderShare < leader {
-		t.Errorf("the leader needs %v and has %v", leader, leaderShare)
+		t.Errorf("the leader demands %v and gets %v", leader, leaderShare)
 	}
 	if wanted := TotalShare - leader; math.Abs(shares[0]-wanted) > 1e-9 {
-		t.Errorf("the busy member has %v of the %v that the leader leaves", shares[0], wanted)
+		t.Errorf("the busy member gets %v of the %v that the leader leaves", shares[0], wanted)
 	}
 }
--- a/internal/core/readbatch/cluster_test.go
+++ b/internal/core/readbatch/cluster_test.go
@@ -14,20 +14,20 @@
 	"honeylock/internal/core/readbatch"
 )
 
-// cluster is a scripted cluster under one state service's rate: controller 0 leads. Users ask,
-// submit and see jobs end at a fixed total rate, whatever the number of controllers.
+// cluster simulates controllers that share one state service's rate; controller 0 leads. Users check
+// and submit jobs, and jobs end, at fixed total rates, whatever the number of controllers.
 type cluster struct {
 	t           *testing.T
 	controllers int
-	central     bool // the leader compares for all, and tells parts; else each for itself
+	central     bool // the leader sends comparisons for all and allocates rates; else each controller is on its own
 	requestRate float64
 	writeRate   float64
-	checkRate   float64 // questions a second
-	openJobs    int     // jobs they are about
-	jobRate     float64 // a second that are submitted, and end
+	checkRate   float64 // checks per second
+	openJobs    int     // jobs that are checked
+	jobRate     float64 // jobs per second that are submitted, and that end
 
-	oldMembers  int // the last so many members are of a release that knows neither parts nor one comparison
-	leaderCount int // how many act as leaders: 0, 1 or 2
+	oldMembers  int // number of members, the last ones, of a release without allocations and central comparisons
+	leaderCount int // controllers that act as leader: 0, 1 or 2
 	fault       func(c *cluster)
 
 	rng     *rand.Rand
@@ -38,8 +38,8 @@
 	served, refused      int
 	answered, unanswered int
 	jobEnds, lateJobEnds int
-	unansweredSince      map[model.JobID]time.Duration // since the first question without an answer
-	answeredJobs         map[model.JobID]bool          // answered about
+	unansweredSince      map[model.JobID]time.Duration // when the first check without an answer arrived
+	answeredJobs         map[model.JobID]bool          // jobs with an answered check
 	longestUnanswered    time.Duration
 }
 
@@ -50,7 +50,7 @@
 	waiting []*request
 }
 
-// request is one that waits for the limiter.
+// request is a request that waits for the limiter.
 type request struct {
 	ticket    *ratelimit.Ticket
 	class     ratelimit.Class
@@ -80,7 +80,7 @@
 	}
 }
 
-// arrivals is how many of something that comes so often a second come in this step.
+// arrivals returns how many events of a rate happen in this step.
 func (c *cluster) arrivals(perSecond float64) int {
 	n := int(perSecond * clusterStep.Seconds())
 	if c.rng.Float64() < perSecond*clusterStep.Seconds()-float64(n) {
@@ -98,7 +98,7 @@
 	return r
 }
 
-// serve carries a request out, unless it is over the rate.
+// serve executes a request unless the rate is exhausted.
 func (c *cluster) serve(m *member, r *request) bool {
 	if c.tokens[0] < 1 || r.writes > 0 && c.tokens[1] < float64(r.writes) {
 		c.refused++
@@ -129,7 +129,7 @@
 	}
 }
 
-// load is what users, the leader and all controllers by themselves do.
+// load makes the requests of users, of the leader and of all controllers for this step.
 func (c *cluster) load() {
 	leader := c.members[0]
 	for range c.arrivals(c.checkRate) {
@@ -152,16 +152,16 @@
 			break
 		}
 		c.request(leader, ratelimit.Leader, 2)
-		if !c.central { // else the leader says how the job ended
+		if !c.central { // else the leader reports how the job ended
 			c.request(c.randomMember(), ratelimit.Reads, 0)
 		}
 	}
 	for i := range c.leaderCount {
-		for range c.arrivals(2*c.jobRate + 2.7) { // its watch of the open jobs, its lease
+		for range c.arrivals(2*c.jobRate + 2.7) { // watch of the open jobs, and lease renewal
 			c.request(c.members[i], ratelimit.Authority, 0)
 		}
 	}
-	each := 2.0 // the leader's key and the term, once a second
+	each := 2.0 // reads of the leader's key and the term, once per second
 	if c.central {
 		each = 2 / max(1, float64(c.controllers-1))
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// allocateRates has a leader divide the rate. Of two at once each tells the other one as well, who
-// goes by its own word.
+// allocateRates lets a leader divide the rates. If there are two leaders, each keeps to its own
+// allocation rather than that of the other.
 func (c *cluster) allocateRates(leader *member) {
 	var others []*member
 	var requests, writes []float64
@@ -227,7 +227,7 @@
 	m.waiting = kept
 }
 
-// handleOutcome takes what became of a request.
+// handleOutcome takes the outcome of a request.
 func (c *cluster) handleOutcome(m *member, r *request, served bool) {
 	switch {
 	case len(r.batch.Guards) > 0:
@@ -248,7 +248,7 @@
 		if c.now-r.startedAt > maxJobEndDelay {
 			c.lateJobEnds++
 		}
-	case r.class == ratelimit.Leader: // until it is stored
+	case r.class == ratelimit.Leader: // retried until it is stored
 		began := r.startedAt
 		m.limiter.Cancel(r.ticket)
 		again := c.request(m, ratelimit.Leader, 2)
@@ -261,7 +261,7 @@
 		c.controllers, c.served, c.refused, c.answered, c.unanswered, c.jobEnds, c.lateJobEnds, c.longestUnanswered)
 }
 
-// runMonthEnd is the load of a region of 3,127 workers as it was played on the users' bench.
+// runMonthEnd runs the month-end load of a region with 3,127 workers.
 func runMonthEnd(t *testing.T, n int, central bool) *cluster {
 	t.Helper()
 	c := &cluster{t: t, controllers: n, central: central, requestRate: 70, writeRate: 25, checkRate: 90, openJobs: 450,
@@ -271,14 +271,14 @@
 	return c
 }
 
-// What users ask costs the same whatever the number of controllers, and the leader's ends of
-// jobs wait for nobody's reads.
+// Users' checks cost the same whatever the number of controllers, and the leader's requests to store
+// ends of jobs do not wait for reads.
 func TestCostIsIndependentOfControllers(t *testing.T) {
 	three := runMonthEnd(t, 3, true)
 	for _, n := range []int{3, 7, 20} {
 		c := runMonthEnd(t, n, true)
 		if c.served > three.served*11/10 {
-			t.Errorf("%v: over a tenth more than %d", c, three.served)
+			t.Errorf("%v: more than a tenth above %d", c, three.served)
 		}
 		if c.refused > c.served/200 || c.lateJobEnds > 0 || c.unanswered > c.answered/200 {
 			t.Errorf("%v", c)
@@ -286,21 +286,20 @@
 	}
 }
 
-// The harness sees what the mechanism is for: where each controller compares for itself and
-// goes by refusals alone, seven use the whole rate up, and with twenty jobs end too late or
-// not at all.
+// Shows that the simulation detects the problem: if each controller sends its own comparisons and
+// only adapts to refusals, seven exhaust the rate, and with twenty, jobs end too late or not at all.
 func TestSeparateComparisonsExhaustTheRate(t *testing.T) {
 	three := runMonthEnd(t, 3, true)
 	if c := runMonthEnd(t, 7, false); c.served+c.refused < 2*three.served {
-		t.Errorf("%v: no more than %v", c, three)
+		t.Errorf("%v: not more than %v", c, three)
 	}
 	if c := runMonthEnd(t, 20, false); c.jobEnds-c.lateJobEnds > three.jobEnds/2 || c.refused < c.served/10 {
-		t.Errorf("%v: nothing is wrong", c)
+		t.Errorf("%v: the problem does not show", c)
 	}
 }
 
-// Ends of jobs are stored in time in every state that the cluster can be in. The load is that
-// of the month end; the trouble begins after a minute.
+// Ends of jobs are stored in time in each state of the cluster. The load is that of the month end;
+// the fault begins after a minute.
 func TestJobEndsAreStoredInTime(t *testing.T) {
 	const begins = time.Minute
 	during := func(length time.Duration, f func(c *cluster)) func(*cluster) {
@@ -319,13 +318,13 @@
 	}{
 		{"no leader for 10 s", 0, during(10*time.Second, func(c *cluster) { c.leaderCount = 0 })},
 		{"two leaders for 3 s", 0, during(3*time.Second, func(c *cluster) { c.leaderCount = 2 })},
-		{"members of the release before", 2, nil},
+		{"members of the previous release", 2, nil},
 		{"the rate falls by a third", 0, func(c *cluster) {
 			if c.now >= begins {
 				c.requestRate = 47
 			}
 		}},
-		{"all users ask at once", 0, func(c *cluster) {
+		{"all users check at once", 0, func(c *cluster) {
 			c.checkRate = 90
 			if c.now >= begins && c.now < begins+5*time.Second {
 				c.checkRate = 900
@@ -347,8 +346,8 @@
 	}
 }
 
-// In a storm of questions, under a rate that is far too low for them one by one, the leader's
-// ends are stored in time and each job is answered about, the longest unanswered first.
+// If there are far more checks than the rate allows one by one, the leader's ends of jobs are still
+// stored in time, and each job's checks are answered, the longest unanswered first.
 func TestOverloadOfChecks(t *testing.T) {
 	for _, n := range []int{3, 20} {
 		c := &cluster{t: t, controllers: n, central: true, requestRate: 16, writeRate: 25, checkRate: 800, openJobs: 4000,
@@ -359,7 +358,7 @@
 			t.Errorf("%v", c)
 		}
 		if len(c.answeredJobs) < c.openJobs {
-			t.Errorf("%d of %d jobs were answered about", len(c.answeredJobs), c.openJobs)
+			t.Errorf("checks of %d of %d jobs were answered", len(c.answeredJobs), c.openJobs)
 		}
 	}
 }
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -1,11 +1,11 @@
-// Package readbatch gathers users' questions whether jobs are still open, so that the state
-// service answers many in one comparison. It is a state machine without input or output;
-// times are the steady clock's.
+// Package readbatch batches users' checks whether jobs are still open, so that the state service
+// answers many of them in one comparison: a transaction of guards that changes nothing. It is a
+// state machine without input or output; times are those of the monotonic clock.
 //
-// What a comparison says is as good as a read that began after each of its questions had
-// come in: a question that comes while one is under way waits for the next. When the service
-// is over its rate, questions wait for their turn until their askers have no use for an
-// answer any more, the job that has gone unanswered for longest first.
+// A comparison is as good as a read that began after each of its checks arrived. So a check that
+// arrives while a comparison is in flight waits for the next one. When the service's rate is
+// exhausted, checks wait until their deadlines, and the job that has been without an answer for
+// longest goes first.
 package readbatch
 
 import (
@@ -18,73 +18,73 @@
 	"honeylock/internal/core/model"
 )
 
-// Waiter is one asker of one question.
+// Waiter identifies one caller that waits for one check.
 type Waiter uint64
 
-// Params of a batcher.
+// Params are the parameters of a Batcher.
 type Params struct {
-	Interval time.Duration // questions are gathered for so long
-	MaxBatch int           // of a comparison, in questions
+	Interval time.Duration // how long checks are collected before a comparison
+	MaxBatch int           // most checks in a comparison
 }
 
-// maxInFlight is how many comparisons may be under way at once: a slow answer does not hold up
+// maxInFlight is how many comparisons may be in flight at once, so that a slow answer does not block
 // the next.
 const maxInFlight = 3
 
-// forgetAfter is how long it is kept since when a job goes unanswered if nobody asks again.
+// forgetAfter is how long after its last check the record of an unanswered job is kept.
 const forgetAfter = 2 * time.Minute
 
-// waiterChecks are those that wait for an answer to one question.
+// waiterChecks are the checks of all waiters for one guard.
 type waiterChecks map[Waiter]check
 
-// check is one asker's.
+// check is one waiter's check.
 type check struct {
 	guard             jobs.Guard
 	waiter            Waiter
 	askedAt, deadline time.Duration
 }
 
-// unanswered is since when a job's questions are without an answer.
+// unanswered is since when the checks of a job have had no answer, and when the last one arrived.
 type unanswered struct{ since, last time.Duration }
 
-// Batch is a comparison to make.
+// Batch is a comparison to be sent to the state service.
 type Batch struct {
 	id     uint64
 	Guards []jobs.Guard
 }
 
-// Answer to a waiter.
+// Answer is the answer to a waiter.
 type Answer struct {
 	Waiter Waiter
 	Guard  jobs.Guard
 	jobs.Result
 }
 
-// Batcher is the state machine.
+// Batcher is the state machine that batches checks.
 type Batcher struct {
 	params      Params
 	lastWaiter  Waiter
 	lastBatch   uint64
 	pending     map[jobs.Guard]waiterChecks
 	inFlight    map[uint64]map[jobs.Guard]waiterChecks
-	queue       []check // in the order of asking; those that no longer wait among them
+	queue       []check // in order of arrival; may contain checks that no longer wait
 	unanswered  map[model.JobID]unanswered
 	lastCleanup time.Duration
-	notBefore   time.Duration // no comparison before then: the last found no rate
-	// Questions and Comparisons count questions and comparisons.
+	notBefore   time.Duration // no comparison before then, because the last one was refused for the rate
+	// Questions and Comparisons count the checks and the comparisons made for them.
 	Questions, Comparisons uint64
 }
 
-// New returns a batcher with nothing to ask.
+// New returns a Batcher without checks.
 func New(p Params) *Batcher {
 	return &Batcher{params: p, pending: map[jobs.Guard]waiterChecks{}, inFlight: map[uint64]map[jobs.Guard]waiterChecks{},
 		unanswered: map[model.JobID]unanswered{}}
 }
 
-// SetInterval changes for how long questions are gathered.
+// SetInterval changes how long checks are collected.
 func (b *Batcher) SetInterval(d time.Duration) { b.params.Interval = d }
 
-// Ask takes a question; an answer is of use until then.
+// Ask adds a check of a guard. Its answer is of no use after until.
 func (b *Batcher) Ask(now time.Duration, g jobs.Guard, until time.Duration) Waiter {
 	b.lastWaiter++
 	b.Questions++
@@ -103,8 +103,8 @@
 	return b.lastWaiter
 }
 
-// Step returns the comparisons to make now, the answers to those whose time is over, and
-// when to call again; 0 where nothing waits.
+// Step returns the comparisons to send now, the answers (jobs.Busy) to checks whose deadline has
+// passed, and when to call it again; 0 if nothing waits.
 func (b *Batcher) Step(now time.Duration) (batches []Batch, expired []Answer, next time.Duration) {
 	expired = b.expire(now)
 	b.cleanUp(now)
@@ -114,7 +114,7 @@
 	return batches, expired, b.nextWake()
 }
 
-// oldest is the first of those that wait.
+// oldest returns the oldest check that still waits.
 func (b *Batcher) oldest() check {
 	for {
 		q := b.queue[0]
@@ -125,7 +125,7 @@
 	}
 }
 
-// nextBatchAt is when the next comparison is to be made, if anybody waits.
+// nextBatchAt returns when the next comparison is due. There must be a waiting check.
 func (b *Batcher) nextBatchAt() time.Duration {
 	if len(b.pending) >= b.params.MaxBatch {
 		return b.notBefore
@@ -133,7 +133,7 @@
 	return max(b.notBefore, b.oldest().askedAt+b.params.Interval)
 }
 
-// nextWake is when something is due without anything new.
+// nextWake returns when Step has something to do even if no check or answer arrives.
 func (b *Batcher) nextWake() time.Duration {
 	if len(b.pending) == 0 {
 		b.queue = nil
@@ -146,8 +146,8 @@
 	return next
 }
 
-// expire answers those whose time is over. Askers are about as patient as each other, so it
-// is the first that are looked at.
+// expire answers the checks whose deadline has passed. As all have about the same timeout, only the
+// oldest are examined.
 func (b *Batcher) expire(now time.Duration) (expired []Answer) {
 	for len(b.pending) > 0 {
 		q := b.oldest()
@@ -160,6 +160,7 @@
 	return expired
 }
 
+// removeWaiter removes a waiter for a guard that is not in flight.
 func (b *Batcher) removeWaiter(g jobs.Guard, id Waiter) {
 	delete(b.pending[g], id)
 	if len(b.pending[g]) == 0 {
@@ -167,7 +168,7 @@
 	}
 }
 
-// cleanUp forgets what nobody asks about any more.
+// cleanUp removes the records of jobs that nobody checks any more.
 func (b *Batcher) cleanUp(now time.Duration) {
 	if now-b.lastCleanup < forgetAfter/4 {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// makeBatch makes a comparison of the questions that have gone unanswered for longest.
+// makeBatch makes a comparison of the checks whose jobs have been without an answer for longest.
 func (b *Batcher) makeBatch() Batch {
 	guards := make([]jobs.Guard, 0, len(b.pending))
 	for g := range b.pending {
@@ -202,8 +203,8 @@
 	return Batch{b.lastBatch, guards}
 }
 
-// HandleOutcome takes a comparison's outcome and returns the answers. Questions that found no rate
-// wait for the next one.
+// HandleOutcome takes a comparison's outcome for each guard and returns the answers. Checks that were
+// refused for the rate wait for the next comparison.
 func (b *Batcher) HandleOutcome(now time.Duration, batch Batch,
 	outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
 	sent := b.inFlight[batch.id]
@@ -227,7 +228,7 @@
 	return answers
 }
 
-// requeue has questions wait once more, in front of those that have come since.
+// requeue makes checks wait again, before those that arrived later.
 func (b *Batcher) requeue(checks []check) {
 	if len(checks) == 0 {
 		return
@@ -242,7 +243,7 @@
 	b.queue = append(checks, b.queue...)
 }
 
-// Cancel gives up a waiter that nobody waits for any more.
+// Cancel removes a waiter that needs no answer any more.
 func (b *Batcher) Cancel(g jobs.Guard, id Waiter) {
 	b.removeWaiter(g, id)
 	for _, sent := range b.inFlight {
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -16,8 +16,8 @@
 	return func(jobs.Guard) jobs.Outcome { return o }
 }
 
-// A question that comes while a comparison is under way waits for the next one: its answer
-// may not be older than itself.
+// A check that arrives while a comparison is in flight waits for the next one: its answer must not
+// be older than the check.
 func TestCheckWaitsForLaterComparison(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	first := b.Ask(0, guard(1), time.Second)
@@ -35,32 +35,32 @@
 		t.Fatalf("%v", got)
 	}
 	if _, _, next := b.Step(time.Second); next != 0 {
-		t.Errorf("next at %v with nothing to ask", next)
+		t.Errorf("next at %v without checks", next)
 	}
 }
 
-// Over the rate, questions wait until their askers' time is over, and the job that has gone
-// unanswered for longest is the first to be compared.
+// When the rate is exhausted, checks wait until their deadlines, and the job that has been without an
+// answer for longest is compared first.
 func TestLongestUnansweredGoesFirst(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 2})
 	b.Ask(0, guard(9), time.Second)
 	sent, _, _ := b.Step(100 * ms)
 	if got := b.HandleOutcome(110*ms, sent[0], always(jobs.Busy)); len(got) != 0 {
-		t.Fatalf("%v of one that can wait", got)
+		t.Fatalf("%v for a check that can wait", got)
 	}
 	if batches, _, next := b.Step(150 * ms); len(batches) != 0 || next != 210*ms {
-		t.Fatalf("%v, next at %v: no pause", batches, next)
+		t.Fatalf("%v, next at %v: no pause after the refusal", batches, next)
 	}
 	if _, over, _ := b.Step(time.Second); len(over)+len(b.pending) == 0 {
-		t.Fatal("nobody is told")
+		t.Fatal("the check is not answered after its deadline")
 	}
 	b.Step(1100 * ms)
-	// It asks once more, behind others whose first question it is.
+	// It is checked again, after others that are checked for the first time.
 	for _, id := range []int{1, 2, 3, 9} {
 		b.Ask(2*time.Second, guard(id), 3*time.Second)
 	}
 	for id := range b.inFlight {
-		delete(b.inFlight, id) // whatever is under way
+		delete(b.inFlight, id) // comparisons in flight
 	}
 	batches, _, _ := b.Step(2 * time.Second)
 	if len(batches) == 0 || batches[0].Guards[0] != guard(9) || len(batches[0].Guards) != 2 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Whoever leaves is not answered, and holds nothing up.
+// A cancelled waiter gets no answer and causes no comparison.
 func TestCancelledWaiterIsForgotten(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	w := b.Ask(0, guard(1), time.Second)
@@ -78,15 +78,15 @@
 	}
 }
 
-// A leader that leaves a question unanswered is not asked for a while, and again afterwards.
+// A leader that fails to answer a check is not asked for a while.
 func TestRouteAvoidsFailedLeader(t *testing.T) {
 	var r Route
 	if r.UseLeader(0) {
-		t.Error("by a leader that there is not")
+		t.Error("uses a leader that does not exist")
 	}
 	r.SetLeaderCompares(true)
 	r.LeaderFailed(time.Second)
 	if r.UseLeader(2*time.Second) || !r.UseLeader(time.Second+avoidLeaderFor) {
-		t.Error("not shunned for its time")
+		t.Error("the leader was not avoided for exactly avoidLeaderFor")
 	}
 }
--- a/internal/core/readbatch/route.go
+++ b/internal/core/readbatch/route.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// avoidLeaderFor is for how long a leader is not asked again that left a question unanswered.
+// avoidLeaderFor is how long the leader is not asked after it failed to answer a check.
 const avoidLeaderFor = 2 * time.Second
 
-// Route decides who compares a question: the leader for all controllers, or this controller
-// by itself.
+// Route decides who sends the comparison for a check: the leader, which does so for all controllers,
+// or this controller itself.
 type Route struct {
-	leaderCompares bool // there is a leader that compares for others
+	leaderCompares bool // there is a leader that sends comparisons for others
 	avoidUntil     time.Duration
 }
 
-// SetLeaderCompares tells that there is a leader that compares for others, or none any more.
+// SetLeaderCompares sets whether there is a leader that sends comparisons for others.
 func (r *Route) SetLeaderCompares(yes bool) { r.leaderCompares, r.avoidUntil = yes, 0 }
 
-// UseLeader tells whether the leader is to be asked now.
+// UseLeader reports whether checks should go to the leader now.
 func (r *Route) UseLeader(now time.Duration) bool { return r.leaderCompares && now >= r.avoidUntil }
 
-// LeaderFailed tells that the leader left a question unanswered, or could not ask the state
-// service: it may be cut off from it alone.
+// LeaderFailed records that the leader did not answer a check or could not reach the state service.
+// It may be the only controller that is cut off from the service.
 func (r *Route) LeaderFailed(now time.Duration) { r.avoidUntil = now + avoidLeaderFor }
--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -1,7 +1,8 @@
-// Package starvation detects jobs and groups of jobs that are starved. It watches that every job's first task begins in
-// time, and which part of each class, of each team, and of each class's largest jobs has
-// begun. The paper's order accepts that low priorities starve; the users' rules don't.
-// It is a state machine without input or output; times are the steady clock's.
+// Package starvation detects jobs and groups of jobs that starve. It checks whether the first task of
+// each job begins in time, and which fraction of the jobs of each class, of each team, and of each
+// class's largest jobs has begun. Placement by priority alone lets low priorities starve, which
+// users do not accept. It is a state machine without input or output; times are those of the
+// monotonic clock.
 package starvation
 
 import (
@@ -14,40 +15,40 @@
 	"honeylock/internal/core/model"
 )
 
-// Job is an open job that may begin, as the dealer sees it.
+// Job is an open job that may begin, as the dispatcher sees it.
 type Job struct {
 	ID    model.JobID
 	Class model.Name
 	Team  model.Name
 	Tasks int32
-	Since time.Duration // it waits since
-	Begun bool          // a task of it has run, or runs
+	Since time.Duration // when it began to wait
+	Begun bool          // a task of it has run or is running
 }
 
-// Kind of a group of jobs.
+// Kind is the kind of a group of jobs.
 type Kind uint8
 
-// Kinds.
+// Kinds of groups.
 const (
 	Class Kind = iota
 	Team
-	Largest // of a class: the tenth with most tasks
+	Largest // of a class: the tenth of its jobs with the most tasks
 )
 
-// Group names jobs that have something in common.
+// Group identifies a group of jobs.
 type Group struct {
 	Kind Kind
 	Name model.Name
 }
 
-// GroupStats tells how many jobs of a group have begun, of those that have or should have.
+// GroupStats counts the jobs of a group that have begun, and those that have not but should have.
 type GroupStats struct {
 	Group
 	Begun, Overdue int
-	LongestWait    time.Duration // wait to begin, of those that wait included
+	LongestWait    time.Duration // to begin, including jobs that still wait
 }
 
-// BegunFraction is the part that has begun; 1 where nothing is due.
+// BegunFraction returns the fraction of the due jobs that has begun; 1 if none is due.
 func (s *GroupStats) BegunFraction() float64 {
 	if s.Begun+s.Overdue == 0 {
 		return 1
@@ -56,14 +57,15 @@
 }
 
 const (
-	// MinBegunFraction is below which part a group is reported; the rules ask for one half.
+	// MinBegunFraction is the fraction below which a group is reported as starved. The guarantee to
+	// users is one half.
 	MinBegunFraction  = 0.7
-	minDueJobs        = 4 // jobs that are due, for a part to say something
+	minDueJobs        = 4 // number of due jobs below which a fraction is not significant
 	largestPercentile = 90
-	maxTasks          = 100_000 // tasks of a job, by the protocol
+	maxTasks          = 100_000 // of a job, by the protocol
 )
 
-// Detector is the state machine; a leader has one.
+// Detector is the state machine of a leader.
 type Detector struct {
 	beginWithin time.Duration
 	jobs        map[model.JobID]Job
@@ -72,21 +74,21 @@
 	overdue     []model.JobID
 }
 
-// New returns a detector for jobs that should begin within so long.
+// New returns a Detector for jobs whose first task should begin within a time.
 func New(beginWithin time.Duration) *Detector {
 	return &Detector{beginWithin: beginWithin, jobs: map[model.JobID]Job{}, stats: map[Group]*GroupStats{},
 		sizes: map[model.Name]*hdrhistogram.Histogram{}}
 }
 
-// Update takes all open jobs that may begin. What is no longer among them has ended: one
-// that had not begun was cancelled, or done before this leader saw it run.
+// Update takes all open jobs that may begin. A job that is no longer among them has ended; if it had
+// not begun, it was cancelled, or completed before this leader saw it run.
 func (d *Detector) Update(now time.Duration, jobs []Job) {
 	current := make(map[model.JobID]Job, len(jobs))
 	d.overdue = d.overdue[:0]
 	for _, j := range jobs {
 		previous, known := d.jobs[j.ID]
 		if !known {
-			_ = d.sizeHistogram(j.Class).RecordValue(int64(max(1, j.Tasks))) // it is in range
+			_ = d.sizeHistogram(j.Class).RecordValue(int64(max(1, j.Tasks))) // always in range
 		}
 		if j.Begun && !previous.Begun {
 			for _, group := range d.groupsOf(&j) {
@@ -109,9 +111,10 @@
 	})
 }
 
-// Overdue are the jobs that should have begun, the longest wait first.
+// Overdue returns the jobs that should have begun and have not, the longest wait first.
 func (d *Detector) Overdue() []model.JobID { return d.overdue }
 
+// sizeHistogram returns the distribution of the task counts of a class's jobs.
 func (d *Detector) sizeHistogram(class model.Name) *hdrhistogram.Histogram {
 	h := d.sizes[class]
 	if h == nil {
@@ -121,6 +124,7 @@
 	return h
 }
 
+// statsFor returns the statistics of a group, which it creates if necessary.
 func (d *Detector) statsFor(group Group) *GroupStats {
 	s := d.stats[group]
 	if s == nil {
@@ -130,7 +134,7 @@
 	return s
 }
 
-// groupsOf are those that a job counts for.
+// groupsOf returns the groups that a job belongs to.
 func (d *Detector) groupsOf(j *Job) []Group {
 	out := []Group{{Class, j.Class}, {Team, j.Team}}
 	if int64(j.Tasks) > d.sizeHistogram(j.Class).ValueAtPercentile(largestPercentile) {
@@ -139,7 +143,7 @@
 	return out
 }
 
-// GroupStats are those of all groups, with the jobs that are late now.
+// GroupStats returns the statistics of all groups, including the jobs that are overdue now.
 func (d *Detector) GroupStats(now time.Duration) []GroupStats {
 	all := make(map[Group]GroupStats, len(d.stats))
 	for group, s := range d.stats {
@@ -165,7 +169,7 @@
 	return out
 }
 
-// Starved are the groups of which too little has begun.
+// Starved returns the groups with enough due jobs of which too few have begun.
 func Starved(stats []GroupStats) []GroupStats {
 	var starved []GroupStats
 	for _, s := range stats {
--- a/internal/core/starvation/starvation_test.go
+++ b/internal/core/starvation/starvation_test.go
@@ -9,12 +9,12 @@
 
 const s = time.Second
 
-// Jobs that wait too long are late until they begin or are cancelled, and each group
-// counts those that begin and those that should have.
+// Jobs that wait too long are overdue until they begin or are cancelled, and each group counts the
+// jobs that have begun and those that should have.
 func TestGroupsCountBegunAndOverdueJobs(t *testing.T) {
 	detector := New(60 * s)
 	var jobs []Job
-	for i := range 20 { // the last two are wide
+	for i := range 20 { // the last two have many tasks
 		tasks := int32(4)
 		if i >= 18 {
 			tasks = 400
@@ -23,7 +23,7 @@
 	}
 	detector.Update(10*s, jobs)
 	if len(detector.Overdue()) != 0 || len(Starved(detector.GroupStats(10*s))) != 0 {
-		t.Fatal("late after 10 s")
+		t.Fatal("overdue after 10 s")
 	}
 	for i := range jobs {
 		jobs[i].Begun = jobs[i].Class == 0 && i != 18
@@ -31,7 +31,7 @@
 	detector.Update(61*s, jobs)
 	overdue := detector.Overdue()
 	if len(overdue) != 11 || overdue[0] != 1 {
-		t.Fatalf("late %v, want the ten of class 1 and the wide one of class 0, the oldest first", overdue)
+		t.Fatalf("overdue %v, want the ten of class 1 and the large one of class 0, the oldest first", overdue)
 	}
 	got := map[Group]GroupStats{}
 	for _, x := range detector.GroupStats(61 * s) {
@@ -45,10 +45,10 @@
 	}
 	starved := Starved(detector.GroupStats(61 * s))
 	if len(starved) != 2 || starved[0].Group != (Group{Class, 1}) || starved[1].Group != (Group{Team, 7}) {
-		t.Errorf("in danger: %+v, want class 1 and the team", starved)
+		t.Errorf("starved: %+v, want class 1 and the team", starved)
 	}
-	detector.Update(70*s, jobs[:1]) // all but one were cancelled, or are done
+	detector.Update(70*s, jobs[:1]) // all but one were cancelled or have completed
 	if len(detector.Overdue()) != 0 {
-		t.Errorf("late %v, though they are no longer open", detector.Overdue())
+		t.Errorf("overdue %v, though they are no longer open", detector.Overdue())
 	}
 }
--- a/internal/core/storehealth/storehealth.go
+++ b/internal/core/storehealth/storehealth.go
@@ -1,67 +1,68 @@
-// Package storehealth judges the state service as this controller sees it, from
-// what became of its own requests and from what its siblings say of theirs. It is a
-// state machine without input or output; times are the steady clock's.
+// Package storehealth judges the health of the state service as seen by this controller, from the
+// outcomes of its own requests and from what its siblings report about theirs. It is a state machine
+// without input or output; times are those of the monotonic clock.
 //
-// Three troubles look alike to somebody who only sees that no answer comes: the
-// service is out for all, it refuses this controller alone, or this controller (or
-// everybody together) asks for more than it can have. Only the second is a reason to
-// let another lead. Taken for it, the third feeds itself: the next leader reads the
-// store anew, which is yet more to ask for.
+// Three failures look alike if only missing answers are seen: the service is out for all
+// controllers, it refuses only this one, or this controller (or all of them) exceeds the service's
+// rate. Only the second is a reason for a leader to yield. If the third were mistaken for it, it
+// would get worse, because each new leader reads the whole store again.
 package storehealth
 
 import "time"
 
-// Outcome of a request to the state service.
+// Outcome is the outcome of a request to the state service.
 type Outcome uint8
 
 // Outcomes.
 const (
-	Served   Outcome = iota // executed, or kept back by its own guard
-	Busy                    // not executed: above the service's rate
-	Refused                 // not executed: an outage, or for this controller alone
+	Served   Outcome = iota // executed, or not executed because of its own guard
+	Busy                    // not executed: the service's rate is exhausted
+	Refused                 // not executed: the service is out, or refuses this controller
 	NoAnswer                // no answer in time
 )
 
 const (
-	// UnreachableAfter is for how long no request must have got through before a controller
-	// no longer tries the service first.
+	// UnreachableAfter is how long no request must have reached the service before a controller
+	// forwards users' requests instead of trying the service first.
 	UnreachableAfter = 2200 * time.Millisecond
-	// refusedAloneAfter and siblingAhead: it is refused alone once nothing has got through
-	// for so long while a sibling's request was served so much later.
+	// A controller is refused alone if none of its requests has reached the service for
+	// refusedAloneAfter, while one that a sibling sent at least minSiblingLead later was served.
 	refusedAloneAfter = 2500 * time.Millisecond
 	minSiblingLead    = 1500 * time.Millisecond
-	// yieldAfter is the length of the leader's lease: before that is over nobody else can
-	// have its key.
+	// yieldAfter is the length of the leader's lease: until it ends nobody else can take the
+	// leader's key.
 	yieldAfter = 3 * time.Second
-	// A sibling was served just now, or (its requests take long, or are few) lately.
+	// A leader yields while a sibling was served within servedJustNow or, after twice as long
+	// without service, within servedLately: siblings may send few requests, or slow ones.
 	servedJustNow = 500 * time.Millisecond
 	servedLately  = 3 * time.Second
-	// confirmationTTL is how long a sibling's confirmation is good for that it is served.
+	// confirmationTTL is how long a sibling's confirmation that it is served is valid.
 	confirmationTTL = 400 * time.Millisecond
-	// renewalTimeout: behind a cut it takes a renewal the whole lease to be given up.
+	// renewalTimeout: if the network is cut, a renewal fails only after the whole lease.
 	renewalTimeout = 4 * time.Second
-	// minFailures requests must have failed since: one may have been unlucky.
+	// minFailures is how many requests must have failed: a single failure may have other reasons.
 	minFailures = 3
-	// minTimerDelay is how late a timer must fire to show that silence may be this
-	// process's own doing.
+	// minTimerDelay is how late a timer must fire to show that missing answers may be due to
+	// this process itself.
 	minTimerDelay = 400 * time.Millisecond
 )
 
-// Health is the state machine.
+// Health is the state machine of one controller. A request "reached" the service if it was served, or
+// refused only for the rate. Requests are identified by when they were sent.
 type Health struct {
-	lastServed           time.Duration // the newest request that was served was sent
-	lastReached          time.Duration // ... that was served, or refused for the rate alone
-	failures             int           // requests sent since reached that were refused or not answered
-	lastFailed           time.Duration // the newest of them was sent
-	nextSiblingServed    time.Duration // a sibling was served then: a request of here is to fail that was sent later
-	siblingServedBetween time.Duration // the newest such moment after which one has
-	lastDelayed          time.Duration // this process was late then: silence before it proves nothing
-	everServed           bool          // any request was served
+	lastServed           time.Duration // newest request that was served
+	lastReached          time.Duration // newest request that reached the service
+	failures             int           // requests sent after lastReached that were refused or not answered
+	lastFailed           time.Duration // newest of these
+	nextSiblingServed    time.Duration // a sibling was served then; a request sent here after it is awaited
+	siblingServedBetween time.Duration // newest such time after which a request sent here has failed
+	lastDelayed          time.Duration // this process was delayed then: missing answers before it do not count
+	everServed           bool          // a request was served at least once
 
-	confirmedAt time.Duration // a sibling said so that was asked whether it is served
+	confirmedAt time.Duration // when a sibling, asked by this controller, confirmed that it is served
 }
 
-// RecordOutcome takes what became of a request that was sent then.
+// RecordOutcome takes the outcome of a request, and when it was sent.
 func (h *Health) RecordOutcome(sent time.Duration, o Outcome) {
 	switch o {
 	case Served:
@@ -82,42 +83,44 @@
 	}
 }
 
+// recordReached records that a request reached the service.
 func (h *Health) recordReached(sent time.Duration) {
 	if sent > h.lastReached {
 		h.lastReached, h.failures = sent, 0
 	}
 }
 
-// RecordDelay takes how late this process's timer fired: what was not answered meanwhile
-// may have been answered in time.
+// RecordDelay takes how late a timer of this process fired. Requests that seemed unanswered until now
+// may have been answered in time, so after a long delay they do not count.
 func (h *Health) RecordDelay(now, delay time.Duration) {
 	if delay >= minTimerDelay {
 		h.lastDelayed, h.failures = now, 0
 	}
 }
 
-// LastServed is when the newest request that was served was sent; known is false if
-// there was none.
+// LastServed returns when the newest request that was served was sent; known is false if there was
+// none.
 func (h *Health) LastServed() (at time.Duration, known bool) { return h.lastServed, h.everServed }
 
-// Unreachable tells that no request has got through for a while, though one was sent: users'
-// requests are better passed on to a sibling. Where many controllers share the work, one may
-// have nothing to ask for longer than that.
+// Unreachable reports whether no request has reached the service for a while and one has failed
+// since: users' requests should be forwarded to a sibling. Time without requests does not count,
+// because one of many controllers may have none to send for longer.
 func (h *Health) Unreachable(now time.Duration) bool {
 	return now-h.lastReached > UnreachableAfter && (h.lastFailed > h.lastReached || !h.everServed)
 }
 
-// RefusedAlone tells that the service refuses this controller while it serves a sibling,
-// whose newest served request was sent then by this clock.
+// RefusedAlone reports whether the service refuses this controller while it serves a sibling.
+// siblingServed is when, by this controller's clock, the sibling sent its newest served request.
 func (h *Health) RefusedAlone(now, siblingServed time.Duration) bool {
 	return now-h.lastReached >= refusedAloneAfter && h.failures >= minFailures &&
 		siblingServed > h.lastReached+minSiblingLead
 }
 
-// ShouldYield tells that a leader that is refused alone should let another lead, as long as that
-// one is served, and this controller was refused after it. For if the service is out for all
-// by now, nobody can lead until it is back, and all that runs would be lost with its leases;
-// and when it is back for all, a sibling may only have asked first.
+// ShouldYield reports whether a leader should yield because it is refused alone. The sibling must
+// have been served lately, and a request of this controller must have failed after that. For if the
+// service is out for all by now, nobody can lead until it is back, and all running tasks would be
+// lost when their leases end; and when the service comes back for all, the sibling's request may
+// only have been the first.
 func (h *Health) ShouldYield(now, siblingServed time.Duration) bool {
 	if h.nextSiblingServed <= h.lastReached {
 		h.nextSiblingServed = siblingServed
@@ -132,9 +135,9 @@
 			unserved >= 2*yieldAfter && now-siblingServed <= servedLately)
 }
 
-// YieldNow tells whether a leader that would yield lets another lead now: once a sibling that
-// asked the service on its behalf has just been served. What siblings were served earlier says
-// nothing of an outage that has begun since. ask tells that one is to be asked.
+// YieldNow reports whether a leader that should yield does so now: after a sibling has just made a
+// request on its behalf and was served. Earlier requests of siblings do not rule out an outage that
+// began since. ask reports that a sibling should be asked for that confirmation.
 func (h *Health) YieldNow(now, siblingServed time.Duration) (yield, ask bool) {
 	if !h.ShouldYield(now, siblingServed) {
 		return false, false
@@ -143,5 +146,5 @@
 	return yield, !yield
 }
 
-// ConfirmServed takes that a sibling was served that asked for this controller.
+// ConfirmServed records that a sibling that made a request on behalf of this controller was served.
 func (h *Health) ConfirmServed(now time.Duration) { h.confirmedAt = max(h.confirmedAt, now) }
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// recordOutcomes notes one outcome every 300 ms from one time to another.
+// recordOutcomes records an outcome every 300 ms from one time to another.
 func recordOutcomes(s *Health, from, to time.Duration, o Outcome) {
 	for at := from; at < to; at += 300 * ms {
 		s.RecordOutcome(at, o)
@@ -34,7 +34,7 @@
 				t.Errorf("alone: %v, want %v", got, c.want)
 			}
 			if got, want := s.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
-				t.Errorf("missing: %v, want %v", got, want)
+				t.Errorf("unreachable: %v, want %v", got, want)
 			}
 		})
 	}
@@ -46,18 +46,20 @@
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
 	for name, c := range map[string]struct {
-		known   time.Duration                                // how long a failure takes
-		sibling func(now time.Duration) (sent time.Duration) // the newest that was served
-		back    time.Duration                                // served again from then on
-		from    time.Duration                                // yields within a second from then on, 0: never
+		known   time.Duration                                // how long after sending a failure is known
+		sibling func(now time.Duration) (sent time.Duration) // newest request of a sibling that was served
+		back    time.Duration                                // this controller is served again from then on
+		from    time.Duration                                // must yield within a second from then on; 0: never
 	}{
-		"a sibling is served":  {100 * ms, justServed, time.Hour, cut + 3*sec},
-		"cut off, not refused": {1500 * ms, justServed, time.Hour, cut + 3*sec},
-		"its siblings ask seldom": {100 * ms, func(now time.Duration) time.Duration { return now.Truncate(2*sec) - sec },
+		"a sibling is served":            {100 * ms, justServed, time.Hour, cut + 3*sec},
+		"no answers instead of refusals": {1500 * ms, justServed, time.Hour, cut + 3*sec},
+		"its siblings send few requests": {100 * ms,
+			func(now time.Duration) time.Duration { return now.Truncate(2*sec) - sec },
 			time.Hour, cut + 6*sec},
-		"out for all soon after": {100 * ms, func(now time.Duration) time.Duration { return min(now-100*ms, cut+2*sec) },
+		"the service goes out for all soon after": {100 * ms,
+			func(now time.Duration) time.Duration { return min(now-100*ms, cut+2*sec) },
 			time.Hour, 0},
-		"out for all, then back, and a sibling asks first": {100 * ms, func(now time.Duration) time.Duration {
+		"out for all, then back, and a sibling is served first": {100 * ms, func(now time.Duration) time.Duration {
 			if now > 90*sec {
 				return now - 50*ms
 			}
@@ -86,49 +88,49 @@
 	}
 }
 
-// TestOwnSlownessIsNoRefusal: a process that hardly runs reads answers too late, and
-// would give up leadership for that.
+// A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
+// that.
 func TestOwnSlownessIsNoRefusal(t *testing.T) {
 	var s Health
 	recordOutcomes(&s, 0, 10*time.Second, Served)
 	recordOutcomes(&s, 10*time.Second, 13*time.Second, NoAnswer)
 	s.RecordDelay(13*time.Second, minTimerDelay)
 	if s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("silence was held against the service while this process was late")
+		t.Error("missing answers counted while this process was delayed")
 	}
 	recordOutcomes(&s, 13*time.Second, 14*time.Second, NoAnswer)
 	if !s.RefusedAlone(14*time.Second, 14*time.Second) {
-		t.Error("silence after the halt counts for nothing")
+		t.Error("missing answers after the delay do not count")
 	}
 }
 
-// TestOldAnswersDoNotCount: an answer to a question from before the cut says
-// nothing about now, and one failure alone proves nothing.
+// An answer to a request from before the cut says nothing about the present, and one failure alone
+// is not enough.
 func TestOldAnswersDoNotCount(t *testing.T) {
 	var s Health
 	s.RecordOutcome(10*time.Second, Served)
 	s.RecordOutcome(12*time.Second, NoAnswer)
 	if s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("one unlucky request made it alone")
+		t.Error("refused alone after a single failure")
 	}
 	recordOutcomes(&s, 11*time.Second, 12*time.Second, Refused)
 	s.RecordOutcome(9*time.Second, Served)
 	if !s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("an older answer hides the refusal")
+		t.Error("an older answer hides the refusals")
 	}
 	if at, known := s.LastServed(); at != 10*time.Second || !known {
 		t.Errorf("served %v, %v", at, known)
 	}
 }
 
-// TestLeaderYieldsOnceSiblingIsConfirmed: the service goes out for all as the leader's lease ends;
-// its siblings were served until just then.
+// When the service goes out for all as the leader's lease ends, siblings were served until just
+// before. The leader must not yield without a fresh confirmation by a sibling.
 func TestLeaderYieldsOnceSiblingIsConfirmed(t *testing.T) {
 	const cut, out = 10 * time.Second, 12900 * ms
 	for name, c := range map[string]struct {
 		out  time.Duration
 		want bool
-	}{"a sibling is served still": {time.Hour, true}, "out for all just now": {out, false}} {
+	}{"a sibling is still served": {time.Hour, true}, "out for all just now": {out, false}} {
 		t.Run(name, func(t *testing.T) {
 			var s Health
 			recordOutcomes(&s, 0, cut, Served)
@@ -149,29 +151,28 @@
 				}
 			}
 			if gave != c.want || asked == 0 || asked > 10 || !would {
-				t.Errorf("gave way: %v, want %v; asked %d times, would yield: %v", gave, c.want, asked, would)
+				t.Errorf("yielded: %v, want %v; asked %d times, should yield: %v", gave, c.want, asked, would)
 			}
 		})
 	}
 }
 
-// A controller that has nothing to ask for a while is not cut off: only a request that was
-// sent and failed shows that.
+// A controller that sends no requests for a while is not cut off: only a failed request shows that.
 func TestNoRequestsAreNotUnreachable(t *testing.T) {
 	var h Health
 	if !h.Unreachable(3 * time.Second) {
-		t.Error("never served, and not missing")
+		t.Error("reachable though never served")
 	}
 	h.RecordOutcome(4*time.Second, Served)
 	if h.Unreachable(20 * time.Second) {
-		t.Error("missing though nothing was asked")
+		t.Error("unreachable though nothing was sent")
 	}
 	h.RecordOutcome(20*time.Second, NoAnswer)
 	if !h.Unreachable(20 * time.Second) {
-		t.Error("not missing after a request that was not answered")
+		t.Error("reachable after a request that was not answered")
 	}
 	h.RecordOutcome(21*time.Second, Busy)
 	if h.Unreachable(22 * time.Second) {
-		t.Error("missing though the service said that it is busy")
+		t.Error("unreachable though the service answered that it is busy")
 	}
 }
