--- a/internal/core/cancellog/cancellog_test.go
+++ b/internal/core/cancellog/cancellog_test.go
@@ -12,8 +12,8 @@
 
 func TestViewIsAsRecentAsOldestCoverage(t *testing.T) {
 	for name, c := range map[string]struct {
-		words []Coverage
-		want  time.Duration
+		coverages []Coverage
+		want      time.Duration
 	}{
 		"all are known":            {[]Coverage{{0, 30 * s}, {5 * s, 28 * s}}, 28 * s},
 		"alone":                    {nil, 40 * s},
@@ -22,11 +22,11 @@
 		"one began with the view":  {[]Coverage{{20 * s, 30 * s}}, 30 * s},
 		"one is not known at all":  {[]Coverage{{}, {0, 30 * s}}, 20 * s},
 	} {
-		var p OpenJobsView
-		p.Read(20 * s)
-		p.ApplyCoverage(40*s, c.words)
-		if p.ValidUntil(0) != c.want {
-			t.Errorf("%s: %v, want %v", name, p.ValidUntil(0), c.want)
+		var v OpenJobsView
+		v.Read(20 * s)
+		v.ApplyCoverage(40*s, c.coverages)
+		if v.ValidUntil(0) != c.want {
+			t.Errorf("%s: %v, want %v", name, v.ValidUntil(0), c.want)
 		}
 	}
 	// A view that was never read is not valid.
@@ -36,17 +36,17 @@
 		t.Errorf("valid until %v before anything was read", none.ValidUntil(30*s))
 	}
 	// The view does not get older; only a read of the state service closes a gap.
-	var p OpenJobsView
-	p.Read(20 * s)
-	p.ApplyCoverage(40*s, []Coverage{{0, 39 * s}})
-	p.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
-	if p.ValidUntil(0) != 39*s {
-		t.Errorf("a coverage from after the gap made it %v", p.ValidUntil(0))
+	var v OpenJobsView
+	v.Read(20 * s)
+	v.ApplyCoverage(40*s, []Coverage{{0, 39 * s}})
+	v.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
+	if v.ValidUntil(0) != 39*s {
+		t.Errorf("a coverage from after the gap made it %v", v.ValidUntil(0))
 	}
-	p.Read(46 * s)
-	p.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
-	if p.ValidUntil(0) != 50*s {
-		t.Errorf("%v once the gap is closed", p.ValidUntil(0))
+	v.Read(46 * s)
+	v.ApplyCoverage(50*s, []Coverage{{45 * s, 50 * s}})
+	if v.ValidUntil(0) != 50*s {
+		t.Errorf("%v once the gap is closed", v.ValidUntil(0))
 	}
 }
 
@@ -72,17 +72,17 @@
 }
 
 func TestCancelledJobIsKeptUntilLaterRead(t *testing.T) {
-	var p OpenJobsView
-	p.Read(10 * s)
-	if !p.AddCancelled(20*s, 7) || p.AddCancelled(21*s, 7) || !p.IsCancelled(7) || p.IsCancelled(8) {
+	var v OpenJobsView
+	v.Read(10 * s)
+	if !v.AddCancelled(20*s, 7) || v.AddCancelled(21*s, 7) || !v.IsCancelled(7) || v.IsCancelled(8) {
 		t.Error("a cancellation must be added once, for its job only")
 	}
-	p.Read(19 * s) // sent before the cancellation was reported: it may have shown the job as open
-	if !p.IsCancelled(7) {
+	v.Read(19 * s) // sent before the cancellation was reported: it may have shown the job as open
+	if !v.IsCancelled(7) {
 		t.Error("the cancelled job was dropped too early")
 	}
-	p.Read(21 * s)
-	if p.IsCancelled(7) {
+	v.Read(21 * s)
+	if v.IsCancelled(7) {
 		t.Error("the cancelled job is never dropped")
 	}
 }
--- a/internal/core/fleet/drain.go
+++ b/internal/core/fleet/drain.go
@@ -46,20 +46,21 @@
 	var candidates []*availableMachine
 	minCost := f.minCPUCost()
 	for i := range machines {
-		if r := &machines[i]; r.status != nil && !f.machines[r.machine.ID].planScheduled &&
-			f.cpuCost(&r.machine) >= expensiveRatio*minCost {
-			candidates = append(candidates, r)
+		if candidate := &machines[i]; candidate.status != nil && !f.machines[candidate.machine.ID].planScheduled &&
+			f.cpuCost(&candidate.machine) >= expensiveRatio*minCost {
+			candidates = append(candidates, candidate)
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *availableMachine) int {
 		return cmp.Or(cmp.Compare(f.cpuCost(&b.machine), f.cpuCost(&a.machine)), cmp.Compare(b.free.CPU, a.free.CPU))
 	})
 	var ids []model.MachineID
-	for _, r := range candidates {
-		if remaining := free - max(0, r.free.CPU); float64(remaining) >= freeShare*float64(total-r.machine.Cap.CPU) {
-			free, total = remaining, total-r.machine.Cap.CPU
-			f.machines[r.machine.ID].draining = true
-			ids = append(ids, r.machine.ID)
+	for _, candidate := range candidates {
+		if remaining := free - max(0, candidate.free.CPU); float64(remaining) >=
+			freeShare*float64(total-candidate.machine.Cap.CPU) {
+			free, total = remaining, total-candidate.machine.Cap.CPU
+			f.machines[candidate.machine.ID].draining = true
+			ids = append(ids, candidate.machine.ID)
 		}
 	}
 	return ids
@@ -78,8 +79,8 @@
 func (f *Fleet) undrainActions(status []model.MachineStatus, shortages []shortage) ([]Action, []shortage) {
 	var candidates []*model.MachineStatus
 	for i := range status {
-		if u := f.machines[status[i].Machine.ID]; u != nil && u.draining && !u.returning && !u.planDraining &&
-			u.leaseExpiredSince == 0 &&
+		if state := f.machines[status[i].Machine.ID]; state != nil && state.draining && !state.returning &&
+			!state.planDraining && state.leaseExpiredSince == 0 &&
 			!status[i].Faulty && !status[i].Draining {
 			candidates = append(candidates, &status[i])
 		}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -81,7 +81,7 @@
 	gone             map[model.MachineID]time.Duration // returned or gone; the list may contain them for a while
 	requestCount     uint64
 	cycle            uint64
-	lastShortageAt   time.Duration
+	lastShortageAt   time.Duration // when there were shortages
 	lastScarceAt     time.Duration // when little capacity was free, or there were shortages
 }
 
@@ -94,6 +94,7 @@
 // SetTypes sets the cloud's machine types with their current prices.
 func (f *Fleet) SetTypes(t []model.MachineType) { f.types = t }
 
+// typeOf returns the catalog's entry of a type, nil if there is none.
 func (f *Fleet) typeOf(n model.Name) *model.MachineType {
 	for i := range f.types {
 		if f.types[i].Name == n {
@@ -103,13 +104,14 @@
 	return nil
 }
 
+// ensureMachine returns the state of a machine, which it creates if necessary.
 func (f *Fleet) ensureMachine(now time.Duration, id model.MachineID, k machineKind) *machineState {
-	u := f.machines[id]
-	if u == nil {
-		u = &machineState{machineKind: k, knownSince: now}
-		f.machines[id] = u
+	state := f.machines[id]
+	if state == nil {
+		state = &machineState{machineKind: k, knownSince: now}
+		f.machines[id] = state
 	}
-	return u
+	return state
 }
 
 // ListedMachine is an entry of the cloud's machine list.
@@ -137,22 +139,22 @@
 		if _, ok := f.gone[e.ID]; ok {
 			continue
 		}
-		u := f.machines[e.ID]
-		if u == nil {
-			u = f.ensureMachine(now, e.ID, machineKind{e.Type, e.Zone, e.Spot})
-			u.knownSince = now - e.Age
+		state := f.machines[e.ID]
+		if state == nil {
+			state = f.ensureMachine(now, e.ID, machineKind{e.Type, e.Zone, e.Spot})
+			state.knownSince = now - e.Age
 		}
 		// A new leader may know a machine from a report first; its age says since when it exists.
-		u.knownSince = min(u.knownSince, now-e.Age)
-		u.lastListed = now
-		if u.firstListed == 0 {
-			u.firstListed = now
+		state.knownSince = min(state.knownSince, now-e.Age)
+		state.lastListed = now
+		if state.firstListed == 0 {
+			state.firstListed = now
 		}
-		u.failed = u.failed || e.Failed
+		state.failed = state.failed || e.Failed
 	}
 	var gone []model.MachineID
-	for id, u := range f.machines {
-		if u.firstListed != 0 && u.lastListed != now && askedAt-u.firstListed > 2*f.params.ListLag+listLagMargin {
+	for id, state := range f.machines {
+		if state.firstListed != 0 && state.lastListed != now && askedAt-state.firstListed > 2*f.params.ListLag+listLagMargin {
 			gone = append(gone, id)
 			delete(f.machines, id)
 			f.gone[id] = now
@@ -189,8 +191,8 @@
 		if ok {
 			delete(f.machines, id)
 			f.gone[id] = now
-		} else if u := f.machines[id]; u != nil {
-			u.returning = false
+		} else if state := f.machines[id]; state != nil {
+			state.returning = false
 		}
 	}
 }
@@ -216,11 +218,11 @@
 		m := &status[i].Machine
 		f.ensureMachine(now, m.ID, machineKind{m.Type, m.Zone, m.Spot})
 	}
-	for id, u := range f.machines {
+	for id, state := range f.machines {
 		if !leaseExpired(id) {
-			u.reported, u.leaseExpiredSince = true, 0
-		} else if u.reported && u.leaseExpiredSince == 0 {
-			u.leaseExpiredSince = now
+			state.reported, state.leaseExpiredSince = true, 0
+		} else if state.reported && state.leaseExpiredSince == 0 {
+			state.leaseExpiredSince = now
 		}
 	}
 }
@@ -371,8 +373,8 @@
 // countByKind counts the machines of each kind, including those being rented.
 func (f *Fleet) countByKind() map[machineKind]int {
 	n := map[machineKind]int{}
-	for _, u := range f.machines {
-		n[u.machineKind]++
+	for _, state := range f.machines {
+		n[state.machineKind]++
 	}
 	for _, a := range f.renting {
 		n[machineKind{a.Type, a.Zone, a.Spot}] += a.Count
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -9,6 +9,7 @@
 	"honeylock/internal/core/model"
 )
 
+// newFleet returns a fleet with one type of machines, in one zone, and none rented.
 func newFleet() *Fleet {
 	f := New(Params{Term: 7, ListLag: 10 * time.Second, IdleReturn: time.Minute, Horizon: 30 * time.Second,
 		RetryRefusedAfter: 15 * time.Second})
@@ -20,16 +21,18 @@
 
 func noLimit(model.Name) model.Resources { return model.Resources{} }
 
+// testDemand returns the demand of a job whose tasks need half a machine of newFleet each.
 func testDemand(tasks int32, spot bool) []Demand {
-	sp := &model.Spec{ID: 1, Tasks: tasks, PerTask: model.Request(4, 0, 4), Zone: model.None, Spot: spot,
+	spec := &model.Spec{ID: 1, Tasks: tasks, PerTask: model.Request(4, 0, 4), Zone: model.None, Spot: spot,
 		Estimate: 10 * time.Minute}
-	return []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: tasks}}}
+	return []Demand{{Job: dispatcher.JobDemand{Spec: spec, Unfinished: tasks}}}
 }
 
-func findRental(as []Action) *Action {
-	for i := range as {
-		if as[i].RequestName != "" {
-			return &as[i]
+// findRental returns the first rental among actions, nil if there is none.
+func findRental(actions []Action) *Action {
+	for i := range actions {
+		if actions[i].RequestName != "" {
+			return &actions[i]
 		}
 	}
 	return nil
@@ -91,13 +94,13 @@
 	f := newFleet()
 	status := []model.MachineStatus{{Machine: model.Machine{ID: 1, Spot: true, Cap: model.Capacity(8, 0, 32)},
 		Avail: model.Capacity(8, 0, 32), Ready: true}}
-	alive := func(model.MachineID) bool { return false }
-	f.Observe(0, status, alive)
+	notExpired := func(model.MachineID) bool { return false }
+	f.Observe(0, status, notExpired)
 	// While there is demand an idle machine is kept for a while, because a replacement must boot
 	// and fetch images first. When demand is low it is returned soon.
-	sp := &model.Spec{ID: 1, Tasks: 1, PerTask: model.Request(4, 0, 4), Zone: model.None, Estimate: time.Minute}
-	lull := []Demand{{Job: dispatcher.JobDemand{Spec: sp, Unfinished: 1, Assigned: 1}, Placed: 1}}
-	if as := f.Step(30*time.Second, status, lull, noLimit); len(as) != 0 {
+	spec := &model.Spec{ID: 1, Tasks: 1, PerTask: model.Request(4, 0, 4), Zone: model.None, Estimate: time.Minute}
+	placedDemand := []Demand{{Job: dispatcher.JobDemand{Spec: spec, Unfinished: 1, Assigned: 1}, Placed: 1}}
+	if as := f.Step(30*time.Second, status, placedDemand, noLimit); len(as) != 0 {
 		t.Errorf("%+v returned too early while there is demand", as)
 	}
 	as := f.Step(30*time.Second, status, nil, noLimit)
@@ -115,20 +118,20 @@
 // To a new leader no machine has reported yet, however old the list says it is. It must not return
 // machines for that before they could report, or it returns busy ones.
 func TestNewLeaderWaitsForReportsBeforeReturning(t *testing.T) {
-	began := time.Hour
-	f := New(Params{Term: 7, TermStart: began, ListLag: 10 * time.Second, IdleReturn: time.Minute,
+	termStart := time.Hour
+	f := New(Params{Term: 7, TermStart: termStart, ListLag: 10 * time.Second, IdleReturn: time.Minute,
 		Horizon: 30 * time.Second, RetryRefusedAfter: 15 * time.Second})
 	f.SetTypes([]model.MachineType{{Name: 0, Cap: model.Capacity(8, 0, 32), Price: 1, SpotPrice: 0.3,
 		Boot: 20 * time.Second, Zones: []model.Name{0}}})
-	f.UpdateListed(began, began, []ListedMachine{{ID: 1, Age: time.Hour}})
+	f.UpdateListed(termStart, termStart, []ListedMachine{{ID: 1, Age: time.Hour}})
 	expired := func(model.MachineID) bool { return true }
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{10 * time.Second, 0}, {2 * time.Minute, 1}} {
-		f.Observe(began+c.after, nil, expired)
+		f.Observe(termStart+c.after, nil, expired)
 		n := 0
-		for _, a := range f.Step(began+c.after, nil, nil, noLimit) {
+		for _, a := range f.Step(termStart+c.after, nil, nil, noLimit) {
 			n += len(a.Machines)
 		}
 		if n != c.want {
@@ -184,16 +187,16 @@
 			Avail: model.Capacity(4, 0, 16), Slots: 1, Ready: true})
 	}
 	f.Observe(0, status, func(model.MachineID) bool { return false })
-	drainsAndUndrains := func(as []Action) (drained, wanted []model.MachineID) {
-		for _, a := range as {
+	drainsAndUndrains := func(actions []Action) (drained, undrained []model.MachineID) {
+		for _, a := range actions {
 			switch a.Kind {
 			case Drain:
 				drained = append(drained, a.Machines...)
 			case Undrain:
-				wanted = append(wanted, a.Machines...)
+				undrained = append(undrained, a.Machines...)
 			}
 		}
-		return drained, wanted
+		return drained, undrained
 	}
 	if d, _ := drainsAndUndrains(f.Step(time.Second, status, nil, noLimit)); d != nil {
 		t.Fatalf("%v drained at once", d)
@@ -211,23 +214,23 @@
 		t.Errorf("%v drained for a second time", again)
 	}
 	// More work than the other machines can run: machines are undrained before any is rented.
-	as := f.Step(21*time.Second, status, testDemand(8, true), noLimit)
-	if _, w := drainsAndUndrains(as); len(w) == 0 || findRental(as) != nil {
-		t.Errorf("%+v, want drained machines undrained, and none rented", as)
+	actions := f.Step(21*time.Second, status, testDemand(8, true), noLimit)
+	if _, undrained := drainsAndUndrains(actions); len(undrained) == 0 || findRental(actions) != nil {
+		t.Errorf("%+v, want drained machines undrained, and none rented", actions)
 	}
 	// Machines that a plan drains are neither capacity nor surplus, and not drained for their price.
 	f.SetDrainPlans(func(id model.MachineID) (bool, bool) { return true, true })
-	as = f.Step(22*time.Second, status, testDemand(8, true), noLimit)
-	if findRental(as) == nil {
-		t.Errorf("%+v: machines that plans drain count as capacity", as)
+	actions = f.Step(22*time.Second, status, testDemand(8, true), noLimit)
+	if findRental(actions) == nil {
+		t.Errorf("%+v: machines that plans drain count as capacity", actions)
 	}
 	for i := range status {
 		status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
 	}
-	as = f.Step(time.Hour, status, nil, noLimit)
-	if d, _ := drainsAndUndrains(as); d != nil || slices.ContainsFunc(as,
+	actions = f.Step(time.Hour, status, nil, noLimit)
+	if d, _ := drainsAndUndrains(actions); d != nil || slices.ContainsFunc(actions,
 		func(a Action) bool { return a.Kind == Return && slices.Contains(a.Machines, 0) }) {
-		t.Errorf("%+v, though plans drain these machines", as)
+		t.Errorf("%+v, though plans drain these machines", actions)
 	}
 }
 
--- a/internal/core/fleet/plans.go
+++ b/internal/core/fleet/plans.go
@@ -7,11 +7,12 @@
 )
 
 // SetDrainPlans sets which machines plans are draining, and which they are scheduled to drain. The
-// former count neither as capacity nor as surplus; the latter are not drained for their price.
+// former count neither as capacity nor as surplus; the latter are not, or no longer, drained for
+// their price.
 func (f *Fleet) SetDrainPlans(plans func(model.MachineID) (draining, scheduled bool)) {
-	for id, u := range f.machines {
-		u.planDraining, u.planScheduled = plans(id)
-		u.draining = u.draining && !u.planScheduled
+	for id, state := range f.machines {
+		state.planDraining, state.planScheduled = plans(id)
+		state.draining = state.draining && !state.planScheduled
 	}
 }
 
@@ -22,7 +23,7 @@
 	var cpu int64
 	for i := range status {
 		s := &status[i]
-		if u := f.machines[s.Machine.ID]; u != nil && u.planDraining && s.Slots > 0 {
+		if state := f.machines[s.Machine.ID]; state != nil && state.planDraining && s.Slots > 0 {
 			cpu += max(0, s.Machine.Cap.CPU-s.Avail.CPU)
 		}
 	}
@@ -37,8 +38,8 @@
 	}
 	f.returnInProgress = true
 	for _, id := range ids {
-		if u := f.machines[id]; u != nil {
-			u.returning = true
+		if state := f.machines[id]; state != nil {
+			state.returning = true
 		}
 	}
 	return true
@@ -54,11 +55,11 @@
 // ForEachMachine calls do for each machine that the cloud has, with when it came to exist: those
 // listed, and those that are too new to be listed. listed reports whether the list has been read.
 func (f *Fleet) ForEachMachine(now time.Duration, do func(m model.Machine, since time.Duration)) (listed bool) {
-	for id, u := range f.machines {
-		if u.firstListed == 0 && now-max(u.knownSince, f.params.TermStart) > 2*f.params.ListLag+listLagMargin {
+	for id, state := range f.machines {
+		if state.firstListed == 0 && now-max(state.knownSince, f.params.TermStart) > 2*f.params.ListLag+listLagMargin {
 			continue // it would be listed by now if it existed
 		}
-		do(model.Machine{ID: id, Type: u.machineType, Zone: u.zone, Spot: u.spot}, u.knownSince)
+		do(model.Machine{ID: id, Type: state.machineType, Zone: state.zone, Spot: state.spot}, state.knownSince)
 	}
 	return f.listed
 }
--- a/internal/core/fleet/surplus.go
+++ b/internal/core/fleet/surplus.go
@@ -20,13 +20,13 @@
 // selectReturns picks the machines to return: those that are lost, those that are idle and not
 // needed for plans' moves, and faulty ones without tasks.
 func (f *Fleet) selectReturns(now time.Duration, status []model.MachineStatus, machines []availableMachine,
-	lowDemand bool,
-	movingCPU int64) []model.MachineID {
+	lowDemand bool, movingCPU int64) []model.MachineID {
 	returns := f.lostMachines(now)
 	returns = append(returns, f.idleMachines(now, machines, lowDemand, movingCPU)...)
 	for i := range status {
 		s := &status[i]
-		if u := f.machines[s.Machine.ID]; u != nil && !u.returning && !u.planDraining && s.Faulty && s.Slots == 0 {
+		if state := f.machines[s.Machine.ID]; state != nil && !state.returning && !state.planDraining && s.Faulty &&
+			s.Slots == 0 {
 			returns = append(returns, s.Machine.ID)
 		}
 	}
@@ -38,46 +38,49 @@
 func (f *Fleet) lostMachines(now time.Duration) []model.MachineID {
 	var lost []model.MachineID
 	partitioned := f.partitionedZones()
-	for id, u := range f.machines {
-		if u.returning {
+	for id, state := range f.machines {
+		if state.returning {
 			continue
 		}
-		t := f.typeOf(u.machineType)
+		t := f.typeOf(state.machineType)
 		limit := leaseExpiredLimit
-		if partitioned[u.zone] {
+		if partitioned[state.zone] {
 			limit = partitionLimit
 		}
 		switch {
-		case u.failed,
-			!u.reported && t != nil && now-max(u.knownSince, f.params.TermStart) > 4*t.Boot+20*time.Second,
-			u.leaseExpiredSince != 0 && now-u.leaseExpiredSince > 20*time.Second && now-u.lastListed > 2*f.params.ListLag,
-			u.leaseExpiredSince != 0 && now-u.leaseExpiredSince > limit:
+		case state.failed,
+			!state.reported && t != nil && now-max(state.knownSince, f.params.TermStart) > 4*t.Boot+20*time.Second,
+			state.leaseExpiredSince != 0 && now-state.leaseExpiredSince > 20*time.Second &&
+				now-state.lastListed > 2*f.params.ListLag,
+			state.leaseExpiredSince != 0 && now-state.leaseExpiredSince > limit:
 			lost = append(lost, id)
 		}
 	}
 	return lost
 }
 
-// idleMachines returns the machines that have been idle for longer than their limit, as long as
-// enough free capacity is left for tasks that plans move.
+// idleMachines returns the machines that have been idle for longer than their limit, unless there
+// were shortages within half of it, and as long as enough free capacity is left for the tasks that
+// plans move.
 func (f *Fleet) idleMachines(now time.Duration, machines []availableMachine, lowDemand bool,
 	movingCPU int64) []model.MachineID {
 	var idle []model.MachineID
 	free := freeCPU(machines)
 	for i := range machines {
-		r := &machines[i]
-		if r.status == nil || r.usedByDemand || r.status.Slots > 0 {
+		candidate := &machines[i]
+		if candidate.status == nil || candidate.usedByDemand || candidate.status.Slots > 0 {
 			continue
 		}
-		if limit := f.idleLimit(&r.machine, lowDemand); now-r.status.IdleSince < limit || now-f.lastShortageAt < limit/2 {
+		if limit := f.idleLimit(&candidate.machine, lowDemand); now-candidate.status.IdleSince < limit ||
+			now-f.lastShortageAt < limit/2 {
 			continue
 		}
-		remaining := free - max(0, r.free.CPU)
+		remaining := free - max(0, candidate.free.CPU)
 		if remaining < movingCPU {
 			continue
 		}
-		if u := f.machines[r.machine.ID]; u != nil && !u.returning && u.leaseExpiredSince == 0 {
-			idle = append(idle, r.machine.ID)
+		if state := f.machines[candidate.machine.ID]; state != nil && !state.returning && state.leaseExpiredSince == 0 {
+			idle = append(idle, candidate.machine.ID)
 			free = remaining
 		}
 	}
--- a/internal/core/fleet/unreachable.go
+++ b/internal/core/fleet/unreachable.go
@@ -16,8 +16,8 @@
 // are certainly gone, which is much earlier than the end of their leases.
 func (f *Fleet) SetUnreachable(ids []model.MachineID) {
 	reported := 0
-	for _, u := range f.machines {
-		if u.reported && !u.returning {
+	for _, state := range f.machines {
+		if state.reported && !state.returning {
 			reported++
 		}
 	}
@@ -30,7 +30,7 @@
 // selectUnreachable picks the unreachable machines to return.
 func (f *Fleet) selectUnreachable() (unreachable []model.MachineID) {
 	for _, id := range f.unreachable {
-		if u := f.machines[id]; u != nil && !u.returning {
+		if state := f.machines[id]; state != nil && !state.returning {
 			unreachable = append(unreachable, id)
 		}
 	}
@@ -62,11 +62,11 @@
 // expired.
 func (f *Fleet) partitionedZones() map[model.Name]bool {
 	reported, expired := map[model.Name]int{}, map[model.Name]int{}
-	for _, u := range f.machines {
-		if u.reported && !u.returning {
-			reported[u.zone]++
-			if u.leaseExpiredSince != 0 {
-				expired[u.zone]++
+	for _, state := range f.machines {
+		if state.reported && !state.returning {
+			reported[state.zone]++
+			if state.leaseExpiredSince != 0 {
+				expired[state.zone]++
 			}
 		}
 	}
--- a/internal/core/fleet/unreachable_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -10,10 +10,10 @@
 // Unreachable machines are returned unless they are too many to be at fault themselves. One that
 // reports again is kept.
 func TestFewUnreachableMachinesAreReturned(t *testing.T) {
-	for name, c := range map[string]struct{ deaf, again, want int }{
-		"few":                 {deaf: 10, want: 10},
-		"more than the limit": {deaf: 20, want: 0},
-		"some report again":   {deaf: 10, again: 4, want: 6},
+	for name, c := range map[string]struct{ unreachable, reportAgain, want int }{
+		"few":                 {unreachable: 10, want: 10},
+		"more than the limit": {unreachable: 20, want: 0},
+		"some report again":   {unreachable: 10, reportAgain: 4, want: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet()
@@ -24,12 +24,12 @@
 			}
 			notExpired := func(model.MachineID) bool { return false }
 			f.Observe(0, status, notExpired)
-			ids := make([]model.MachineID, c.deaf)
+			ids := make([]model.MachineID, c.unreachable)
 			for i := range ids {
 				ids[i] = model.MachineID(i)
 			}
 			f.SetUnreachable(ids)
-			f.SetUnreachable(ids[c.again:])
+			f.SetUnreachable(ids[c.reportAgain:])
 			got := 0
 			for _, a := range f.Step(2*time.Second, status, testDemand(1, true), noLimit) {
 				if a.Kind == Return {
@@ -47,9 +47,9 @@
 // zone: then the zone is partitioned, and they come back with it.
 func TestPartitionedZoneIsNotReturnedEarly(t *testing.T) {
 	for _, c := range []struct {
-		silent int
-		after  time.Duration
-		want   int
+		expired int
+		after   time.Duration
+		want    int
 	}{{3, 100 * time.Second, 3}, {8, 100 * time.Second, 0}, {8, 301 * time.Second, 8}} {
 		f := newFleet()
 		var status []model.MachineStatus
@@ -58,7 +58,7 @@
 				Ready: true, Slots: 1})
 		}
 		f.Observe(0, status, func(model.MachineID) bool { return false })
-		f.Observe(time.Second, status, func(id model.MachineID) bool { return int(id) < c.silent })
+		f.Observe(time.Second, status, func(id model.MachineID) bool { return int(id) < c.expired })
 		var listed []ListedMachine
 		for id := range model.MachineID(10) {
 			listed = append(listed, ListedMachine{ID: id})
@@ -71,7 +71,7 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%d of 10 expired for %v: %d returned, want %d", c.silent, c.after, got, c.want)
+			t.Errorf("%d of 10 expired for %v: %d returned, want %d", c.expired, c.after, got, c.want)
 		}
 	}
 }
--- a/internal/core/model/messages.go
+++ b/internal/core/model/messages.go
@@ -78,7 +78,8 @@
 	ExpediteJob    // the job is overdue: place its first task before all others
 )
 
-// Objective reports whether a service level objective covers a job, or a job that depends on it.
+// Objective tells a shard whether a service level objective covers a job, or a job that depends on
+// it. A job without one is best effort.
 type Objective uint8
 
 // Values of Objective.
@@ -88,7 +89,7 @@
 	HasObjective
 )
 
-// ObjectiveFor converts whether a job has an objective.
+// ObjectiveFor returns HasObjective or NoObjective.
 func ObjectiveFor(hasObjective bool) Objective {
 	if hasObjective {
 		return HasObjective
@@ -107,7 +108,7 @@
 	Status  AttemptStatus // AttemptFound
 	Cause   Cause         // TaskReturned, TaskInterrupted
 	Token   uint64        // LeaseExpired, LeaseExpiryConfirmed, MachineInspected, TokenSuperseded
-	// Held has a meaning for each kind. TaskFinished: the attempt is of a task that is assigned
+	// Held has a different meaning for each kind. TaskFinished: the attempt is of a task that is assigned
 	// to this shard. MachineReleased: this shard never answered the worker, so it has launched
 	// nothing there and has not renewed its lease. CommandUnanswered: the worker is unreachable,
 	// that is, it does not report in time either, while most others of its zone do.
@@ -129,7 +130,7 @@
 const (
 	UnownedWorker EventKind = iota // a worker reports whose machine this shard does not own
 	// WorkerFenced: the worker has shown this shard's token, so it refuses commands of earlier
-	// owners. All that it runs has been reported before.
+	// owners. AttemptFound has been sent for every attempt there that the shard did not know.
 	WorkerFenced
 	LeaseExpired         // the worker's lease is over unless another shard has renewed it
 	WorkerBack           // a worker whose lease had expired or that was unreachable reports again
@@ -137,7 +138,7 @@
 	MachineReleased      // the shard no longer owns the machine
 	TokenNeeded          // a launch may still arrive late: a higher token makes the worker refuse it
 	TokenSuperseded      // the worker has seen a higher token than this shard's
-	AttemptFound         // the worker runs an attempt that the shard does not know
+	AttemptFound         // the worker has an attempt that the shard did not know
 	TaskFinished         // a task has completed
 	TaskReturned         // a task runs nowhere, and is no longer assigned to this shard
 	CommandUnanswered    // a worker that is unreachable or not fenced yet left a direct command unanswered
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -67,8 +67,8 @@
 	return time.Second + time.Duration(float64(3*lag)*(0.5+spread))
 }
 
-// Scale is how much of up to most things at a time this process should do of its own
-// accord: all while it is not behind, then in proportion less, but always some.
+// Scale reduces a limit of the concurrency of the process's own work: the whole limit up to minLag,
+// then in inverse proportion to the lag, but never less than a twelfth or 1.
 func (d *Detector) Scale(now time.Duration, limit int) int {
 	lag := d.Lag(now)
 	if lag <= minLag {
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -11,9 +11,9 @@
 // but never to zero.
 func TestRequestsAreRefusedByLag(t *testing.T) {
 	for _, c := range []struct {
-		lag           time.Duration
-		polls, change bool
-		least, most   int
+		lag                time.Duration
+		polls, change      bool
+		minCount, maxCount int
 	}{
 		{0, true, true, 48, 48},
 		{minLag, true, true, 48, 48},
@@ -22,16 +22,16 @@
 		{time.Second, false, false, 4, 4},
 		{time.Hour, false, false, 4, 4},
 	} {
-		var s Detector
-		s.RecordDelay(time.Second, c.lag)
-		if got := s.Admits(time.Second, Poll); got != c.polls {
+		var d Detector
+		d.RecordDelay(time.Second, c.lag)
+		if got := d.Admits(time.Second, Poll); got != c.polls {
 			t.Errorf("lag %v: polls admitted: %v", c.lag, got)
 		}
-		if got := s.Admits(time.Second, Change); got != c.change {
+		if got := d.Admits(time.Second, Change); got != c.change {
 			t.Errorf("lag %v: changes admitted: %v", c.lag, got)
 		}
-		if got := s.Scale(time.Second, 48); got < c.least || got > c.most {
-			t.Errorf("lag %v: %d at a time, want %d to %d", c.lag, got, c.least, c.most)
+		if got := d.Scale(time.Second, 48); got < c.minCount || got > c.maxCount {
+			t.Errorf("lag %v: %d at a time, want %d to %d", c.lag, got, c.minCount, c.maxCount)
 		}
 	}
 }
@@ -39,21 +39,21 @@
 // Once timers fire in time again, everything is admitted within a few seconds, however long the
 // process was stopped.
 func TestLagRecovers(t *testing.T) {
-	var s Detector
-	s.RecordDelay(time.Second, time.Minute)
+	var d Detector
+	d.RecordDelay(time.Second, time.Minute)
 	for now := time.Second; now < 4*time.Second; now += 50 * ms {
-		s.RecordDelay(now, 2*ms)
+		d.RecordDelay(now, 2*ms)
 	}
-	if now := 4 * time.Second; !s.Admits(now, Poll) || s.Scale(now, 48) != 48 {
-		t.Errorf("3 s later the lag is still %v", s.Lag(now))
+	if now := 4 * time.Second; !d.Admits(now, Poll) || d.Scale(now, 48) != 48 {
+		t.Errorf("3 s later the lag is still %v", d.Lag(now))
 	}
 }
 
 // Callers of refused requests must not all retry at the same time.
 func TestRetryTimesAreSpread(t *testing.T) {
-	var s Detector
-	s.RecordDelay(0, time.Second)
-	if lo, hi := s.RetryAfter(0, 0), s.RetryAfter(0, 1); lo < time.Second || hi-lo < 2*time.Second {
+	var d Detector
+	d.RecordDelay(0, time.Second)
+	if lo, hi := d.RetryAfter(0, 0), d.RetryAfter(0, 1); lo < time.Second || hi-lo < 2*time.Second {
 		t.Errorf("retry after %v to %v", lo, hi)
 	}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -81,6 +81,7 @@
 	return &Overrides{platform: platform, byTeam: map[model.Name]*entry{}}
 }
 
+// ensureEntry returns the state of a team's override, which it creates if necessary.
 func (o *Overrides) ensureEntry(team model.Name) *entry {
 	e := o.byTeam[team]
 	if e == nil {
@@ -110,6 +111,7 @@
 
 func (r *RefusedError) Error() string { return r.Reason }
 
+// refuse returns a RefusedError.
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
 // Set requests a change of a team. Amounts that it leaves out keep earlier overrides.
@@ -127,16 +129,18 @@
 	}
 	next.UntilMS, next.By, next.AtMS = change.UntilMS, change.By, wall.UnixMilli()
 	platform, changed := o.platform[team], next.applyTo(o.platform[team])
-	for _, x := range []struct {
-		what             string
-		base, limit, has int64
+	for _, amounts := range []struct {
+		resource                        string
+		platformLimit, limit, guarantee int64
 	}{{"cpus", platform.Limit.CPU, changed.Limit.CPU, changed.Guarantee.CPU},
 		{"gpus", platform.Limit.GPU, changed.Limit.GPU, changed.Guarantee.GPU}} {
-		if x.base > 0 && x.limit > x.base {
-			return refuse("limit_%s: %g is above the platform's limit of %g", x.what, amount(x.limit), amount(x.base))
+		if amounts.platformLimit > 0 && amounts.limit > amounts.platformLimit {
+			return refuse("limit_%s: %g is above the platform's limit of %g", amounts.resource, amount(amounts.limit),
+				amount(amounts.platformLimit))
 		}
-		if x.limit > 0 && x.has > x.limit {
-			return refuse("guarantee_%s: %g is above the limit of %g", x.what, amount(x.has), amount(x.limit))
+		if amounts.limit > 0 && amounts.guarantee > amounts.limit {
+			return refuse("guarantee_%s: %g is above the limit of %g", amounts.resource, amount(amounts.guarantee),
+				amount(amounts.limit))
 		}
 	}
 	if next.expired(wall) {
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -20,27 +20,28 @@
 // A change takes effect once it is stored, even if answers are lost. The next leader applies it, until
 // it expires or is unset.
 func TestChangeTakesEffectOnceStored(t *testing.T) {
-	b := New(teams())
-	if err := b.Set(wall, 0, Change{LimitCPU: cpus(50), UntilMS: wall.Add(time.Hour).UnixMilli(), By: "ops"}); err != nil {
+	overrides := New(teams())
+	if err := overrides.Set(wall, 0, Change{LimitCPU: cpus(50), UntilMS: wall.Add(time.Hour).UnixMilli(),
+		By: "ops"}); err != nil {
 		t.Fatal(err)
 	}
-	w := b.Writes(9)
-	if len(w) != 1 || b.Synced(0) || b.Team(0, wall).Limit.CPU != 100_000 {
-		t.Fatalf("%+v: it takes effect before it is stored", w)
+	writes := overrides.Writes(9)
+	if len(writes) != 1 || overrides.Synced(0) || overrides.Team(0, wall).Limit.CPU != 100_000 {
+		t.Fatalf("%+v: it takes effect before it is stored", writes)
 	}
-	b.WriteDone(w[0], 0, false, false, 0) // stored at version 7, but the answer is lost
-	w = b.Writes(9)
-	b.WriteDone(w[0], 0, false, true, 7)
-	w = b.Writes(9)
-	if w[0].Version != 7 {
-		t.Fatalf("%+v", w)
+	overrides.WriteDone(writes[0], 0, false, false, 0) // stored at version 7, but the answer is lost
+	writes = overrides.Writes(9)
+	overrides.WriteDone(writes[0], 0, false, true, 7)
+	writes = overrides.Writes(9)
+	if writes[0].Version != 7 {
+		t.Fatalf("%+v", writes)
 	}
-	b.WriteDone(w[0], 8, true, false, 0)
-	if !b.Synced(0) || b.Team(0, wall).Limit.CPU != 50_000 || len(b.Writes(9)) > 0 {
-		t.Fatalf("%+v", b.Team(0, wall))
+	overrides.WriteDone(writes[0], 8, true, false, 0)
+	if !overrides.Synced(0) || overrides.Team(0, wall).Limit.CPU != 50_000 || len(overrides.Writes(9)) > 0 {
+		t.Fatalf("%+v", overrides.Team(0, wall))
 	}
 	next := New(teams())
-	next.Load(0, w[0].Value, 8)
+	next.Load(0, writes[0].Value, 8)
 	if got := next.Team(0, wall); got.Limit.CPU != 50_000 || got.Guarantee.CPU != 40_000 {
 		t.Errorf("the next leader has %+v", got)
 	}
@@ -49,15 +50,16 @@
 		t.Errorf("%+v after it has expired", got)
 	}
 	next.Expire(later)
-	if w := next.Writes(9); len(w) != 1 || w[0].Value != nil || w[0].Version != 8 {
-		t.Errorf("%+v, want the record deleted", w)
+	if writes := next.Writes(9); len(writes) != 1 || writes[0].Value != nil || writes[0].Version != 8 {
+		t.Errorf("%+v, want the record deleted", writes)
 	}
-	if err := b.Unset(0); err != nil || b.Team(0, wall).Limit.CPU != 50_000 {
-		t.Errorf("%v, %+v before it is stored", err, b.Team(0, wall))
+	if err := overrides.Unset(0); err != nil || overrides.Team(0, wall).Limit.CPU != 50_000 {
+		t.Errorf("%v, %+v before it is stored", err, overrides.Team(0, wall))
 	}
-	w = b.Writes(9)
-	b.WriteDone(w[0], 9, true, false, 0)
-	if got := b.Team(0, wall); got.Limit.CPU != 100_000 || b.Unset(0) != nil || len(b.Writes(9)) > 0 {
+	writes = overrides.Writes(9)
+	overrides.WriteDone(writes[0], 9, true, false, 0)
+	if got := overrides.Team(0, wall); got.Limit.CPU != 100_000 || overrides.Unset(0) != nil ||
+		len(overrides.Writes(9)) > 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -70,20 +72,21 @@
 		"until: 2026-11-26T11:00:00Z is over": {LimitCPU: cpus(60),
 			UntilMS: wall.Add(-time.Hour).UnixMilli()},
 	} {
-		b := New(teams())
-		if err := b.Set(wall, 0, c); err == nil || !strings.Contains(err.Error(), why) {
+		overrides := New(teams())
+		if err := overrides.Set(wall, 0, c); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%v, want %q", err, why)
 		}
-		if len(b.Writes(9)) > 0 {
+		if len(overrides.Writes(9)) > 0 {
 			t.Errorf("%s: something is to be stored", why)
 		}
 	}
-	b := New(teams())
-	b.Load(1, []byte(`{"v":2}`), 5)
-	if err := b.Set(wall, 1, Change{LimitCPU: cpus(9)}); err == nil || !strings.Contains(err.Error(), "newer release") {
+	overrides := New(teams())
+	overrides.Load(1, []byte(`{"v":2}`), 5)
+	if err := overrides.Set(wall, 1, Change{LimitCPU: cpus(9)}); err == nil ||
+		!strings.Contains(err.Error(), "newer release") {
 		t.Errorf("%v", err)
 	}
-	if b.Unset(1) == nil || len(b.Writes(9)) > 0 {
+	if overrides.Unset(1) == nil || len(overrides.Writes(9)) > 0 {
 		t.Error("a newer release's record is changed")
 	}
 }
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -45,7 +45,7 @@
 const (
 	maxShare            = 0.9                    // of the service's rate, for one controller
 	initialTotalShare   = 0.5                    // initial share of all controllers together; the rest is for a new leader
-	minShare            = 0.5                    // lower bound: of allocationHealth, and of all controllers' own shares together
+	minShare            = 0.5                    // lower bound of allocationHealth, and of the sum of all own shares
 	shareGrowth         = 0.03                   // of the service's rate per second
 	shrinkFactor        = 0.75                   // applied to the share when a request is refused
 	refusalInterval     = 400 * time.Millisecond // later refusals within it don't count: those requests were already sent
@@ -103,6 +103,7 @@
 	c.window, c.current = window, 0
 }
 
+// add counts demand at now.
 func (c *counter) add(now time.Duration, n float64) {
 	c.advance(now)
 	c.current += n
@@ -114,6 +115,7 @@
 	return max(c.current, c.previous) / demandWindow.Seconds()
 }
 
+// refill adds the tokens of a number of seconds, up to the burst.
 func (b *bucket) refill(seconds float64) {
 	b.tokens = min(b.tokens+b.rate*b.share*seconds, b.burst())
 }
@@ -175,13 +177,13 @@
 func New(p Params) *Limiter {
 	p.Controllers = max(1, p.Controllers)
 	share := initialTotalShare / float64(p.Controllers)
-	q := &Limiter{params: p, ownShare: share, allocationHealth: 1,
+	limiter := &Limiter{params: p, ownShare: share, allocationHealth: 1,
 		requests: bucket{rate: p.RequestRate, share: share}, writes: bucket{rate: p.WriteRate, share: share}}
-	q.requests.tokens, q.writes.tokens = q.requests.burst(), q.writes.burst()
-	return q
+	limiter.requests.tokens, limiter.writes.tokens = limiter.requests.burst(), limiter.writes.burst()
+	return limiter
 }
 
-// SetAllocation sets the share that the leader allocates to this controller until then.
+// SetAllocation sets the share that the leader allocates to this controller, valid until a time.
 func (l *Limiter) SetAllocation(now time.Duration, allocation Allocation, until time.Duration) {
 	l.refill(now)
 	l.allocation, l.allocationUntil = allocation, until
@@ -308,11 +310,13 @@
 	return l.requests.allows(t.class, 1) && l.writes.allows(t.class, t.writes)
 }
 
+// takeTokens takes the tokens of a ticket from both buckets.
 func (l *Limiter) takeTokens(t *Ticket) {
 	l.requests.tokens--
 	l.writes.tokens -= t.writes
 }
 
+// refuse decides that a ticket's request must not be sent.
 func (l *Limiter) refuse(t *Ticket) {
 	t.Refused = true
 	l.Shed[t.class]++
@@ -381,5 +385,5 @@
 
 // Cancel removes a waiting ticket that nobody waits for any more.
 func (l *Limiter) Cancel(t *Ticket) {
-	l.queue[t.class] = slices.DeleteFunc(l.queue[t.class], func(o *Ticket) bool { return o == t })
+	l.queue[t.class] = slices.DeleteFunc(l.queue[t.class], func(other *Ticket) bool { return other == t })
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -10,6 +10,7 @@
 
 const ms = time.Millisecond
 
+// allowed reports whether a ticket is decided and its request may be sent.
 func allowed(t *Ticket) bool {
 	select {
 	case <-t.Decided:
--- a/internal/core/rateshare/rateshare.go
+++ b/internal/core/rateshare/rateshare.go
@@ -56,8 +56,8 @@
 	}
 	// The leader's slack is half of what nobody demands, because its users submit jobs too, which
 	// wait behind its own writes. Members' demand goes before it.
-	spare := max(0, TotalShare-leaderShare-membersWanted) / 2
-	leaderShare = min(leaderShare+spare, max(leaderShare, maxLeaderShare))
+	unclaimed := max(0, TotalShare-leaderShare-membersWanted) / 2
+	leaderShare = min(leaderShare+unclaimed, max(leaderShare, maxLeaderShare))
 	return leaderShare, fairShares(TotalShare-leaderShare, memberDemands)
 }
 
--- a/internal/core/readbatch/cluster_test.go
+++ b/internal/core/readbatch/cluster_test.go
@@ -66,6 +66,7 @@
 	maxJobEndDelay = time.Second
 )
 
+// start creates the controllers.
 func (c *cluster) start() {
 	c.rng = rand.New(rand.NewPCG(uint64(c.controllers), 7))
 	c.tokens = [2]float64{c.requestRate, c.writeRate}
@@ -91,6 +92,7 @@
 
 func (c *cluster) randomMember() *member { return c.members[c.rng.IntN(c.controllers)] }
 
+// request asks a member's limiter for a request.
 func (c *cluster) request(m *member, class ratelimit.Class, writes int) *request {
 	r := &request{class: class, writes: writes, startedAt: c.now,
 		ticket: m.limiter.Request(c.now, class, writes, c.now+requestTimeout)}
@@ -111,6 +113,7 @@
 	return true
 }
 
+// run simulates the cluster for a time.
 func (c *cluster) run(length time.Duration) {
 	c.start()
 	for c.now = clusterStep; c.now < length; c.now += clusterStep {
@@ -161,12 +164,12 @@
 			c.request(c.members[i], ratelimit.Authority, 0)
 		}
 	}
-	each := 2.0 // reads of the leader's key and the term, once per second
+	readsPerSecond := 2.0 // reads of the leader's key and the term, once per second
 	if c.central {
-		each = 2 / max(1, float64(c.controllers-1))
+		readsPerSecond = 2 / max(1, float64(c.controllers-1))
 	}
 	for _, m := range c.members[1:] {
-		for range c.arrivals(each) {
+		for range c.arrivals(readsPerSecond) {
 			c.request(m, ratelimit.Authority, 0)
 		}
 	}
@@ -186,31 +189,32 @@
 		if m == leader {
 			continue
 		}
-		need := ratelimit.Allocation{Requests: rateshare.TotalShare / float64(c.controllers),
+		demand := ratelimit.Allocation{Requests: rateshare.TotalShare / float64(c.controllers),
 			Writes: rateshare.TotalShare / float64(c.controllers)}
 		if i < c.controllers-c.oldMembers {
-			need = m.limiter.Demand(c.now)
+			demand = m.limiter.Demand(c.now)
 		}
 		others = append(others, m)
-		requests, writes = append(requests, need.Requests), append(writes, need.Writes)
+		requests, writes = append(requests, demand.Requests), append(writes, demand.Writes)
 	}
-	own := leader.limiter.Demand(c.now)
-	r, rs := rateshare.Divide(rateshare.Requests, own.Requests, requests)
-	w, ws := rateshare.Divide(rateshare.Changes, own.Writes, writes)
+	leaderDemand := leader.limiter.Demand(c.now)
+	leaderRequests, memberRequests := rateshare.Divide(rateshare.Requests, leaderDemand.Requests, requests)
+	leaderWrites, memberWrites := rateshare.Divide(rateshare.Changes, leaderDemand.Writes, writes)
 	until := c.now + rateshare.AllocationTTL
-	leader.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: r, Writes: w}, until)
+	leader.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: leaderRequests, Writes: leaderWrites}, until)
 	for i, m := range others {
 		if leads := slices.Index(c.members, m) < c.leaderCount; !leads &&
 			slices.Index(c.members, m) < c.controllers-c.oldMembers {
-			m.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: rs[i], Writes: ws[i]}, until)
+			m.limiter.SetAllocation(c.now, ratelimit.Allocation{Requests: memberRequests[i], Writes: memberWrites[i]}, until)
 		}
 	}
 }
 
+// step makes one member send its comparisons and the requests that its limiter has decided.
 func (c *cluster) step(i int, m *member) {
 	m.limiter.Step(c.now)
-	batches, over, _ := m.batcher.Step(c.now)
-	c.unanswered += len(over)
+	batches, expired, _ := m.batcher.Step(c.now)
+	c.unanswered += len(expired)
 	for _, b := range batches {
 		r := c.request(m, ratelimit.Comparisons, 0)
 		r.batch = b
@@ -231,11 +235,11 @@
 func (c *cluster) handleOutcome(m *member, r *request, served bool) {
 	switch {
 	case len(r.batch.Guards) > 0:
-		out := jobs.Busy
+		outcome := jobs.Busy
 		if served {
-			out = jobs.OK
+			outcome = jobs.OK
 		}
-		for _, a := range m.batcher.HandleOutcome(c.now, r.batch, func(jobs.Guard) jobs.Outcome { return out }) {
+		for _, a := range m.batcher.HandleOutcome(c.now, r.batch, func(jobs.Guard) jobs.Outcome { return outcome }) {
 			c.answered++
 			if since, ok := c.unansweredSince[a.Guard.Job]; ok {
 				c.longestUnanswered = max(c.longestUnanswered, c.now-since)
@@ -249,10 +253,10 @@
 			c.lateJobEnds++
 		}
 	case r.class == ratelimit.Leader: // retried until it is stored
-		began := r.startedAt
+		startedAt := r.startedAt
 		m.limiter.Cancel(r.ticket)
-		again := c.request(m, ratelimit.Leader, 2)
-		again.startedAt = began
+		retry := c.request(m, ratelimit.Leader, 2)
+		retry.startedAt = startedAt
 	}
 }
 
@@ -301,41 +305,41 @@
 // Ends of jobs are stored in time in each state of the cluster. The load is that of the month end;
 // the fault begins after a minute.
 func TestJobEndsAreStoredInTime(t *testing.T) {
-	const begins = time.Minute
-	during := func(length time.Duration, f func(c *cluster)) func(*cluster) {
+	const faultStart = time.Minute
+	faultDuring := func(length time.Duration, f func(c *cluster)) func(*cluster) {
 		return func(c *cluster) {
-			if c.now >= begins && c.now < begins+length {
+			if c.now >= faultStart && c.now < faultStart+length {
 				f(c)
-			} else if c.now >= begins+length {
+			} else if c.now >= faultStart+length {
 				c.leaderCount = 1
 			}
 		}
 	}
-	for _, s := range []struct {
-		name    string
-		old     int
-		trouble func(*cluster)
+	for _, test := range []struct {
+		name       string
+		oldMembers int
+		fault      func(*cluster)
 	}{
-		{"no leader for 10 s", 0, during(10*time.Second, func(c *cluster) { c.leaderCount = 0 })},
-		{"two leaders for 3 s", 0, during(3*time.Second, func(c *cluster) { c.leaderCount = 2 })},
+		{"no leader for 10 s", 0, faultDuring(10*time.Second, func(c *cluster) { c.leaderCount = 0 })},
+		{"two leaders for 3 s", 0, faultDuring(3*time.Second, func(c *cluster) { c.leaderCount = 2 })},
 		{"members of the previous release", 2, nil},
 		{"the rate falls by a third", 0, func(c *cluster) {
-			if c.now >= begins {
+			if c.now >= faultStart {
 				c.requestRate = 47
 			}
 		}},
 		{"all users check at once", 0, func(c *cluster) {
 			c.checkRate = 90
-			if c.now >= begins && c.now < begins+5*time.Second {
+			if c.now >= faultStart && c.now < faultStart+5*time.Second {
 				c.checkRate = 900
 			}
 		}},
 	} {
-		t.Run(s.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			for _, n := range []int{3, 7, 20} {
 				c := &cluster{t: t, controllers: n, central: true, requestRate: 70, writeRate: 25, checkRate: 90, openJobs: 450,
-					jobRate: 3.3, oldMembers: min(s.old, n-1),
-					fault: s.trouble}
+					jobRate: 3.3, oldMembers: min(test.oldMembers, n-1),
+					fault: test.fault}
 				c.run(2 * time.Minute)
 				t.Log(c)
 				if c.lateJobEnds > c.jobEnds/100 || c.longestUnanswered > 30*time.Second {
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -91,15 +91,15 @@
 	if b.pending[g] == nil {
 		b.pending[g] = waiterChecks{}
 	}
-	q := check{g, b.lastWaiter, now, until}
-	b.pending[g][b.lastWaiter] = q
-	b.queue = append(b.queue, q)
-	s, ok := b.unanswered[g.Job]
+	c := check{g, b.lastWaiter, now, until}
+	b.pending[g][b.lastWaiter] = c
+	b.queue = append(b.queue, c)
+	record, ok := b.unanswered[g.Job]
 	if !ok {
-		s.since = now
+		record.since = now
 	}
-	s.last = now
-	b.unanswered[g.Job] = s
+	record.last = now
+	b.unanswered[g.Job] = record
 	return b.lastWaiter
 }
 
@@ -117,9 +117,9 @@
 // oldest returns the oldest check that still waits.
 func (b *Batcher) oldest() check {
 	for {
-		q := b.queue[0]
-		if _, waits := b.pending[q.guard][q.waiter]; waits {
-			return q
+		c := b.queue[0]
+		if _, waits := b.pending[c.guard][c.waiter]; waits {
+			return c
 		}
 		b.queue = b.queue[1:]
 	}
@@ -150,12 +150,12 @@
 // oldest are examined.
 func (b *Batcher) expire(now time.Duration) (expired []Answer) {
 	for len(b.pending) > 0 {
-		q := b.oldest()
-		if now < q.deadline {
+		c := b.oldest()
+		if now < c.deadline {
 			break
 		}
-		expired = append(expired, Answer{Waiter: q.waiter, Guard: q.guard, Result: jobs.Result{Outcome: jobs.Busy}})
-		b.removeWaiter(q.guard, q.waiter)
+		expired = append(expired, Answer{Waiter: c.waiter, Guard: c.guard, Result: jobs.Result{Outcome: jobs.Busy}})
+		b.removeWaiter(c.guard, c.waiter)
 	}
 	return expired
 }
@@ -174,8 +174,8 @@
 		return
 	}
 	b.lastCleanup = now
-	for id, s := range b.unanswered {
-		if now-s.last > forgetAfter {
+	for id, record := range b.unanswered {
+		if now-record.last > forgetAfter {
 			delete(b.unanswered, id)
 		}
 	}
@@ -234,11 +234,11 @@
 		return
 	}
 	slices.SortFunc(checks, func(x, y check) int { return cmp.Compare(x.waiter, y.waiter) })
-	for _, q := range checks {
-		if b.pending[q.guard] == nil {
-			b.pending[q.guard] = waiterChecks{}
+	for _, c := range checks {
+		if b.pending[c.guard] == nil {
+			b.pending[c.guard] = waiterChecks{}
 		}
-		b.pending[q.guard][q.waiter] = q
+		b.pending[c.guard][c.waiter] = c
 	}
 	b.queue = append(checks, b.queue...)
 }
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -12,6 +12,7 @@
 
 func guard(id int) jobs.Guard { return jobs.Guard{Job: model.JobID(id), Version: 3} }
 
+// always returns the same outcome for each guard.
 func always(o jobs.Outcome) func(jobs.Guard) jobs.Outcome {
 	return func(jobs.Guard) jobs.Outcome { return o }
 }
@@ -51,7 +52,7 @@
 	if batches, _, next := b.Step(150 * ms); len(batches) != 0 || next != 210*ms {
 		t.Fatalf("%v, next at %v: no pause after the refusal", batches, next)
 	}
-	if _, over, _ := b.Step(time.Second); len(over)+len(b.pending) == 0 {
+	if _, expired, _ := b.Step(time.Second); len(expired)+len(b.pending) == 0 {
 		t.Fatal("the check is not answered after its deadline")
 	}
 	b.Step(1100 * ms)
@@ -71,10 +72,10 @@
 // A cancelled waiter gets no answer and causes no comparison.
 func TestCancelledWaiterIsForgotten(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
-	w := b.Ask(0, guard(1), time.Second)
-	b.Cancel(guard(1), w)
-	if batches, over, next := b.Step(200 * ms); len(batches)+len(over) != 0 || next != 0 {
-		t.Errorf("%v %v %v", batches, over, next)
+	waiter := b.Ask(0, guard(1), time.Second)
+	b.Cancel(guard(1), waiter)
+	if batches, expired, next := b.Step(200 * ms); len(batches)+len(expired) != 0 || next != 0 {
+		t.Errorf("%v %v %v", batches, expired, next)
 	}
 }
 
--- a/internal/core/starvation/starvation_test.go
+++ b/internal/core/starvation/starvation_test.go
@@ -34,14 +34,14 @@
 		t.Fatalf("overdue %v, want the ten of class 1 and the large one of class 0, the oldest first", overdue)
 	}
 	got := map[Group]GroupStats{}
-	for _, x := range detector.GroupStats(61 * s) {
-		got[x.Group] = x
+	for _, stats := range detector.GroupStats(61 * s) {
+		got[stats.Group] = stats
 	}
-	if x := got[Group{Class, 0}]; x.Begun != 9 || x.Overdue != 1 || x.BegunFraction() != 0.9 {
-		t.Errorf("class 0: %+v", x)
+	if stats := got[Group{Class, 0}]; stats.Begun != 9 || stats.Overdue != 1 || stats.BegunFraction() != 0.9 {
+		t.Errorf("class 0: %+v", stats)
 	}
-	if x := got[Group{Largest, 0}]; x.Begun != 0 || x.Overdue != 1 || x.LongestWait != 61*s {
-		t.Errorf("largest of class 0: %+v", x)
+	if stats := got[Group{Largest, 0}]; stats.Begun != 0 || stats.Overdue != 1 || stats.LongestWait != 61*s {
+		t.Errorf("largest of class 0: %+v", stats)
 	}
 	starved := Starved(detector.GroupStats(61 * s))
 	if len(starved) != 2 || starved[0].Group != (Group{Class, 1}) || starved[1].Group != (Group{Team, 7}) {
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -8,9 +8,9 @@
 const ms = time.Millisecond
 
 // recordOutcomes records an outcome every 300 ms from one time to another.
-func recordOutcomes(s *Health, from, to time.Duration, o Outcome) {
+func recordOutcomes(h *Health, from, to time.Duration, o Outcome) {
 	for at := from; at < to; at += 300 * ms {
-		s.RecordOutcome(at, o)
+		h.RecordOutcome(at, o)
 	}
 }
 
@@ -27,21 +27,22 @@
 		"served while a sibling is served":        {Served, 12 * time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
-			recordOutcomes(&s, 0, 10*time.Second, Served)
-			recordOutcomes(&s, 10*time.Second, 13*time.Second, c.outcome)
-			if got := s.RefusedAlone(13*time.Second, c.sibling); got != c.want {
+			var h Health
+			recordOutcomes(&h, 0, 10*time.Second, Served)
+			recordOutcomes(&h, 10*time.Second, 13*time.Second, c.outcome)
+			if got := h.RefusedAlone(13*time.Second, c.sibling); got != c.want {
 				t.Errorf("alone: %v, want %v", got, c.want)
 			}
-			if got, want := s.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
+			if got, want := h.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
 				t.Errorf("unreachable: %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// TestLeaderYieldsOnlyToServedSibling: refused or cut off alone, then out for all, or back
-// for all. It is asked every 100 ms, and each failure is known a while after it was sent.
+// A leader that is refused alone, or gets no answers, should yield while a sibling is served. It must
+// not if the service then goes out for all, nor when it comes back for all. ShouldYield is called
+// every 100 ms, and each failure is known some time after the request was sent.
 func TestLeaderYieldsOnlyToServedSibling(t *testing.T) {
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
@@ -67,17 +68,17 @@
 		}, 90 * sec, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
+			var h Health
 			var first time.Duration
 			for now := time.Duration(0); now < 2*time.Minute && first == 0; now += 100 * ms {
 				if sent := now - c.known; now%(300*ms) == 0 && sent >= 0 {
 					if sent < cut || sent >= c.back {
-						s.RecordOutcome(sent, Served)
+						h.RecordOutcome(sent, Served)
 					} else {
-						s.RecordOutcome(sent, Refused)
+						h.RecordOutcome(sent, Refused)
 					}
 				}
-				if s.ShouldYield(now, c.sibling(now)) {
+				if h.ShouldYield(now, c.sibling(now)) {
 					first = now
 				}
 			}
@@ -91,15 +92,15 @@
 // A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
 // that.
 func TestOwnSlownessIsNoRefusal(t *testing.T) {
-	var s Health
-	recordOutcomes(&s, 0, 10*time.Second, Served)
-	recordOutcomes(&s, 10*time.Second, 13*time.Second, NoAnswer)
-	s.RecordDelay(13*time.Second, minTimerDelay)
-	if s.RefusedAlone(13*time.Second, 13*time.Second) {
+	var h Health
+	recordOutcomes(&h, 0, 10*time.Second, Served)
+	recordOutcomes(&h, 10*time.Second, 13*time.Second, NoAnswer)
+	h.RecordDelay(13*time.Second, minTimerDelay)
+	if h.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("missing answers counted while this process was delayed")
 	}
-	recordOutcomes(&s, 13*time.Second, 14*time.Second, NoAnswer)
-	if !s.RefusedAlone(14*time.Second, 14*time.Second) {
+	recordOutcomes(&h, 13*time.Second, 14*time.Second, NoAnswer)
+	if !h.RefusedAlone(14*time.Second, 14*time.Second) {
 		t.Error("missing answers after the delay do not count")
 	}
 }
@@ -107,18 +108,18 @@
 // An answer to a request from before the cut says nothing about the present, and one failure alone
 // is not enough.
 func TestOldAnswersDoNotCount(t *testing.T) {
-	var s Health
-	s.RecordOutcome(10*time.Second, Served)
-	s.RecordOutcome(12*time.Second, NoAnswer)
-	if s.RefusedAlone(13*time.Second, 13*time.Second) {
+	var h Health
+	h.RecordOutcome(10*time.Second, Served)
+	h.RecordOutcome(12*time.Second, NoAnswer)
+	if h.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("refused alone after a single failure")
 	}
-	recordOutcomes(&s, 11*time.Second, 12*time.Second, Refused)
-	s.RecordOutcome(9*time.Second, Served)
-	if !s.RefusedAlone(13*time.Second, 13*time.Second) {
+	recordOutcomes(&h, 11*time.Second, 12*time.Second, Refused)
+	h.RecordOutcome(9*time.Second, Served)
+	if !h.RefusedAlone(13*time.Second, 13*time.Second) {
 		t.Error("an older answer hides the refusals")
 	}
-	if at, known := s.LastServed(); at != 10*time.Second || !known {
+	if at, known := h.LastServed(); at != 10*time.Second || !known {
 		t.Errorf("served %v, %v", at, known)
 	}
 }
@@ -132,26 +133,26 @@
 		want bool
 	}{"a sibling is still served": {time.Hour, true}, "out for all just now": {out, false}} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
-			recordOutcomes(&s, 0, cut, Served)
-			gave, asked, would := false, 0, false
+			var h Health
+			recordOutcomes(&h, 0, cut, Served)
+			yielded, asked, shouldYield := false, 0, false
 			for now := cut; now < cut+30*time.Second; now += 100 * ms {
 				if now%(300*ms) == 0 {
-					s.RecordOutcome(now-100*ms, Refused)
+					h.RecordOutcome(now-100*ms, Refused)
 				}
 				sibling := min(now-100*ms, c.out)
-				would = would || s.ShouldYield(now, sibling)
-				yes, ask := s.YieldNow(now, sibling)
-				gave = gave || yes
-				if ask && !gave {
+				shouldYield = shouldYield || h.ShouldYield(now, sibling)
+				yield, ask := h.YieldNow(now, sibling)
+				yielded = yielded || yield
+				if ask && !yielded {
 					asked++
 					if now < c.out {
-						s.ConfirmServed(now + 20*ms)
+						h.ConfirmServed(now + 20*ms)
 					}
 				}
 			}
-			if gave != c.want || asked == 0 || asked > 10 || !would {
-				t.Errorf("yielded: %v, want %v; asked %d times, should yield: %v", gave, c.want, asked, would)
+			if yielded != c.want || asked == 0 || asked > 10 || !shouldYield {
+				t.Errorf("yielded: %v, want %v; asked %d times, should yield: %v", yielded, c.want, asked, shouldYield)
 			}
 		})
 	}
