--- a/internal/core/fleet/drain.go
+++ b/internal/core/fleet/drain.go
@@ -8,93 +8,97 @@
 	"honeylock/internal/core/model"
 )
 
-// Placing spreads tasks over the machines that run the lowest priority, so that
-// hardly a machine ever stands empty, and none of the dear ones rented for a
-// burst was given back before the day's end. Once much of the room has been free
-// for a while, the dearest machines get no more tasks, and go when what runs
-// there has ended. Should work lack room before that, they are wanted again.
+// Placement spreads tasks over the machines that run the lowest priority, so hardly any machine is
+// ever empty, and expensive machines rented for a burst would be kept until the end of the day. So
+// once much of the capacity has been free for a while, the most expensive machines are drained:
+// they get no more tasks, and are returned when they are empty. If there are shortages before
+// that, they are undrained.
 const (
-	reserve = 0.2 // of all CPUs are kept free
-	dear    = 3   // times the cheapest kind's price: such machines are drained
+	freeShare      = 0.2 // of all CPUs that draining leaves free
+	expensiveRatio = 3   // multiple of the lowest CPU cost from which machines are drained
 )
 
-// drain tells which machines are to get no more tasks. How they are emptied and
-// given back is core/drain's.
-func (f *Fleet) drain(now time.Duration, rooms []room, moving int64) []Action {
-	ids := f.toDrain(now, rooms, moving)
+// drainActions returns the action for the machines to be drained now. Package drain empties and
+// returns them.
+func (f *Fleet) drainActions(now time.Duration, machines []availableMachine, movingCPU int64) []Action {
+	ids := f.selectMachinesToDrain(now, machines, movingCPU)
 	if len(ids) == 0 {
 		return nil
 	}
 	return []Action{{Kind: Drain, Machines: ids}}
 }
 
-// toDrain picks machines to run empty, once nothing has lacked room for a while. moving is the
-// room that plans' moves will take.
-func (f *Fleet) toDrain(now time.Duration, rooms []room, moving int64) []model.MachineID {
-	free := freeCPU(rooms) - moving
-	var have int64
-	for i := range rooms {
-		have += rooms[i].m.Cap.CPU
+// selectMachinesToDrain picks expensive machines to drain, once capacity has not been scarce for
+// half the horizon. movingCPU is the CPU that the tasks moved by plans will need.
+func (f *Fleet) selectMachinesToDrain(now time.Duration, machines []availableMachine,
+	movingCPU int64) []model.MachineID {
+	free := freeCPU(machines) - movingCPU
+	var total int64
+	for i := range machines {
+		total += machines[i].machine.Cap.CPU
 	}
-	if float64(free) < reserve*float64(have) {
-		f.tight = now
+	if float64(free) < freeShare*float64(total) {
+		f.lastScarceAt = now
 	}
-	if now-max(f.tight, f.p.TermStart) < f.p.Horizon/2 {
+	if now-max(f.lastScarceAt, f.params.TermStart) < f.params.Horizon/2 {
 		return nil
 	}
-	var cands []*room
-	low := f.cheapest()
-	for i := range rooms {
-		if r := &rooms[i]; r.status != nil && !f.units[r.m.ID].wanted && f.price(&r.m) >= dear*low {
-			cands = append(cands, r)
+	var candidates []*availableMachine
+	minCost := f.minCPUCost()
+	for i := range machines {
+		if candidate := &machines[i]; candidate.status != nil && !f.machines[candidate.machine.ID].planScheduled &&
+			f.cpuCost(&candidate.machine) >= expensiveRatio*minCost {
+			candidates = append(candidates, candidate)
 		}
 	}
-	slices.SortStableFunc(cands, func(a, b *room) int {
-		return cmp.Or(cmp.Compare(f.price(&b.m), f.price(&a.m)), cmp.Compare(b.avail.CPU, a.avail.CPU))
+	slices.SortStableFunc(candidates, func(a, b *availableMachine) int {
+		return cmp.Or(cmp.Compare(f.cpuCost(&b.machine), f.cpuCost(&a.machine)), cmp.Compare(b.free.CPU, a.free.CPU))
 	})
 	var ids []model.MachineID
-	for _, r := range cands {
-		if left := free - max(0, r.avail.CPU); float64(left) >= reserve*float64(have-r.m.Cap.CPU) {
-			free, have = left, have-r.m.Cap.CPU
-			f.units[r.m.ID].drain = true
-			ids = append(ids, r.m.ID)
+	for _, candidate := range candidates {
+		if remaining := free - max(0, candidate.free.CPU); float64(remaining) >=
+			freeShare*float64(total-candidate.machine.Cap.CPU) {
+			free, total = remaining, total-candidate.machine.Cap.CPU
+			f.machines[candidate.machine.ID].draining = true
+			ids = append(ids, candidate.machine.ID)
 		}
 	}
 	return ids
 }
 
-// price is what a CPU of the machine costs.
-func (f *Fleet) price(m *model.Machine) float64 {
+// cpuCost returns the hourly cost of a CPU of the machine, 0 if its type is not in the catalog.
+func (f *Fleet) cpuCost(m *model.Machine) float64 {
 	if t := f.typeOf(m.Type); t != nil {
-		return perCPU(t, m.Spot)
+		return hourlyCPUCost(t, m.Spot)
 	}
 	return 0
 }
 
-// undrain wants drained machines again for work that lacks room, the cheapest
-// first, and returns what is still lacking.
-func (f *Fleet) undrain(status []model.MachineStatus, lacking []lack) ([]Action, []lack) {
-	var cands []*model.MachineStatus
+// undrainActions undrains machines for the shortages, the cheapest first, and returns the shortages
+// that remain.
+func (f *Fleet) undrainActions(status []model.MachineStatus, shortages []shortage) ([]Action, []shortage) {
+	var candidates []*model.MachineStatus
 	for i := range status {
-		if u := f.units[status[i].Machine.ID]; u != nil && u.drain && !u.drop && !u.held && u.silent == 0 &&
+		if state := f.machines[status[i].Machine.ID]; state != nil && state.draining && !state.returning &&
+			!state.planDraining && state.leaseExpiredSince == 0 &&
 			!status[i].Faulty && !status[i].Draining {
-			cands = append(cands, &status[i])
+			candidates = append(candidates, &status[i])
 		}
 	}
-	slices.SortStableFunc(cands, func(a, b *model.MachineStatus) int {
-		return cmp.Or(cmp.Compare(f.price(&a.Machine), f.price(&b.Machine)), cmp.Compare(b.Avail.CPU, a.Avail.CPU))
+	slices.SortStableFunc(candidates, func(a, b *model.MachineStatus) int {
+		return cmp.Or(cmp.Compare(f.cpuCost(&a.Machine), f.cpuCost(&b.Machine)), cmp.Compare(b.Avail.CPU, a.Avail.CPU))
 	})
 	var ids []model.MachineID
-	for _, s := range cands {
-		if len(lacking) == 0 {
+	for _, s := range candidates {
+		if len(shortages) == 0 {
 			break
 		}
-		f.units[s.Machine.ID].drain = false
+		f.machines[s.Machine.ID].draining = false
 		ids = append(ids, s.Machine.ID)
-		lacking = fill(lacking, &s.Machine, s.Avail)
+		shortages = shortagesAfterPlacing(shortages, &s.Machine, s.Avail)
 	}
 	if len(ids) == 0 {
-		return nil, lacking
+		return nil, shortages
 	}
-	return []Action{{Kind: Undrain, Machines: ids}}, lacking
+	return []Action{{Kind: Undrain, Machines: ids}}, shortages
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet decides what machines to rent and which to give back. It is a
-// state machine of the leader's; the cloud's answers come in as inputs.
+// Package fleet decides which machines to rent from the cloud, which to drain because they are
+// expensive, and which to return. It is a state machine of the leader, without input or output:
+// the shards' machine statuses, the demand and the cloud's answers are passed in.
 package fleet
 
 import (
@@ -11,41 +12,43 @@
 	"honeylock/internal/core/model"
 )
 
-// Params of a fleet.
+// Params are the parameters of a Fleet.
 type Params struct {
 	Term              uint64
-	TermStart         time.Duration // nothing could be heard of any machine before
+	TermStart         time.Duration // no machine can have reported to this leader before
 	ListLag           time.Duration
-	IdleReturn        time.Duration // an unneeded machine is given back after so long
-	Horizon           time.Duration // waiting work should be done within so long
-	RetryRefusedAfter time.Duration // a kind that was refused is asked for again after
-	BestEffortWait    time.Duration // work that no aim speaks of waits so long for idle room
+	IdleReturn        time.Duration // an unneeded machine is returned after this time
+	Horizon           time.Duration // waiting work should be done within this time
+	RetryRefusedAfter time.Duration // a refused kind of machine is requested again after this time
+	BestEffortWait    time.Duration // best-effort work waits so long for idle capacity before machines are rented for it
 }
 
-type kind struct {
-	typ, zone model.Name
-	spot      bool
+// machineKind is what a rental chooses: machines of a kind are interchangeable.
+type machineKind struct {
+	machineType, zone model.Name
+	spot              bool
 }
 
-type unit struct {
-	kind
-	since  time.Duration // known since
-	heard  bool          // its worker has reported
-	listed time.Duration // last time that it was listed
-	first  time.Duration // first time that it was, by this leader
-	failed bool
-	silent time.Duration // since when it is silent, 0: it is not
-	drop   bool          // being returned
-	drain  bool          // gets no tasks any more, and goes once it is empty
-	held   bool          // a plan drains it: neither room nor surplus
-	wanted bool          // a plan will drain it
-	up     uint64        // the turn in which a shard last told of it
+// machineState is what the fleet knows about one machine.
+type machineState struct {
+	machineKind
+	knownSince        time.Duration // since when it exists, as far as known
+	reported          bool          // its worker has reported to this leader
+	lastListed        time.Duration // when the cloud's list last contained it
+	firstListed       time.Duration // when this leader first read a list that contained it; 0: never
+	failed            bool
+	leaseExpiredSince time.Duration // since when no shard has renewed its lease; 0: renewed
+	returning         bool          // being returned to the cloud
+	draining          bool          // drained for its price: gets no tasks, and is returned once empty
+	planDraining      bool          // a plan drains it: counts neither as capacity nor as surplus
+	planScheduled     bool          // a plan will drain it later
+	lastSeenCycle     uint64        // the cycle in which a shard last reported it
 }
 
-// Action to carry out. The cloud's outcome comes back through Rented or Returned.
+// Action is a request to carry out. The outcome comes back through RentDone or ReturnDone.
 type Action struct {
 	Kind        ActionKind
-	RequestName string // Rent: the request's name
+	RequestName string // Rent: makes retries idempotent at the cloud
 	Type        model.Name
 	Zone        model.Name
 	Spot        bool
@@ -53,43 +56,45 @@
 	Machines    []model.MachineID
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Actions.
+// Kinds of actions.
 const (
 	Return ActionKind = iota
 	Rent
-	Drain   // no more tasks for these machines
-	Undrain // they are wanted again
+	Drain   // place no more tasks on these machines
+	Undrain // place tasks on these machines again
 )
 
 // Fleet is the state machine.
 type Fleet struct {
-	p       Params
-	types   []model.MachineType
-	units   map[model.MachineID]*unit
-	listed  bool
-	refused map[kind]time.Duration
-	renting map[string]Action // rentals under way, by their request's name
-	giving  bool
-	deaf    []model.MachineID                 // to be given up
-	again   []Action                          // rentals in doubt: asked for again
-	gone    map[model.MachineID]time.Duration // given back; the list shows them for a while
-	n       uint64
-	turn    uint64
-	want    time.Duration
-	tight   time.Duration // little room was free, or work lacked some
+	params           Params
+	types            []model.MachineType
+	machines         map[model.MachineID]*machineState
+	listed           bool
+	refusedUntil     map[machineKind]time.Duration
+	renting          map[string]Action // rentals in progress, by request name
+	returnInProgress bool
+	unreachable      []model.MachineID                 // machines to return although their leases may last
+	retries          []Action                          // rentals with an unknown outcome, to be requested again
+	gone             map[model.MachineID]time.Duration // returned or gone; the list may contain them for a while
+	requestCount     uint64
+	cycle            uint64
+	lastShortageAt   time.Duration // when there were shortages
+	lastScarceAt     time.Duration // when little capacity was free, or there were shortages
 }
 
-// New returns a fleet that knows no machines.
+// New returns a Fleet that knows no machines.
 func New(p Params) *Fleet {
-	return &Fleet{p: p, units: map[model.MachineID]*unit{}, renting: map[string]Action{}, refused: map[kind]time.Duration{}, gone: map[model.MachineID]time.Duration{}}
+	return &Fleet{params: p, machines: map[model.MachineID]*machineState{}, renting: map[string]Action{},
+		refusedUntil: map[machineKind]time.Duration{}, gone: map[model.MachineID]time.Duration{}}
 }
 
-// SetTypes takes the catalog with its current prices.
+// SetTypes sets the cloud's machine types with their current prices.
 func (f *Fleet) SetTypes(t []model.MachineType) { f.types = t }
 
+// typeOf returns the catalog's entry of a type, nil if there is none.
 func (f *Fleet) typeOf(n model.Name) *model.MachineType {
 	for i := range f.types {
 		if f.types[i].Name == n {
@@ -99,16 +104,17 @@
 	return nil
 }
 
-func (f *Fleet) unit(now time.Duration, id model.MachineID, k kind) *unit {
-	u := f.units[id]
-	if u == nil {
-		u = &unit{kind: k, since: now}
-		f.units[id] = u
+// ensureMachine returns the state of a machine, which it creates if necessary.
+func (f *Fleet) ensureMachine(now time.Duration, id model.MachineID, k machineKind) *machineState {
+	state := f.machines[id]
+	if state == nil {
+		state = &machineState{machineKind: k, knownSince: now}
+		f.machines[id] = state
 	}
-	return u
+	return state
 }
 
-// ListedMachine is an entry of the machine list.
+// ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
 	ID     model.MachineID
 	Type   model.Name
@@ -118,40 +124,39 @@
 	Age    time.Duration
 }
 
-// UpdateListed takes the machine list that was asked for then, and returns the machines
-// that it shows to be gone. It describes a time up to twice its lag ago, so that
-// absence alone proves nothing; but a machine, once listed, stays so until it is
-// gone, and one that was listed long enough before the question was asked must
-// be there.
-func (f *Fleet) UpdateListed(now, asked time.Duration, l []ListedMachine) []model.MachineID {
+// UpdateListed takes the cloud's machine list, requested at askedAt, and returns the machines that
+// no longer exist. The list may show a state of up to twice its lag ago, so a machine that is
+// missing may only be too new. But a machine stays listed until it is gone, so one that was listed
+// long enough before askedAt and is missing now is gone.
+func (f *Fleet) UpdateListed(now, askedAt time.Duration, listed []ListedMachine) []model.MachineID {
 	f.listed = true
 	for id, at := range f.gone {
-		if now-at > 3*f.p.ListLag+time.Minute {
+		if now-at > 3*f.params.ListLag+time.Minute {
 			delete(f.gone, id)
 		}
 	}
-	for _, e := range l {
+	for _, e := range listed {
 		if _, ok := f.gone[e.ID]; ok {
 			continue
 		}
-		u := f.units[e.ID]
-		if u == nil {
-			u = f.unit(now, e.ID, kind{e.Type, e.Zone, e.Spot})
-			u.since = now - e.Age
+		state := f.machines[e.ID]
+		if state == nil {
+			state = f.ensureMachine(now, e.ID, machineKind{e.Type, e.Zone, e.Spot})
+			state.knownSince = now - e.Age
 		}
-		// What a new leader first heard of by a report is older than that.
-		u.since = min(u.since, now-e.Age)
-		u.listed = now
-		if u.first == 0 {
-			u.first = now
+		// A new leader may know a machine from a report first; its age says since when it exists.
+		state.knownSince = min(state.knownSince, now-e.Age)
+		state.lastListed = now
+		if state.firstListed == 0 {
+			state.firstListed = now
 		}
-		u.failed = u.failed || e.Failed
+		state.failed = state.failed || e.Failed
 	}
 	var gone []model.MachineID
-	for id, u := range f.units {
-		if u.first != 0 && u.listed != now && asked-u.first > 2*f.p.ListLag+listMargin {
+	for id, state := range f.machines {
+		if state.firstListed != 0 && state.lastListed != now && askedAt-state.firstListed > 2*f.params.ListLag+listLagMargin {
 			gone = append(gone, id)
-			delete(f.units, id)
+			delete(f.machines, id)
 			f.gone[id] = now
 		}
 	}
@@ -159,175 +164,179 @@
 	return gone
 }
 
-// listMargin is on top of twice the list's lag, for drifting clocks and slow answers.
-const listMargin = 5 * time.Second
+// listLagMargin is added to twice the list's lag, for clock drift and slow answers.
+const listLagMargin = 5 * time.Second
 
-// RentDone takes the outcome of a rental: the machines, or why there are none.
-func (f *Fleet) RentDone(now time.Duration, a Action, got []model.MachineID, refused, doubt bool) {
+// RentDone takes the outcome of a rental: the machines, or that it was refused or its outcome is
+// unknown (inDoubt).
+func (f *Fleet) RentDone(now time.Duration, a Action, rented []model.MachineID, refused, inDoubt bool) {
 	delete(f.renting, a.RequestName)
-	k := kind{a.Type, a.Zone, a.Spot}
+	kind := machineKind{a.Type, a.Zone, a.Spot}
 	switch {
-	case doubt:
-		// It may have been carried out: the same request again tells.
-		f.again = append(f.again, a)
-	case refused || len(got) < a.Count:
-		f.refused[k] = now + f.p.RetryRefusedAfter
+	case inDoubt:
+		// It may have been carried out: the same request name returns its result.
+		f.retries = append(f.retries, a)
+	case refused || len(rented) < a.Count:
+		f.refusedUntil[kind] = now + f.params.RetryRefusedAfter
 	}
-	for _, id := range got {
-		f.unit(now, id, k)
+	for _, id := range rented {
+		f.ensureMachine(now, id, kind)
 	}
 }
 
-// ReturnDone takes the outcome of a return.
+// ReturnDone takes the outcome of a Return action.
 func (f *Fleet) ReturnDone(now time.Duration, a Action, ok bool) {
-	f.giving = false
+	f.returnInProgress = false
 	for _, id := range a.Machines {
 		if ok {
-			delete(f.units, id)
+			delete(f.machines, id)
 			f.gone[id] = now
-		} else if u := f.units[id]; u != nil {
-			u.drop = false
+		} else if state := f.machines[id]; state != nil {
+			state.returning = false
 		}
 	}
 }
 
 const (
-	atOnce  = 3  // rentals under way
-	maxRent = 50 // machines the cloud rents in one call
+	maxConcurrentRentals = 3  // rentals in progress at the same time
+	maxRentCount         = 50 // machines that the cloud rents in one call
 )
 
-// MaxReturn is how many machines the cloud takes back in one call.
+// MaxReturn is the number of machines that the cloud takes back in one call.
 const MaxReturn = 100
 
-// Demand is what the dealer needs.
+// Demand is a job that needs capacity.
 type Demand struct {
 	Job    dispatcher.JobDemand
-	Placed int32 // of its tasks are on machines
+	Placed int32 // number of its tasks that are on machines
 }
 
-// Observe brings the fleet up to date with the shards' machines.
-func (f *Fleet) Observe(now time.Duration, status []model.MachineStatus, silent func(model.MachineID) bool) {
+// Observe updates the fleet with the shards' machines. leaseExpired reports whether no shard has
+// renewed a machine's lease for its whole length.
+func (f *Fleet) Observe(now time.Duration, status []model.MachineStatus, leaseExpired func(model.MachineID) bool) {
 	for i := range status {
 		m := &status[i].Machine
-		f.unit(now, m.ID, kind{m.Type, m.Zone, m.Spot})
+		f.ensureMachine(now, m.ID, machineKind{m.Type, m.Zone, m.Spot})
 	}
-	for id, u := range f.units {
-		if !silent(id) {
-			u.heard, u.silent = true, 0
-		} else if u.heard && u.silent == 0 {
-			u.silent = now
+	for id, state := range f.machines {
+		if !leaseExpired(id) {
+			state.reported, state.leaseExpiredSince = true, 0
+		} else if state.reported && state.leaseExpiredSince == 0 {
+			state.leaseExpiredSince = now
 		}
 	}
 }
 
-// Step returns what to ask of the cloud now.
-func (f *Fleet) Step(now time.Duration, status []model.MachineStatus, demand []Demand, limit func(model.Name) model.Resources) []Action {
+// Step returns the actions to carry out now. limit returns a team's limit.
+func (f *Fleet) Step(now time.Duration, status []model.MachineStatus, demand []Demand,
+	limit func(model.Name) model.Resources) []Action {
 	if !f.listed || len(f.types) == 0 {
 		return nil
 	}
 	var out []Action
-	for _, a := range f.again {
+	for _, a := range f.retries {
 		f.renting[a.RequestName] = a
 		out = append(out, a)
 	}
-	f.again = nil
-	rooms := f.rooms(now, status)
-	pressing := f.pressing(now, demand)
-	lacking := unmet(rooms, pressing, limit)
-	if len(lacking) > 0 {
-		f.want, f.tight = now, now
-		var again []Action
-		again, lacking = f.undrain(status, lacking)
-		out = append(out, again...)
+	f.retries = nil
+	machines := f.availableMachines(now, status)
+	rentable := f.rentableDemand(now, demand)
+	shortages := findShortages(machines, rentable, limit)
+	if len(shortages) > 0 {
+		f.lastShortageAt, f.lastScarceAt = now, now
+		var undrained []Action
+		undrained, shortages = f.undrainActions(status, shortages)
+		out = append(out, undrained...)
 	}
-	moving := f.moving(status)
-	out = append(out, f.drain(now, rooms, moving)...)
-	left := lacking
-	for len(f.renting) < atOnce && len(left) > 0 {
-		a, ok := f.rent(now, left)
+	movingCPU := f.movingCPU(status)
+	out = append(out, f.drainActions(now, machines, movingCPU)...)
+	remaining := shortages
+	for len(f.renting) < maxConcurrentRentals && len(remaining) > 0 {
+		a, ok := f.selectRental(now, remaining)
 		if !ok {
 			break
 		}
 		f.renting[a.RequestName] = a
 		out = append(out, a)
-		left = f.cover(left, a)
+		remaining = f.shortagesAfterRental(remaining, a)
 	}
-	if !f.giving {
-		ids := f.givenUp()
+	if !f.returnInProgress {
+		ids := f.selectUnreachable()
 		if len(ids) == 0 {
-			ids = f.surplus(now, status, rooms, slackening(rooms, demand), moving)
+			ids = f.selectReturns(now, status, machines, demandIsLow(machines, demand), movingCPU)
 		}
 		if len(ids) > 0 {
 			out = append(out, Action{Kind: Return, Machines: ids})
-			f.giving = true
+			f.returnInProgress = true
 		}
 	}
 	return out
 }
 
-// perCPU is what a machine's CPU costs an hour, boot time included in
-// proportion.
-func perCPU(t *model.MachineType, spot bool) float64 {
-	p := t.Price
+// hourlyCPUCost returns the price of one CPU for an hour, raised in proportion to the boot time.
+func hourlyCPUCost(t *model.MachineType, spot bool) float64 {
+	price := t.Price
 	if spot {
-		p = t.SpotPrice
+		price = t.SpotPrice
 	}
-	return p / float64(t.Cap.CPU) * (1 + t.Boot.Minutes()/4)
+	return price / float64(t.Cap.CPU) * (1 + t.Boot.Minutes()/4)
 }
 
-// cheapest is the least that a CPU costs.
-func (f *Fleet) cheapest() float64 {
-	low := 0.0
+// minCPUCost returns the lowest hourly cost of a CPU.
+func (f *Fleet) minCPUCost() float64 {
+	minCost := 0.0
 	for i := range f.types {
 		for _, spot := range []bool{true, false} {
-			if p := perCPU(&f.types[i], spot); low == 0 || p < low {
-				low = p
+			if cost := hourlyCPUCost(&f.types[i], spot); minCost == 0 || cost < minCost {
+				minCost = cost
 			}
 		}
 	}
-	return low
+	return minCost
 }
 
-// worth is how many tasks justify a machine at this price: the dearer it is,
-// the longer work may wait for room that there is already.
-func (f *Fleet) worth(l lack, ratio float64) int64 {
-	if l.stuck {
-		return l.n
+// tasksWorthRenting returns for how many of the missing tasks machines should be rented whose CPU
+// costs costRatio times the lowest. The more expensive they are, the longer tasks may wait for
+// existing machines: short tasks count only in part.
+func (f *Fleet) tasksWorthRenting(missing shortage, costRatio float64) int64 {
+	if missing.fitsNoMachine {
+		return missing.tasks
 	}
-	horizon := time.Duration(float64(f.p.Horizon) * ratio)
-	if est := l.spec.Estimate; est > 0 && est < horizon {
-		return int64(float64(l.n) * float64(est) / float64(horizon))
+	horizon := time.Duration(float64(f.params.Horizon) * costRatio)
+	if estimate := missing.spec.Estimate; estimate > 0 && estimate < horizon {
+		return int64(float64(missing.tasks) * float64(estimate) / float64(horizon))
 	}
-	return l.n
+	return missing.tasks
 }
 
-// rent picks the cheapest kind of machine for the work that lacks room.
-func (f *Fleet) rent(now time.Duration, unmet []lack) (Action, bool) {
-	low := f.cheapest()
-	counts := f.counts()
+// selectRental picks the cheapest allowed kind of machine for the first shortage that is worth a
+// rental, and the number of machines for all shortages that can use that kind.
+func (f *Fleet) selectRental(now time.Duration, shortages []shortage) (Action, bool) {
+	minCost := f.minCPUCost()
+	counts := f.countByKind()
 	total := 0
 	for _, n := range counts {
 		total += n
 	}
-	for _, l := range unmet {
-		var best *kind
-		var bestCost, ratio float64
+	for _, missing := range shortages {
+		var best *machineKind
+		var bestCost, costRatio float64
 		for i := range f.types {
 			t := &f.types[i]
-			if l.spec.PerTask.Count(t.Cap) == 0 {
+			if missing.spec.PerTask.Count(t.Cap) == 0 {
 				continue
 			}
-			for _, z := range t.Zones {
+			for _, zone := range t.Zones {
 				for _, spot := range []bool{true, false} {
-					k := kind{t.Name, z, spot}
-					m := model.Machine{Type: t.Name, Zone: z, Spot: spot}
-					if !l.spec.Allows(&m) || now < f.refused[k] {
+					kind := machineKind{t.Name, zone, spot}
+					m := model.Machine{Type: t.Name, Zone: zone, Spot: spot}
+					if !missing.spec.Allows(&m) || now < f.refusedUntil[kind] {
 						continue
 					}
-					// Among equals spread over the zones, however many there are.
-					cost := perCPU(t, spot) * (1 + 0.2*float64(counts[k])/float64(total+10))
+					// Kinds of equal cost are spread over the zones, in proportion to the machines rented.
+					cost := hourlyCPUCost(t, spot) * (1 + 0.2*float64(counts[kind])/float64(total+10))
 					if best == nil || cost < bestCost {
-						best, bestCost, ratio = &k, cost, max(1, perCPU(t, spot)/low)
+						best, bestCost, costRatio = &kind, cost, max(1, hourlyCPUCost(t, spot)/minCost)
 					}
 				}
 			}
@@ -335,52 +344,53 @@
 		if best == nil {
 			continue
 		}
-		var need, demand int64
-		for _, o := range unmet {
-			m := model.Machine{Type: best.typ, Zone: best.zone, Spot: best.spot}
-			if o.spec.Allows(&m) {
-				need += f.worth(o, ratio) * o.spec.PerTask.CPU
-				demand += o.n * o.spec.PerTask.CPU
+		var worthCPU, totalCPU int64
+		for _, other := range shortages {
+			m := model.Machine{Type: best.machineType, Zone: best.zone, Spot: best.spot}
+			if other.spec.Allows(&m) {
+				worthCPU += f.tasksWorthRenting(other, costRatio) * other.spec.PerTask.CPU
+				totalCPU += other.tasks * other.spec.PerTask.CPU
 			}
 		}
-		size := f.typeOf(best.typ).Cap.CPU
-		count := (need + size/2) / size
-		if count == 0 && need > 0 && counts[*best] == 0 && demand >= size {
+		size := f.typeOf(best.machineType).Cap.CPU
+		count := (worthCPU + size/2) / size
+		if count == 0 && worthCPU > 0 && counts[*best] == 0 && totalCPU >= size {
 			count = 1
 		}
-		if count == 0 && l.stuck {
+		if count == 0 && missing.fitsNoMachine {
 			count = 1
 		}
 		if count == 0 {
 			continue
 		}
-		f.n++
-		return Action{Kind: Rent, RequestName: fmt.Sprintf("t%d-%d", f.p.Term, f.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRent))}, true
+		f.requestCount++
+		return Action{Kind: Rent, RequestName: fmt.Sprintf("t%d-%d", f.params.Term, f.requestCount), Type: best.machineType,
+			Zone: best.zone, Spot: best.spot, Count: int(min(count, max(4, count/3), maxRentCount))}, true
 	}
 	return Action{}, false
 }
 
-// counts are the machines of each kind, those asked for included.
-func (f *Fleet) counts() map[kind]int {
-	n := map[kind]int{}
-	for _, u := range f.units {
-		n[u.kind]++
+// countByKind counts the machines of each kind, including those being rented.
+func (f *Fleet) countByKind() map[machineKind]int {
+	n := map[machineKind]int{}
+	for _, state := range f.machines {
+		n[state.machineKind]++
 	}
 	for _, a := range f.renting {
-		n[kind{a.Type, a.Zone, a.Spot}] += a.Count
+		n[machineKind{a.Type, a.Zone, a.Spot}] += a.Count
 	}
 	return n
 }
 
-// slackening tells that open work has become little beside the machines: a day
-// ends, and what is idle will hardly be wanted soon.
-func slackening(rooms []room, demand []Demand) bool {
-	var cpu, have int64
+// demandIsLow reports whether the unfinished work is small compared to the machines, as at the end
+// of a day: idle machines will hardly be needed soon.
+func demandIsLow(machines []availableMachine, demand []Demand) bool {
+	var demandCPU, totalCPU int64
 	for i := range demand {
-		cpu += int64(demand[i].Job.Unfinished) * demand[i].Job.Spec.PerTask.CPU
+		demandCPU += int64(demand[i].Job.Unfinished) * demand[i].Job.Spec.PerTask.CPU
 	}
-	for i := range rooms {
-		have += rooms[i].m.Cap.CPU
+	for i := range machines {
+		totalCPU += machines[i].machine.Cap.CPU
 	}
-	return cpu < have/8
+	return demandCPU < totalCPU/8
 }
--- a/internal/core/fleet/plans.go
+++ b/internal/core/fleet/plans.go
@@ -6,63 +6,66 @@
 	"honeylock/internal/core/model"
 )
 
-// SetDrainPlans takes which machines plans drain, which are neither room nor surplus, and
-// which they will, whose price is no longer asked about.
-func (f *Fleet) SetDrainPlans(plans func(model.MachineID) (drains, wants bool)) {
-	for id, u := range f.units {
-		u.held, u.wanted = plans(id)
-		u.drain = u.drain && !u.wanted
+// SetDrainPlans sets which machines plans are draining, and which they are scheduled to drain. The
+// former count neither as capacity nor as surplus; the latter are not, or no longer, drained for
+// their price.
+func (f *Fleet) SetDrainPlans(plans func(model.MachineID) (draining, scheduled bool)) {
+	for id, state := range f.machines {
+		state.planDraining, state.planScheduled = plans(id)
+		state.draining = state.draining && !state.planScheduled
 	}
 }
 
-// moving is the CPU of what runs on machines that plans drain: it needs room elsewhere, unless
-// it ends first. None of that room is surplus, or the plans' moves wait until tasks end.
-func (f *Fleet) moving(status []model.MachineStatus) int64 {
+// movingCPU returns the CPU of the tasks on machines that plans are draining. They need capacity
+// elsewhere unless they end first. If that capacity were treated as surplus and returned, the
+// plans' moves would have to wait until tasks end.
+func (f *Fleet) movingCPU(status []model.MachineStatus) int64 {
 	var cpu int64
 	for i := range status {
 		s := &status[i]
-		if u := f.units[s.Machine.ID]; u != nil && u.held && s.Slots > 0 {
+		if state := f.machines[s.Machine.ID]; state != nil && state.planDraining && s.Slots > 0 {
 			cpu += max(0, s.Machine.Cap.CPU-s.Avail.CPU)
 		}
 	}
 	return cpu
 }
 
-// BeginReturn begins a return that somebody else has decided on; false tells that one is
-// under way, and to come back.
+// BeginReturn marks machines as being returned by the caller. It returns false, and marks none, if
+// another return is in progress: the caller should retry later.
 func (f *Fleet) BeginReturn(ids []model.MachineID) bool {
-	if f.giving {
+	if f.returnInProgress {
 		return false
 	}
-	f.giving = true
+	f.returnInProgress = true
 	for _, id := range ids {
-		if u := f.units[id]; u != nil {
-			u.drop = true
+		if state := f.machines[id]; state != nil {
+			state.returning = true
 		}
 	}
 	return true
 }
 
-// AddRented takes machines that somebody else has rented, as room to come.
-func (f *Fleet) AddRented(now time.Duration, ids []model.MachineID, like model.Machine) {
+// AddRented adds machines that the caller has rented. They count as capacity while they boot.
+func (f *Fleet) AddRented(now time.Duration, ids []model.MachineID, template model.Machine) {
 	for _, id := range ids {
-		f.unit(now, id, kind{like.Type, like.Zone, like.Spot})
+		f.ensureMachine(now, id, machineKind{template.Type, template.Zone, template.Spot})
 	}
 }
 
-// ForEachMachine are the machines that the cloud has, with since when: those listed, and
-// those too new to be. listed tells that the list has been read.
+// ForEachMachine calls do for each machine that the cloud has, with when it came to exist: those
+// listed, and those that are too new to be listed. listed reports whether the list has been read.
 func (f *Fleet) ForEachMachine(now time.Duration, do func(m model.Machine, since time.Duration)) (listed bool) {
-	for id, u := range f.units {
-		if u.first == 0 && now-max(u.since, f.p.TermStart) > 2*f.p.ListLag+listMargin {
-			continue // it would be listed by now
+	for id, state := range f.machines {
+		if state.firstListed == 0 && now-max(state.knownSince, f.params.TermStart) > 2*f.params.ListLag+listLagMargin {
+			continue // it would be listed by now if it existed
 		}
-		do(model.Machine{ID: id, Type: u.typ, Zone: u.zone, Spot: u.spot}, u.since)
+		do(model.Machine{ID: id, Type: state.machineType, Zone: state.zone, Spot: state.spot}, state.knownSince)
 	}
 	return f.listed
 }
 
-// BootTime is how long a machine of a type takes to come up, as the catalog has it.
+// BootTime returns how long a machine of a type takes to boot, by the catalog; one minute if the
+// type is unknown.
 func (f *Fleet) BootTime(machineType model.Name) time.Duration {
 	if t := f.typeOf(machineType); t != nil {
 		return t.Boot
--- a/internal/core/fleet/unreachable.go
+++ b/internal/core/fleet/unreachable.go
@@ -7,71 +7,72 @@
 	"honeylock/internal/core/model"
 )
 
-// mostDeaf is the part of all machines that may be given up at a time: more is no
-// matter of machines.
-const mostDeaf = 0.15
+// maxUnreachableShare is the share of all machines that may be returned as unreachable at a time.
+// If there are more, the fault is not in the machines.
+const maxUnreachableShare = 0.15
 
-// SetUnreachable takes the machines whose workers neither report nor answer though others of
-// their zone do. What ran on them goes on elsewhere as soon as they are surely gone,
-// which they are once given back, while their leases are over much later.
+// SetUnreachable sets the machines whose workers neither report nor answer while others of their
+// zone do. They are returned, because their tasks can be restarted elsewhere as soon as the machines
+// are certainly gone, which is much earlier than the end of their leases.
 func (f *Fleet) SetUnreachable(ids []model.MachineID) {
-	heard := 0
-	for _, u := range f.units {
-		if u.heard && !u.drop {
-			heard++
+	reported := 0
+	for _, state := range f.machines {
+		if state.reported && !state.returning {
+			reported++
 		}
 	}
-	f.deaf = ids
-	if len(ids) > max(1, int(mostDeaf*float64(heard))) {
-		f.deaf = nil
+	f.unreachable = ids
+	if len(ids) > max(1, int(maxUnreachableShare*float64(reported))) {
+		f.unreachable = nil
 	}
 }
 
-// givenUp are the machines to give back for that.
-func (f *Fleet) givenUp() (out []model.MachineID) {
-	for _, id := range f.deaf {
-		if u := f.units[id]; u != nil && !u.drop {
-			out = append(out, id)
+// selectUnreachable picks the unreachable machines to return.
+func (f *Fleet) selectUnreachable() (unreachable []model.MachineID) {
+	for _, id := range f.unreachable {
+		if state := f.machines[id]; state != nil && !state.returning {
+			unreachable = append(unreachable, id)
 		}
 	}
-	return f.giveBack(out)
+	return f.markReturning(unreachable)
 }
 
-// giveBack notes that machines are being returned, as many as go in one call.
-func (f *Fleet) giveBack(ids []model.MachineID) []model.MachineID {
+// markReturning marks as many of the machines as one call can return, and returns these.
+func (f *Fleet) markReturning(ids []model.MachineID) []model.MachineID {
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	if len(ids) > MaxReturn {
 		ids = ids[:MaxReturn]
 	}
 	for _, id := range ids {
-		f.units[id].drop = true
+		f.machines[id].returning = true
 	}
 	return ids
 }
 
 const (
-	// silentLong: a machine that is silent for so long is given back.
-	silentLong = 90 * time.Second
-	// cutLong is the same where most of a zone is: that is a cut, not machines, and they
-	// come back with it.
-	cutLong = 5 * time.Minute
+	// leaseExpiredLimit: a machine is returned if its lease has been expired for this time.
+	leaseExpiredLimit = 90 * time.Second
+	// partitionLimit is the limit in a zone where most leases have expired: the zone is
+	// partitioned, and its machines will return with it.
+	partitionLimit = 5 * time.Minute
 )
 
-// cutZones are the zones of which most machines that were ever heard are silent.
-func (f *Fleet) cutZones() map[model.Name]bool {
-	heard, silent := map[model.Name]int{}, map[model.Name]int{}
-	for _, u := range f.units {
-		if u.heard && !u.drop {
-			heard[u.zone]++
-			if u.silent != 0 {
-				silent[u.zone]++
+// partitionedZones returns the zones where the leases of most machines that ever reported have
+// expired.
+func (f *Fleet) partitionedZones() map[model.Name]bool {
+	reported, expired := map[model.Name]int{}, map[model.Name]int{}
+	for _, state := range f.machines {
+		if state.reported && !state.returning {
+			reported[state.zone]++
+			if state.leaseExpiredSince != 0 {
+				expired[state.zone]++
 			}
 		}
 	}
-	out := map[model.Name]bool{}
-	for z, n := range silent {
-		out[z] = n >= 3 && 2*n > heard[z]
+	partitioned := map[model.Name]bool{}
+	for z, n := range expired {
+		partitioned[z] = n >= 3 && 2*n > reported[z]
 	}
-	return out
+	return partitioned
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota keeps what operators have changed about teams' limits and guarantees
-// while the service runs: at once or until a time of day, stored, and taken up by any
-// leader. It is a state machine of the leader's, without input or output.
+// Package quota holds operators' overrides of teams' limits and guarantees. They are made while the
+// service runs, may expire at a time of day, and are stored, so that any later leader applies them. It
+// is a state machine of the leader, without input or output.
 //
-// A change acts once it is surely stored: before, a leader that follows would not know of
-// it. A limit never goes above the platform's, which users count on.
+// A change takes effect once it is certainly stored: before that, a later leader would not know of
+// it. A limit can't be raised above the platform's limit, on which users rely.
 package quota
 
 import (
@@ -18,29 +18,30 @@
 	"honeylock/internal/core/model"
 )
 
-// recordVersion of stored changes. What a newer release wrote is left alone.
+// recordVersion is the version of stored records. Records of newer versions are not changed.
 const recordVersion = 1
 
-// Change of a team. Amounts are in thousandths; nil: as the platform has it.
+// Change overrides a team's settings. Amounts are in thousandths; nil: the platform's value.
 type Change struct {
 	LimitCPU     *int64 `json:"limit_cpu,omitempty"`
 	LimitGPU     *int64 `json:"limit_gpu,omitempty"`
 	GuaranteeCPU *int64 `json:"guarantee_cpu,omitempty"`
 	GuaranteeGPU *int64 `json:"guarantee_gpu,omitempty"`
-	UntilMS      int64  `json:"until_ms,omitempty"` // time of day; 0: until it is unset
+	UntilMS      int64  `json:"until_ms,omitempty"` // time of day when it expires; 0: never
 	By           string `json:"by"`
 	AtMS         int64  `json:"at_ms"`
 }
 
+// empty reports whether the change overrides nothing.
 func (c *Change) empty() bool {
 	return c.LimitCPU == nil && c.LimitGPU == nil && c.GuaranteeCPU == nil && c.GuaranteeGPU == nil
 }
 
-// over tells whether the time that a change was made for has come.
-func (c *Change) over(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
+// expired reports whether the time until which the change holds has passed.
+func (c *Change) expired(wall time.Time) bool { return c.UntilMS > 0 && wall.UnixMilli() >= c.UntilMS }
 
-// on is a team with the change made.
-func (c *Change) on(t dispatcher.Team) dispatcher.Team {
+// applyTo returns the team with the change applied.
+func (c *Change) applyTo(t dispatcher.Team) dispatcher.Team {
 	for _, f := range []struct {
 		to *int64
 		v  *int64
@@ -53,175 +54,182 @@
 	return t
 }
 
+// record is the stored form of a Change.
 type record struct {
 	V int `json:"v"`
 	Change
 }
 
-// entry is what is kept of a team that was changed.
+// entry is the state of one team's override. Each change of requested gets a new generation.
 type entry struct {
-	want, acts Change
-	version    uint64 // of the stored record, 0: none
-	gen        uint64
-	stored     uint64
-	sending    uint64
-	foreign    string // why this release does not touch the record
+	requested, active Change // as last set, and as last stored
+	version           uint64 // of the stored record, 0: none
+	generation        uint64
+	storedGeneration  uint64
+	sendingGeneration uint64
+	readOnlyReason    string // why this release must not change the record, "" if it may
 }
 
-// Overrides is the state machine.
+// Overrides is the state machine of all teams.
 type Overrides struct {
-	base []dispatcher.Team
-	of   map[model.Name]*entry
+	platform []dispatcher.Team
+	byTeam   map[model.Name]*entry
 }
 
-// New returns a book without changes to the platform's teams.
-func New(base []dispatcher.Team) *Overrides {
-	return &Overrides{base: base, of: map[model.Name]*entry{}}
+// New returns Overrides without changes to the platform's teams, which are indexed by name.
+func New(platform []dispatcher.Team) *Overrides {
+	return &Overrides{platform: platform, byTeam: map[model.Name]*entry{}}
 }
 
-func (b *Overrides) entry(team model.Name) *entry {
-	e := b.of[team]
+// ensureEntry returns the state of a team's override, which it creates if necessary.
+func (o *Overrides) ensureEntry(team model.Name) *entry {
+	e := o.byTeam[team]
 	if e == nil {
 		e = &entry{}
-		b.of[team] = e
+		o.byTeam[team] = e
 	}
 	return e
 }
 
-// Load takes a stored change.
-func (b *Overrides) Load(team model.Name, value []byte, version uint64) {
-	e := b.entry(team)
+// Load takes a record from the store.
+func (o *Overrides) Load(team model.Name, value []byte, version uint64) {
+	e := o.ensureEntry(team)
 	e.version = version
 	var r record
 	switch err := json.Unmarshal(value, &r); {
 	case err != nil:
-		e.foreign = "its record is unreadable: " + err.Error()
+		e.readOnlyReason = "its record is unreadable: " + err.Error()
 	case r.V != recordVersion:
-		e.foreign = fmt.Sprintf("a newer release wrote it (version %d)", r.V)
+		e.readOnlyReason = fmt.Sprintf("a newer release wrote it (version %d)", r.V)
 	default:
-		e.want, e.acts = r.Change, r.Change
+		e.requested, e.active = r.Change, r.Change
 	}
 }
 
-// RefusedError says why a change can't be made.
+// RefusedError is why a change can't be made.
 type RefusedError struct{ Reason string }
 
 func (r *RefusedError) Error() string { return r.Reason }
 
+// refuse returns a RefusedError.
 func refuse(format string, args ...any) error { return &RefusedError{fmt.Sprintf(format, args...)} }
 
-// Set changes a team; what c leaves out stays as it was changed before.
-func (b *Overrides) Set(wall time.Time, team model.Name, c Change) error {
-	e := b.entry(team)
-	if e.foreign != "" {
-		return refuse("the team can't be changed here: %s", e.foreign)
+// Set requests a change of a team. Amounts that it leaves out keep earlier overrides.
+func (o *Overrides) Set(wall time.Time, team model.Name, change Change) error {
+	e := o.ensureEntry(team)
+	if e.readOnlyReason != "" {
+		return refuse("the team can't be changed here: %s", e.readOnlyReason)
 	}
-	next := e.want
-	for _, f := range []struct{ to, v **int64 }{{&next.LimitCPU, &c.LimitCPU}, {&next.LimitGPU, &c.LimitGPU},
-		{&next.GuaranteeCPU, &c.GuaranteeCPU}, {&next.GuaranteeGPU, &c.GuaranteeGPU}} {
+	next := e.requested
+	for _, f := range []struct{ to, v **int64 }{{&next.LimitCPU, &change.LimitCPU}, {&next.LimitGPU, &change.LimitGPU},
+		{&next.GuaranteeCPU, &change.GuaranteeCPU}, {&next.GuaranteeGPU, &change.GuaranteeGPU}} {
 		if *f.v != nil {
 			*f.to = *f.v
 		}
 	}
-	next.UntilMS, next.By, next.AtMS = c.UntilMS, c.By, wall.UnixMilli()
-	base, t := b.base[team], next.on(b.base[team])
-	for _, x := range []struct {
-		what             string
-		base, limit, has int64
-	}{{"cpus", base.Limit.CPU, t.Limit.CPU, t.Guarantee.CPU}, {"gpus", base.Limit.GPU, t.Limit.GPU, t.Guarantee.GPU}} {
-		if x.base > 0 && x.limit > x.base {
-			return refuse("limit_%s: %g is above the platform's limit of %g", x.what, amount(x.limit), amount(x.base))
+	next.UntilMS, next.By, next.AtMS = change.UntilMS, change.By, wall.UnixMilli()
+	platform, changed := o.platform[team], next.applyTo(o.platform[team])
+	for _, amounts := range []struct {
+		resource                        string
+		platformLimit, limit, guarantee int64
+	}{{"cpus", platform.Limit.CPU, changed.Limit.CPU, changed.Guarantee.CPU},
+		{"gpus", platform.Limit.GPU, changed.Limit.GPU, changed.Guarantee.GPU}} {
+		if amounts.platformLimit > 0 && amounts.limit > amounts.platformLimit {
+			return refuse("limit_%s: %g is above the platform's limit of %g", amounts.resource, amount(amounts.limit),
+				amount(amounts.platformLimit))
 		}
-		if x.limit > 0 && x.has > x.limit {
-			return refuse("guarantee_%s: %g is above the limit of %g", x.what, amount(x.has), amount(x.limit))
+		if amounts.limit > 0 && amounts.guarantee > amounts.limit {
+			return refuse("guarantee_%s: %g is above the limit of %g", amounts.resource, amount(amounts.guarantee),
+				amount(amounts.limit))
 		}
 	}
-	if next.over(wall) {
+	if next.expired(wall) {
 		return refuse("until: %s is over", time.UnixMilli(next.UntilMS).UTC().Format(time.RFC3339))
 	}
-	e.want = next
-	e.gen++
+	e.requested = next
+	e.generation++
 	return nil
 }
 
+// amount converts thousandths for messages.
 func amount(n int64) float64 { return float64(n) / 1000 }
 
-// Unset takes a team's changes back.
-func (b *Overrides) Unset(team model.Name) error {
-	e := b.of[team]
-	if e != nil && e.foreign != "" {
-		return refuse("the team can't be changed here: %s", e.foreign)
+// Unset removes a team's override.
+func (o *Overrides) Unset(team model.Name) error {
+	e := o.byTeam[team]
+	if e != nil && e.readOnlyReason != "" {
+		return refuse("the team can't be changed here: %s", e.readOnlyReason)
 	}
-	if e == nil || e.want.empty() {
+	if e == nil || e.requested.empty() {
 		return nil
 	}
-	e.want = Change{}
-	e.gen++
+	e.requested = Change{}
+	e.generation++
 	return nil
 }
 
-// Expire takes changes back whose time is over.
-func (b *Overrides) Expire(wall time.Time) {
-	for _, e := range b.of {
-		if e.foreign == "" && !e.want.empty() && e.want.over(wall) {
-			e.want = Change{}
-			e.gen++
+// Expire removes the overrides whose time has passed.
+func (o *Overrides) Expire(wall time.Time) {
+	for _, e := range o.byTeam {
+		if e.readOnlyReason == "" && !e.requested.empty() && e.requested.expired(wall) {
+			e.requested = Change{}
+			e.generation++
 		}
 	}
 }
 
-// Team is a team's limit and guarantee now.
-func (b *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
-	if e := b.of[team]; e != nil && !e.acts.over(wall) {
-		return e.acts.on(b.base[team])
+// Team returns a team's present limit and guarantee.
+func (o *Overrides) Team(team model.Name, wall time.Time) dispatcher.Team {
+	if e := o.byTeam[team]; e != nil && !e.active.expired(wall) {
+		return e.active.applyTo(o.platform[team])
 	}
-	return b.base[team]
+	return o.platform[team]
 }
 
-// Active is the change that acts on a team, and whether there is one.
-func (b *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
-	e := b.of[team]
-	if e == nil || e.acts.empty() || e.acts.over(wall) {
+// Active returns the override in effect for a team, and whether there is one.
+func (o *Overrides) Active(team model.Name, wall time.Time) (Change, bool) {
+	e := o.byTeam[team]
+	if e == nil || e.active.empty() || e.active.expired(wall) {
 		return Change{}, false
 	}
-	return e.acts, true
+	return e.active, true
 }
 
-// Synced tells whether all that was changed about a team is surely stored.
-func (b *Overrides) Synced(team model.Name) bool {
-	e := b.of[team]
-	return e == nil || e.stored == e.gen
+// Synced reports whether all requested changes of a team are certainly stored.
+func (o *Overrides) Synced(team model.Name) bool {
+	e := o.byTeam[team]
+	return e == nil || e.storedGeneration == e.generation
 }
 
-// HasPendingWrites tells whether anything is to be stored.
-func (b *Overrides) HasPendingWrites() bool {
-	for _, e := range b.of {
-		if e.foreign == "" && e.stored != e.gen {
+// HasPendingWrites reports whether a change has still to be stored.
+func (o *Overrides) HasPendingWrites() bool {
+	for _, e := range o.byTeam {
+		if e.readOnlyReason == "" && e.storedGeneration != e.generation {
 			return true
 		}
 	}
 	return false
 }
 
-// Write is a change for the state service. It comes back through Wrote.
+// Write is a change to be written to the state service. Its outcome comes back through WriteDone.
 type Write struct {
-	Team    model.Name
-	Version uint64 // of the record that it replaces, 0: none
-	Value   []byte // nil: the record goes
-	gen     uint64
-	change  Change
+	Team       model.Name
+	Version    uint64 // version of the record that it replaces; 0: there is none
+	Value      []byte // nil: the record is deleted
+	generation uint64
+	change     Change
 }
 
-// Writes returns at most n records to be stored.
-func (b *Overrides) Writes(n int) []Write {
+// Writes returns at most n changes to be stored, which are then in progress.
+func (o *Overrides) Writes(n int) []Write {
 	var out []Write
-	for team, e := range b.of {
-		if e.foreign != "" || e.sending != 0 || e.stored == e.gen {
+	for team, e := range o.byTeam {
+		if e.readOnlyReason != "" || e.sendingGeneration != 0 || e.storedGeneration == e.generation {
 			continue
 		}
-		w := Write{Team: team, Version: e.version, gen: e.gen, change: e.want}
-		if !e.want.empty() {
-			v, err := json.Marshal(record{recordVersion, e.want})
+		w := Write{Team: team, Version: e.version, generation: e.generation, change: e.requested}
+		if !e.requested.empty() {
+			v, err := json.Marshal(record{recordVersion, e.requested})
 			if err != nil {
 				continue // plain values always encode
 			}
@@ -232,25 +240,25 @@
 	slices.SortFunc(out, func(a, b Write) int { return cmp.Compare(a.Team, b.Team) })
 	out = out[:min(max(0, n), len(out))]
 	for _, w := range out {
-		b.of[w.Team].sending = w.gen
+		o.byTeam[w.Team].sendingGeneration = w.generation
 	}
 	return out
 }
 
-// WriteDone takes a write's outcome. conflict tells that the record is at version at: a write
-// of this leader's without an answer got through after all.
-func (b *Overrides) WriteDone(w Write, rev uint64, ok, conflict bool, at uint64) {
-	e := b.of[w.Team]
-	if e.sending != w.gen {
+// WriteDone takes the outcome of a write. conflict reports that the record has currentVersion instead
+// of the expected one: an earlier write of this leader that got no answer was executed after all.
+func (o *Overrides) WriteDone(w Write, newVersion uint64, ok, conflict bool, currentVersion uint64) {
+	e := o.byTeam[w.Team]
+	if e.sendingGeneration != w.generation {
 		return
 	}
-	e.sending = 0
+	e.sendingGeneration = 0
 	switch {
 	case ok && w.Value == nil:
-		e.version, e.stored, e.acts = 0, w.gen, w.change
+		e.version, e.storedGeneration, e.active = 0, w.generation, w.change
 	case ok:
-		e.version, e.stored, e.acts = rev, w.gen, w.change
+		e.version, e.storedGeneration, e.active = newVersion, w.generation, w.change
 	case conflict:
-		e.version = at
+		e.version = currentVersion
 	}
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-func went(t *Ticket) bool {
+// allowed reports whether a ticket is decided and its request may be sent.
+func allowed(t *Ticket) bool {
 	select {
 	case <-t.Decided:
 		return !t.Refused
@@ -19,14 +20,14 @@
 	}
 }
 
-// service grants requests up to a rate, with a burst of one second's worth.
+// service serves requests up to a rate, with a burst of one second's worth.
 type service struct {
 	rate, tokens float64
 	at           time.Duration
 	served, busy int
 }
 
-func (s *service) ask(now time.Duration) bool {
+func (s *service) serve(now time.Duration) bool {
 	s.tokens = min(s.rate, s.tokens+s.rate*(now-s.at).Seconds())
 	s.at = now
 	if s.tokens < 1 {
@@ -38,49 +39,49 @@
 	return true
 }
 
-// storm has controllers ask for much more than the service allows, for a time.
-func storm(s *service, qs []*Limiter, want []float64, length time.Duration, rng *rand.Rand) []int {
-	got := make([]int, len(qs))
-	waiting := make([][]*Ticket, len(qs))
+// runOverload lets controllers request much more than the service allows, until length.
+func runOverload(s *service, limiters []*Limiter, demand []float64, length time.Duration, rng *rand.Rand) []int {
+	got := make([]int, len(limiters))
+	waiting := make([][]*Ticket, len(limiters))
 	for now := time.Second; now < length; now += 5 * ms {
-		for i, q := range qs {
+		for i, q := range limiters {
 			q.Step(now)
-			if rng.Float64() < want[i]*0.005 {
+			if rng.Float64() < demand[i]*0.005 {
 				waiting[i] = append(waiting[i], q.Request(now, Reads, 0, now+time.Second))
 			}
-			keep := waiting[i][:0]
+			remaining := waiting[i][:0]
 			for _, t := range waiting[i] {
 				switch {
 				case t.Refused:
-				case !went(t):
-					keep = append(keep, t)
-				case s.ask(now):
+				case !allowed(t):
+					remaining = append(remaining, t)
+				case s.serve(now):
 					got[i]++
 				default:
 					q.HandleRefusal(now)
 				}
 			}
-			waiting[i] = keep
+			waiting[i] = remaining
 		}
 	}
 	return got
 }
 
-// TestSharesFollowNeed: all ask for four times what there is: each gets about an
-// equal part, hardly anything is refused for the rate. Then one alone gets most.
-func TestSharesFollowNeed(t *testing.T) {
+// Three controllers request four times the rate: each gets about an equal share, and the service
+// refuses hardly anything. A controller that is alone gets most of the rate.
+func TestSharesFollowDemand(t *testing.T) {
 	s := &service{rate: 70, tokens: 70}
 	var qs []*Limiter
 	for range 3 {
 		qs = append(qs, New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3}))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	got := storm(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
+	got := runOverload(s, qs, []float64{90, 90, 90}, 61*time.Second, rng)
 	if s.served < 70*60*8/10 {
-		t.Errorf("%d of %d served in a minute: too timid", s.served, 70*60)
+		t.Errorf("%d of %d served in a minute: too few", s.served, 70*60)
 	}
 	if s.busy > s.served/10 {
-		t.Errorf("%d refused for the rate beside %d served", s.busy, s.served)
+		t.Errorf("%d refused for the rate, %d served", s.busy, s.served)
 	}
 	for i, n := range got {
 		if n < s.served/6 {
@@ -89,14 +90,14 @@
 	}
 	lone := &service{rate: 70, tokens: 70, at: time.Second}
 	one := New(Params{RequestRate: 70, WriteRate: 25, Controllers: 3})
-	if n := storm(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
-		t.Errorf("alone it got %d of %d", n, 70*60)
+	if n := runOverload(lone, []*Limiter{one}, []float64{90}, 61*time.Second, rng)[0]; n < 70*60*7/10 {
+		t.Errorf("a single controller got %d of %d", n, 70*60)
 	}
 }
 
-// TestUrgentGoesFirst: behind a queue of reads, authority goes at once, a leader's
-// reads and finals overdraw, and changes go before reads that came earlier.
-func TestUrgentGoesFirst(t *testing.T) {
+// Requests of urgent classes do not wait behind a queue of reads: those for authority are sent at
+// once, a leader's overdraw the share, and changes go before earlier reads.
+func TestUrgentClassesGoFirst(t *testing.T) {
 	q := New(Params{RequestRate: 60, WriteRate: 30, Controllers: 3})
 	for range 40 {
 		q.Request(0, Reads, 0, time.Second)
@@ -106,31 +107,31 @@
 		n int
 	}{{Changes, 3}, {Leader, 8}, {Authority, 20}} {
 		for i := range a.n {
-			if !went(q.Request(0, a.c, 0, time.Second)) {
+			if !allowed(q.Request(0, a.c, 0, time.Second)) {
 				t.Errorf("class %d: request %d waits behind reads", a.c, i)
 			}
 		}
 	}
 }
 
-// TestWhatCannotGoInTimeIsRefusedAtOnce: its asker would have given up by then.
-func TestWhatCannotGoInTimeIsRefusedAtOnce(t *testing.T) {
+// A request that can't be sent in time is refused at once: its caller would have given up by then.
+func TestLateRequestsAreRefusedAtOnce(t *testing.T) {
 	q := New(Params{RequestRate: 30, WriteRate: 30, Controllers: 3})
 	var last *Ticket
 	for range 200 {
 		last = q.Request(0, Reads, 0, time.Second)
 	}
 	if !last.Refused {
-		t.Error("the 200th of 9 a second waits, though it may wait for a second only")
+		t.Error("the 200th request at 9 per second waits, though its deadline is a second away")
 	}
 	if q.Shed[Reads] < 150 {
 		t.Errorf("%d shed", q.Shed[Reads])
 	}
 }
 
-// TestNothingIsForgotten: whatever is asked, in any order, every ticket is let go or
-// refused by its time, and Step names a time at which something happens.
-func TestNothingIsForgotten(t *testing.T) {
+// Whatever is requested, in any order, every ticket is decided by its deadline, and Step returns a
+// time at which something happens.
+func TestEveryTicketIsDecided(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Params{RequestRate: 20, WriteRate: 8, Controllers: rapid.IntRange(1, 7).Draw(t, "controllers")})
 		var open []*Ticket
@@ -149,31 +150,31 @@
 		for next := now; next != 0; {
 			now = next
 			if next = q.Step(now); next != 0 && next <= now {
-				t.Fatalf("at %v it is due at %v", now, next)
+				t.Fatalf("at %v the next call is due at %v", now, next)
 			}
 		}
 		for i, o := range open {
 			select {
 			case <-o.Decided:
 			default:
-				t.Fatalf("ticket %d of class %d is forgotten", i, o.class)
+				t.Fatalf("ticket %d of class %d is never decided", i, o.class)
 			}
 		}
 	})
 }
 
-// Where changes are scarce, the ends of jobs go before progress that asked earlier:
-// they once shared a class, and 170 jobs that had ended waited to be told of.
-func TestEndsOfJobsGoBeforeProgress(t *testing.T) {
+// When the write rate is scarce, the ends of jobs go before earlier requests to store progress. In
+// one shared class, many ended jobs would wait to be reported.
+func TestJobEndsGoBeforeProgress(t *testing.T) {
 	const rate = 10
 	q := New(Params{RequestRate: 1000, WriteRate: rate, Controllers: 1})
 	var ends []*Ticket
 	var progress int
 	now := time.Duration(0)
-	for i := range 200 { // 20 s with three times the changes that the service takes
+	for i := range 200 { // 20 s with three times the writes that the service allows
 		now += 100 * time.Millisecond
 		for range 2 {
-			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); went(k) {
+			if k := q.Request(now, Background, 1, now+1500*time.Millisecond); allowed(k) {
 				progress++
 			}
 		}
@@ -184,20 +185,20 @@
 	}
 	gone := 0
 	for _, k := range ends {
-		if went(k) {
+		if allowed(k) {
 			gone++
 		}
 	}
 	if gone < len(ends)-2 {
-		t.Errorf("%d of %d ends of jobs went, beside %d pieces of progress", gone, len(ends), progress)
+		t.Errorf("%d of %d ends of jobs were sent, and %d records of progress", gone, len(ends), progress)
 	}
 	if progress == 0 {
-		t.Error("no progress was stored though a third of the changes were left")
+		t.Error("no progress was stored though a third of the write rate was left")
 	}
 }
 
-// A rate that was announced holds from some moment on, which only refusals tell: one may
-// have any reason, two soon after each other are taken for it.
+// Only refusals show when an announced rate takes effect. One may have another reason; two within a
+// short time are attributed to it.
 func TestAnnouncedRateIsFollowed(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 60, NextWriteRate: 42, Controllers: 3})
 	q.HandleRefusal(time.Second)
@@ -211,9 +212,9 @@
 	}
 }
 
-// A part that a leader has told is kept to at once, shrinks for a while after a refusal, and
-// when nobody tells one any more an equal part is where the controller begins again.
-func TestPartIsKeptTo(t *testing.T) {
+// An allocation by the leader is followed at once, and shrinks for a while after a refusal. When it
+// expires, the controller starts again from its initial share.
+func TestAllocationIsFollowed(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 50, Controllers: 20})
 	q.SetAllocation(0, Allocation{Requests: 0.4, Writes: 0.2}, 2*time.Second)
 	if q.Share() != 0.4 {
@@ -223,26 +224,26 @@
 	got := 0
 	for now := 5 * ms; now < 20*time.Second; now += 5 * ms {
 		q.SetAllocation(now, Allocation{Requests: 0.4, Writes: 0.2}, now+2*time.Second)
-		if k := q.Request(now, Reads, 0, now); went(k) && s.ask(now) {
+		if k := q.Request(now, Reads, 0, now); allowed(k) && s.serve(now) {
 			got++
 		}
 		q.Step(now)
 	}
 	if got < 20*40*9/10 || got > 20*40*11/10 {
-		t.Errorf("%d of 800 went in 20 s", got)
+		t.Errorf("%d of 800 were sent in 20 s", got)
 	}
 	q.HandleRefusal(20 * time.Second)
 	if q.Share() >= 0.4 {
 		t.Errorf("share %v after a refusal", q.Share())
 	}
-	q.Step(22*time.Second + ms) // the part is over
-	if want := equal/20 + growth; q.Share() > want+1e-9 {
-		t.Errorf("share %v without a part, want at most %v", q.Share(), want)
+	q.Step(22*time.Second + ms) // the allocation has expired
+	if want := initialTotalShare/20 + shareGrowth; q.Share() > want+1e-9 {
+		t.Errorf("share %v without an allocation, want at most %v", q.Share(), want)
 	}
 }
 
-// Needs count what was asked for, whether or not it went.
-func TestNeedsAreWhatWasAskedFor(t *testing.T) {
+// Demand counts all requests, whether or not they were sent.
+func TestDemandCountsRequests(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 10, Controllers: 20})
 	for i := range 30 {
 		q.Request(time.Second+time.Duration(i)*ms, Reads, 1, 0)
@@ -251,12 +252,12 @@
 		t.Errorf("%+v", got)
 	}
 	if got := q.Demand(4 * time.Second); got != (Allocation{}) {
-		t.Errorf("%+v after a quiet second", got)
+		t.Errorf("%+v after a second without requests", got)
 	}
 }
 
-// What only reads waits for nobody's changes: behind a leader's queue of progress that found
-// no rate of changes, questions were once refused for as long as that lasted.
+// Reads do not wait for others' writes. Otherwise they are refused for as long as a leader's queue of
+// progress waits for the write rate.
 func TestReadsDoNotWaitForChanges(t *testing.T) {
 	q := New(Params{RequestRate: 100, WriteRate: 5, Controllers: 1})
 	for range 400 {
@@ -266,14 +267,14 @@
 	for now := 10 * ms; now < 5*time.Second; now += 100 * ms {
 		k := q.Request(now, Reads, 0, now+time.Second)
 		q.Step(now)
-		if !went(k) {
+		if !allowed(k) {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of 50 reads waited or were refused, beside 50 requests a second that nobody used", late)
+		t.Errorf("%d of 50 reads waited or were refused, with 50 requests per second unused", late)
 	}
-	// Nor are they refused at once for it where a moment's wait is enough.
+	// Nor are they refused at once if a short wait is enough.
 	for range 60 {
 		q.Request(5*time.Second, Leader, 0, 6*time.Second)
 	}
@@ -281,7 +282,7 @@
 	for now := 5 * time.Second; now < 6500*ms; now += 10 * ms {
 		q.Step(now)
 	}
-	if !went(k) {
-		t.Error("a read was refused, though it could have gone within a second")
+	if !allowed(k) {
+		t.Error("a read was refused, though it could have been sent within a second")
 	}
 }
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -7,14 +7,14 @@
 
 const ms = time.Millisecond
 
-// script notes one outcome every 300 ms from one time to another.
-func script(s *Health, from, to time.Duration, o Outcome) {
+// recordOutcomes records an outcome every 300 ms from one time to another.
+func recordOutcomes(h *Health, from, to time.Duration, o Outcome) {
 	for at := from; at < to; at += 300 * ms {
-		s.RecordOutcome(at, o)
+		h.RecordOutcome(at, o)
 	}
 }
 
-func TestOnlyARefusalWhileASiblingIsServedIsOne(t *testing.T) {
+func TestRefusedAloneNeedsAServedSibling(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome Outcome
 		sibling time.Duration
@@ -27,37 +27,40 @@
 		"served while a sibling is served":        {Served, 12 * time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
-			script(&s, 0, 10*time.Second, Served)
-			script(&s, 10*time.Second, 13*time.Second, c.outcome)
-			if got := s.RefusedAlone(13*time.Second, c.sibling); got != c.want {
+			var h Health
+			recordOutcomes(&h, 0, 10*time.Second, Served)
+			recordOutcomes(&h, 10*time.Second, 13*time.Second, c.outcome)
+			if got := h.RefusedAlone(13*time.Second, c.sibling); got != c.want {
 				t.Errorf("alone: %v, want %v", got, c.want)
 			}
-			if got, want := s.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
-				t.Errorf("missing: %v, want %v", got, want)
+			if got, want := h.Unreachable(13*time.Second), c.outcome == Refused || c.outcome == NoAnswer; got != want {
+				t.Errorf("unreachable: %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// TestALeaderYieldsOnlyToOneThatIsServed: refused or cut off alone, then out for all, or back
-// for all. It is asked every 100 ms, and each failure is known a while after it was sent.
-func TestALeaderYieldsOnlyToOneThatIsServed(t *testing.T) {
+// A leader that is refused alone, or gets no answers, should yield while a sibling is served. It must
+// not if the service then goes out for all, nor when it comes back for all. ShouldYield is called
+// every 100 ms, and each failure is known some time after the request was sent.
+func TestLeaderYieldsOnlyToServedSibling(t *testing.T) {
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
 	for name, c := range map[string]struct {
-		known   time.Duration                                // how long a failure takes
-		sibling func(now time.Duration) (sent time.Duration) // the newest that was served
-		back    time.Duration                                // served again from then on
-		from    time.Duration                                // yields within a second from then on, 0: never
+		known   time.Duration                                // how long after sending a failure is known
+		sibling func(now time.Duration) (sent time.Duration) // newest request of a sibling that was served
+		back    time.Duration                                // this controller is served again from then on
+		from    time.Duration                                // must yield within a second from then on; 0: never
 	}{
-		"a sibling is served":  {100 * ms, justServed, time.Hour, cut + 3*sec},
-		"cut off, not refused": {1500 * ms, justServed, time.Hour, cut + 3*sec},
-		"its siblings ask seldom": {100 * ms, func(now time.Duration) time.Duration { return now.Truncate(2*sec) - sec },
+		"a sibling is served":            {100 * ms, justServed, time.Hour, cut + 3*sec},
+		"no answers instead of refusals": {1500 * ms, justServed, time.Hour, cut + 3*sec},
+		"its siblings send few requests": {100 * ms,
+			func(now time.Duration) time.Duration { return now.Truncate(2*sec) - sec },
 			time.Hour, cut + 6*sec},
-		"out for all soon after": {100 * ms, func(now time.Duration) time.Duration { return min(now-100*ms, cut+2*sec) },
+		"the service goes out for all soon after": {100 * ms,
+			func(now time.Duration) time.Duration { return min(now-100*ms, cut+2*sec) },
 			time.Hour, 0},
-		"out for all, then back, and a sibling asks first": {100 * ms, func(now time.Duration) time.Duration {
+		"out for all, then back, and a sibling is served first": {100 * ms, func(now time.Duration) time.Duration {
 			if now > 90*sec {
 				return now - 50*ms
 			}
@@ -65,17 +68,17 @@
 		}, 90 * sec, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
+			var h Health
 			var first time.Duration
 			for now := time.Duration(0); now < 2*time.Minute && first == 0; now += 100 * ms {
 				if sent := now - c.known; now%(300*ms) == 0 && sent >= 0 {
 					if sent < cut || sent >= c.back {
-						s.RecordOutcome(sent, Served)
+						h.RecordOutcome(sent, Served)
 					} else {
-						s.RecordOutcome(sent, Refused)
+						h.RecordOutcome(sent, Refused)
 					}
 				}
-				if s.ShouldYield(now, c.sibling(now)) {
+				if h.ShouldYield(now, c.sibling(now)) {
 					first = now
 				}
 			}
@@ -86,92 +89,91 @@
 	}
 }
 
-// TestOwnSlownessIsNoRefusal: a process that hardly runs reads answers too late, and
-// would give up leadership for that.
+// A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
+// that.
 func TestOwnSlownessIsNoRefusal(t *testing.T) {
-	var s Health
-	script(&s, 0, 10*time.Second, Served)
-	script(&s, 10*time.Second, 13*time.Second, NoAnswer)
-	s.RecordDelay(13*time.Second, lateBy)
-	if s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("silence was held against the service while this process was late")
+	var h Health
+	recordOutcomes(&h, 0, 10*time.Second, Served)
+	recordOutcomes(&h, 10*time.Second, 13*time.Second, NoAnswer)
+	h.RecordDelay(13*time.Second, minTimerDelay)
+	if h.RefusedAlone(13*time.Second, 13*time.Second) {
+		t.Error("missing answers counted while this process was delayed")
 	}
-	script(&s, 13*time.Second, 14*time.Second, NoAnswer)
-	if !s.RefusedAlone(14*time.Second, 14*time.Second) {
-		t.Error("silence after the halt counts for nothing")
+	recordOutcomes(&h, 13*time.Second, 14*time.Second, NoAnswer)
+	if !h.RefusedAlone(14*time.Second, 14*time.Second) {
+		t.Error("missing answers after the delay do not count")
 	}
 }
 
-// TestLateAnswersDoNotCount: an answer to a question from before the cut says
-// nothing about now, and one failure alone proves nothing.
-func TestLateAnswersDoNotCount(t *testing.T) {
-	var s Health
-	s.RecordOutcome(10*time.Second, Served)
-	s.RecordOutcome(12*time.Second, NoAnswer)
-	if s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("one unlucky request made it alone")
+// An answer to a request from before the cut says nothing about the present, and one failure alone
+// is not enough.
+func TestOldAnswersDoNotCount(t *testing.T) {
+	var h Health
+	h.RecordOutcome(10*time.Second, Served)
+	h.RecordOutcome(12*time.Second, NoAnswer)
+	if h.RefusedAlone(13*time.Second, 13*time.Second) {
+		t.Error("refused alone after a single failure")
 	}
-	script(&s, 11*time.Second, 12*time.Second, Refused)
-	s.RecordOutcome(9*time.Second, Served)
-	if !s.RefusedAlone(13*time.Second, 13*time.Second) {
-		t.Error("an older answer hides the refusal")
+	recordOutcomes(&h, 11*time.Second, 12*time.Second, Refused)
+	h.RecordOutcome(9*time.Second, Served)
+	if !h.RefusedAlone(13*time.Second, 13*time.Second) {
+		t.Error("an older answer hides the refusals")
 	}
-	if at, known := s.LastServed(); at != 10*time.Second || !known {
+	if at, known := h.LastServed(); at != 10*time.Second || !known {
 		t.Errorf("served %v, %v", at, known)
 	}
 }
 
-// TestALeaderGivesWayOnceThatIsConfirmed: the service goes out for all as the leader's lease ends;
-// its siblings were served until just then.
-func TestALeaderGivesWayOnceThatIsConfirmed(t *testing.T) {
+// When the service goes out for all as the leader's lease ends, siblings were served until just
+// before. The leader must not yield without a fresh confirmation by a sibling.
+func TestLeaderYieldsOnceSiblingIsConfirmed(t *testing.T) {
 	const cut, out = 10 * time.Second, 12900 * ms
 	for name, c := range map[string]struct {
 		out  time.Duration
 		want bool
-	}{"a sibling is served still": {time.Hour, true}, "out for all just now": {out, false}} {
+	}{"a sibling is still served": {time.Hour, true}, "out for all just now": {out, false}} {
 		t.Run(name, func(t *testing.T) {
-			var s Health
-			script(&s, 0, cut, Served)
-			gave, asked, would := false, 0, false
+			var h Health
+			recordOutcomes(&h, 0, cut, Served)
+			yielded, asked, shouldYield := false, 0, false
 			for now := cut; now < cut+30*time.Second; now += 100 * ms {
 				if now%(300*ms) == 0 {
-					s.RecordOutcome(now-100*ms, Refused)
+					h.RecordOutcome(now-100*ms, Refused)
 				}
 				sibling := min(now-100*ms, c.out)
-				would = would || s.ShouldYield(now, sibling)
-				yes, ask := s.YieldNow(now, sibling)
-				gave = gave || yes
-				if ask && !gave {
+				shouldYield = shouldYield || h.ShouldYield(now, sibling)
+				yield, ask := h.YieldNow(now, sibling)
+				yielded = yielded || yield
+				if ask && !yielded {
 					asked++
 					if now < c.out {
-						s.ConfirmServed(now + 20*ms)
+						h.ConfirmServed(now + 20*ms)
 					}
 				}
 			}
-			if gave != c.want || asked == 0 || asked > 10 || !would {
-				t.Errorf("gave way: %v, want %v; asked %d times, would yield: %v", gave, c.want, asked, would)
+			if yielded != c.want || asked == 0 || asked > 10 || !shouldYield {
+				t.Errorf("yielded: %v, want %v; asked %d times, should yield: %v", yielded, c.want, asked, shouldYield)
 			}
 		})
 	}
 }
 
-// A controller that has nothing to ask for a while is not cut off: only a request that was
-// sent and failed shows that.
-func TestSilenceOfItsOwnIsNotMissing(t *testing.T) {
+// A controller that sends no requests for a while is not cut off: only a failed request shows that.
+func TestNoRequestsAreNotUnreachable(t *testing.T) {
 	var h Health
 	if !h.Unreachable(3 * time.Second) {
-		t.Error("never served, and not missing")
+		t.Error("reachable though never served")
 	}
 	h.RecordOutcome(4*time.Second, Served)
 	if h.Unreachable(20 * time.Second) {
-		t.Error("missing though nothing was asked")
+		t.Error("unreachable though nothing was sent")
 	}
 	h.RecordOutcome(20*time.Second, NoAnswer)
 	if !h.Unreachable(20 * time.Second) {
-		t.Error("not missing after a request that was not answered")
+		t.Error("reachable after a request that was not answered")
 	}
 	h.RecordOutcome(21*time.Second, Busy)
 	if h.Unreachable(22 * time.Second) {
-		t.Error("missing though the service said that it is busy")
+		t.Error("unreachable though the service answered that it is busy")
 	}
 }
