--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -98,25 +98,25 @@
 	fmt.Fprintf(out, "users        %s\n", strings.Join(cl.Addrs(), ","))
 	fmt.Fprintf(out, "operators    %s\ntoken        %s\n", strings.Join(cl.OpsAddrs(), ","), token)
 	users := dev.NewUsers(cl.Addrs(), classes, f.speed, f.seed)
-	arrive, all, stop := f.bounds(c.Context(), len(classes) > 0)
+	arrive, wait, stop := f.bounds(c.Context(), len(classes) > 0)
 	defer stop()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		users.Run(arrive, all)
+		users.Run(arrive, wait)
 		if len(classes) == 0 {
 			<-arrive.Done()
 		}
 	}()
 	f.follow(c, users, ended)
-	n := users.Counts()
+	counts := users.Counts()
 	broken := cl.Depot.Broken()
-	for _, s := range append(n.Losses, broken...) {
+	for _, s := range append(counts.Losses, broken...) {
 		fmt.Fprintln(c.ErrOrStderr(), s)
 	}
 	fmt.Fprintf(out, "jobs: %d accepted, %d done, %d cancelled, %d open, %d refused, %d lost; tasks run twice: %d\n",
-		n.Accepted, n.Done, n.Cancelled, n.Open, n.Refused, n.Lost, len(broken))
-	if n.Lost > 0 || len(broken) > 0 {
+		counts.Accepted, counts.Done, counts.Cancelled, counts.Open, counts.Refused, counts.Lost, len(broken))
+	if counts.Lost > 0 || len(broken) > 0 {
 		return failed(errors.New("jobs were lost, or tasks ran twice"))
 	}
 	return nil
@@ -124,17 +124,17 @@
 
 // bounds are until when jobs arrive, and until when they are waited for: a
 // minute longer, unless interrupted.
-func (f *devFlags) bounds(ctx context.Context, busy bool) (arrive, all context.Context, stop func()) {
+func (f *devFlags) bounds(ctx context.Context, busy bool) (arrive, wait context.Context, stop func()) {
 	if f.length == 0 {
 		return ctx, ctx, func() {}
 	}
-	rest := time.Minute
+	extra := time.Minute
 	if !busy {
-		rest = 0
+		extra = 0
 	}
 	arrive, stop1 := context.WithTimeout(ctx, f.length)
-	all, stop2 := context.WithTimeout(ctx, f.length+rest)
-	return arrive, all, func() { stop1(); stop2() }
+	wait, stop2 := context.WithTimeout(ctx, f.length+extra)
+	return arrive, wait, func() { stop1(); stop2() }
 }
 
 // follow tells how it goes, on a terminal in one line.
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -18,14 +18,14 @@
 	"honeylock/internal/planfile"
 )
 
-// door is how an operator's command reaches the controllers.
-type door struct {
+// operatorFlags is how an operator's command reaches the controllers.
+type operatorFlags struct {
 	addrs         []string
 	tokenFile, ca string
 	asJSON        bool
 }
 
-func (d *door) flags(c *cobra.Command) {
+func (d *operatorFlags) flags(c *cobra.Command) {
 	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "operators' doors of controllers")
 	c.PersistentFlags().StringVar(&d.tokenFile, "token-file", "",
 		"a file that holds your token (default: $HONEYLOCK_TOKEN)")
@@ -34,7 +34,7 @@
 	c.PersistentFlags().BoolVar(&d.asJSON, "json", false, "print JSON")
 }
 
-func (d *door) dial() (*client.Operators, error) {
+func (d *operatorFlags) dial() (*client.Operators, error) {
 	token := os.Getenv("HONEYLOCK_TOKEN")
 	if d.tokenFile != "" {
 		b, err := os.ReadFile(d.tokenFile)
@@ -47,7 +47,7 @@
 }
 
 // get asks a question and shows the answer.
-func get[T any](c *cobra.Command, d *door, path string, show func(io.Writer, *T) error) error {
+func get[T any](c *cobra.Command, d *operatorFlags, path string, show func(io.Writer, *T) error) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 }
 
 // change makes a change and shows its outcome.
-func (d *door) change(c *cobra.Command, path string, body []byte) error {
+func (d *operatorFlags) change(c *cobra.Command, path string, body []byte) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -81,16 +81,17 @@
 }
 
 func drainCommand() *cobra.Command {
-	var d door
+	var d operatorFlags
 	c := &cobra.Command{Use: "drain", Short: "Empty machines by plan, to patch them or give them back"}
 	d.flags(c)
-	about := func(use, short string) *cobra.Command {
+	planAction := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				return d.change(c, "drains/"+url.PathEscape(args[0])+"/"+use, nil)
 			}}
 	}
-	c.AddCommand(checkPlanCommand(), forecastCommand(&d), againCommand(&d), applyCommand(&d), drainStatusCommand(&d),
+	c.AddCommand(checkPlanCommand(), forecastCommand(&d), forecastRestCommand(&d), applyCommand(&d),
+		drainStatusCommand(&d),
 		&cobra.Command{Use: "list", Short: "List the plans", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "drains", showPlans)
@@ -99,9 +100,9 @@
 			Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "budgets", showBudgets)
 			}},
-		about("pause", "Stop a plan: no machine is begun, nothing moves"),
-		about("resume", "Let a paused plan go on"),
-		about("cancel", "End a plan: its machines are wanted again"),
+		planAction("pause", "Stop a plan: no machine is begun, nothing moves"),
+		planAction("resume", "Let a paused plan go on"),
+		planAction("cancel", "End a plan: its machines are wanted again"),
 		&cobra.Command{Use: "patched NAME MACHINE", Short: "Say that a machine of a plan is patched: it is wanted again",
 			Args: cobra.ExactArgs(2),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -141,13 +142,13 @@
 	return b, nil
 }
 
-func applyCommand(d *door) *cobra.Command {
+func applyCommand(d *operatorFlags) *cobra.Command {
 	return planCommand("apply", "Begin a plan", func(c *cobra.Command, plan []byte) error {
 		return d.change(c, "drains", plan)
 	})
 }
 
-func drainStatusCommand(d *door) *cobra.Command {
+func drainStatusCommand(d *operatorFlags) *cobra.Command {
 	var watch bool
 	c := &cobra.Command{Use: "status NAME", Short: "Show how a plan stands, machine by machine", Args: cobra.ExactArgs(1)}
 	c.Flags().BoolVar(&watch, "watch", false, "show it again until the plan has ended; exit code 1 unless it is done")
@@ -162,7 +163,7 @@
 }
 
 // watch follows a plan to its end.
-func (d *door) watch(c *cobra.Command, path string) error {
+func (d *operatorFlags) watch(c *cobra.Command, path string) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -229,8 +230,10 @@
 	}
 	var rows [][]string
 	for _, b := range *bs {
-		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted), bound(float64(b.MaxTasks)),
-			fmt.Sprintf("%g", b.InterruptedCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS), bound(b.MaxLostCPUS), counts(b.By)})
+		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted),
+			bound(float64(b.MaxTasks)),
+			fmt.Sprintf("%g", b.InterruptedCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS), bound(b.MaxLostCPUS),
+			counts(b.By)})
 	}
 	return table(w, []string{"TEAM", "CLASS", "RUNNING", "OUT", "MOST", "OUT CPUS", "MOST", "LOST CPU S", "MOST", "WHY"},
 		rows)
@@ -249,7 +252,7 @@
 }
 
 func auditCommand() *cobra.Command {
-	var d door
+	var d operatorFlags
 	c := &cobra.Command{Use: "audit", Short: "What operators changed"}
 	d.flags(c)
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List the newest changes, made or refused", Args: cobra.NoArgs,
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -11,12 +11,12 @@
 	"honeylock/internal/node"
 )
 
-func forecastCommand(d *door) *cobra.Command {
+func forecastCommand(d *operatorFlags) *cobra.Command {
 	return planCommand("plan", "Forecast a plan: which jobs it would delay, by how long and why; nothing is changed",
 		func(c *cobra.Command, plan []byte) error { return d.forecast(c, "forecasts", plan) })
 }
 
-func againCommand(d *door) *cobra.Command {
+func forecastRestCommand(d *operatorFlags) *cobra.Command {
 	return &cobra.Command{Use: "forecast NAME", Short: "Forecast the rest of a plan that is under way",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -24,17 +24,17 @@
 		}}
 }
 
-func (d *door) forecast(c *cobra.Command, path string, body []byte) error {
+func (d *operatorFlags) forecast(c *cobra.Command, path string, body []byte) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
 	}
 	var r node.ForecastReply
-	told := 0
-	err = o.Ask(c.Context(), path, body, &r, func() bool {
-		if part := int(r.Done * 10); part > told {
-			told = part
-			fmt.Fprintf(c.ErrOrStderr(), "forecasting: %d%%\n", 10*part)
+	reported := 0
+	err = o.Poll(c.Context(), path, body, &r, func() bool {
+		if tenths := int(r.Done * 10); tenths > reported {
+			reported = tenths
+			fmt.Fprintf(c.ErrOrStderr(), "forecasting: %d%%\n", 10*tenths)
 		}
 		return r.Done >= 1
 	})
@@ -47,8 +47,8 @@
 	return showForecast(c.OutOrStdout(), &r)
 }
 
-// spanOf is a span for people: its middle, and its ends where they differ.
-func spanOf(s [3]float64) string {
+// formatRange is a span for people: its middle, and its ends where they differ.
+func formatRange(s [3]float64) string {
 	d := func(v float64) string { return time.Duration(v * float64(time.Second)).Round(time.Second).String() }
 	if d(s[0]) == d(s[2]) {
 		return d(s[1])
@@ -57,7 +57,8 @@
 }
 
 func showForecast(w io.Writer, r *node.ForecastReply) error {
-	fmt.Fprintf(w, "%s  takes %s; %d of %d open jobs would be delayed\n", r.Name, spanOf(r.TookS), len(r.Delayed), r.Jobs)
+	fmt.Fprintf(w, "%s  takes %s; %d of %d open jobs would be delayed\n", r.Name, formatRange(r.TookS), len(r.Delayed),
+		r.Jobs)
 	if r.Unfinished != "" {
 		fmt.Fprintf(w, "it does not end in the time played: %s\n", r.Unfinished)
 	}
@@ -72,7 +73,7 @@
 	}
 	var rows [][]string
 	for _, l := range r.Delayed {
-		rows = append(rows, []string{l.Job, l.Class, spanOf(l.DelayS), spanOf(l.EndS), l.Why, l.MissedLimit})
+		rows = append(rows, []string{l.Job, l.Class, formatRange(l.DelayS), formatRange(l.EndS), l.Why, l.MissedLimit})
 	}
 	return table(w, []string{"JOB", "CLASS", "LATER BY", "ENDS IN", "WHY", "PUSHED PAST"}, rows)
 }
--- a/cmd/honeylock/job.go
+++ b/cmd/honeylock/job.go
@@ -95,11 +95,11 @@
 			if err != nil {
 				return err
 			}
-			st, known, err := u.Submit(c.Context(), body)
+			st, duplicate, err := u.Submit(c.Context(), body)
 			if err != nil {
 				return failed(err)
 			}
-			if known {
+			if duplicate {
 				fmt.Fprintln(c.ErrOrStderr(), "it was accepted before")
 			}
 			return show(c, st)
--- a/cmd/honeylock/member.go
+++ b/cmd/honeylock/member.go
@@ -10,7 +10,7 @@
 )
 
 func memberCommand() *cobra.Command {
-	var d door
+	var d operatorFlags
 	c := &cobra.Command{Use: "member", Short: "The controllers, and which release each speaks"}
 	d.flags(c)
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List the controllers", Args: cobra.NoArgs,
@@ -21,17 +21,17 @@
 func showMembers(w io.Writer, ms *[]node.MemberReply) error {
 	var rows [][]string
 	for _, m := range *ms {
-		state, stands := "-", "away"
+		state, status := "-", "away"
 		if m.StateAgeS >= 0 {
 			state = fmt.Sprintf("%.1fs", m.StateAgeS)
 		}
 		switch {
 		case m.Leading:
-			stands = "leads"
+			status = "leads"
 		case m.Connected:
-			stands = "here"
+			status = "here"
 		}
-		rows = append(rows, []string{m.Host, stands, fmt.Sprint(m.Release), fmt.Sprint(m.Machines), state})
+		rows = append(rows, []string{m.Host, status, fmt.Sprint(m.Release), fmt.Sprint(m.Machines), state})
 	}
 	return table(w, []string{"CONTROLLER", "STANDS", "RELEASE", "MACHINES", "STATE SERVICE AGO"}, rows)
 }
--- a/cmd/honeylock/scale_test.go
+++ b/cmd/honeylock/scale_test.go
@@ -12,12 +12,12 @@
 	"honeylock/internal/scale"
 )
 
-// asCommand has this test's binary run as the command: a scale run starts its processes from
+// runAsCommandEnv has this test's binary run as the command: a scale run starts its processes from
 // the program that it is itself.
-const asCommand = "HONEYLOCK_TEST_AS_COMMAND"
+const runAsCommandEnv = "HONEYLOCK_TEST_AS_COMMAND"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(runAsCommandEnv) != "" {
 		main()
 		return
 	}
@@ -26,7 +26,7 @@
 
 func runScale(t *testing.T, args ...string) (out string, err error) {
 	t.Helper()
-	t.Setenv(asCommand, "1")
+	t.Setenv(runAsCommandEnv, "1")
 	t.Setenv("LOG_LEVEL", "error")
 	var b bytes.Buffer
 	c := command()
@@ -96,10 +96,10 @@
 }
 
 // What can't be asked for is refused with its flag and its range, before anything is started.
-func TestScaleRunRefusesMistakes(t *testing.T) {
+func TestScaleRunRejectsInvalidFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
-		says string
+		want string
 	}{
 		{[]string{"--workers", "0"}, "--workers = 0: must be from 1 to 60000"},
 		{[]string{"--workers", "60000"}, "more than half of this machine's memory"},
@@ -110,7 +110,7 @@
 	} {
 		began := time.Now()
 		out, err := runScale(t, c.args...)
-		if err == nil || !strings.Contains(err.Error(), c.says) {
+		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v\n%s", c.args, err, out)
 		}
 		if errors.As(err, new(failure)) || time.Since(began) > 5*time.Second {
--- a/cmd/honeylock/serve.go
+++ b/cmd/honeylock/serve.go
@@ -66,15 +66,15 @@
 // load reads both files, so that all their mistakes are told at once.
 func (f *files) load() (*config.Platform, *config.Settings, error) {
 	cfg, err := config.Load(f.config)
-	set, serr := config.LoadSettings(f.settings)
+	set, settingsErr := config.LoadSettings(f.settings)
 	var msgs []string
-	for _, e := range []error{err, serr} {
+	for _, e := range []error{err, settingsErr} {
 		if e != nil {
 			msgs = append(msgs, e.Error())
 		}
 	}
 	if len(msgs) == 0 {
-		if err := set.Suits(cfg); err != nil {
+		if err := set.CheckPlatform(cfg); err != nil {
 			msgs = append(msgs, fmt.Sprintf("%s: %v", f.settings, err))
 		}
 	}
@@ -110,11 +110,11 @@
 	go srv.Serve(ctx, cfg.Bind, log)
 	go n.ServePeers(ctx, cfg.PeerListen)
 	if set.Operator != nil {
-		door, err := ops.New(n, set.Operator, log, reg)
+		opsServer, err := ops.New(n, set.Operator, log, reg)
 		if err != nil {
 			return err
 		}
-		go door.Serve(ctx, set.Operator.Listen)
+		go opsServer.Serve(ctx, set.Operator.Listen)
 	}
 	log.Info("starting", "host", cfg.HostName, "zone", cfg.Zone, "version", version)
 	n.Run(ctx)
--- a/cmd/honeylock/serve_test.go
+++ b/cmd/honeylock/serve_test.go
@@ -6,12 +6,12 @@
 )
 
 // An unknown LOG_LEVEL was taken for info without a word.
-func TestUnknownLogLevelIsTold(t *testing.T) {
-	for level, told := range map[string]bool{"": false, "info": false, "error": false, "debug": false,
+func TestUnknownLogLevelIsLogged(t *testing.T) {
+	for level, warned := range map[string]bool{"": false, "info": false, "error": false, "debug": false,
 		"verbose": true} {
 		var out strings.Builder
 		logger(&out, level).Debug("x")
-		if got := strings.Contains(out.String(), "error, info, debug"); got != told {
+		if got := strings.Contains(out.String(), "error, info, debug"); got != warned {
 			t.Errorf("LOG_LEVEL %q: told %v: %q", level, got, out.String())
 		}
 	}
--- a/cmd/honeylock/team.go
+++ b/cmd/honeylock/team.go
@@ -15,7 +15,7 @@
 )
 
 func teamCommand() *cobra.Command {
-	var d door
+	var d operatorFlags
 	c := &cobra.Command{Use: "team", Short: "Teams' limits and guarantees, and what holds each team now"}
 	d.flags(c)
 	c.AddCommand(
@@ -34,7 +34,7 @@
 	return c
 }
 
-func setTeamCommand(d *door) *cobra.Command {
+func setTeamCommand(d *operatorFlags) *cobra.Command {
 	var limit, limitGPUs, guarantee, guaranteeGPUs float64
 	var until string
 	c := &cobra.Command{Use: "set NAME", Args: cobra.ExactArgs(1),
--- a/internal/client/operators.go
+++ b/internal/client/operators.go
@@ -34,9 +34,9 @@
 	if token == "" {
 		return nil, errors.New("no token is given (--token-file or $HONEYLOCK_TOKEN)")
 	}
-	o := &Operators{addrs: addrs, token: token, scheme: "http", http: &http.Client{Timeout: 10 * time.Second}}
+	operators := &Operators{addrs: addrs, token: token, scheme: "http", http: &http.Client{Timeout: 10 * time.Second}}
 	if caFile == "" {
-		return o, nil
+		return operators, nil
 	}
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
@@ -46,51 +46,52 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, fmt.Errorf("--ca: %s holds no certificate", caFile)
 	}
-	o.scheme = "https"
-	o.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
-	return o, nil
+	operators.scheme = "https"
+	operators.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
+	return operators, nil
 }
 
 // Get asks a question.
 func (o *Operators) Get(ctx context.Context, path string, out any) error {
-	return o.insist(ctx, http.MethodGet, path, "", nil, out, nil)
+	return o.retry(ctx, http.MethodGet, path, "", nil, out, nil)
 }
 
 // Change makes a change, once, however often it has to be asked for. told gets
 // why it takes longer.
-func (o *Operators) Change(ctx context.Context, path string, body []byte, out any, told func(string)) error {
-	return o.insist(ctx, http.MethodPost, path, rand.Text(), body, out, told)
+func (o *Operators) Change(ctx context.Context, path string, body []byte, out any, onRetry func(string)) error {
+	return o.retry(ctx, http.MethodPost, path, rand.Text(), body, out, onRetry)
 }
 
-// Ask asks a question that takes a while, under one id until done.
-func (o *Operators) Ask(ctx context.Context, path string, body []byte, out any, done func() bool) error {
+// Poll asks a question that takes a while, under one id until done.
+func (o *Operators) Poll(ctx context.Context, path string, body []byte, out any, done func() bool) error {
 	id := rand.Text()
 	for {
-		if err := o.insist(ctx, http.MethodPost, path, id, body, out, nil); err != nil || done() {
+		if err := o.retry(ctx, http.MethodPost, path, id, body, out, nil); err != nil || done() {
 			return err
 		}
-		if err := pause(ctx, 300*time.Millisecond); err != nil {
+		if err := sleep(ctx, 300*time.Millisecond); err != nil {
 			return err
 		}
 	}
 }
 
-// insist repeats a call under one id until it has a final answer.
-func (o *Operators) insist(ctx context.Context, method, path, id string, body []byte, out any, why func(string)) error {
-	return insist(ctx, func(ctx context.Context) (bool, time.Duration, error) {
-		last, err := o.once(ctx, method, path, id, body, out)
-		if !last {
+// retry repeats a call under one id until it has a final answer.
+func (o *Operators) retry(ctx context.Context, method, path, id string, body []byte, out any,
+	onRetry func(string)) error {
+	return retryUntilFinal(ctx, func(ctx context.Context) (bool, time.Duration, error) {
+		final, err := o.doOnce(ctx, method, path, id, body, out)
+		if !final {
 			o.next++
-			if why != nil {
-				why(err.Error())
+			if onRetry != nil {
+				onRetry(err.Error())
 			}
 		}
-		return last, time.Second, err
+		return final, time.Second, err
 	})
 }
 
-// once makes a call; last tells that its outcome is final.
-func (o *Operators) once(ctx context.Context, method, path, id string, body []byte, out any) (last bool, err error) {
+// doOnce makes a call; last tells that its outcome is final.
+func (o *Operators) doOnce(ctx context.Context, method, path, id string, body []byte, out any) (final bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, o.scheme+"://"+o.addrs[o.next%len(o.addrs)]+"/ops/v1/"+path,
 		bytes.NewReader(body))
 	if err != nil {
@@ -110,9 +111,9 @@
 	case err != nil:
 		return false, err
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		return false, fmt.Errorf("status %d: %s", res.StatusCode, told(b))
+		return false, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
 	case res.StatusCode != http.StatusOK:
-		return true, &Refused{res.StatusCode, told(b)}
+		return true, &Refused{res.StatusCode, errorMessage(b)}
 	}
 	if out == nil {
 		return true, nil
--- a/internal/client/users.go
+++ b/internal/client/users.go
@@ -50,26 +50,26 @@
 func (r *Refused) Error() string { return fmt.Sprintf("refused (%d): %s", r.Status, r.Why) }
 
 const (
-	giveUp   = time.Minute
-	mostWait = 30 * time.Second
+	retryTimeout  = time.Minute
+	maxRetryAfter = 30 * time.Second
 )
 
 // Submit hands a job in, again and again for up to a minute. known tells that it
 // was accepted before.
-func (u *Users) Submit(ctx context.Context, job []byte) (st *wire.JobState, known bool, err error) {
-	status, st, err := u.insist(ctx, http.MethodPost, "/v1/jobs", job)
+func (u *Users) Submit(ctx context.Context, job []byte) (st *wire.JobState, duplicate bool, err error) {
+	status, st, err := u.retry(ctx, http.MethodPost, "/v1/jobs", job)
 	return st, status == http.StatusOK, err
 }
 
 // Withdraw cancels a job.
 func (u *Users) Withdraw(ctx context.Context, id string) (*wire.JobState, error) {
-	_, st, err := u.insist(ctx, http.MethodPost, "/v1/jobs/"+id+"/withdraw", nil)
+	_, st, err := u.retry(ctx, http.MethodPost, "/v1/jobs/"+id+"/withdraw", nil)
 	return st, err
 }
 
 // Status asks for a job's state.
 func (u *Users) Status(ctx context.Context, id string) (*wire.JobState, error) {
-	_, st, err := u.insist(ctx, http.MethodGet, "/v1/jobs/"+id, nil)
+	_, st, err := u.retry(ctx, http.MethodGet, "/v1/jobs/"+id, nil)
 	return st, err
 }
 
@@ -77,29 +77,30 @@
 func Ended(st *wire.JobState) bool { return st.Stage == "done" || st.Stage == "aborted" }
 
 // Wait polls until a job has ended; told gets every state seen.
-func (u *Users) Wait(ctx context.Context, id string, every time.Duration, told func(*wire.JobState)) (*wire.JobState,
+func (u *Users) Wait(ctx context.Context, id string, interval time.Duration,
+	onState func(*wire.JobState)) (*wire.JobState,
 	error) {
 	for {
 		st, err := u.Status(ctx, id)
 		if err != nil {
 			return nil, err
 		}
-		told(st)
+		onState(st)
 		if Ended(st) {
 			return st, nil
 		}
-		if err := pause(ctx, every); err != nil {
+		if err := sleep(ctx, interval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// insist repeats a request until it has a final answer.
-func (u *Users) insist(ctx context.Context, method, path string, body []byte) (status int, st *wire.JobState,
+// retry repeats a request until it has a final answer.
+func (u *Users) retry(ctx context.Context, method, path string, body []byte) (status int, st *wire.JobState,
 	err error) {
-	err = insist(ctx, func(ctx context.Context) (bool, time.Duration, error) {
+	err = retryUntilFinal(ctx, func(ctx context.Context) (bool, time.Duration, error) {
 		var after time.Duration
-		status, st, after, err = u.once(ctx, method, path, body)
+		status, st, after, err = u.doOnce(ctx, method, path, body)
 		var final *Refused
 		if err == nil || errors.As(err, &final) {
 			return true, 0, err
@@ -110,28 +111,29 @@
 	return status, st, err
 }
 
-// insist tries for up to a minute until the answer is final, each time after the
+// retryUntilFinal tries for up to a minute until the answer is final, each time after the
 // pause that the one before told.
-func insist(ctx context.Context, try func(context.Context) (final bool, after time.Duration, err error)) error {
-	ctx, cancel := context.WithTimeout(ctx, giveUp)
+func retryUntilFinal(ctx context.Context, try func(context.Context) (final bool, after time.Duration,
+	err error)) error {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for {
 		final, after, err := try(ctx)
 		if final {
 			return err
 		}
-		if ctx.Err() == nil || last == nil {
-			last = err // not that the time was over
+		if ctx.Err() == nil || lastErr == nil {
+			lastErr = err // not that the time was over
 		}
-		if perr := pause(ctx, after); perr != nil {
-			return fmt.Errorf("no answer: %w", errors.Join(last, perr))
+		if sleepErr := sleep(ctx, after); sleepErr != nil {
+			return fmt.Errorf("no answer: %w", errors.Join(lastErr, sleepErr))
 		}
 	}
 }
 
-// once makes a request. Without a final answer it tells when to come back.
-func (u *Users) once(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
+// doOnce makes a request. Without a final answer it tells when to come back.
+func (u *Users) doOnce(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
 	error) {
 	after := time.Second
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.addrs[u.next%len(u.addrs)]+path, bytes.NewReader(body))
@@ -155,16 +157,16 @@
 		}
 		return res.StatusCode, &st, 0, nil
 	case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
-		return res.StatusCode, nil, 0, &Refused{res.StatusCode, told(b)}
+		return res.StatusCode, nil, 0, &Refused{res.StatusCode, errorMessage(b)}
 	}
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		after = min(max(after, time.Duration(s)*time.Second), mostWait)
+		after = min(max(after, time.Duration(s)*time.Second), maxRetryAfter)
 	}
-	return 0, nil, after, fmt.Errorf("status %d: %s", res.StatusCode, told(b))
+	return 0, nil, after, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
 }
 
-// told is the reason in an answer.
-func told(b []byte) string {
+// errorMessage is the reason in an answer.
+func errorMessage(b []byte) string {
 	var e struct {
 		Error string `json:"error"`
 	}
@@ -174,7 +176,7 @@
 	return string(bytes.TrimSpace(b))
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,20 +23,20 @@
 type Client struct {
 	base    string
 	http    *jsonhttp.Client
-	reqs    *rate.Limiter
+	limiter *rate.Limiter
 	timeout time.Duration
 }
 
 // New returns a client that makes at most rps calls a second.
 func New(addr string, rps float64, timeout time.Duration) *Client {
 	return &Client{base: "http://" + addr, http: jsonhttp.New(4, 0, 2*time.Second),
-		reqs: rate.NewLimiter(rate.Limit(rps), 1), timeout: timeout}
+		limiter: rate.NewLimiter(rate.Limit(rps), 1), timeout: timeout}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	if err := c.reqs.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, nil, fmt.Errorf("rate: %w", err)
 	}
 	return c.http.Do(ctx, method, c.base+path, in, out)
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -23,15 +23,15 @@
 }
 
 const (
-	mostBudgets = 256
-	lossWindow  = 600 // seconds
+	maxBudgets         = 256
+	defaultLossWindowS = 600 // seconds
 )
 
-// budgets checks the budgets of disruption and reports every mistake with its field.
-func budgets(p *settingspb.Disruption) ([]Budget, error) {
+// parseBudgets checks the budgets of disruption and reports every mistake with its field.
+func parseBudgets(p *settingspb.Disruption) ([]Budget, error) {
 	var errs []error
-	if n := len(p.GetBudgets()); n > mostBudgets {
-		errs = append(errs, fmt.Errorf("disruption.budgets: %d given, at most %d", n, mostBudgets))
+	if n := len(p.GetBudgets()); n > maxBudgets {
+		errs = append(errs, fmt.Errorf("disruption.budgets: %d given, at most %d", n, maxBudgets))
 	}
 	out := make([]Budget, 0, len(p.GetBudgets()))
 	seen := map[[2]string]bool{}
@@ -58,16 +58,17 @@
 			return int(num(name, &f, 1, hi))
 		}
 		const above = math.SmallestNonzeroFloat64
-		x := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: whole("tasks", b.Tasks, 1e6),
+		budget := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: whole("tasks", b.Tasks, 1e6),
 			Share: num("share", b.Share, above, 1),
 			CPUs:  num("cpus", b.Cpus, above, 1e6), LostCPUS: num("lost_cpu_s", b.LostCpuS, above, 1e9),
 			Window: Seconds(num("window_s", b.WindowS, 1, 86400)), Moves: whole("moves", b.Moves, 1000),
 			LastPart: num("last_part", b.LastPart, above, 1)}
-		if x.Team == "" {
+		if budget.Team == "" {
 			errs = append(errs, fmt.Errorf("%s: must be given", field("team")))
 		}
-		if key := [2]string{x.Team, x.Class}; seen[key] {
-			errs = append(errs, fmt.Errorf("%s: team %q and class %q have a budget already", field("team"), x.Team, x.Class))
+		if key := [2]string{budget.Team, budget.Class}; seen[key] {
+			errs = append(errs, fmt.Errorf("%s: team %q and class %q have a budget already", field("team"), budget.Team,
+				budget.Class))
 		} else {
 			seen[key] = true
 		}
@@ -75,18 +76,19 @@
 			errs = append(errs, fmt.Errorf("%s: lost_cpu_s is missing", field("window_s")))
 		}
 		if b.WindowS == nil {
-			x.Window = Seconds(lossWindow)
+			budget.Window = Seconds(defaultLossWindowS)
 		}
-		if x.Tasks == 0 && x.Share == 0 && x.CPUs == 0 && x.LostCPUS == 0 && x.Moves == 0 && x.LastPart == 0 {
+		if budget.Tasks == 0 && budget.Share == 0 && budget.CPUs == 0 && budget.LostCPUS == 0 && budget.Moves == 0 &&
+			budget.LastPart == 0 {
 			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: bounds nothing", i))
 		}
-		out = append(out, x)
+		out = append(out, budget)
 	}
 	return out, errors.Join(errs...)
 }
 
-// Suits tells what in the operator's settings the platform's file knows nothing of.
-func (s *Settings) Suits(p *Platform) error {
+// CheckPlatform tells what in the operator's settings the platform's file knows nothing of.
+func (s *Settings) CheckPlatform(p *Platform) error {
 	teams := map[string]bool{}
 	for _, t := range p.Cluster.Teams {
 		teams[t.Name] = true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -107,50 +107,50 @@
 	return &p, nil
 }
 
-// leastMemMB is what the process takes before it serves anybody (some 19 MB), and a little.
-const leastMemMB = 24
+// minMemMB is what the process takes before it serves anybody (some 19 MB), and a little.
+const minMemMB = 24
 
 // Check returns all mistakes in the settings, joined.
 func (p *Platform) Check() error {
 	var errs []error
-	bad := func(field string, v any, want string) {
+	addError := func(field string, v any, want string) {
 		errs = append(errs, fmt.Errorf("%s = %v: %s", field, v, want))
 	}
-	name := func(field, v string) {
+	checkName := func(field, v string) {
 		if v == "" {
-			bad(field, `""`, "must be given")
+			addError(field, `""`, "must be given")
 		}
 	}
-	addr := func(field, v string) {
+	checkAddr := func(field, v string) {
 		if h, _, err := net.SplitHostPort(v); err != nil || net.ParseIP(h) == nil {
-			bad(field, fmt.Sprintf("%q", v), "must be IP:PORT")
+			addError(field, fmt.Sprintf("%q", v), "must be IP:PORT")
 		}
 	}
-	positive := func(field string, v float64) {
+	checkPositive := func(field string, v float64) {
 		if !(v > 0) {
-			bad(field, v, "must be above 0")
+			addError(field, v, "must be above 0")
 		}
 	}
-	name("host_name", p.HostName)
-	addr("bind", p.Bind)
-	addr("peer_listen", p.PeerListen)
-	addr("services.cloud", p.Services.Cloud)
-	addr("services.state", p.Services.State)
+	checkName("host_name", p.HostName)
+	checkAddr("bind", p.Bind)
+	checkAddr("peer_listen", p.PeerListen)
+	checkAddr("services.cloud", p.Services.Cloud)
+	checkAddr("services.state", p.Services.State)
 	seen := map[string]bool{p.HostName: true}
 	for i, s := range p.Siblings {
-		name(fmt.Sprintf("siblings[%d].host_name", i), s.HostName)
-		addr(fmt.Sprintf("siblings[%d].address", i), s.Address)
+		checkName(fmt.Sprintf("siblings[%d].host_name", i), s.HostName)
+		checkAddr(fmt.Sprintf("siblings[%d].address", i), s.Address)
 		if seen[s.HostName] {
-			bad(fmt.Sprintf("siblings[%d].host_name", i), s.HostName, "is there twice")
+			addError(fmt.Sprintf("siblings[%d].host_name", i), s.HostName, "is there twice")
 		}
 		seen[s.HostName] = true
 	}
 	teams := map[string]bool{}
 	for i, t := range p.Cluster.Teams {
 		f := fmt.Sprintf("cluster.teams[%d]", i)
-		name(f+".name", t.Name)
+		checkName(f+".name", t.Name)
 		if teams[t.Name] {
-			bad(f+".name", t.Name, "is there twice")
+			addError(f+".name", t.Name, "is there twice")
 		}
 		teams[t.Name] = true
 		for _, a := range []struct {
@@ -158,41 +158,41 @@
 			v float64
 		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
 			if !(a.v >= 0) {
-				bad(f+"."+a.n, a.v, "must not be negative")
+				addError(f+"."+a.n, a.v, "must not be negative")
 			}
 		}
 	}
 	c := &p.Cluster
-	positive("cluster.workers.report_s", c.Workers.ReportS)
-	positive("cluster.workers.lease_s", c.Workers.LeaseS)
+	checkPositive("cluster.workers.report_s", c.Workers.ReportS)
+	checkPositive("cluster.workers.lease_s", c.Workers.LeaseS)
 	if c.Workers.CancelS <= c.Workers.LeaseS {
-		bad("cluster.workers.cancel_s", c.Workers.CancelS, "must be above lease_s")
+		addError("cluster.workers.cancel_s", c.Workers.CancelS, "must be above lease_s")
 	}
-	positive("cluster.state.rps", c.State.RPS)
-	positive("cluster.state.write_rps", c.State.WriteRPS)
-	positive("cluster.state.value_kb", c.State.ValueKB)
+	checkPositive("cluster.state.rps", c.State.RPS)
+	checkPositive("cluster.state.write_rps", c.State.WriteRPS)
+	checkPositive("cluster.state.value_kb", c.State.ValueKB)
 	if c.State.TxnOps < 4 {
-		bad("cluster.state.txn_ops", c.State.TxnOps, "must be 4 or more")
+		addError("cluster.state.txn_ops", c.State.TxnOps, "must be 4 or more")
 	}
 	next := &c.State.Next
 	if !(next.WriteRPS >= 0) {
-		bad("cluster.state.next.write_rps", next.WriteRPS, "must not be negative")
+		addError("cluster.state.next.write_rps", next.WriteRPS, "must not be negative")
 	}
 	if !(next.ValueKB >= 0) {
-		bad("cluster.state.next.value_kb", next.ValueKB, "must not be negative")
+		addError("cluster.state.next.value_kb", next.ValueKB, "must not be negative")
 	}
 	if next.TxnOps != 0 && next.TxnOps < 4 {
-		bad("cluster.state.next.txn_ops", next.TxnOps, "must be 4 or more")
+		addError("cluster.state.next.txn_ops", next.TxnOps, "must be 4 or more")
 	}
-	positive("cluster.cloud.rps", c.Cloud.RPS)
+	checkPositive("cluster.cloud.rps", c.Cloud.RPS)
 	if !(c.Cloud.ListLagS >= 0) {
-		bad("cluster.cloud.list_lag_s", c.Cloud.ListLagS, "must not be negative")
+		addError("cluster.cloud.list_lag_s", c.Cloud.ListLagS, "must not be negative")
 	}
-	if !(c.Resources.MemMB >= leastMemMB) {
-		bad("cluster.resources.mem_mb", c.Resources.MemMB, fmt.Sprintf("must be %d or more", leastMemMB))
+	if !(c.Resources.MemMB >= minMemMB) {
+		addError("cluster.resources.mem_mb", c.Resources.MemMB, fmt.Sprintf("must be %d or more", minMemMB))
 	}
 	if c.Resources.FDLimit < 64 {
-		bad("cluster.resources.fd_limit", c.Resources.FDLimit, "must be 64 or more")
+		addError("cluster.resources.fd_limit", c.Resources.FDLimit, "must be 64 or more")
 	}
 	return errors.Join(errs...)
 }
@@ -233,8 +233,8 @@
 // cancellation rule bounds it: that time, and then one lease of the workers,
 // must be over within cancel_s.
 func (c *Cluster) StalenessBound() time.Duration {
-	room := Seconds(c.Workers.CancelS) - c.SureLease() - time.Second
-	return max(100*time.Millisecond, min(room*9/10, 30*time.Second))
+	available := Seconds(c.Workers.CancelS) - c.SureLease() - time.Second
+	return max(100*time.Millisecond, min(available*9/10, 30*time.Second))
 }
 
 // LeaderTTL is the length of the leader's lease at the state service: short,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `
+const validSettings = `
 host_name = "hive-0"
 zone = "a"
 bind = "10.0.0.1:8080"
@@ -55,7 +55,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	p, err := load(t, good)
+	p, err := load(t, validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,8 +64,9 @@
 	}
 }
 
-func TestAllMistakesAtOnce(t *testing.T) {
-	s := strings.NewReplacer(`"10.0.0.1:8080"`, `"here"`, "rps = 150.0", "rps = 0", "cancel_s = 40.0", "cancel_s = 9.0").Replace(good)
+func TestReportsAllErrors(t *testing.T) {
+	s := strings.NewReplacer(`"10.0.0.1:8080"`, `"here"`, "rps = 150.0", "rps = 0", "cancel_s = 40.0",
+		"cancel_s = 9.0").Replace(validSettings)
 	_, err := load(t, s)
 	if err == nil {
 		t.Fatal("taken")
@@ -79,8 +80,8 @@
 
 // A platform that gives too little to serve is refused at the start, by field, figure and the
 // least that would do; so is a limit that is no amount, or not there.
-func TestTooLittleToServe(t *testing.T) {
-	for _, c := range []struct{ was, is, want string }{
+func TestRefusesInsufficientResources(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{"mem_mb = 98.0", "mem_mb = 12.0", "cluster.resources.mem_mb = 12: must be 24 or more"},
 		{"mem_mb = 98.0", "mem_mb = 0.0", "cluster.resources.mem_mb = 0: must be 24 or more"},
 		{"mem_mb = 98.0", "mem_mb = -98.0", "cluster.resources.mem_mb = -98: must be 24 or more"},
@@ -92,17 +93,18 @@
 		{"fd_limit = 800", "", "cluster.resources.fd_limit = 0: must be 64 or more"},
 		{"fd_limit = 800", `fd_limit = "many"`, "fd_limit"},
 	} {
-		if _, err := load(t, strings.Replace(good, c.was, c.is, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v does not tell %q", c.is, err, c.want)
+		if _, err := load(t, strings.Replace(validSettings, c.old, c.new, 1)); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: %v does not tell %q", c.new, err, c.want)
 		}
 	}
-	if _, err := load(t, strings.Replace(good, "mem_mb = 98.0", "mem_mb = 24.0", 1)); err != nil {
+	if _, err := load(t, strings.Replace(validSettings, "mem_mb = 98.0", "mem_mb = 24.0", 1)); err != nil {
 		t.Error(err)
 	}
 }
 
 // The cancellation rule: a leader deaf to cancellations, then a worker's lease.
-func TestDeafTimeKeepsTheCancellationRule(t *testing.T) {
+func TestStalenessBoundKeepsCancellationRule(t *testing.T) {
 	for _, c := range [][2]float64{{10, 40}, {42, 67}, {5, 8}, {30, 300}, {10, 12}} {
 		var cl Cluster
 		cl.Workers.LeaseS, cl.Workers.CancelS = c[0], c[1]
@@ -115,9 +117,10 @@
 	}
 }
 
-func TestOperatorsSettings(t *testing.T) {
+func TestOperatorSettings(t *testing.T) {
 	s, err := ParseSettings([]byte("scheduling { sample_size: 3 payback_limit_s: 30 } fleet { idle_return_s: 90 }"))
-	if err != nil || s.SampleSize != 3 || s.PaybackLimit != 30*time.Second || s.IdleReturn != 90*time.Second || s.DealAhead != DefaultSettings().DealAhead {
+	if err != nil || s.SampleSize != 3 || s.PaybackLimit != 30*time.Second || s.IdleReturn != 90*time.Second ||
+		s.DealAhead != DefaultSettings().DealAhead {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }", "fleet { idle_return_s: -1 }", "scheduling {"} {
@@ -127,7 +130,7 @@
 	}
 }
 
-func TestOperatorsDoor(t *testing.T) {
+func TestOperatorEndpoint(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "token")
 	if err := os.WriteFile(file, []byte("a long enough token\n"), 0o600); err != nil {
@@ -161,7 +164,7 @@
 	}
 }
 
-func TestBudgetsOfDisruption(t *testing.T) {
+func TestDisruptionBudgets(t *testing.T) {
 	s, err := ParseSettings([]byte(`disruption {
 		budgets { team: "a" share: 0.1 moves: 2 }
 		budgets { team: "a" class: "c" tasks: 3 lost_cpu_s: 600 }
@@ -172,7 +175,7 @@
 	var p Platform
 	p.Cluster.Teams = []Team{{Name: "b"}}
 	const want = `budgets[0].team: the platform's file has no team "a"`
-	if err := s.Suits(&p); err == nil || !strings.Contains(err.Error(), want) {
+	if err := s.CheckPlatform(&p); err == nil || !strings.Contains(err.Error(), want) {
 		t.Errorf("%v", err)
 	}
 	for in, field := range map[string]string{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -30,43 +30,43 @@
 var accessName = regexp.MustCompile(`^[a-z0-9_-]{1,64}$`)
 
 const (
-	mostAccess = 64
-	leastToken = 16 // bytes: shorter ones can be guessed
+	maxAccess     = 64
+	minTokenBytes = 16 // bytes: shorter ones can be guessed
 )
 
-// operator checks the door's settings and reports every mistake with its field.
-func operator(p *settingspb.Operator) (*Operator, error) {
+// parseOperator checks the door's settings and reports every mistake with its field.
+func parseOperator(p *settingspb.Operator) (*Operator, error) {
 	o := &Operator{Listen: p.GetListen(), CertFile: p.GetTlsCertFile(), KeyFile: p.GetTlsKeyFile()}
 	var errs []error
-	bad := func(field, format string, args ...any) {
+	addError := func(field, format string, args ...any) {
 		errs = append(errs, fmt.Errorf("operator."+field+": "+format, args...))
 	}
 	if h, _, err := net.SplitHostPort(o.Listen); err != nil || net.ParseIP(h) == nil {
-		bad("listen", "%q must be IP:PORT", o.Listen)
+		addError("listen", "%q must be IP:PORT", o.Listen)
 	}
 	if (o.CertFile == "") != (o.KeyFile == "") {
-		bad("tls_cert_file", "a certificate and its key (tls_key_file) must be given together")
+		addError("tls_cert_file", "a certificate and its key (tls_key_file) must be given together")
 	}
-	if n := len(p.GetAccess()); n < 1 || n > mostAccess {
-		bad("access", "%d given, must be 1 to %d", n, mostAccess)
+	if n := len(p.GetAccess()); n < 1 || n > maxAccess {
+		addError("access", "%d given, must be 1 to %d", n, maxAccess)
 	}
 	names, hashes := map[string]bool{}, map[[sha256.Size]byte]bool{}
 	for i, a := range p.GetAccess() {
 		field := func(f string) string { return fmt.Sprintf("access[%d].%s", i, f) }
 		if !accessName.MatchString(a.GetName()) || names[a.GetName()] {
-			bad(field("name"), "%q must be 1 to 64 of a-z, 0-9, - and _, and be there once", a.GetName())
+			addError(field("name"), "%q must be 1 to 64 of a-z, 0-9, - and _, and be there once", a.GetName())
 		}
 		names[a.GetName()] = true
 		if a.GetRole() != "read" && a.GetRole() != "operate" {
-			bad(field("role"), "%q must be read or operate", a.GetRole())
+			addError(field("role"), "%q must be read or operate", a.GetRole())
 		}
-		hash, where, err := tokenHash(a)
+		hash, source, err := tokenHash(a)
 		if err != nil {
-			bad(field(where), "%w", err)
+			addError(field(source), "%w", err)
 			continue
 		}
 		if hashes[hash] {
-			bad(field(where), "the same token is given twice")
+			addError(field(source), "the same token is given twice")
 		}
 		hashes[hash] = true
 		o.Access = append(o.Access, Access{Name: a.GetName(), Hash: hash, Operate: a.GetRole() == "operate"})
@@ -91,8 +91,8 @@
 		return hash, "token_file", err
 	}
 	token := strings.TrimSpace(string(b))
-	if len(token) < leastToken || strings.ContainsAny(token, " \t\r\n") {
-		return hash, "token_file", fmt.Errorf("must hold one token of %d bytes or more", leastToken)
+	if len(token) < minTokenBytes || strings.ContainsAny(token, " \t\r\n") {
+		return hash, "token_file", fmt.Errorf("must hold one token of %d bytes or more", minTokenBytes)
 	}
 	return sha256.Sum256([]byte(token)), "token_file", nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -85,11 +85,11 @@
 	}
 	if p.Operator != nil {
 		var err error
-		s.Operator, err = operator(p.Operator)
+		s.Operator, err = parseOperator(p.Operator)
 		errs = append(errs, err)
 	}
 	var err error
-	s.Budgets, err = budgets(p.GetDisruption())
+	s.Budgets, err = parseBudgets(p.GetDisruption())
 	errs = append(errs, err)
 	return s, errors.Join(errs...)
 }
--- a/internal/config/teamchange.go
+++ b/internal/config/teamchange.go
@@ -16,7 +16,7 @@
 	Until                                              time.Time // zero: until it is unset
 }
 
-const mostCPUs = 1e9
+const maxCPUs = 1e9
 
 // ParseTeamChange parses protobuf text and reports every mistake with its field.
 func ParseTeamChange(b []byte) (*TeamChange, error) {
@@ -33,10 +33,10 @@
 		zero bool
 	}{{"limit_cpus", p.LimitCpus, false}, {"limit_gpus", p.LimitGpus, false}, {"guarantee_cpus", p.GuaranteeCpus, true},
 		{"guarantee_gpus", p.GuaranteeGpus, true}} {
-		if f.v == nil || *f.v > 0 && *f.v <= mostCPUs || f.zero && *f.v == 0 {
+		if f.v == nil || *f.v > 0 && *f.v <= maxCPUs || f.zero && *f.v == 0 {
 			continue
 		}
-		errs = append(errs, fmt.Errorf("%s = %v: must be above 0 (a guarantee may be 0), up to %v", f.name, *f.v, mostCPUs))
+		errs = append(errs, fmt.Errorf("%s = %v: must be above 0 (a guarantee may be 0), up to %v", f.name, *f.v, maxCPUs))
 	}
 	if p.LimitCpus == nil && p.LimitGpus == nil && p.GuaranteeCpus == nil && p.GuaranteeGpus == nil {
 		errs = append(errs, errors.New("limit_cpus, limit_gpus, guarantee_cpus, guarantee_gpus: give at least one"))
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -16,8 +16,8 @@
 // Until serves on an address until the context ends, and tries again where it
 // can't: the service never ends by itself. open gets every new listener; what is
 // for the log, after "not serving".
-func Until(ctx context.Context, srv *http.Server, addr, what string, log *slog.Logger,
-	open func(net.Listener) net.Listener) {
+func Until(ctx context.Context, srv *http.Server, addr, label string, log *slog.Logger,
+	wrap func(net.Listener) net.Listener) {
 	go func() {
 		<-ctx.Done()
 		srv.Close()
@@ -25,10 +25,10 @@
 	for ctx.Err() == nil {
 		l, err := net.Listen("tcp4", addr)
 		if err == nil {
-			err = srv.Serve(open(l))
+			err = srv.Serve(wrap(l))
 		}
 		if ctx.Err() == nil {
-			log.Error("not serving"+what+"; trying again", "addr", addr, "err", err)
+			log.Error("not serving"+label+"; trying again", "addr", addr, "err", err)
 			time.Sleep(time.Second)
 		}
 	}
--- a/internal/ops/guard.go
+++ b/internal/ops/auth.go
@@ -15,18 +15,20 @@
 
 const accessKey = "access"
 
-// guard knows the hashes of the tokens. Wrong ones are taken a few times a second
+// tokenChecker knows the hashes of the tokens. Wrong ones are taken a few times a second
 // only, so that nobody tries many.
-type guard struct {
-	access []config.Access
-	wrong  *rate.Limiter
+type tokenChecker struct {
+	access      []config.Access
+	wrongTokens *rate.Limiter
 }
 
-func newGuard(a []config.Access) *guard { return &guard{a, rate.NewLimiter(5, 20)} }
+func newTokenChecker(a []config.Access) *tokenChecker {
+	return &tokenChecker{a, rate.NewLimiter(5, 20)}
+}
 
-// find returns whose token it is. It compares hashes, all of them, in a time that
+// lookup returns whose token it is. It compares hashes, all of them, in a time that
 // does not depend on what they hold.
-func (g *guard) find(token string) *config.Access {
+func (g *tokenChecker) lookup(token string) *config.Access {
 	hash := sha256.Sum256([]byte(token))
 	var found *config.Access
 	for i := range g.access {
@@ -43,10 +45,10 @@
 		token, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		var a *config.Access
 		if ok {
-			a = s.guard.find(token)
+			a = s.tokens.lookup(token)
 		}
 		switch {
-		case a == nil && !s.guard.wrong.Allow():
+		case a == nil && !s.tokens.wrongTokens.Allow():
 			return s.answer(c, node.CallReply{Status: http.StatusTooManyRequests, Err: "too many wrong tokens"})
 		case a == nil:
 			c.Response().Header().Set("WWW-Authenticate", "Bearer")
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -32,30 +32,30 @@
 	RequestHeader = "Request-Id"
 )
 
-// Operator is what the door opens to.
-type Operator interface {
+// Handler is what the door opens to.
+type Handler interface {
 	Operate(context.Context, node.Call) node.CallReply
 }
 
 // Server is the door.
 type Server struct {
-	op    Operator
-	http  *http.Server
-	cert  *certificate // nil: no TLS
-	guard *guard
-	log   *slog.Logger
-	calls *prometheus.CounterVec
+	handler Handler
+	http    *http.Server
+	cert    *certificate // nil: no TLS
+	tokens  *tokenChecker
+	log     *slog.Logger
+	calls   *prometheus.CounterVec
 }
 
 // New builds the door.
-func New(op Operator, set *config.Operator, log *slog.Logger, reg *prometheus.Registry) (*Server, error) {
-	s := &Server{op: op, log: log, guard: newGuard(set.Access),
+func New(handler Handler, settings *config.Operator, log *slog.Logger, reg *prometheus.Registry) (*Server, error) {
+	s := &Server{handler: handler, log: log, tokens: newTokenChecker(settings.Access),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "honeylock_operator_calls_total",
 			Help: "Operators' calls, by status."}, []string{"status"})}
 	reg.MustRegister(s.calls)
-	if set.CertFile != "" {
+	if settings.CertFile != "" {
 		var err error
-		if s.cert, err = loadCertificate(set.CertFile, set.KeyFile, log); err != nil {
+		if s.cert, err = loadCertificate(settings.CertFile, settings.KeyFile, log); err != nil {
 			return nil, err
 		}
 	}
@@ -129,7 +129,7 @@
 			return s.answer(c, node.CallReply{Status: http.StatusForbidden, Err: a.Name +
 				" may look, but not change anything (role operate)"})
 		}
-		return s.answer(c, s.op.Operate(ctx, node.Call{Verb: verb, Name: c.Param("name"), Machine: c.Param("machine"),
+		return s.answer(c, s.handler.Operate(ctx, node.Call{Verb: verb, Name: c.Param("name"), Machine: c.Param("machine"),
 			Plan: string(b),
 			Who:  a.Name, Request: id}))
 	}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -27,16 +27,16 @@
 	"honeylock/internal/node"
 )
 
-type echoes struct{ calls []node.Call }
+type recordingHandler struct{ calls []node.Call }
 
-func (e *echoes) Operate(_ context.Context, c node.Call) node.CallReply {
+func (e *recordingHandler) Operate(_ context.Context, c node.Call) node.CallReply {
 	e.calls = append(e.calls, c)
 	return node.CallReply{Status: http.StatusOK, Body: []byte(`{}`)}
 }
 
-func door(t *testing.T) (*Server, *echoes) {
+func newTestServer(t *testing.T) (*Server, *recordingHandler) {
 	t.Helper()
-	e := &echoes{}
+	e := &recordingHandler{}
 	s, err := New(e, &config.Operator{Access: []config.Access{{Name: "reader", Hash: sha256.Sum256([]byte("r"))},
 		{Name: "boss", Hash: sha256.Sum256([]byte("o")),
 			Operate: true}}}, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
@@ -46,7 +46,7 @@
 	return s, e
 }
 
-func (s *Server) try(method, path, token string) int {
+func (s *Server) request(method, path, token string) int {
 	r := httptest.NewRequest(method, "/ops/v1/"+path, nil)
 	r.Header.Set("Authorization", "Bearer "+token)
 	w := httptest.NewRecorder()
@@ -56,7 +56,7 @@
 
 // Who may look may also forecast, which changes nothing; who may operate does all.
 func TestRoles(t *testing.T) {
-	s, e := door(t)
+	s, e := newTestServer(t)
 	for _, c := range []struct {
 		method, path, token string
 		want                int
@@ -66,7 +66,7 @@
 		{"POST", "drains", "r", 403}, {"POST", "drains/p/pause", "r", 403}, {"POST", "drains/p/machines/m/patched", "r", 403},
 		{"POST", "drains", "o", 200}, {"POST", "drains/p/cancel", "o", 200}, {"GET", "drains", "o", 200},
 	} {
-		if got := s.try(c.method, c.path, c.token); got != c.want {
+		if got := s.request(c.method, c.path, c.token); got != c.want {
 			t.Errorf("%s %s as %s: %d, want %d", c.method, c.path, c.token, got, c.want)
 		}
 	}
@@ -77,18 +77,18 @@
 }
 
 // Wrong tokens are taken a few times a second only; right ones are not held up.
-func TestGuessingIsSlow(t *testing.T) {
-	s, _ := door(t)
-	slow := 0
+func TestWrongTokensAreRateLimited(t *testing.T) {
+	s, _ := newTestServer(t)
+	limited := 0
 	for range 60 {
-		if s.try("GET", "drains", "guess") == http.StatusTooManyRequests {
-			slow++
+		if s.request("GET", "drains", "guess") == http.StatusTooManyRequests {
+			limited++
 		}
 	}
-	if slow < 30 {
-		t.Errorf("%d of 60 guesses were held back", slow)
+	if limited < 30 {
+		t.Errorf("%d of 60 guesses were held back", limited)
 	}
-	if got := s.try("GET", "drains", "o"); got != http.StatusOK {
+	if got := s.request("GET", "drains", "o"); got != http.StatusOK {
 		t.Errorf("a right token got %d", got)
 	}
 }
@@ -124,7 +124,7 @@
 
 // A certificate that has changed is served without a restart; one that can't be
 // read leaves the old one in force.
-func TestCertificateIsReadAgain(t *testing.T) {
+func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := writeCert(t, dir, 1)
 	c, err := loadCertificate(cert, key, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	serial := func() int64 {
-		c.looked = time.Time{}
+		c.checkedAt = time.Time{}
 		got, err := c.get(&tls.ClientHelloInfo{})
 		if err != nil {
 			t.Fatal(err)
@@ -161,7 +161,7 @@
 // Over TLS a client that knows the authority is served, and nobody in the clear.
 func TestCallsOverTLS(t *testing.T) {
 	cert, key := writeCert(t, t.TempDir(), 1)
-	s, err := New(&echoes{}, &config.Operator{CertFile: cert, KeyFile: key,
+	s, err := New(&recordingHandler{}, &config.Operator{CertFile: cert, KeyFile: key,
 		Access: []config.Access{{Name: "boss", Hash: sha256.Sum256([]byte("o")), Operate: true}}},
 		slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 	if err != nil {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -28,13 +28,16 @@
 }
 
 func (c *Codec) machine(m *model.Machine) *peerpb.Machine {
-	return &peerpb.Machine{Id: uint64(m.ID), Addr: m.Addr, Type: c.names.Types.Name(m.Type), Zone: c.names.Zones.Name(m.Zone),
+	return &peerpb.Machine{Id: uint64(m.ID), Addr: m.Addr, Type: c.names.Types.Name(m.Type),
+		Zone: c.names.Zones.Name(m.Zone),
 		Spot: m.Spot, Cpu: m.Cap.CPU, Gpu: m.Cap.GPU, Mem: m.Cap.Mem, FetchRate: m.FetchRate}
 }
 
 func (c *Codec) fromMachine(m *peerpb.Machine) model.Machine {
-	return model.Machine{ID: model.MachineID(m.GetId()), Addr: m.GetAddr(), Type: c.names.Types.ID(m.GetType()), Zone: c.names.Zones.ID(m.GetZone()),
-		Spot: m.GetSpot(), Cap: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, FetchRate: m.GetFetchRate()}
+	return model.Machine{ID: model.MachineID(m.GetId()), Addr: m.GetAddr(), Type: c.names.Types.ID(m.GetType()),
+		Zone: c.names.Zones.ID(m.GetZone()),
+		Spot: m.GetSpot(), Cap: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()},
+		FetchRate: m.GetFetchRate()}
 }
 
 // Event encodes a shard's event.
@@ -58,9 +61,11 @@
 // FromEvent decodes a shard's event.
 func (c *Codec) FromEvent(p *peerpb.Event) model.Event {
 	t := fromTask(p.GetTask())
-	e := model.Event{Kind: model.EventKind(p.GetKind()), Machine: model.MachineID(p.GetMachine()), Task: t, Attempt: p.GetAttempt(),
-		Status: model.AttemptStatus{Task: t, Attempt: p.GetAttempt(), Stage: model.Stage(p.GetStage()), Cause: model.Cause(p.GetCellCause())},
-		Cause:  model.Cause(p.GetCause()), Token: p.GetToken(), Held: p.GetHeld(),
+	e := model.Event{Kind: model.EventKind(p.GetKind()), Machine: model.MachineID(p.GetMachine()), Task: t,
+		Attempt: p.GetAttempt(),
+		Status: model.AttemptStatus{Task: t, Attempt: p.GetAttempt(), Stage: model.Stage(p.GetStage()),
+			Cause: model.Cause(p.GetCellCause())},
+		Cause: model.Cause(p.GetCause()), Token: p.GetToken(), Held: p.GetHeld(),
 		MessageID: model.MessageID{Session: p.GetSession(), Seq: p.GetSeq()},
 		RunTime:   time.Duration(p.GetRanUs()) * time.Microsecond}
 	for _, o := range p.GetOn() {
@@ -77,12 +82,15 @@
 }
 
 // Status encodes a shard's summary.
-func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.TaskCounts, deals uint64) *peerpb.Up {
-	p := &peerpb.Status{Deals: deals}
+func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.TaskCounts,
+	assignmentsReceived uint64) *peerpb.Up {
+	p := &peerpb.Status{Deals: assignmentsReceived}
 	for i := range ms {
 		m := &ms[i]
-		p.Machines = append(p.Machines, &peerpb.MachineStatus{Id: uint64(m.Machine.ID), Cpu: m.Avail.CPU, Gpu: m.Avail.GPU, Mem: m.Avail.Mem,
-			Ready: m.Ready, Draining: m.Draining, Slots: int32(m.Slots), IdleUs: (now - m.IdleSince).Microseconds(), Bad: m.Faulty})
+		p.Machines = append(p.Machines, &peerpb.MachineStatus{Id: uint64(m.Machine.ID), Cpu: m.Avail.CPU, Gpu: m.Avail.GPU,
+			Mem:   m.Avail.Mem,
+			Ready: m.Ready, Draining: m.Draining, Slots: int32(m.Slots), IdleUs: (now - m.IdleSince).Microseconds(),
+			Bad: m.Faulty})
 	}
 	for id, n := range jobs {
 		p.Jobs = append(p.Jobs, &peerpb.JobStatus{Job: uint64(id), Waiting: int32(n.Waiting), Running: int32(n.Running)})
@@ -91,13 +99,15 @@
 }
 
 // FromStatus decodes a shard's summary; its times become this clock's.
-func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus, map[model.JobID]model.TaskCounts) {
+func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus,
+	map[model.JobID]model.TaskCounts) {
 	ms := make([]model.MachineStatus, 0, len(p.GetMachines()))
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	for _, m := range p.GetMachines() {
 		ms = append(ms, model.MachineStatus{Machine: model.Machine{ID: model.MachineID(m.GetId())},
-			Avail: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, Ready: m.GetReady(), Draining: m.GetDraining(),
-			Slots: int(m.GetSlots()), IdleSince: now - us(m.GetIdleUs()), Faulty: m.GetBad()})
+			Avail: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, Ready: m.GetReady(),
+			Draining: m.GetDraining(),
+			Slots:    int(m.GetSlots()), IdleSince: now - us(m.GetIdleUs()), Faulty: m.GetBad()})
 	}
 	jobs := make(map[model.JobID]model.TaskCounts, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
@@ -107,10 +117,13 @@
 }
 
 func (c *Codec) spec(s *model.Spec) *peerpb.Spec {
-	p := &peerpb.Spec{Job: uint64(s.ID), Class: c.names.Classes.Name(s.Class), Team: c.names.Teams.Name(s.Team), Image: c.names.Images.Name(s.Image),
-		Daemon: s.Daemon, Rank: uint32(s.Rank), Tasks: s.Tasks, Cpu: s.PerTask.CPU, Gpu: s.PerTask.GPU, Mem: s.PerTask.Mem, ImageGb: s.ImageGB,
+	p := &peerpb.Spec{Job: uint64(s.ID), Class: c.names.Classes.Name(s.Class), Team: c.names.Teams.Name(s.Team),
+		Image:  c.names.Images.Name(s.Image),
+		Daemon: s.Daemon, Rank: uint32(s.Rank), Tasks: s.Tasks, Cpu: s.PerTask.CPU, Gpu: s.PerTask.GPU, Mem: s.PerTask.Mem,
+		ImageGb: s.ImageGB,
 		AnyType: s.Types == nil, Together: s.SameZone, Spread: s.Spread, Spot: s.Spot, EstimateUs: s.Estimate.Microseconds(),
-		CheckpointUs: s.CheckpointInterval.Microseconds(), SaveUs: s.CheckpointTime.Microseconds(), DeadlineUs: s.Deadline.Microseconds(),
+		CheckpointUs: s.CheckpointInterval.Microseconds(), SaveUs: s.CheckpointTime.Microseconds(),
+		DeadlineUs:  s.Deadline.Microseconds(),
 		SubmittedMs: s.SubmittedMS, Aimed: !s.BestEffort}
 	for _, t := range s.Types {
 		p.Types = append(p.Types, c.names.Types.Name(t))
@@ -124,12 +137,15 @@
 
 func (c *Codec) fromSpec(p *peerpb.Spec) *model.Spec {
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
-	s := &model.Spec{ID: model.JobID(p.GetJob()), Class: c.names.Classes.ID(p.GetClass()), Team: c.names.Teams.ID(p.GetTeam()), Image: c.names.Images.ID(p.GetImage()),
-		Daemon: p.GetDaemon(), Rank: model.Rank(p.GetRank()), Tasks: p.GetTasks(), PerTask: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
+	s := &model.Spec{ID: model.JobID(p.GetJob()), Class: c.names.Classes.ID(p.GetClass()),
+		Team: c.names.Teams.ID(p.GetTeam()), Image: c.names.Images.ID(p.GetImage()),
+		Daemon: p.GetDaemon(), Rank: model.Rank(p.GetRank()), Tasks: p.GetTasks(),
+		PerTask: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
 		ImageGB: p.GetImageGb(), Zone: model.None, SameZone: p.GetTogether(), Spread: p.GetSpread(), Spot: p.GetSpot(),
-		Estimate: us(p.GetEstimateUs()), CheckpointInterval: us(p.GetCheckpointUs()), CheckpointTime: us(p.GetSaveUs()), Deadline: us(p.GetDeadlineUs()),
+		Estimate: us(p.GetEstimateUs()), CheckpointInterval: us(p.GetCheckpointUs()), CheckpointTime: us(p.GetSaveUs()),
+		Deadline:    us(p.GetDeadlineUs()),
 		SubmittedMS: p.GetSubmittedMs()}
-	s.BestEffort = !p.GetAimed() && c.names.CanWait(s.Class, s.Team)
+	s.BestEffort = !p.GetAimed() && c.names.IsBestEffort(s.Class, s.Team)
 	if !p.GetAnyType() {
 		s.Types = []model.Name{}
 		for _, t := range p.GetTypes() {
@@ -144,24 +160,26 @@
 
 // Order encodes an order.
 func (c *Codec) Order(now time.Duration, o *model.Order) *peerpb.Down {
-	p := &peerpb.Order{Kind: uint32(o.Kind), Token: o.Token, Usable: o.Usable, Id: uint64(o.ID), Task: task(o.Task), Attempt: o.Attempt,
-		Job: uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.RedirectTo,
+	p := &peerpb.Order{Kind: uint32(o.Kind), Token: o.Token, Usable: o.Usable, Id: uint64(o.ID), Task: task(o.Task),
+		Attempt: o.Attempt,
+		Job:     uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.RedirectTo,
 		Aim: uint32(o.Objective), Prove: o.VerifyFirst, Session: o.Session, Seq: o.Seq}
 	switch o.Kind {
 	case model.OwnMachine:
 		p.Machine = c.machine(&o.Machine)
 	case model.AssignTask:
-		d := &o.Assignment
-		p.Task, p.Price, p.Id, p.Attempt = task(d.Task), d.Price, uint64(d.Machine), d.Attempt
-		p.Again, p.Checked = d.Redispatched, d.WithinLimits
-		p.WaitedUs = (now - d.WaitingSince).Microseconds()
-		if d.Zone != model.None {
-			z := c.names.Zones.Name(d.Zone)
+		assignment := &o.Assignment
+		p.Task, p.Price, p.Id, p.Attempt = task(assignment.Task), assignment.Price, uint64(assignment.Machine),
+			assignment.Attempt
+		p.Again, p.Checked = assignment.Redispatched, assignment.WithinLimits
+		p.WaitedUs = (now - assignment.WaitingSince).Microseconds()
+		if assignment.Zone != model.None {
+			z := c.names.Zones.Name(assignment.Zone)
 			p.Zone = &z
 		}
-		if c.specs[d.Task.Job] == nil {
-			c.specs[d.Task.Job] = d.Spec
-			p.Spec = c.spec(d.Spec)
+		if c.specs[assignment.Task.Job] == nil {
+			c.specs[assignment.Task.Job] = assignment.Spec
+			p.Spec = c.spec(assignment.Spec)
 		}
 	case model.EndJob:
 		delete(c.specs, o.Job)
@@ -171,7 +189,8 @@
 
 // FromOrder decodes an order.
 func (c *Codec) FromOrder(now time.Duration, p *peerpb.Order) (model.Order, error) {
-	o := model.Order{Kind: model.OrderKind(p.GetKind()), Token: p.GetToken(), Usable: p.GetUsable(), ID: model.MachineID(p.GetId()),
+	o := model.Order{Kind: model.OrderKind(p.GetKind()), Token: p.GetToken(), Usable: p.GetUsable(),
+		ID:   model.MachineID(p.GetId()),
 		Task: fromTask(p.GetTask()), Attempt: p.GetAttempt(), Job: model.JobID(p.GetJob()),
 		Price: p.GetPrice(), Count: int(p.GetCount()),
 		RedirectTo: p.GetKeeper(), Objective: model.Objective(p.GetAim()), VerifyFirst: p.GetProve(),
@@ -183,21 +202,23 @@
 		if s := p.GetSpec(); s != nil {
 			c.specs[o.Task.Job] = c.fromSpec(s)
 		}
-		sp := c.specs[o.Task.Job]
-		if sp == nil {
+		spec := c.specs[o.Task.Job]
+		if spec == nil {
 			return o, fmt.Errorf("a task of %s came without its job", wire.JobName(o.Task.Job))
 		}
-		o.Assignment = model.Assignment{Task: o.Task, Spec: sp, Price: o.Price, Zone: model.None, Machine: o.ID, Attempt: o.Attempt,
-			Redispatched: p.GetAgain(), WithinLimits: p.GetChecked(), WaitingSince: now - time.Duration(p.GetWaitedUs())*time.Microsecond}
+		o.Assignment = model.Assignment{Task: o.Task, Spec: spec, Price: o.Price, Zone: model.None, Machine: o.ID,
+			Attempt:      o.Attempt,
+			Redispatched: p.GetAgain(), WithinLimits: p.GetChecked(),
+			WaitingSince: now - time.Duration(p.GetWaitedUs())*time.Microsecond}
 		if p.Zone != nil {
 			o.Assignment.Zone = c.names.Zones.ID(p.GetZone())
 		}
 	case model.RepriceJob:
 		// Later deals of the job come without its description.
-		if sp := c.specs[o.Job]; sp != nil && o.Objective != model.ObjectiveUnchanged {
-			again := *sp
-			again.BestEffort = o.Objective == model.NoObjective
-			c.specs[o.Job] = &again
+		if spec := c.specs[o.Job]; spec != nil && o.Objective != model.ObjectiveUnchanged {
+			updated := *spec
+			updated.BestEffort = o.Objective == model.NoObjective
+			c.specs[o.Job] = &updated
 		}
 	case model.EndJob:
 		delete(c.specs, o.Job)
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -14,7 +14,8 @@
 )
 
 func names(shift int) *wire.Names {
-	n := &wire.Names{Teams: wire.NewTable("t"), Types: wire.NewTable(), Zones: wire.NewTable(), Images: wire.NewTable(), Classes: wire.NewTable()}
+	n := &wire.Names{Teams: wire.NewTable("t"), Types: wire.NewTable(), Zones: wire.NewTable(), Images: wire.NewTable(),
+		Classes: wire.NewTable()}
 	for range shift { // other indices than the other side's
 		n.Types.ID("other")
 		n.Zones.ID("elsewhere")
@@ -24,15 +25,19 @@
 }
 
 // Indices are each process's own: names must arrive as the same names.
-func TestOrdersCrossProcessesByName(t *testing.T) {
+func TestOrdersCarryNames(t *testing.T) {
 	a, b := names(0), names(1)
 	from, to := NewCodec(a), NewCodec(b)
-	sp := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"), Rank: model.Urgent, Tasks: 3,
-		PerTask: model.Request(2, 1, 4), Types: []model.Name{a.Types.ID("g8")}, Zone: a.Zones.ID("z"), Spread: true, Spot: true,
-		Estimate: time.Minute, CheckpointInterval: time.Second, CheckpointTime: 2 * time.Second, Deadline: time.Hour, SubmittedMS: 9}
-	deal := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: sp, Price: 300, Zone: sp.Zone, WaitingSince: 10 * time.Second, Machine: 8, Attempt: 99}
+	sp := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"),
+		Rank: model.Urgent, Tasks: 3,
+		PerTask: model.Request(2, 1, 4), Types: []model.Name{a.Types.ID("g8")}, Zone: a.Zones.ID("z"), Spread: true,
+		Spot:     true,
+		Estimate: time.Minute, CheckpointInterval: time.Second, CheckpointTime: 2 * time.Second, Deadline: time.Hour,
+		SubmittedMS: 9}
+	assignment := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: sp, Price: 300, Zone: sp.Zone,
+		WaitingSince: 10 * time.Second, Machine: 8, Attempt: 99}
 	for i := range 2 { // the job travels with its first task only
-		p := from.Order(15*time.Second, &model.Order{Kind: model.AssignTask, Assignment: deal}).GetOrder()
+		p := from.Order(15*time.Second, &model.Order{Kind: model.AssignTask, Assignment: assignment}).GetOrder()
 		if (p.Spec != nil) != (i == 0) {
 			t.Fatalf("deal %d: spec %v", i, p.Spec)
 		}
@@ -40,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := deal
+		want := assignment
 		want.WaitingSince = 95 * time.Second // waits 5 s by either clock
 		ws := *sp
 		ws.Class, ws.Team, ws.Image = b.Classes.ID("c"), b.Teams.ID("t"), b.Images.ID("img")
@@ -52,17 +57,20 @@
 	}
 }
 
-func TestEventsAndStatusCross(t *testing.T) {
+func TestEventsAndStatusRoundTrip(t *testing.T) {
 	a, b := names(0), names(1)
 	task := model.Task{Job: 7, Index: 3}
-	e := model.Event{Kind: model.AttemptFound, Machine: 4, Task: task, Attempt: 1 << 60, Status: model.AttemptStatus{Task: task, Attempt: 1 << 60, Stage: model.Exited, Cause: model.CauseDone},
-		Cause: model.CauseError, Token: 1 << 40, Held: true, Tasks: []model.Task{{Job: 1, Index: 2}},
-		RunTime: 3 * time.Second, Placed: []model.PlacedTask{{Task: task, Stage: model.Saving, RunTime: time.Minute, Stopping: true, Adopted: true}}}
+	e := model.Event{Kind: model.AttemptFound, Machine: 4, Task: task, Attempt: 1 << 60,
+		Status: model.AttemptStatus{Task: task, Attempt: 1 << 60, Stage: model.Exited, Cause: model.CauseDone},
+		Cause:  model.CauseError, Token: 1 << 40, Held: true, Tasks: []model.Task{{Job: 1, Index: 2}},
+		RunTime: 3 * time.Second, Placed: []model.PlacedTask{{Task: task, Stage: model.Saving, RunTime: time.Minute,
+			Stopping: true, Adopted: true}}}
 	got := NewCodec(b).FromEvent(NewCodec(a).Event(&e).GetEvent())
 	if diff := cmp.Diff(e, got); diff != "" {
 		t.Fatal(diff)
 	}
-	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2, IdleSince: 8 * time.Second}}
+	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2,
+		IdleSince: 8 * time.Second}}
 	jobs := map[model.JobID]model.TaskCounts{7: {Waiting: 1, Running: 2}}
 	up := NewCodec(a).Status(10*time.Second, ms, jobs, 5).GetStatus()
 	gotMS, gotJobs := NewCodec(b).FromStatus(20*time.Second, up)
@@ -75,7 +83,7 @@
 	}
 }
 
-func TestQueueKeepsOrderAndBreaksOffWhenFull(t *testing.T) {
+func TestQueueKeepsOrderAndFailsWhenFull(t *testing.T) {
 	q := NewQueue()
 	for i := range uint64(3) {
 		q.Send(&peerpb.Up{Msg: &peerpb.Up_Ask{Ask: &peerpb.Ask{Seq: i}}})
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -32,7 +32,7 @@
 
 const maxMessage = 4 << 20
 
-var errFull = errors.New("the other side does not keep up")
+var errQueueFull = errors.New("the other side does not keep up")
 
 // Queue is the sending side of a stream: Send never blocks, Run writes.
 type Queue struct {
@@ -51,7 +51,7 @@
 	if len(q.msgs) < 20_000 {
 		q.msgs = append(q.msgs, m)
 	} else {
-		q.err = errFull
+		q.err = errQueueFull
 	}
 	q.mu.Unlock()
 	select {
@@ -111,9 +111,11 @@
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	d := net.Dialer{Timeout: time.Second, KeepAlive: 5 * time.Second}
-	return &Dialer{&http.Client{Transport: &http.Transport{DialContext: d.DialContext, Protocols: &p, DisableCompression: true,
+	return &Dialer{&http.Client{Transport: &http.Transport{DialContext: d.DialContext, Protocols: &p,
+		DisableCompression:    true,
 		ResponseHeaderTimeout: 2 * time.Second,
-		HTTP2:                 &http.HTTP2Config{SendPingTimeout: 2 * time.Second, PingTimeout: 2 * time.Second}, IdleConnTimeout: 5 * time.Second}}}
+		HTTP2:                 &http.HTTP2Config{SendPingTimeout: 2 * time.Second, PingTimeout: 2 * time.Second},
+		IdleConnTimeout:       5 * time.Second}}}
 }
 
 // Open opens a stream. It returns once the other side has taken it; what is
@@ -150,7 +152,8 @@
 		return false, false
 	}
 	res.Body.Close()
-	return res.StatusCode == http.StatusConflict, res.StatusCode == http.StatusConflict || res.StatusCode == http.StatusNoContent
+	return res.StatusCode == http.StatusConflict, res.StatusCode == http.StatusConflict ||
+		res.StatusCode == http.StatusNoContent
 }
 
 // Forward passes a request on to a sibling, and decodes what it answers.
--- a/internal/planfile/choose.go
+++ b/internal/planfile/choose.go
@@ -20,29 +20,29 @@
 // Choose returns the machines that a plan means, in its order.
 func Choose(p *planpb.Plan, all []Candidate, n *wire.Names) []model.MachineID {
 	s := p.GetMachines()
-	place := map[string]int{}
+	position := map[string]int{}
 	for i, name := range s.GetNames() {
-		place[name] = i
+		position[name] = i
 	}
 	all = slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool {
-		_, named := place[wire.MachineName(c.Machine.ID)]
-		return len(place) > 0 && !named ||
+		_, named := position[wire.MachineName(c.Machine.ID)]
+		return len(position) > 0 && !named ||
 			len(s.GetTypes()) > 0 && !slices.Contains(s.GetTypes(), n.Types.Name(c.Machine.Type)) ||
 			len(s.GetZones()) > 0 && !slices.Contains(s.GetZones(), n.Zones.Name(c.Machine.Zone)) ||
 			s.GetKind() == planpb.Kind_SPOT && !c.Machine.Spot || s.GetKind() == planpb.Kind_ORDINARY && c.Machine.Spot ||
 			c.Age.Seconds() < s.GetOlderThanS()
 	})
 	slices.SortFunc(all, func(a, b Candidate) int {
-		by := 0
+		order := 0
 		switch p.GetOrder() {
 		case planpb.Order_OLDEST_FIRST:
-			by = cmp.Compare(b.Age, a.Age)
+			order = cmp.Compare(b.Age, a.Age)
 		case planpb.Order_EMPTIEST_FIRST:
-			by = cmp.Compare(b.Free, a.Free)
+			order = cmp.Compare(b.Free, a.Free)
 		default:
-			by = cmp.Compare(place[wire.MachineName(a.Machine.ID)], place[wire.MachineName(b.Machine.ID)])
+			order = cmp.Compare(position[wire.MachineName(a.Machine.ID)], position[wire.MachineName(b.Machine.ID)])
 		}
-		return cmp.Or(by, cmp.Compare(a.Machine.ID, b.Machine.ID))
+		return cmp.Or(order, cmp.Compare(a.Machine.ID, b.Machine.ID))
 	})
 	out := make([]model.MachineID, len(all))
 	for i := range all {
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -48,14 +48,14 @@
 	return &p, check(&p)
 }
 
-type mistakes []error
+type fieldErrors []error
 
-func (m *mistakes) add(field, format string, args ...any) {
+func (m *fieldErrors) add(field, format string, args ...any) {
 	*m = append(*m, fmt.Errorf(field+": "+format, args...))
 }
 
 func check(p *planpb.Plan) error {
-	var m mistakes
+	var m fieldErrors
 	if !planName.MatchString(p.GetName()) {
 		m.add("name", "%q must be 1 to 40 of a-z, 0-9 and -, beginning with a letter", p.GetName())
 	}
@@ -68,9 +68,9 @@
 			m.add(f.name, "%d must be from 1 to %d", *f.v, maxAtOnce)
 		}
 	}
-	enum(&m, "order", int32(p.GetOrder()), planpb.Order_name)
-	enum(&m, "running", int32(p.GetRunning()), planpb.How_name)
-	enum(&m, "after", int32(p.GetAfter()), planpb.After_name)
+	checkEnum(&m, "order", int32(p.GetOrder()), planpb.Order_name)
+	checkEnum(&m, "running", int32(p.GetRunning()), planpb.How_name)
+	checkEnum(&m, "after", int32(p.GetAfter()), planpb.After_name)
 	if !(p.GetFloor() >= 0 && p.GetFloor() <= maxFloor) {
 		m.add("floor", "%v must be from 0 to %d", p.GetFloor(), maxFloor)
 	}
@@ -88,7 +88,7 @@
 	return errors.Join(m...)
 }
 
-func checkWaves(m *mistakes, p *planpb.Plan) {
+func checkWaves(m *fieldErrors, p *planpb.Plan) {
 	if n := len(p.GetWaves()); n > maxWaves {
 		m.add("waves", "%d given, at most %d are taken", n, maxWaves)
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// waves are a plan's waves and its gate in the cores' terms.
-func waves(p *planpb.Plan, s *drain.Spec) {
+// convertWaves are a plan's waves and its gate in the cores' terms.
+func convertWaves(p *planpb.Plan, s *drain.Spec) {
 	for _, w := range p.GetWaves() {
 		s.Waves = append(s.Waves, drain.Wave{Machines: int(w.GetMachines()), Share: w.GetShare(),
 			Soak: wire.Duration(w.GetSoakS())})
@@ -149,19 +149,19 @@
 	}
 }
 
-func enum(m *mistakes, field string, v int32, names map[int32]string) {
+func checkEnum(m *fieldErrors, field string, v int32, names map[int32]string) {
 	if _, ok := names[v]; !ok {
 		m.add(field, "%d has no meaning", v)
 	}
 }
 
-func checkMachines(m *mistakes, s *planpb.Machines) {
-	some := len(s.GetNames())+len(s.GetTypes())+len(s.GetZones()) > 0 || s.GetKind() != planpb.Kind_ANY ||
+func checkMachines(m *fieldErrors, s *planpb.Machines) {
+	hasCriteria := len(s.GetNames())+len(s.GetTypes())+len(s.GetZones()) > 0 || s.GetKind() != planpb.Kind_ANY ||
 		s.GetOlderThanS() > 0
 	switch {
-	case !some && !s.GetAll():
+	case !hasCriteria && !s.GetAll():
 		m.add("machines", "say which: names, types, zones, kind, older_than_s, or all: true")
-	case some && s.GetAll():
+	case hasCriteria && s.GetAll():
 		m.add("machines.all", "must not be given together with others")
 	}
 	seen := map[string]bool{}
@@ -174,13 +174,13 @@
 		}
 		seen[n] = true
 	}
-	enum(m, "machines.kind", int32(s.GetKind()), planpb.Kind_name)
+	checkEnum(m, "machines.kind", int32(s.GetKind()), planpb.Kind_name)
 	if !(s.GetOlderThanS() >= 0 && s.GetOlderThanS() <= 1e9) {
 		m.add("machines.older_than_s", "%v must not be negative", s.GetOlderThanS())
 	}
 }
 
-func checkRules(m *mistakes, rules []*planpb.Rule) {
+func checkRules(m *fieldErrors, rules []*planpb.Rule) {
 	if len(rules) > maxRules {
 		m.add("rules", "%d given, at most %d are taken", len(rules), maxRules)
 	}
@@ -192,11 +192,11 @@
 		if _, ok := wire.Rank(r.GetRank()); !ok && r.GetRank() != "" {
 			m.add(f+".rank", "%q must be idle, standard, urgent or prod", r.GetRank())
 		}
-		enum(m, f+".running", int32(r.GetRunning()), planpb.How_name)
+		checkEnum(m, f+".running", int32(r.GetRunning()), planpb.How_name)
 	}
 }
 
-func checkWindows(m *mistakes, windows []*planpb.Window) {
+func checkWindows(m *fieldErrors, windows []*planpb.Window) {
 	if len(windows) > maxWindows {
 		m.add("windows", "%d given, at most %d are taken", len(windows), maxWindows)
 	}
@@ -205,7 +205,7 @@
 		if w.GetDeadline() == (w.GetNotPast() != "") {
 			m.add(f, "give either not_past or deadline: true")
 		}
-		if _, err := clock(w.GetNotPast()); err != nil && w.GetNotPast() != "" {
+		if _, err := parseClock(w.GetNotPast()); err != nil && w.GetNotPast() != "" {
 			m.add(f+".not_past", "%q must be a time of day, HH:MM", w.GetNotPast())
 		}
 		if _, err := time.LoadLocation(w.GetTimeZone()); err != nil || w.GetTimeZone() == "Local" {
@@ -214,8 +214,8 @@
 	}
 }
 
-// clock parses a time of day.
-func clock(s string) (time.Duration, error) {
+// parseClock parses a time of day.
+func parseClock(s string) (time.Duration, error) {
 	h, min, ok := strings.Cut(s, ":")
 	a, err1 := strconv.ParseUint(h, 10, 8)
 	b, err2 := strconv.ParseUint(min, 10, 8)
@@ -242,9 +242,10 @@
 
 // Spec is the plan in the cores' terms, without its machines.
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
-	s := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()), FreeCapacityFloor: p.GetFloor(),
-		RentFirst: p.GetRentFirst(),
-		Default:   drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
+	s := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
+		FreeCapacityFloor: p.GetFloor(),
+		RentFirst:         p.GetRentFirst(),
+		Default:           drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
 	if p.AtOnce != nil {
 		s.MaxConcurrent = int(*p.AtOnce)
 	}
@@ -262,19 +263,19 @@
 		s.Rules = append(s.Rules, out)
 	}
 	for _, w := range p.GetWindows() {
-		s.Windows = append(s.Windows, window(w, n))
+		s.Windows = append(s.Windows, convertWindow(w, n))
 	}
-	waves(p, s)
+	convertWaves(p, s)
 	return s
 }
 
-func window(w *planpb.Window, n *wire.Names) drain.Window {
+func convertWindow(w *planpb.Window, n *wire.Names) drain.Window {
 	out := drain.Window{Deadline: w.GetDeadline(), Location: time.UTC, Name: "its deadline"}
 	for _, c := range w.GetClasses() {
 		out.Classes = append(out.Classes, n.Classes.ID(c))
 	}
 	if !out.Deadline {
-		out.Clock, _ = clock(w.GetNotPast())                 // it was checked
+		out.Clock, _ = parseClock(w.GetNotPast())            // it was checked
 		out.Location, _ = time.LoadLocation(w.GetTimeZone()) // so was this
 		out.Name = "the window"
 	}
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -19,7 +19,7 @@
 		Images: wire.NewTable(), Classes: wire.NewTable("payslip", "transfer")}
 }
 
-const full = `
+const fullPlan = `
 name: "month-end"
 machines { types: "k8" zones: "east" kind: SPOT older_than_s: 60 }
 at_once: 3  at_once_per_zone: 2  order: OLDEST_FIRST  floor: 0.5
@@ -32,8 +32,8 @@
 rent_first: true  after: PATCH  patch_s: 90
 `
 
-func TestAPlanInTheCoresTerms(t *testing.T) {
-	p, err := Parse([]byte(full))
+func TestPlanToSpec(t *testing.T) {
+	p, err := Parse([]byte(fullPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,8 @@
 		t.Errorf("latest end %v", got.LatestEnd)
 	}
 	got.LatestEnd = time.Time{}
-	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5, Default: drain.MoveSaved, RentFirst: true,
+	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5,
+		Default: drain.MoveSaved, RentFirst: true,
 		After: drain.Patch,
 		Rules: []drain.Rule{{Class: 1, Rank: -1}, {Class: model.None, Rank: int(model.Idle), How: drain.Move}},
 		Windows: []drain.Window{{Classes: []model.Name{1}, Clock: 15 * time.Hour, Location: muscat, Name: "the window"},
@@ -66,7 +67,7 @@
 	}
 }
 
-func TestEveryMistakeIsToldWithItsField(t *testing.T) {
+func TestErrorsNameTheirFields(t *testing.T) {
 	for text, fields := range map[string][]string{
 		``: {"name: ", "machines: say which"},
 		`name: "a" machines { all: true kind: SPOT }`: {"machines.all: "},
@@ -97,7 +98,7 @@
 	}
 }
 
-func TestWhichMachinesInWhichOrder(t *testing.T) {
+func TestChooseMachines(t *testing.T) {
 	at := func(id model.MachineID, typ, zone model.Name, spot bool, age time.Duration, free int64) Candidate {
 		return Candidate{Machine: model.Machine{ID: id, Type: typ, Zone: zone, Spot: spot}, Age: age, Free: free}
 	}
@@ -128,7 +129,7 @@
 }
 
 // The plan that the operators' page shows is one that is taken.
-func TestTheShownPlan(t *testing.T) {
+func TestDeployedPlanParses(t *testing.T) {
 	b, err := os.ReadFile("../../deploy/drain.textproto")
 	if err != nil {
 		t.Fatal(err)
@@ -141,8 +142,8 @@
 // FuzzPlan: whatever is written, it is refused or taken whole: what is stored reads
 // as what was declared, and the text made of it is taken again.
 func FuzzPlan(f *testing.F) {
-	f.Add([]byte(full))
-	f.Add([]byte(twoBrackets))
+	f.Add([]byte(fullPlan))
+	f.Add([]byte(angleBracketPlan))
 	f.Add([]byte(`name: "a" machines { all: true } windows { not_past: "00:00" }`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p, err := Parse(text)
@@ -168,7 +169,7 @@
 	})
 }
 
-const twoBrackets = `name: "a" machines < names: "m-000001" > running: MOVE`
+const angleBracketPlan = `name: "a" machines < names: "m-000001" > running: MOVE`
 
 func TestWaves(t *testing.T) {
 	const head = "name: \"p\" machines { all: true } "
--- a/internal/server/conns.go
+++ b/internal/server/conns.go
@@ -7,90 +7,90 @@
 	"sync"
 )
 
-// conns keeps count of the server's connections. Users and workers come through the same
+// connTracker keeps count of the server's connections. Users and workers come through the same
 // port, and nothing tells them apart until a request arrives. Neither can crowd out the
 // other: a part of the sockets is never the users', and once nearly all are taken the
 // users that have been idle for longest are closed; another part is never the workers',
 // whose connections are closed after each answer while they hold more.
-type conns struct {
-	mu   sync.Mutex
-	full int // from so many connections on idle users are let go
-	most int // users
-	rest int // others: workers, and whoever has not said anything yet
-	open int
-	user map[net.Conn]*list.Element // nil: it carries a request
-	idle *list.List                 // of net.Conn, the longest idle first
+type connTracker struct {
+	mu             sync.Mutex
+	evictThreshold int // from so many connections on idle users are let go
+	maxUsers       int // users
+	maxOthers      int // others: workers, and whoever has not said anything yet
+	open           int
+	users          map[net.Conn]*list.Element // nil: it carries a request
+	idleUsers      *list.List                 // of net.Conn, the longest idle first
 }
 
-func newConns(limit int) *conns {
-	return &conns{
-		full: limit * 9 / 10,
-		most: limit * 6 / 10,
-		rest: limit * 8 / 10,
-		user: map[net.Conn]*list.Element{},
-		idle: list.New(),
+func newConnTracker(limit int) *connTracker {
+	return &connTracker{
+		evictThreshold: limit * 9 / 10,
+		maxUsers:       limit * 6 / 10,
+		maxOthers:      limit * 8 / 10,
+		users:          map[net.Conn]*list.Element{},
+		idleUsers:      list.New(),
 	}
 }
 
-// admit tells whether a connection may carry a user's request.
-func (u *conns) admit(c net.Conn) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if _, ok := u.user[c]; ok {
+// admitUser tells whether a connection may carry a user's request.
+func (t *connTracker) admitUser(c net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, ok := t.users[c]; ok {
 		return true
 	}
-	if len(u.user) >= u.most {
+	if len(t.users) >= t.maxUsers {
 		return false
 	}
-	u.user[c] = nil
+	t.users[c] = nil
 	return true
 }
 
-// keepsWorker tells whether a worker's connection may stay open after its answer. With all
+// mayKeepWorker tells whether a worker's connection may stay open after its answer. With all
 // sockets taken by workers neither a user nor the load balancer's health check gets in, while
 // workers that report each few seconds need none in between.
-func (u *conns) keepsWorker() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.open-len(u.user) <= u.rest
+func (t *connTracker) mayKeepWorker() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open-len(t.users) <= t.maxOthers
 }
 
-// state follows a connection.
-func (u *conns) state(c net.Conn, st http.ConnState) {
-	if out := u.follow(c, st); out != nil {
-		out.Close() // its user opens another when it asks again
+// onStateChange follows a connection.
+func (t *connTracker) onStateChange(c net.Conn, st http.ConnState) {
+	if evicted := t.track(c, st); evicted != nil {
+		evicted.Close() // its user opens another when it asks again
 	}
 }
 
-// follow returns the connection that must go, if any.
-func (u *conns) follow(c net.Conn, st http.ConnState) (out net.Conn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	e, isUser := u.user[c]
+// track returns the connection that must go, if any.
+func (t *connTracker) track(c net.Conn, st http.ConnState) (evicted net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	idleElement, isUser := t.users[c]
 	switch st {
 	case http.StateNew:
-		if u.open++; u.open > u.full && u.idle.Len() > 0 {
-			return u.idle.Front().Value.(net.Conn)
+		if t.open++; t.open > t.evictThreshold && t.idleUsers.Len() > 0 {
+			return t.idleUsers.Front().Value.(net.Conn)
 		}
 	case http.StateActive:
-		if e != nil {
-			u.idle.Remove(e)
-			u.user[c] = nil
+		if idleElement != nil {
+			t.idleUsers.Remove(idleElement)
+			t.users[c] = nil
 		}
 	case http.StateIdle:
-		if isUser && e == nil {
-			u.user[c] = u.idle.PushBack(c)
+		if isUser && idleElement == nil {
+			t.users[c] = t.idleUsers.PushBack(c)
 		}
 	case http.StateClosed, http.StateHijacked:
-		u.open--
-		if e != nil {
-			u.idle.Remove(e)
+		t.open--
+		if idleElement != nil {
+			t.idleUsers.Remove(idleElement)
 		}
-		delete(u.user, c)
+		delete(t.users, c)
 	}
 	return nil
 }
 
-// own is how many of its sockets a controller keeps for what it opens itself: the
+// reservedSockets is how many of its sockets a controller keeps for what it opens itself: the
 // state service, the cloud, siblings, and workers that it tells something directly.
-func own(fdLimit, directs int) int { return min(fdLimit/3, 64+directs) }
+func reservedSockets(fdLimit, directConns int) int { return min(fdLimit/3, 64+directConns) }
--- a/internal/server/conns_test.go
+++ b/internal/server/conns_test.go
@@ -30,7 +30,7 @@
 	go s.Serve(t.Context(), addr, slog.New(slog.DiscardHandler))
 	kept := 0
 	for range 2 * s.limit {
-		if reportsOnce(t, addr) {
+		if sendReport(t, addr) {
 			kept++
 		}
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// reportsOnce sends a worker's report, a malformed one, which is answered all the same. It
+// sendReport sends a worker's report, a malformed one, which is answered all the same. It
 // tells whether the connection may stay open, and leaves its own end so.
-func reportsOnce(t *testing.T, addr string) (kept bool) {
+func sendReport(t *testing.T, addr string) (kept bool) {
 	t.Helper()
 	var c net.Conn
 	var err error
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -36,34 +36,34 @@
 	node  *node.Node
 	http  *http.Server
 	limit int
-	conns *conns
+	conns *connTracker
 	// Apart, so that a storm of polls leaves room for what changes jobs.
-	polls, changes gate
+	polls, changes callLimit
 	shed           *prometheus.CounterVec
-	takes          func(overload.Kind) (ok bool, again time.Duration)
+	admit          func(overload.Kind) (ok bool, again time.Duration)
 }
 
-// gate bounds how many calls of a kind are served at once.
-type gate struct {
-	kind string
-	what overload.Kind
-	most int32
-	now  atomic.Int32
+// callLimit bounds how many calls of a kind are served at once.
+type callLimit struct {
+	kind     string
+	loadKind overload.Kind
+	max      int32
+	current  atomic.Int32
 }
 
-// enter tells whether one more may be served; leave follows in either case.
-func (g *gate) enter() bool { return g.now.Add(1) <= g.most }
-func (g *gate) leave()      { g.now.Add(-1) }
+// acquire tells whether one more may be served; leave follows in either case.
+func (g *callLimit) acquire() bool { return g.current.Add(1) <= g.max }
+func (g *callLimit) release()      { g.current.Add(-1) }
 
 type connKey struct{}
 
 // New builds the door. fdLimit is what the process may open; a part of it is
 // kept for its own connections, and another for workers.
 func New(n *node.Node, fdLimit int, log *slog.Logger, reg *prometheus.Registry) *Server {
-	limit := fdLimit - own(fdLimit, node.MaxDirectConns(fdLimit))
-	s := &Server{node: n, limit: limit, conns: newConns(limit), takes: n.Admit,
-		polls:   gate{kind: "poll", what: overload.Poll, most: maxPolls},
-		changes: gate{kind: "change", what: overload.Change, most: maxChanges},
+	limit := fdLimit - reservedSockets(fdLimit, node.MaxDirectConns(fdLimit))
+	s := &Server{node: n, limit: limit, conns: newConnTracker(limit), admit: n.Admit,
+		polls:   callLimit{kind: "poll", loadKind: overload.Poll, max: maxPolls},
+		changes: callLimit{kind: "change", loadKind: overload.Change, max: maxChanges},
 		shed: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "honeylock_requests_shed_total",
 			Help: "Users' requests refused for overload."}, []string{"kind"})}
 	reg.MustRegister(s.shed)
@@ -83,7 +83,7 @@
 		Handler: e, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10,
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
-		ConnState:   s.conns.state,
+		ConnState:   s.conns.onStateChange,
 	}
 	return s
 }
@@ -97,31 +97,31 @@
 	})
 }
 
-// overloaded is made once: it is told most when there is least time.
-var overloaded = []byte(`{"error":"overloaded"}`)
+// overloadedBody is made once: it is told most when there is least time.
+var overloadedBody = []byte(`{"error":"overloaded"}`)
 
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-func (s *Server) user(g *gate, h echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) user(limit *callLimit, handler echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		conn, _ := c.Request().Context().Value(connKey{}).(net.Conn)
-		over := !g.enter()
-		defer g.leave()
-		crowded := conn != nil && !s.conns.admit(conn)
-		if crowded {
+		limitReached := !limit.acquire()
+		defer limit.release()
+		connRefused := conn != nil && !s.conns.admitUser(conn)
+		if connRefused {
 			c.Response().Header().Set("Connection", "close")
 		}
-		if ok, again := s.takes(g.what); !ok || over || crowded {
-			s.shed.WithLabelValues(g.kind).Inc()
-			c.Response().Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(again.Seconds()))))
-			return c.Blob(http.StatusServiceUnavailable, echo.MIMEApplicationJSON, overloaded)
+		if ok, retryAfter := s.admit(limit.loadKind); !ok || limitReached || connRefused {
+			s.shed.WithLabelValues(limit.kind).Inc()
+			c.Response().Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
+			return c.Blob(http.StatusServiceUnavailable, echo.MIMEApplicationJSON, overloadedBody)
 		}
 		ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout)
 		defer cancel()
 		c.SetRequest(c.Request().WithContext(ctx))
-		return h(c)
+		return handler(c)
 	}
 }
 
@@ -135,12 +135,12 @@
 	return c.JSON(r.Status, errorBody{r.Err})
 }
 
-func body(c echo.Context) ([]byte, error) {
+func readBody(c echo.Context) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBody))
 }
 
 func (s *Server) submit(c echo.Context) error {
-	b, err := body(c)
+	b, err := readBody(c)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{"the body is over 64 KiB or could not be read"})
 	}
@@ -160,10 +160,10 @@
 func (s *Server) withdraw(c echo.Context) error { return s.job(c, s.node.Withdraw) }
 
 func (s *Server) report(c echo.Context) error {
-	if !s.conns.keepsWorker() {
+	if !s.conns.mayKeepWorker() {
 		c.Response().Header().Set("Connection", "close")
 	}
-	b, err := body(c)
+	b, err := readBody(c)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{"the body is over 64 KiB or could not be read"})
 	}
@@ -171,14 +171,14 @@
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{err.Error()})
 	}
-	a, keeper, err := s.node.Report(c.Request().Context(), raw)
+	answer, redirectTo, err := s.node.Report(c.Request().Context(), raw)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{err.Error()})
 	}
-	if !a.OK {
-		return c.JSON(http.StatusMisdirectedRequest, wire.Redirect{Keeper: keeper})
+	if !answer.OK {
+		return c.JSON(http.StatusMisdirectedRequest, wire.Redirect{RedirectTo: redirectTo})
 	}
-	return c.JSON(http.StatusOK, wire.ReportAnswer(a.Token, a.Commands))
+	return c.JSON(http.StatusOK, wire.ReportAnswer(answer.Token, answer.Commands))
 }
 
 func (s *Server) health(c echo.Context) error {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -16,12 +16,12 @@
 
 // Polls many times as often took all the places, and submissions and
 // cancellations were refused with them.
-func TestPollsLeaveRoomForSubmissions(t *testing.T) {
+func TestPollsLeaveCapacityForSubmissions(t *testing.T) {
 	s := New(&node.Node{}, 400, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
-	s.takes = func(overload.Kind) (bool, time.Duration) { return true, time.Second }
+	s.admit = func(overload.Kind) (bool, time.Duration) { return true, time.Second }
 	w := newWaitingPolls(t, s)
 	defer close(w.release)
-	w.begin(maxPolls)
+	w.start(maxPolls)
 	if rec := serve(t, w.poll); rec.Code != http.StatusServiceUnavailable || rec.Header().Get("Retry-After") == "" {
 		t.Errorf("one poll too many: status %d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 	}
@@ -34,16 +34,16 @@
 // Questions wait half a second for the state service, which answers 80 at once. With 48 at the
 // door at a time two of three were turned away at random, by a controller that had time for
 // them: jobs went unanswered for 75 s.
-func TestAComparisonOfTheStateServiceCanBeFull(t *testing.T) {
+func TestPollLimitFillsOneComparison(t *testing.T) {
 	const comparison = 4 * 20 // conditions of a transaction of 20 changes
 	s := New(&node.Node{}, 400, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
-	s.takes = func(overload.Kind) (bool, time.Duration) { return true, time.Second }
+	s.admit = func(overload.Kind) (bool, time.Duration) { return true, time.Second }
 	w := newWaitingPolls(t, s)
 	defer close(w.release)
-	w.begin(comparison)
+	w.start(comparison)
 	go serve(t, w.poll)
 	select {
-	case <-w.waits:
+	case <-w.started:
 	case <-time.After(2 * time.Second):
 		t.Errorf("a question is turned away beside %d that wait", comparison)
 	}
@@ -53,30 +53,30 @@
 type waitingPolls struct {
 	t       *testing.T
 	poll    echo.HandlerFunc
-	waits   chan struct{} // one each
+	started chan struct{} // one each
 	release chan struct{} // closed to let them go
 }
 
 func newWaitingPolls(t *testing.T, s *Server) *waitingPolls {
 	t.Helper()
-	w := &waitingPolls{t: t, waits: make(chan struct{}, 2*maxPolls), release: make(chan struct{})}
+	w := &waitingPolls{t: t, started: make(chan struct{}, 2*maxPolls), release: make(chan struct{})}
 	w.poll = s.user(&s.polls, func(c echo.Context) error {
-		w.waits <- struct{}{}
+		w.started <- struct{}{}
 		<-w.release
 		return c.NoContent(http.StatusOK)
 	})
 	return w
 }
 
-// begin has so many wait.
-func (w *waitingPolls) begin(n int) {
+// start has so many wait.
+func (w *waitingPolls) start(n int) {
 	w.t.Helper()
 	for range n {
 		go serve(w.t, w.poll)
 	}
 	for i := range n {
 		select {
-		case <-w.waits:
+		case <-w.started:
 		case <-time.After(2 * time.Second):
 			w.t.Fatalf("%d of %d questions were let in", i, n)
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -38,26 +38,26 @@
 
 // Client talks to the state service, within its rates.
 type Client struct {
-	base    string
-	http    *jsonhttp.Client
-	first   *jsonhttp.Client // of Authority: nothing else holds it up
-	watches *jsonhttp.Client
-	timeout time.Duration
-	start   time.Time
-	noted   func(sent time.Time, o storehealth.Outcome)
-
-	mu      sync.Mutex
-	invalid uint64 // requests taken for invalid
-	limiter *ratelimit.Limiter
-	due     time.Duration // the limiter is to be stepped then; 0: nothing waits
+	base      string
+	http      *jsonhttp.Client
+	authority *jsonhttp.Client // of Authority: nothing else holds it up
+	watches   *jsonhttp.Client
+	timeout   time.Duration
+	start     time.Time
+	onOutcome func(sent time.Time, o storehealth.Outcome)
+
+	mu       sync.Mutex
+	invalid  uint64 // requests taken for invalid
+	limiter  *ratelimit.Limiter
+	nextStep time.Duration // the limiter is to be stepped then; 0: nothing waits
 }
 
 // New returns a client. noted hears what became of every request.
 func New(addr string, p ratelimit.Params, timeout time.Duration,
-	noted func(sent time.Time, o storehealth.Outcome)) *Client {
+	onOutcome func(sent time.Time, o storehealth.Outcome)) *Client {
 	return &Client{
-		base: "http://" + addr, http: jsonhttp.New(24, 0, 2*time.Second), first: jsonhttp.New(4, 0, 2*time.Second),
-		watches: jsonhttp.New(4, 0, 2*time.Second), timeout: timeout, start: time.Now(), noted: noted,
+		base: "http://" + addr, http: jsonhttp.New(24, 0, 2*time.Second), authority: jsonhttp.New(4, 0, 2*time.Second),
+		watches: jsonhttp.New(4, 0, 2*time.Second), timeout: timeout, start: time.Now(), onOutcome: onOutcome,
 		limiter: ratelimit.New(p),
 	}
 }
@@ -82,11 +82,11 @@
 }
 
 // SetPart takes this controller's part of the service's rate, good for a while.
-func (c *Client) SetPart(p ratelimit.Allocation, good time.Duration) {
+func (c *Client) SetPart(p ratelimit.Allocation, validFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Since(c.start)
-	c.limiter.SetAllocation(now, p, now+good)
+	c.limiter.SetAllocation(now, p, now+validFor)
 	c.step(now)
 }
 
@@ -104,12 +104,12 @@
 	return c.invalid
 }
 
-type patienceKey struct{}
+type timeoutKey struct{}
 
 // Patiently marks a context whose requests are given up after d only: an answer is
 // worth something as long.
 func Patiently(ctx context.Context, d time.Duration) context.Context {
-	return context.WithValue(ctx, patienceKey{}, d)
+	return context.WithValue(ctx, timeoutKey{}, d)
 }
 
 type classKey struct{}
@@ -154,10 +154,10 @@
 // step steps the limiter, and once more when that is due.
 func (c *Client) step(now time.Duration) {
 	next := c.limiter.Step(now)
-	if next == 0 || c.due != 0 && c.due <= next && c.due > now {
+	if next == 0 || c.nextStep != 0 && c.nextStep <= next && c.nextStep > now {
 		return
 	}
-	c.due = next
+	c.nextStep = next
 	time.AfterFunc(next-now, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -167,7 +167,7 @@
 
 func (c *Client) call(ctx context.Context, writes int, method, path string, in, out any) error {
 	status, body, err := c.exchange(ctx, writes, method, path, in, out)
-	return verdict(status, body, err)
+	return statusError(status, body, err)
 }
 
 // exchange asks once the rate lets it, and notes what became of it.
@@ -177,9 +177,9 @@
 	}
 	conns, timeout := c.http, c.timeout
 	if classOf(parent) == ratelimit.Authority {
-		conns = c.first
+		conns = c.authority
 	}
-	if d, ok := parent.Value(patienceKey{}).(time.Duration); ok {
+	if d, ok := parent.Value(timeoutKey{}).(time.Duration); ok {
 		timeout = d
 	}
 	ctx, cancel := context.WithTimeout(parent, timeout)
@@ -187,33 +187,33 @@
 	sent := time.Now()
 	status, body, err := conns.Do(ctx, method, c.base+path, in, out)
 	if !errors.Is(parent.Err(), context.Canceled) { // else its asker has left: that says nothing
-		c.note(sent, status, err)
+		c.recordOutcome(sent, status, err)
 	}
 	return status, body, err
 }
 
-func (c *Client) note(sent time.Time, status int, err error) {
+func (c *Client) recordOutcome(sent time.Time, status int, err error) {
 	switch {
 	case err != nil:
-		c.noted(sent, storehealth.NoAnswer)
+		c.onOutcome(sent, storehealth.NoAnswer)
 	case status == http.StatusBadRequest:
 		c.mu.Lock()
 		c.invalid++
 		c.mu.Unlock()
-		c.noted(sent, storehealth.Served)
+		c.onOutcome(sent, storehealth.Served)
 	case status == http.StatusTooManyRequests:
 		c.mu.Lock()
 		c.limiter.HandleRefusal(time.Since(c.start))
 		c.mu.Unlock()
-		c.noted(sent, storehealth.Busy)
+		c.onOutcome(sent, storehealth.Busy)
 	case status >= 500:
-		c.noted(sent, storehealth.Refused)
+		c.onOutcome(sent, storehealth.Refused)
 	default:
-		c.noted(sent, storehealth.Served)
+		c.onOutcome(sent, storehealth.Served)
 	}
 }
 
-func verdict(status int, body []byte, err error) error {
+func statusError(status int, body []byte, err error) error {
 	switch {
 	case err != nil:
 		return err
@@ -247,9 +247,9 @@
 // List calls f for every key with the prefix, and returns the revision of the
 // first page: a watch from there misses nothing.
 func (c *Client) List(ctx context.Context, prefix string, f func(*wire.Item) error) (uint64, error) {
-	var first uint64
+	var revision uint64
 	from := ""
-	for n := 0; ; n++ {
+	for pages := 0; ; pages++ {
 		q := url.Values{"Starts": {prefix}, "Page": {"200"}}
 		if from != "" {
 			q.Set("From", from)
@@ -258,8 +258,8 @@
 		if err := c.page(ctx, q, &p); err != nil {
 			return 0, err
 		}
-		if n == 0 {
-			first = p.Revision
+		if pages == 0 {
+			revision = p.Revision
 		}
 		for i := range p.Items {
 			if err := f(&p.Items[i]); err != nil {
@@ -268,24 +268,24 @@
 			from = p.Items[i].Key
 		}
 		if !p.More || len(p.Items) == 0 {
-			return first, nil
+			return revision, nil
 		}
 	}
 }
 
-// pageTries is how often a page is asked for: what was read before it is not read
+// maxPageAttempts is how often a page is asked for: what was read before it is not read
 // again because the service was busy.
-const pageTries = 4
+const maxPageAttempts = 4
 
 func (c *Client) page(ctx context.Context, q url.Values, p *wire.Page) (err error) {
-	for try := range pageTries {
+	for attempt := range maxPageAttempts {
 		if err = c.call(ctx, 0, http.MethodGet, "/store?"+q.Encode(), nil, p); !errors.Is(err, ErrRefused) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(time.Duration(try+1) * 150 * time.Millisecond):
+		case <-time.After(time.Duration(attempt+1) * 150 * time.Millisecond):
 		}
 	}
 	return err
@@ -304,10 +304,10 @@
 // don't.
 func (c *Client) Compare(ctx context.Context, guards []wire.Guard) (failed map[string]bool, err error) {
 	status, body, err := c.exchange(ctx, 0, http.MethodPost, "/txn", wire.Txn{Guards: guards}, nil)
-	if err = verdict(status, body, err); !errors.Is(err, ErrConflict) {
+	if err = statusError(status, body, err); !errors.Is(err, ErrConflict) {
 		return nil, err
 	}
-	var f wire.Failed
+	var f wire.FailedGuards
 	if err := json.Unmarshal(body, &f); err != nil || len(f.Keys) == 0 {
 		return nil, fmt.Errorf("state service: unreadable conflict %.200s", body)
 	}
@@ -321,7 +321,8 @@
 // Grant asks for a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var l wire.Lease
-	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &l); err != nil {
+	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()},
+		&l); err != nil {
 		return 0, err
 	}
 	return l.ID, nil
@@ -349,13 +350,14 @@
 	if err := c.admit(As(ctx, ratelimit.Authority), 0); err != nil {
 		return nil, err
 	}
-	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)}, "WaitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)},
+		"WaitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var ev wire.Events
 	status, body, err := c.watches.Do(ctx, http.MethodGet, c.base+"/watch?"+q.Encode(), nil, &ev)
 	if status == http.StatusTooManyRequests {
-		c.note(time.Now(), status, nil)
+		c.recordOutcome(time.Now(), status, nil)
 	}
-	if err := verdict(status, body, err); err != nil {
+	if err := statusError(status, body, err); err != nil {
 		return nil, err
 	}
 	return &ev, nil
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -9,40 +9,40 @@
 
 // The library that reads reports and submissions must take and refuse what the
 // standard one does: what a worker is believed to hold must not hang on it.
-func TestOddReportsReadAsTheStandardDoes(t *testing.T) {
-	cell := `{"Cell":"job-000001/2","Brood":68719476737,"Stage":"running","Cause":"","Saved":false}`
-	whole := `{"Hive":"m-000001","Addr":"a","Flight":3,"Buzz":4,"QueenMark":4294967297,"SmokeS":null,` +
-		`"Cells":[` + cell + `]}`
-	odd := []string{whole, "", " ", "null", "{}", "[]", `"x"`, whole + whole, whole + "x", whole + " \n",
+func TestReportDecodingMatchesStandardLibrary(t *testing.T) {
+	attempt := `{"Cell":"job-000001/2","Brood":68719476737,"Stage":"running","Cause":"","Saved":false}`
+	valid := `{"Hive":"m-000001","Addr":"a","Flight":3,"Buzz":4,"QueenMark":4294967297,"SmokeS":null,` +
+		`"Cells":[` + attempt + `]}`
+	inputs := []string{valid, "", " ", "null", "{}", "[]", `"x"`, valid + valid, valid + "x", valid + " \n",
 		`{"Flight":-1}`,
 		`{"Flight":1.5}`, `{"Flight":1e3}`, `{"Flight":"1"}`, `{"Flight":18446744073709551616}`,
 		`{"Flight":18446744073709551615}`,
 		`{"flight":7}`, `{"FLIGHT":7}`, `{"Flight":7,"Flight":8}`, `{"Cells":null}`, `{"Cells":{}}`, `{"Cells":[null]}`,
-		`{"Cells":[` + cell + `,]}`, `{"Cells":[` + cell, `{"Hive":"\u00e9\ud83d\ude00\n"}`, `{"Hive":"\ud83d"}`,
+		`{"Cells":[` + attempt + `,]}`, `{"Cells":[` + attempt, `{"Hive":"\u00e9\ud83d\ude00\n"}`, `{"Hive":"\ud83d"}`,
 		`{"Hive":"` + "\xff" + `"}`,
 		`{"Hive":"` + "\x01" + `"}`, `{"Hive":'x'}`, `{Hive:"x"}`, `{"Hive":true}`, `{"SwarmBoxes":"true"}`,
 		`{"SmokeS":1e400}`,
 		`{"SmokeS":01}`, `{"SmokeS":.5}`, `{"SmokeS":-0.5e-3}`, `{"SmokeS":NaN}`,
 		`{"Other":{"a":[1,{"b":"}"}]},"Buzz":9}`,
 		`{"Other":[1,2,}`, `{"Buzz":9,}`, `{"Buzz":9`, `{"Buzz" 9}`, "\ufeff{}", `{"Buzz":9}/**/`}
-	for i := range len(whole) {
-		odd = append(odd, whole[:i])
+	for i := range len(valid) {
+		inputs = append(inputs, valid[:i])
 	}
-	for _, s := range odd {
-		var want beat
+	for _, s := range inputs {
+		var want reportJSON
 		wantErr := stdjson.Unmarshal([]byte(s), &want)
 		got, err := ParseReport([]byte(s))
 		if (err == nil) != (wantErr == nil) {
 			t.Errorf("%q: error %v, the standard library says %v", s, err, wantErr)
-		} else if err == nil && !reflect.DeepEqual(got.b, want) {
-			t.Errorf("%q: %+v, the standard library reads %+v", s, got.b, want)
+		} else if err == nil && !reflect.DeepEqual(got.body, want) {
+			t.Errorf("%q: %+v, the standard library reads %+v", s, got.body, want)
 		}
 	}
 }
 
-func TestNamesOfNumbers(t *testing.T) {
+func TestNumberedNames(t *testing.T) {
 	for _, n := range []uint64{0, 1, 9, 10, 99, 100, 12345, 99_999, 100_000, 999_999, 1_000_000, 1<<63 - 1} {
-		s := format("job-", n)
+		s := formatNumbered("job-", n)
 		if want := fmt.Sprintf("job-%06d", n); s != want {
 			t.Errorf("%d: %q, want %q", n, s, want)
 		}
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -47,9 +47,9 @@
 	return t.names[id]
 }
 
-// numbered parses names such as job-000412. A number has one spelling only, so
+// parseNumbered parses names such as job-000412. A number has one spelling only, so
 // that two names never share an index.
-func numbered(prefix, s string) (uint64, error) {
+func parseNumbered(prefix, s string) (uint64, error) {
 	if len(s) < len(prefix)+6 || s[:len(prefix)] != prefix {
 		return 0, fmt.Errorf("%q is not of the form %s000000", s, prefix)
 	}
@@ -61,11 +61,11 @@
 	return n, nil
 }
 
-// format is called for every name that goes out: without fmt, which took a
+// formatNumbered is called for every name that goes out: without fmt, which took a
 // twentieth of a controller's time.
-func format(prefix string, n uint64) string {
+func formatNumbered(prefix string, n uint64) string {
 	b := append(make([]byte, 0, 24), prefix...)
-	for least := uint64(100_000); least > max(n, 1); least /= 10 {
+	for threshold := uint64(100_000); threshold > max(n, 1); threshold /= 10 {
 		b = append(b, '0')
 	}
 	return string(strconv.AppendUint(b, n, 10))
@@ -73,21 +73,21 @@
 
 // ParseJob parses a job's name.
 func ParseJob(s string) (model.JobID, error) {
-	n, err := numbered("job-", s)
+	n, err := parseNumbered("job-", s)
 	return model.JobID(n), err
 }
 
 // JobName is the name of a job.
-func JobName(id model.JobID) string { return format("job-", uint64(id)) }
+func JobName(id model.JobID) string { return formatNumbered("job-", uint64(id)) }
 
 // ParseMachine parses a machine's name.
 func ParseMachine(s string) (model.MachineID, error) {
-	n, err := numbered("m-", s)
+	n, err := parseNumbered("m-", s)
 	return model.MachineID(n), err
 }
 
 // MachineName is the name of a machine.
-func MachineName(id model.MachineID) string { return format("m-", uint64(id)) }
+func MachineName(id model.MachineID) string { return formatNumbered("m-", uint64(id)) }
 
 // Names holds the tables of one process.
 type Names struct {
@@ -99,8 +99,8 @@
 	Guaranteed map[model.Name]bool
 }
 
-// CanWait tells of work that may wait for idle machines: its class has no stated
+// IsBestEffort tells of work that may wait for idle machines: its class has no stated
 // aim, though others have, and its team no guarantee.
-func (n *Names) CanWait(class, team model.Name) bool {
+func (n *Names) IsBestEffort(class, team model.Name) bool {
 	return len(n.Aimed) > 0 && !n.Aimed[class] && !n.Guaranteed[team]
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -29,8 +29,8 @@
 	Then   []Op    `json:"Then,omitempty"`
 }
 
-// Failed is the answer to a transaction of which guards failed.
-type Failed struct {
+// FailedGuards is the answer to a transaction of which guards failed.
+type FailedGuards struct {
 	Keys []string `json:"failed"`
 }
 
@@ -128,7 +128,8 @@
 	}
 	for i := range ms {
 		m := &ms[i]
-		b.Machines = append(b.Machines, StoredMachine{Name: MachineName(m.ID), Addr: m.Addr, Type: index(&b.Types, n.Types.Name(m.Type)),
+		b.Machines = append(b.Machines, StoredMachine{Name: MachineName(m.ID), Addr: m.Addr,
+			Type: index(&b.Types, n.Types.Name(m.Type)),
 			Zone: index(&b.Zones, n.Zones.Name(m.Zone)), Spot: m.Spot})
 	}
 	return b
@@ -145,7 +146,8 @@
 		if s.Type < 0 || s.Type >= len(b.Types) || s.Zone < 0 || s.Zone >= len(b.Zones) {
 			return nil, fmt.Errorf("record of %s: type or zone out of range", s.Name)
 		}
-		out = append(out, model.Machine{ID: id, Addr: s.Addr, Type: n.Types.ID(b.Types[s.Type]), Zone: n.Zones.ID(b.Zones[s.Zone]), Spot: s.Spot})
+		out = append(out, model.Machine{ID: id, Addr: s.Addr, Type: n.Types.ID(b.Types[s.Type]),
+			Zone: n.Zones.ID(b.Zones[s.Zone]), Spot: s.Spot})
 	}
 	return out, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,9 +50,9 @@
 )
 
 // FieldError is a mistake in one field of a submission. Its text is for the user.
-type FieldError struct{ Field, Why string }
+type FieldError struct{ Field, Reason string }
 
-func (e *FieldError) Error() string { return e.Field + " " + e.Why }
+func (e *FieldError) Error() string { return e.Field + " " + e.Reason }
 
 // ParseSubmission reads and checks a submission. Its error is for the user.
 func ParseSubmission(body []byte) (*Submission, error) {
@@ -124,7 +124,7 @@
 			return &FieldError{"Breeds", "holds an invalid name"}
 		}
 	}
-	if err := s.checkAwaits(); err != nil {
+	if err := s.checkDependencies(); err != nil {
 		return err
 	}
 	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxName) {
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// checkAwaits checks the names of the jobs that are awaited, and drops those that are
+// checkDependencies checks the names of the jobs that are awaited, and drops those that are
 // there twice.
-func (s *Submission) checkAwaits() error {
+func (s *Submission) checkDependencies() error {
 	seen := map[string]bool{}
 	for i, name := range s.Awaits {
 		if _, err := ParseJob(name); err != nil {
@@ -170,7 +170,8 @@
 	return out
 }
 
-var ranks = map[string]model.Rank{"idle": model.Idle, "standard": model.Standard, "urgent": model.Urgent, "prod": model.Prod}
+var ranks = map[string]model.Rank{"idle": model.Idle, "standard": model.Standard, "urgent": model.Urgent,
+	"prod": model.Prod}
 
 // Rank is a rank by its name.
 func Rank(s string) (model.Rank, bool) {
@@ -189,7 +190,7 @@
 		Estimate: Duration(*s.EstimateS), CheckpointInterval: Duration(*s.CheckpointS), CheckpointTime: Duration(*s.SaveS),
 		SubmittedMS: s.SubmittedMS,
 	}
-	sp.BestEffort = n.CanWait(sp.Class, sp.Team)
+	sp.BestEffort = n.IsBestEffort(sp.Class, sp.Team)
 	if s.DeadlineS != nil {
 		sp.Deadline = Duration(*s.DeadlineS)
 	}
@@ -215,40 +216,41 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-type cell struct {
-	Cell  string `json:"Cell"`
-	Brood uint64 `json:"Brood"`
-	Stage string `json:"Stage"`
-	Cause string `json:"Cause"`
-	Saved bool   `json:"Saved"`
+type attemptJSON struct {
+	Task    string `json:"Cell"`
+	Attempt uint64 `json:"Brood"`
+	Stage   string `json:"Stage"`
+	Cause   string `json:"Cause"`
+	Saved   bool   `json:"Saved"`
 }
 
-type beat struct {
-	Hive       string   `json:"Hive"`
-	Addr       string   `json:"Addr"`
-	Breed      string   `json:"Breed"`
-	Yard       string   `json:"Yard"`
-	SwarmBoxes bool     `json:"SwarmBoxes"`
-	Flight     uint64   `json:"Flight"`
-	Buzz       uint64   `json:"Buzz"`
-	QueenMark  uint64   `json:"QueenMark"`
-	SmokeS     *float64 `json:"SmokeS"`
-	Cells      []cell   `json:"Cells"`
+type reportJSON struct {
+	Machine           string        `json:"Hive"`
+	Addr              string        `json:"Addr"`
+	Type              string        `json:"Breed"`
+	Zone              string        `json:"Yard"`
+	Spot              bool          `json:"SwarmBoxes"`
+	Session           uint64        `json:"Flight"`
+	Seq               uint64        `json:"Buzz"`
+	Token             uint64        `json:"QueenMark"`
+	PreemptionNoticeS *float64      `json:"SmokeS"`
+	Attempts          []attemptJSON `json:"Cells"`
 }
 
-var stages = map[string]model.Stage{"fetching": model.Fetching, "running": model.Running, "saving": model.Saving, "exited": model.Exited}
+var stages = map[string]model.Stage{"fetching": model.Fetching, "running": model.Running, "saving": model.Saving,
+	"exited": model.Exited}
 
 var causes = map[string]model.Cause{"done": model.CauseDone, "stopped": model.CauseStopped, "error": model.CauseError,
 	"no_room": model.CauseNoCapacity, "busy": model.CauseBusy, "unknown": model.CauseUnknown}
 
 // RawReport is a worker's report before its names are looked up, so that the
 // costly parsing needs no lock.
-type RawReport struct{ b beat }
+type RawReport struct{ body reportJSON }
 
 // ParseReport parses a report's JSON.
 func ParseReport(body []byte) (*RawReport, error) {
 	var r RawReport
-	if err := json.Unmarshal(body, &r.b); err != nil {
+	if err := json.Unmarshal(body, &r.body); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	return &r, nil
@@ -256,24 +258,24 @@
 
 // Report maps the names of a report.
 func (r *RawReport) Report(n *Names) (*model.Report, error) {
-	b := &r.b
-	id, err := ParseMachine(b.Hive)
+	b := &r.body
+	id, err := ParseMachine(b.Machine)
 	if err != nil {
 		return nil, err
 	}
-	if b.Flight == 0 {
+	if b.Session == 0 {
 		return nil, errors.New("report without a session")
 	}
 	out := &model.Report{
-		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Breed), Zone: n.Zones.ID(b.Yard), Spot: b.SwarmBoxes},
-		Session: b.Flight, Seq: b.Buzz, Token: b.QueenMark, PreemptionNotice: -1,
-		Attempts: make([]model.AttemptStatus, 0, len(b.Cells)),
+		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Type), Zone: n.Zones.ID(b.Zone), Spot: b.Spot},
+		Session: b.Session, Seq: b.Seq, Token: b.Token, PreemptionNotice: -1,
+		Attempts: make([]model.AttemptStatus, 0, len(b.Attempts)),
 	}
-	if b.SmokeS != nil {
-		out.PreemptionNotice = Duration(max(0, *b.SmokeS))
+	if b.PreemptionNoticeS != nil {
+		out.PreemptionNotice = Duration(max(0, *b.PreemptionNoticeS))
 	}
-	for _, c := range b.Cells {
-		t, err := parseTask(c.Cell)
+	for _, c := range b.Attempts {
+		t, err := parseTask(c.Task)
 		if err != nil {
 			return nil, err
 		}
@@ -282,49 +284,50 @@
 			// A stage of other days' protocols still occupies the machine.
 			st = model.Running
 		}
-		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Brood, Stage: st, Cause: causes[c.Cause], Saved: c.Saved})
+		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: st,
+			Cause: causes[c.Cause], Saved: c.Saved})
 	}
 	return out, nil
 }
 
 func parseTask(s string) (model.Task, error) {
-	j, no, ok := strings.Cut(s, "/")
+	jobName, indexText, ok := strings.Cut(s, "/")
 	if !ok {
 		return model.Task{}, fmt.Errorf("task %q", s)
 	}
-	id, err := ParseJob(j)
+	id, err := ParseJob(jobName)
 	if err != nil {
 		return model.Task{}, err
 	}
-	k, err := strconv.ParseInt(no, 10, 32)
-	if err != nil || k < 0 {
+	index, err := strconv.ParseInt(indexText, 10, 32)
+	if err != nil || index < 0 {
 		return model.Task{}, fmt.Errorf("task %q", s)
 	}
-	return model.Task{Job: id, Index: int32(k)}, nil
+	return model.Task{Job: id, Index: int32(index)}, nil
 }
 
 // TaskName is the name of a task.
 func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
-type dance struct {
-	Dance   string   `json:"Dance"`
-	Cell    string   `json:"Cell"`
-	Brood   uint64   `json:"Brood"`
-	SettleS *float64 `json:"SettleS,omitempty"`
+type commandJSON struct {
+	Verb    string   `json:"Dance"`
+	Task    string   `json:"Cell"`
+	Attempt uint64   `json:"Brood"`
+	GraceS  *float64 `json:"SettleS,omitempty"`
 }
 
-func dances(cmds []model.Command) []dance {
-	out := make([]dance, 0, len(cmds))
+func encodeCommands(cmds []model.Command) []commandJSON {
+	out := make([]commandJSON, 0, len(cmds))
 	for _, c := range cmds {
-		d := dance{Cell: TaskName(c.Task), Brood: c.Attempt}
+		d := commandJSON{Task: TaskName(c.Task), Attempt: c.Attempt}
 		switch c.Verb {
 		case model.Launch:
-			d.Dance = "launch"
+			d.Verb = "launch"
 		case model.Kill:
 			g := c.Grace.Seconds()
-			d.Dance, d.SettleS = "kill", &g
+			d.Verb, d.GraceS = "kill", &g
 		case model.Clear:
-			d.Dance = "clear"
+			d.Verb = "clear"
 		}
 		out = append(out, d)
 	}
@@ -335,19 +338,19 @@
 func ReportAnswer(token uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark uint64
-		Dances    []dance
-	}{token, dances(cmds)}
+		Dances    []commandJSON
+	}{token, encodeCommands(cmds)}
 }
 
 // Redirect is the body of a 421 to a report.
 type Redirect struct {
-	Keeper string `json:"Keeper,omitempty"`
+	RedirectTo string `json:"Keeper,omitempty"`
 }
 
 // Direct is the body of a direct command.
 func Direct(token, session uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark, Flight uint64
-		Dances            []dance
-	}{token, session, dances(cmds)}
+		Dances            []commandJSON
+	}{token, session, encodeCommands(cmds)}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,11 +18,16 @@
 		t.Fatal(err)
 	}
 	for _, c := range [][2]string{
-		{`"job-000412"`, `"job-412"`}, {`"job-000412"`, `"job-0000412"`}, {`"job-000412"`, `"task-000412"`}, {`"job-000412"`, `null`}, {`"job-000412"`, `7`},
-		{`"batch"`, `"group"`}, {`"urgent"`, `"high"`}, {`"Cells":16`, `"Cells":0`}, {`"Cells":16`, `"Cells":100001`}, {`"Cells":16`, `"Cells":1.5`},
-		{`"Cells":16`, `"Cells":"16"`}, {`"Cpus":8.0`, `"Cpus":0`}, {`"Cpus":8.0`, `"Cpus":-1`}, {`"Cpus":8.0,`, ``}, {`"Accelerators":0`, `"Accelerators":-1`},
-		{`"MemGb":64.0`, `"MemGb":0`}, {`"Wax":"img-07"`, `"Wax":""`}, {`["g8"]`, `[]`}, {`["g8"]`, `[3]`}, {`"Yard":null`, `"Yard":""`},
-		{`"Together":true`, `"Together":null`}, {`"Spread":false`, `"Spread":0`}, {`"ForageS":0`, `"ForageS":-3`}, {`"HarvestS":900.0`, `"HarvestS":0`},
+		{`"job-000412"`, `"job-412"`}, {`"job-000412"`, `"job-0000412"`}, {`"job-000412"`, `"task-000412"`},
+		{`"job-000412"`, `null`}, {`"job-000412"`, `7`},
+		{`"batch"`, `"group"`}, {`"urgent"`, `"high"`}, {`"Cells":16`, `"Cells":0`}, {`"Cells":16`, `"Cells":100001`},
+		{`"Cells":16`, `"Cells":1.5`},
+		{`"Cells":16`, `"Cells":"16"`}, {`"Cpus":8.0`, `"Cpus":0`}, {`"Cpus":8.0`, `"Cpus":-1`}, {`"Cpus":8.0,`, ``},
+		{`"Accelerators":0`, `"Accelerators":-1`},
+		{`"MemGb":64.0`, `"MemGb":0`}, {`"Wax":"img-07"`, `"Wax":""`}, {`["g8"]`, `[]`}, {`["g8"]`, `[3]`},
+		{`"Yard":null`, `"Yard":""`},
+		{`"Together":true`, `"Together":null`}, {`"Spread":false`, `"Spread":0`}, {`"ForageS":0`, `"ForageS":-3`},
+		{`"HarvestS":900.0`, `"HarvestS":0`},
 		{`"CapS":0`, `"CapS":1e300`},
 	} {
 		s := strings.Replace(valid, c[0], c[1], 1)
@@ -40,7 +45,7 @@
 	}
 }
 
-func TestNamesAndNumbersAreOneToOne(t *testing.T) {
+func TestJobNamesRoundTrip(t *testing.T) {
 	for _, s := range []string{"job-000000", "job-000412", "job-999999", "job-1000000", "job-123456789012"} {
 		id, err := ParseJob(s)
 		if err != nil || JobName(id) != s {
@@ -57,16 +62,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Names{Teams: NewTable(), Types: NewTable("x", "g8"), Zones: NewTable("a"), Images: NewTable(), Classes: NewTable()}
+	n := &Names{Teams: NewTable(), Types: NewTable("x", "g8"), Zones: NewTable("a"), Images: NewTable(),
+		Classes: NewTable()}
 	got, err := raw.Report(n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &model.Report{Machine: model.Machine{ID: 231, Addr: "10.1.0.232:9000", Type: 1, Zone: 0, Spot: true}, Session: 1, Seq: 88, Token: 41,
+	want := &model.Report{Machine: model.Machine{ID: 231, Addr: "10.1.0.232:9000", Type: 1, Zone: 0, Spot: true},
+		Session: 1, Seq: 88, Token: 41,
 		PreemptionNotice: 2500e6, Attempts: []model.AttemptStatus{
 			{Task: model.Task{Job: 412, Index: 3}, Attempt: 2, Stage: model.Running},
 			{Task: model.Task{Job: 398}, Attempt: 1, Stage: model.Exited, Cause: model.CauseDone},
-			{Task: model.Task{Job: 398, Index: 1}, Attempt: 1<<64 - 1, Stage: model.Exited, Cause: model.CauseStopped, Saved: true}}}
+			{Task: model.Task{Job: 398, Index: 1}, Attempt: 1<<64 - 1, Stage: model.Exited, Cause: model.CauseStopped,
+				Saved: true}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
@@ -74,17 +82,17 @@
 
 // A day whose only stated aim was for one class made all other classes wait for
 // minutes, those of teams with a guarantee included.
-func TestOnlyGuestsWithoutAnAimCanWait(t *testing.T) {
+func TestBestEffortHasNoObjectiveAndNoGuarantee(t *testing.T) {
 	n := &Names{Aimed: map[model.Name]bool{1: true}, Guaranteed: map[model.Name]bool{1: true}}
 	for _, c := range []struct {
 		class, team model.Name
 		want        bool
 	}{{1, 0, false}, {1, 1, false}, {0, 1, false}, {0, 0, true}} {
-		if got := n.CanWait(c.class, c.team); got != c.want {
+		if got := n.IsBestEffort(c.class, c.team); got != c.want {
 			t.Errorf("class %d of team %d can wait: %v", c.class, c.team, got)
 		}
 	}
-	if (&Names{}).CanWait(0, 0) {
+	if (&Names{}).IsBestEffort(0, 0) {
 		t.Error("no aims at all, yet a class can wait")
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -26,10 +26,12 @@
 
 // Send sends commands and returns the worker's report after them. executed is
 // false if the worker refused them for their token or session (409).
-func (c *Client) Send(ctx context.Context, addr string, token, session uint64, cmds []model.Command) (rep *wire.RawReport, executed bool, err error) {
+func (c *Client) Send(ctx context.Context, addr string, token, session uint64,
+	cmds []model.Command) (rep *wire.RawReport, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	status, body, err := c.http.Do(ctx, http.MethodPost, "http://"+addr+"/commands", wire.Direct(token, session, cmds), nil)
+	status, body, err := c.http.Do(ctx, http.MethodPost, "http://"+addr+"/commands", wire.Direct(token, session, cmds),
+		nil)
 	if err != nil {
 		return nil, false, err
 	}
