--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -1,6 +1,6 @@
-// Package peer carries the dealer's orders and the shards' events between
-// controllers: HTTP/2 streams of length-delimited protobuf messages. Names
-// travel as names and become this process's indices at the door.
+// Package peer carries the leader's orders and the shards' events between controllers
+// over HTTP/2 streams of length-delimited protobuf messages. Messages contain names as
+// strings; the receiver maps them to the indices of its own process.
 package peer
 
 import (
@@ -12,13 +12,14 @@
 	"honeylock/internal/wire"
 )
 
-// Codec maps one stream's messages. It is used under the controller's lock.
+// Codec encodes and decodes the messages of one stream. Its user holds the controller's
+// lock.
 type Codec struct {
 	names *wire.Names
-	specs map[model.JobID]*model.Spec // sent or received on this stream
+	specs map[model.JobID]*model.Spec // job descriptions sent or received on this stream
 }
 
-// NewCodec returns a stream's codec.
+// NewCodec returns the codec of a new stream.
 func NewCodec(n *wire.Names) *Codec { return &Codec{names: n, specs: map[model.JobID]*model.Spec{}} }
 
 func task(t model.Task) *peerpb.Task { return &peerpb.Task{Job: uint64(t.Job), No: t.Index} }
@@ -81,7 +82,7 @@
 	return e
 }
 
-// Status encodes a shard's summary.
+// Status encodes a shard's status.
 func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.TaskCounts,
 	assignmentsReceived uint64) *peerpb.Up {
 	p := &peerpb.Status{Deals: assignmentsReceived}
@@ -98,7 +99,7 @@
 	return &peerpb.Up{Msg: &peerpb.Up_Status{Status: p}}
 }
 
-// FromStatus decodes a shard's summary; its times become this clock's.
+// FromStatus decodes a shard's status. It converts the relative times to the local clock.
 func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus,
 	map[model.JobID]model.TaskCounts) {
 	ms := make([]model.MachineStatus, 0, len(p.GetMachines()))
@@ -158,7 +159,7 @@
 	return s
 }
 
-// Order encodes an order.
+// Order encodes an order. A job's description goes with its first task on the stream only.
 func (c *Codec) Order(now time.Duration, o *model.Order) *peerpb.Down {
 	p := &peerpb.Order{Kind: uint32(o.Kind), Token: o.Token, Usable: o.Usable, Id: uint64(o.ID), Task: task(o.Task),
 		Attempt: o.Attempt,
@@ -187,7 +188,8 @@
 	return &peerpb.Down{Msg: &peerpb.Down_Order{Order: p}}
 }
 
-// FromOrder decodes an order.
+// FromOrder decodes an order. It fails if a task arrives whose job description has not
+// been received on this stream.
 func (c *Codec) FromOrder(now time.Duration, p *peerpb.Order) (model.Order, error) {
 	o := model.Order{Kind: model.OrderKind(p.GetKind()), Token: p.GetToken(), Usable: p.GetUsable(),
 		ID:   model.MachineID(p.GetId()),
@@ -204,7 +206,7 @@
 		}
 		spec := c.specs[o.Task.Job]
 		if spec == nil {
-			return o, fmt.Errorf("a task of %s came without its job", wire.JobName(o.Task.Job))
+			return o, fmt.Errorf("received a task of %s without the job's description", wire.JobName(o.Task.Job))
 		}
 		o.Assignment = model.Assignment{Task: o.Task, Spec: spec, Price: o.Price, Zone: model.None, Machine: o.ID,
 			Attempt:      o.Attempt,
@@ -214,7 +216,8 @@
 			o.Assignment.Zone = c.names.Zones.ID(p.GetZone())
 		}
 	case model.RepriceJob:
-		// Later deals of the job come without its description.
+		// Later assignments of the job come without its description, so the stored one
+		// is replaced by an updated copy.
 		if spec := c.specs[o.Job]; spec != nil && o.Objective != model.ObjectiveUnchanged {
 			updated := *spec
 			updated.BestEffort = o.Objective == model.NoObjective
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -16,7 +16,7 @@
 func names(shift int) *wire.Names {
 	n := &wire.Names{Teams: wire.NewTable("t"), Types: wire.NewTable(), Zones: wire.NewTable(), Images: wire.NewTable(),
 		Classes: wire.NewTable()}
-	for range shift { // other indices than the other side's
+	for range shift { // make the indices differ from those of the other process
 		n.Types.ID("other")
 		n.Zones.ID("elsewhere")
 		n.Images.ID("old")
@@ -24,7 +24,8 @@
 	return n
 }
 
-// Indices are each process's own: names must arrive as the same names.
+// Each process has its own indices, so a name must be decoded to the same name, not to
+// the same index.
 func TestOrdersCarryNames(t *testing.T) {
 	a, b := names(0), names(1)
 	from, to := NewCodec(a), NewCodec(b)
@@ -36,17 +37,17 @@
 		SubmittedMS: 9}
 	assignment := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: sp, Price: 300, Zone: sp.Zone,
 		WaitingSince: 10 * time.Second, Machine: 8, Attempt: 99}
-	for i := range 2 { // the job travels with its first task only
+	for i := range 2 { // the job's description goes with its first task only
 		p := from.Order(15*time.Second, &model.Order{Kind: model.AssignTask, Assignment: assignment}).GetOrder()
 		if (p.Spec != nil) != (i == 0) {
-			t.Fatalf("deal %d: spec %v", i, p.Spec)
+			t.Fatalf("assignment %d: spec %v", i, p.Spec)
 		}
 		got, err := to.FromOrder(100*time.Second, p)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := assignment
-		want.WaitingSince = 95 * time.Second // waits 5 s by either clock
+		want.WaitingSince = 95 * time.Second // it has waited 5 s by either clock
 		ws := *sp
 		ws.Class, ws.Team, ws.Image = b.Classes.ID("c"), b.Teams.ID("t"), b.Images.ID("img")
 		ws.Types, ws.Zone = []model.Name{b.Types.ID("g8")}, b.Zones.ID("z")
@@ -91,7 +92,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var buf bytes.Buffer
 	if err := q.Run(ctx, &buf, func() error { cancel(); return nil }); err == nil {
-		t.Fatal("ended without an error")
+		t.Fatal("Run ended without an error")
 	}
 	r := NewReader(&buf)
 	for i := range uint64(3) {
@@ -105,6 +106,6 @@
 		q.Send(&peerpb.Up{})
 	}
 	if err := q.Run(context.Background(), &buf, nil); err == nil {
-		t.Fatal("a queue without end went on")
+		t.Fatal("Run did not fail on a full queue")
 	}
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -17,24 +17,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Path of the stream that a member opens.
+// Path is the path of the stream that a member opens to the leader.
 const Path = "/peer/shard"
 
-// LeadingPath answers 204 where the controller does not lead.
+// LeadingPath is the path that reports whether a controller leads: it answers 409 if
+// the controller leads and 204 if not.
 const LeadingPath = "/peer/leading"
 
-// UserPath takes users' requests that a controller without the state service
-// passes on.
+// UserPath is the path for users' requests that another controller forwards because it
+// can't reach the state service.
 const UserPath = "/peer/user"
 
-// OpsPath takes operators' calls that a controller passes to the leader.
+// OpsPath is the path for operators' calls that a controller forwards to the leader.
 const OpsPath = "/peer/ops"
 
 const maxMessage = 4 << 20
 
-var errQueueFull = errors.New("the other side does not keep up")
+var errQueueFull = errors.New("send queue is full: the receiver does not keep up")
 
-// Queue is the sending side of a stream: Send never blocks, Run writes.
+// Queue is the sending side of a stream: Send appends and never blocks, Run writes.
 type Queue struct {
 	mu   sync.Mutex
 	msgs []proto.Message
@@ -45,7 +46,7 @@
 // NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{wake: make(chan struct{}, 1)} }
 
-// Send appends a message. A queue that grows without end is broken off.
+// Send appends a message. If the queue is full, it drops the message and Run fails.
 func (q *Queue) Send(m proto.Message) {
 	q.mu.Lock()
 	if len(q.msgs) < 20_000 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// Run writes what is sent until the context ends or writing fails.
+// Run writes queued messages until the context ends or a write fails.
 func (q *Queue) Run(ctx context.Context, w io.Writer, flush func() error) error {
 	bw := bufio.NewWriterSize(w, 16<<10)
 	for {
@@ -95,7 +96,7 @@
 // Reader is the receiving side of a stream.
 type Reader struct{ br *bufio.Reader }
 
-// NewReader reads messages from r.
+// NewReader returns a reader of the messages in r.
 func NewReader(r io.Reader) *Reader { return &Reader{bufio.NewReaderSize(r, 16<<10)} }
 
 // Next reads one message.
@@ -118,8 +119,8 @@
 		IdleConnTimeout:       5 * time.Second}}}
 }
 
-// Open opens a stream. It returns once the other side has taken it; what is
-// written to the pipe goes there, what it says is read from the body.
+// Open opens a stream to a controller. It returns once the other side has accepted the
+// stream: the pipe sends to it, the body receives from it.
 func (d *Dialer) Open(ctx context.Context, addr string) (*io.PipeWriter, io.ReadCloser, error) {
 	pr, pw := io.Pipe()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+Path, pr)
@@ -139,7 +140,7 @@
 	return pw, res.Body, nil
 }
 
-// Leading asks whether a controller leads now; known is false without an answer.
+// Leading asks whether a controller leads now. known is false if it did not answer.
 func (d *Dialer) Leading(ctx context.Context, addr string) (leads, known bool) {
 	ctx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
@@ -156,7 +157,7 @@
 		res.StatusCode == http.StatusNoContent
 }
 
-// Forward passes a request on to a sibling, and decodes what it answers.
+// Forward sends a request to another controller and decodes its answer into reply.
 func (d *Dialer) Forward(ctx context.Context, addr, path string, request, reply any) error {
 	b, err := json.Marshal(request)
 	if err != nil {
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// NewServer serves the streams of other controllers.
+// NewServer returns a server for the streams and requests of other controllers.
 func NewServer(h http.Handler) *http.Server {
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,40 +19,43 @@
 	"honeylock/internal/wire"
 )
 
-// Errors that tell what became of a request.
+// Errors by which callers tell the outcomes of a request apart.
 var (
-	// ErrRefused: surely not executed (429, 503).
-	ErrRefused = errors.New("state service refused")
-	// ErrBusy: not executed, for the service's rate or this controller's part of it.
-	ErrBusy = fmt.Errorf("%w: over its rate", ErrRefused)
-	// ErrConflict: a guard of the transaction failed.
+	// ErrRefused means that the request was certainly not executed (429, 503).
+	ErrRefused = errors.New("state service refused the request")
+	// ErrBusy means that the request was not executed because it exceeds the service's
+	// rate or this controller's share of it.
+	ErrBusy = fmt.Errorf("%w: rate limit exceeded", ErrRefused)
+	// ErrConflict means that a guard of the transaction failed.
 	ErrConflict = errors.New("a guard failed")
-	// ErrNotFound: no such key or lease.
+	// ErrNotFound means that there is no such key or lease.
 	ErrNotFound = errors.New("not found")
-	// ErrInvalid: the request itself was refused (400): what it holds is too large, most
-	// likely, and it would be again.
-	ErrInvalid = errors.New("state service took the request for invalid")
-	// ErrCompacted: the watch's revision is too old.
+	// ErrInvalid means that the service rejected the request itself (400), most likely
+	// because it is too large. Repeating it does not help.
+	ErrInvalid = errors.New("state service rejected the request as invalid")
+	// ErrCompacted means that the service no longer has the revision from which a
+	// watch should start.
 	ErrCompacted = errors.New("revision too old")
 )
 
-// Client talks to the state service, within its rates.
+// Client sends requests to the state service within its rate limits. It is safe for
+// concurrent use.
 type Client struct {
 	base      string
 	http      *jsonhttp.Client
-	authority *jsonhttp.Client // of Authority: nothing else holds it up
+	authority *jsonhttp.Client // for requests of class Authority, so that others never delay them
 	watches   *jsonhttp.Client
 	timeout   time.Duration
 	start     time.Time
 	onOutcome func(sent time.Time, o storehealth.Outcome)
 
 	mu       sync.Mutex
-	invalid  uint64 // requests taken for invalid
+	invalid  uint64 // requests that the service rejected as invalid
 	limiter  *ratelimit.Limiter
-	nextStep time.Duration // the limiter is to be stepped then; 0: nothing waits
+	nextStep time.Duration // when to step the limiter next; 0: no request waits
 }
 
-// New returns a client. noted hears what became of every request.
+// New returns a client. It calls onOutcome with the outcome of every request that was sent.
 func New(addr string, p ratelimit.Params, timeout time.Duration,
 	onOutcome func(sent time.Time, o storehealth.Outcome)) *Client {
 	return &Client{
@@ -62,8 +65,9 @@
 	}
 }
 
-// Stats are the client's share of the service's rate, and its counts of requests
-// that were shed here for lack of it, and refused by the service for its rate.
+// Stats returns the client's share of the service's rate, the number of requests that it
+// shed because the share was used up, and the number that the service refused as over
+// its rate.
 func (c *Client) Stats() (share float64, shed, busy uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,15 +77,15 @@
 	return c.limiter.Share(), shed, c.limiter.ServiceRefusals
 }
 
-// Writes is the service's rate of changes as far as is known, and whether that is the
-// one that was announced.
+// Writes returns the service's write rate limit as far as it is known, and whether that
+// is the announced lower limit.
 func (c *Client) Writes() (perSecond float64, lowered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.WriteRate()
 }
 
-// SetPart takes this controller's part of the service's rate, good for a while.
+// SetPart sets this controller's allocation of the service's rate, valid for validFor.
 func (c *Client) SetPart(p ratelimit.Allocation, validFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,14 +94,14 @@
 	c.step(now)
 }
 
-// Needs are what was asked for lately, as parts of the service's rate.
+// Needs returns the recent demand, as shares of the service's rate.
 func (c *Client) Needs() ratelimit.Allocation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.Demand(time.Since(c.start))
 }
 
-// Invalid counts the requests that the service took for invalid.
+// Invalid returns the number of requests that the service rejected as invalid.
 func (c *Client) Invalid() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,15 +110,15 @@
 
 type timeoutKey struct{}
 
-// Patiently marks a context whose requests are given up after d only: an answer is
-// worth something as long.
+// Patiently returns a context whose requests have the timeout d instead of the client's.
+// It is for requests whose answers are still useful after the usual timeout.
 func Patiently(ctx context.Context, d time.Duration) context.Context {
 	return context.WithValue(ctx, timeoutKey{}, d)
 }
 
 type classKey struct{}
 
-// As marks a context whose requests are of a class; without it they are Reads.
+// As returns a context whose requests belong to a class. The default is Reads.
 func As(ctx context.Context, c ratelimit.Class) context.Context {
 	return context.WithValue(ctx, classKey{}, c)
 }
@@ -126,7 +130,7 @@
 	return ratelimit.Reads
 }
 
-// admit waits until a request may go.
+// admit waits until the rate limits allow a request.
 func (c *Client) admit(ctx context.Context, writes int) error {
 	c.mu.Lock()
 	now := time.Since(c.start)
@@ -151,7 +155,8 @@
 	return nil
 }
 
-// step steps the limiter, and once more when that is due.
+// step steps the limiter, and schedules the next step if requests still wait. The
+// caller holds c.mu.
 func (c *Client) step(now time.Duration) {
 	next := c.limiter.Step(now)
 	if next == 0 || c.nextStep != 0 && c.nextStep <= next && c.nextStep > now {
@@ -170,7 +175,7 @@
 	return statusError(status, body, err)
 }
 
-// exchange asks once the rate lets it, and notes what became of it.
+// exchange sends a request once the rate limits allow it, and records its outcome.
 func (c *Client) exchange(parent context.Context, writes int, method, path string, in, out any) (int, []byte, error) {
 	if err := c.admit(parent, writes); err != nil {
 		return 0, nil, err
@@ -186,7 +191,7 @@
 	defer cancel()
 	sent := time.Now()
 	status, body, err := conns.Do(ctx, method, c.base+path, in, out)
-	if !errors.Is(parent.Err(), context.Canceled) { // else its asker has left: that says nothing
+	if !errors.Is(parent.Err(), context.Canceled) { // a request that its caller canceled says nothing about the service
 		c.recordOutcome(sent, status, err)
 	}
 	return status, body, err
@@ -235,7 +240,7 @@
 	return fmt.Errorf("state service: status %d: %.200s", status, body)
 }
 
-// Get reads a key; ErrNotFound if it is absent.
+// Get reads a key. It returns ErrNotFound if the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
 	var it wire.Item
 	if err := c.call(ctx, 0, http.MethodGet, "/store/"+key, nil, &it); err != nil {
@@ -244,8 +249,8 @@
 	return &it, nil
 }
 
-// List calls f for every key with the prefix, and returns the revision of the
-// first page: a watch from there misses nothing.
+// List calls f for every key with the prefix. It returns the revision of the first page:
+// a watch that starts there misses no change.
 func (c *Client) List(ctx context.Context, prefix string, f func(*wire.Item) error) (uint64, error) {
 	var revision uint64
 	from := ""
@@ -273,8 +278,8 @@
 	}
 }
 
-// maxPageAttempts is how often a page is asked for: what was read before it is not read
-// again because the service was busy.
+// maxPageAttempts is how often List requests a page before it fails. Without retries a
+// busy service would make the caller read all earlier pages again.
 const maxPageAttempts = 4
 
 func (c *Client) page(ctx context.Context, q url.Values, p *wire.Page) (err error) {
@@ -300,7 +305,7 @@
 	return r.Revision, nil
 }
 
-// Compare asks whether keys have the stated versions, and returns those that
+// Compare checks whether keys have the versions in guards, and returns the keys that
 // don't.
 func (c *Client) Compare(ctx context.Context, guards []wire.Guard) (failed map[string]bool, err error) {
 	status, body, err := c.exchange(ctx, 0, http.MethodPost, "/txn", wire.Txn{Guards: guards}, nil)
@@ -309,7 +314,7 @@
 	}
 	var f wire.FailedGuards
 	if err := json.Unmarshal(body, &f); err != nil || len(f.Keys) == 0 {
-		return nil, fmt.Errorf("state service: unreadable conflict %.200s", body)
+		return nil, fmt.Errorf("state service: conflict answer can't be decoded: %.200s", body)
 	}
 	failed = make(map[string]bool, len(f.Keys))
 	for _, k := range f.Keys {
@@ -318,7 +323,7 @@
 	return failed, nil
 }
 
-// Grant asks for a lease.
+// Grant creates a lease and returns its id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var l wire.Lease
 	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()},
@@ -328,12 +333,12 @@
 	return l.ID, nil
 }
 
-// Extend renews a lease; ErrNotFound if it has ended.
+// Extend renews a lease. It returns ErrNotFound if the lease has ended.
 func (c *Client) Extend(ctx context.Context, id uint64) error {
 	return c.call(ctx, 0, http.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/extend", struct{}{}, nil)
 }
 
-// End ends a lease at once.
+// End ends a lease at once. A lease that has ended already is no error.
 func (c *Client) End(ctx context.Context, id uint64) error {
 	err := c.call(ctx, 0, http.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil, nil)
 	if errors.Is(err, ErrNotFound) {
@@ -342,8 +347,8 @@
 	return err
 }
 
-// Watch waits for changes below a prefix after a revision. It opens a
-// connection of its own kind, so that waiting never holds up other requests.
+// Watch waits for changes to keys with a prefix after a revision. It uses separate
+// connections, so that a waiting watch never delays other requests.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -22,7 +22,7 @@
 	} `json:"Breeds"`
 }
 
-// Machines maps the catalog's names.
+// MachineTypes converts the catalog to model types, adding its names to the tables.
 func (c *Catalog) MachineTypes(n *Names) []model.MachineType {
 	var out []model.MachineType
 	for _, t := range c.Types {
@@ -46,18 +46,18 @@
 	Count   int    `json:"Count"`
 }
 
-// MachineNames is the answer to a rental and the body of a return.
+// MachineNames is the answer to POST /rentals and the body of POST /rentals/return.
 type MachineNames struct {
 	Machines []string `json:"Hives"`
 }
 
-// Listing is the answer to GET /rentals.
+// Listing is one page of the answer to GET /rentals.
 type Listing struct {
 	Machines []ListedMachine `json:"Hives"`
 	More     bool            `json:"Truncated"`
 }
 
-// ListedMachine is an entry of the machine list.
+// ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
 	Name  string  `json:"NameId"`
 	Addr  string  `json:"Addr"`
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// The library that reads reports and submissions must take and refuse what the
-// standard one does: what a worker is believed to hold must not hang on it.
+// The JSON library used for reports and submissions must accept, reject and decode
+// the same inputs as encoding/json: otherwise the scheduler could misread which tasks
+// a worker holds.
 func TestReportDecodingMatchesStandardLibrary(t *testing.T) {
 	attempt := `{"Cell":"job-000001/2","Brood":68719476737,"Stage":"running","Cause":"","Saved":false}`
 	valid := `{"Hive":"m-000001","Addr":"a","Flight":3,"Buzz":4,"QueenMark":4294967297,"SmokeS":null,` +
@@ -33,9 +34,9 @@
 		wantErr := stdjson.Unmarshal([]byte(s), &want)
 		got, err := ParseReport([]byte(s))
 		if (err == nil) != (wantErr == nil) {
-			t.Errorf("%q: error %v, the standard library says %v", s, err, wantErr)
+			t.Errorf("%q: error %v, the standard library returns %v", s, err, wantErr)
 		} else if err == nil && !reflect.DeepEqual(got.body, want) {
-			t.Errorf("%q: %+v, the standard library reads %+v", s, got.body, want)
+			t.Errorf("%q: %+v, the standard library decodes %+v", s, got.body, want)
 		}
 	}
 }
@@ -53,7 +54,7 @@
 	for _, s := range []string{"job-00001", "job-0000001", "job-0100000", "job-+00001", "job--00001",
 		"job-00000x", "job-1_0000", "m-000001", "job-"} {
 		if _, err := ParseJob(s); err == nil {
-			t.Errorf("%q taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -7,13 +7,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Table gives names dense indices. It is not safe for concurrent use.
+// Table maps names to dense indices. It is not safe for concurrent use.
 type Table struct {
 	ids   map[string]model.Name
 	names []string
 }
 
-// NewTable returns a table that holds the given names first.
+// NewTable returns a table that starts with the given names, in their order.
 func NewTable(names ...string) *Table {
 	t := &Table{ids: map[string]model.Name{}}
 	for _, n := range names {
@@ -22,7 +22,7 @@
 	return t
 }
 
-// ID returns the index of a name, giving it one if it is new.
+// ID returns the index of a name, and adds the name if it is new.
 func (t *Table) ID(name string) model.Name {
 	if id, ok := t.ids[name]; ok {
 		return id
@@ -33,13 +33,13 @@
 	return id
 }
 
-// Lookup returns the index of a name that the table has.
+// Lookup returns the index of a name, and whether the table has it.
 func (t *Table) Lookup(name string) (model.Name, bool) {
 	id, ok := t.ids[name]
 	return id, ok
 }
 
-// Name returns the name of an index.
+// Name returns the name of an index, "" if there is none.
 func (t *Table) Name(id model.Name) string {
 	if id < 0 || int(id) >= len(t.names) {
 		return ""
@@ -47,8 +47,8 @@
 	return t.names[id]
 }
 
-// parseNumbered parses names such as job-000412. A number has one spelling only, so
-// that two names never share an index.
+// parseNumbered parses names such as job-000412. It accepts only one spelling of each
+// number, so that two names never refer to the same job or machine.
 func parseNumbered(prefix, s string) (uint64, error) {
 	if len(s) < len(prefix)+6 || s[:len(prefix)] != prefix {
 		return 0, fmt.Errorf("%q is not of the form %s000000", s, prefix)
@@ -61,8 +61,8 @@
 	return n, nil
 }
 
-// formatNumbered is called for every name that goes out: without fmt, which took a
-// twentieth of a controller's time.
+// formatNumbered returns a name such as job-000412. It runs for every name that is
+// sent. It avoids fmt, which took 5% of a controller's CPU time.
 func formatNumbered(prefix string, n uint64) string {
 	b := append(make([]byte, 0, 24), prefix...)
 	for threshold := uint64(100_000); threshold > max(n, 1); threshold /= 10 {
@@ -77,7 +77,7 @@
 	return model.JobID(n), err
 }
 
-// JobName is the name of a job.
+// JobName returns the name of a job.
 func JobName(id model.JobID) string { return formatNumbered("job-", uint64(id)) }
 
 // ParseMachine parses a machine's name.
@@ -86,21 +86,21 @@
 	return model.MachineID(n), err
 }
 
-// MachineName is the name of a machine.
+// MachineName returns the name of a machine.
 func MachineName(id model.MachineID) string { return formatNumbered("m-", uint64(id)) }
 
 // Names holds the tables of one process.
 type Names struct {
 	Teams, Types, Zones, Images, Classes *Table
-	// Aimed are the classes of jobs that the users state an aim for. Without
-	// any, no class is told from another.
+	// Aimed are the job classes with a service level objective. If it is empty, all
+	// classes are treated alike.
 	Aimed map[model.Name]bool
 	// Guaranteed are the teams with a guarantee.
 	Guaranteed map[model.Name]bool
 }
 
-// IsBestEffort tells of work that may wait for idle machines: its class has no stated
-// aim, though others have, and its team no guarantee.
+// IsBestEffort reports whether jobs of a class and team may wait for idle machines:
+// their class has no objective while others have one, and their team has no guarantee.
 func (n *Names) IsBestEffort(class, team model.Name) bool {
 	return len(n.Aimed) > 0 && !n.Aimed[class] && !n.Guaranteed[team]
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -9,13 +9,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Guard is a condition of a transaction: the key has this version (0: absent).
+// Guard is a condition of a transaction: the key must have this version (0: absent).
 type Guard struct {
 	Key     string `json:"K"`
 	Version uint64 `json:"Frame"`
 }
 
-// Op is a change of a transaction: a put, or a delete.
+// Op is one change in a transaction: a put or a delete.
 type Op struct {
 	Put    string          `json:"Put,omitempty"`
 	Value  json.RawMessage `json:"V,omitempty"`
@@ -29,12 +29,12 @@
 	Then   []Op    `json:"Then,omitempty"`
 }
 
-// FailedGuards is the answer to a transaction of which guards failed.
+// FailedGuards is the answer to a transaction with failed guards.
 type FailedGuards struct {
 	Keys []string `json:"failed"`
 }
 
-// Revision is the store's count of changes, in every answer.
+// Revision is the store's count of changes, which every answer has.
 type Revision struct {
 	Revision uint64 `json:"FrameCount"`
 }
@@ -47,7 +47,7 @@
 	Lease   uint64          `json:"Nectar"`
 }
 
-// Page is a part of a listing.
+// Page is one page of a listing.
 type Page struct {
 	Items    []Item `json:"Entries"`
 	More     bool   `json:"Truncated"`
@@ -82,31 +82,31 @@
 type Leader struct {
 	Host string `json:"Host"`
 	Term uint64 `json:"Term"`
-	// Lease is the lease that the key hangs on: its owner's later incarnation
-	// ends it at once.
+	// Lease is the lease that the key is attached to. After a restart its owner ends
+	// it at once.
 	Lease uint64 `json:"Lease"`
 }
 
-// Term is the value of the term's key.
+// Term is the value of the key that holds the current term.
 type Term struct {
 	Term uint64 `json:"Term"`
 }
 
-// Final is the value of an ended job.
+// Final is the stored record of an ended job.
 type Final struct {
 	Stage string `json:"Stage"`
-	AtMS  int64  `json:"AtMs,omitempty"` // time of day of the end; 0.4 and before did not tell
+	AtMS  int64  `json:"AtMs,omitempty"` // Unix time of the end; 0 in records of release 0.4 and earlier
 }
 
-// MachineBlock is the record of machines that may have been given tasks. Types
-// and zones are named once.
+// MachineBlock is the stored record of a block of machines that may have been assigned
+// tasks. Machines refer to Types and Zones by index, so that each name is stored once.
 type MachineBlock struct {
 	Types    []string        `json:"Types"`
 	Zones    []string        `json:"Zones"`
 	Machines []StoredMachine `json:"Machines"`
 }
 
-// StoredMachine is one machine of a block.
+// StoredMachine is one machine of a MachineBlock.
 type StoredMachine struct {
 	Name string `json:"N"`
 	Addr string `json:"A"`
@@ -115,7 +115,7 @@
 	Spot bool   `json:"S,omitempty"`
 }
 
-// EncodeMachines makes a block's record.
+// EncodeMachines returns the stored record of a block of machines.
 func EncodeMachines(ms []model.Machine, n *Names) MachineBlock {
 	b := MachineBlock{Machines: make([]StoredMachine, 0, len(ms))}
 	index := func(list *[]string, name string) int {
@@ -135,7 +135,7 @@
 	return b
 }
 
-// Decode returns a block's machines.
+// Decode returns the machines of a block.
 func (b *MachineBlock) Decode(n *Names) ([]model.Machine, error) {
 	out := make([]model.Machine, 0, len(b.Machines))
 	for _, s := range b.Machines {
@@ -152,9 +152,10 @@
 	return out, nil
 }
 
-// Chunk is a part of a job's set of done tasks, a bitmap. Bits begin where the key's
-// number says; a job that does not fit into one has Part, which begins with the task
-// From. A leader of 0.4 takes such a record for an empty one, and is not misled.
+// Chunk is the stored record of a range of a job's tasks: a bitmap of those that are
+// done. Bits starts at the task that the number in the key stands for. A job that does
+// not fit into one record uses Part instead, which starts at the task From. A leader of
+// release 0.4 ignores Part and reads such a record as empty, which is safe.
 type Chunk struct {
 	Bits []byte `json:"Bits,omitempty"`
 	Part []byte `json:"Part,omitempty"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire maps the protocols' JSON to the cores' terms and back. The
-// words of the wire (Hive, Cell, Brood, ...) stop here.
+// Package wire converts between the JSON messages of the protocols and the types of
+// internal/core/model. The protocol's own field names (Hive, Cell, Brood, ...) are used
+// in this package only.
 package wire
 
 import (
@@ -17,7 +18,7 @@
 	"honeylock/internal/core/model"
 )
 
-// Submission is the body of POST /v1/jobs, and what the state service keeps.
+// Submission is the body of POST /v1/jobs. The state service stores it too.
 type Submission struct {
 	NameID      *string  `json:"NameId"`
 	Class       *string  `json:"Comb"`
@@ -39,7 +40,7 @@
 	CheckpointS *float64 `json:"CapIntervalS"`
 	SaveS       *float64 `json:"CapS"`
 	DeadlineS   *float64 `json:"HarvestS,omitempty"`
-	Awaits      []string `json:"Awaits,omitempty"` // jobs to be done before any task starts
+	Awaits      []string `json:"Awaits,omitempty"` // jobs that must be done before any task starts
 	SubmittedMS int64    `json:"SubmittedMs,omitempty"`
 }
 
@@ -49,12 +50,12 @@
 	maxName   = 200
 )
 
-// FieldError is a mistake in one field of a submission. Its text is for the user.
+// FieldError reports an invalid field of a submission. Its text is shown to the user.
 type FieldError struct{ Field, Reason string }
 
 func (e *FieldError) Error() string { return e.Field + " " + e.Reason }
 
-// ParseSubmission reads and checks a submission. Its error is for the user.
+// ParseSubmission decodes and checks a submission. Its error is shown to the user.
 func ParseSubmission(body []byte) (*Submission, error) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// checkDependencies checks the names of the jobs that are awaited, and drops those that are
-// there twice.
+// checkDependencies checks the names of the jobs that this job depends on, and removes
+// duplicates.
 func (s *Submission) checkDependencies() error {
 	seen := map[string]bool{}
 	for i, name := range s.Awaits {
@@ -142,7 +143,7 @@
 			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), err.Error()}
 		}
 		if name == *s.NameID {
-			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), name + " can't await itself"}
+			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), name + " can't depend on itself"}
 		}
 		seen[name] = true
 	}
@@ -156,14 +157,14 @@
 	return nil
 }
 
-// Needs are the jobs that are awaited.
+// Needs returns the jobs that this job depends on.
 func (s *Submission) Needs() []model.JobID {
 	if len(s.Awaits) == 0 {
 		return nil
 	}
 	out := make([]model.JobID, 0, len(s.Awaits))
 	for _, name := range s.Awaits {
-		if id, err := ParseJob(name); err == nil { // it was checked
+		if id, err := ParseJob(name); err == nil { // checkDependencies has checked it
 			out = append(out, id)
 		}
 	}
@@ -173,13 +174,13 @@
 var ranks = map[string]model.Rank{"idle": model.Idle, "standard": model.Standard, "urgent": model.Urgent,
 	"prod": model.Prod}
 
-// Rank is a rank by its name.
+// Rank returns the rank with a name, and whether there is one.
 func Rank(s string) (model.Rank, bool) {
 	r, ok := ranks[s]
 	return r, ok
 }
 
-// Spec turns an accepted submission into the cores' terms.
+// Spec converts an accepted submission to a job description.
 func (s *Submission) Spec(n *Names) *model.Spec {
 	id, _ := ParseJob(*s.NameID)
 	sp := &model.Spec{
@@ -203,12 +204,12 @@
 	return sp
 }
 
-// Duration turns seconds into a duration, without overflow.
+// Duration converts seconds to a duration. It caps large values to prevent overflow.
 func Duration(s float64) time.Duration {
 	return time.Duration(min(s, maxAmount) * float64(time.Second))
 }
 
-// JobState is the answer about a job.
+// JobState is the answer to requests about a job.
 type JobState struct {
 	NameID  string `json:"NameId"`
 	Stage   string `json:"Stage"`
@@ -243,11 +244,11 @@
 var causes = map[string]model.Cause{"done": model.CauseDone, "stopped": model.CauseStopped, "error": model.CauseError,
 	"no_room": model.CauseNoCapacity, "busy": model.CauseBusy, "unknown": model.CauseUnknown}
 
-// RawReport is a worker's report before its names are looked up, so that the
-// costly parsing needs no lock.
+// RawReport is a worker's report whose names have not been looked up yet. Parsing the
+// JSON is expensive and needs no lock; looking up the names does.
 type RawReport struct{ body reportJSON }
 
-// ParseReport parses a report's JSON.
+// ParseReport decodes the JSON of a worker's report.
 func ParseReport(body []byte) (*RawReport, error) {
 	var r RawReport
 	if err := json.Unmarshal(body, &r.body); err != nil {
@@ -256,7 +257,7 @@
 	return &r, nil
 }
 
-// Report maps the names of a report.
+// Report converts the report, looking up its names.
 func (r *RawReport) Report(n *Names) (*model.Report, error) {
 	b := &r.body
 	id, err := ParseMachine(b.Machine)
@@ -264,7 +265,7 @@
 		return nil, err
 	}
 	if b.Session == 0 {
-		return nil, errors.New("report without a session")
+		return nil, errors.New("report: Flight (the session) is missing or 0")
 	}
 	out := &model.Report{
 		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Type), Zone: n.Zones.ID(b.Zone), Spot: b.Spot},
@@ -281,7 +282,7 @@
 		}
 		st, ok := stages[c.Stage]
 		if !ok {
-			// A stage of other days' protocols still occupies the machine.
+			// An attempt in a stage unknown to this release occupies the machine too.
 			st = model.Running
 		}
 		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: st,
@@ -293,7 +294,7 @@
 func parseTask(s string) (model.Task, error) {
 	jobName, indexText, ok := strings.Cut(s, "/")
 	if !ok {
-		return model.Task{}, fmt.Errorf("task %q", s)
+		return model.Task{}, fmt.Errorf("task %q is not of the form job-000000/0", s)
 	}
 	id, err := ParseJob(jobName)
 	if err != nil {
@@ -301,12 +302,12 @@
 	}
 	index, err := strconv.ParseInt(indexText, 10, 32)
 	if err != nil || index < 0 {
-		return model.Task{}, fmt.Errorf("task %q", s)
+		return model.Task{}, fmt.Errorf("task %q has an invalid index", s)
 	}
 	return model.Task{Job: id, Index: int32(index)}, nil
 }
 
-// TaskName is the name of a task.
+// TaskName returns the name of a task.
 func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
 type commandJSON struct {
@@ -334,7 +335,7 @@
 	return out
 }
 
-// ReportAnswer is the body of a 200 to a report.
+// ReportAnswer returns the body of a 200 answer to a report.
 func ReportAnswer(token uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark uint64
@@ -342,12 +343,13 @@
 	}{token, encodeCommands(cmds)}
 }
 
-// Redirect is the body of a 421 to a report.
+// Redirect is the body of a 421 answer to a report. It names the controller that owns
+// the worker's machine, if that is known.
 type Redirect struct {
 	RedirectTo string `json:"Keeper,omitempty"`
 }
 
-// Direct is the body of a direct command.
+// Direct returns the body of direct commands to a worker.
 func Direct(token, session uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark, Flight uint64
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,15 +32,15 @@
 	} {
 		s := strings.Replace(valid, c[0], c[1], 1)
 		if s == valid {
-			t.Fatalf("%s is not there", c[0])
+			t.Fatalf("%s is not in the valid submission", c[0])
 		}
 		if _, err := ParseSubmission([]byte(s)); err == nil {
-			t.Errorf("%s in place of %s was taken", c[1], c[0])
+			t.Errorf("%s in place of %s was accepted", c[1], c[0])
 		}
 	}
 	for _, s := range []string{"", "null", "[]", "7", "{", `{"NameId":"job-000412"}`, valid + "x"} {
 		if _, err := ParseSubmission([]byte(s)); err == nil {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-// A day whose only stated aim was for one class made all other classes wait for
-// minutes, those of teams with a guarantee included.
+// An objective for one class must not make the jobs of teams with a guarantee best
+// effort: with a single objective in the cluster, all other classes waited for minutes.
 func TestBestEffortHasNoObjectiveAndNoGuarantee(t *testing.T) {
 	n := &Names{Aimed: map[model.Name]bool{1: true}, Guaranteed: map[model.Name]bool{1: true}}
 	for _, c := range []struct {
@@ -89,10 +89,10 @@
 		want        bool
 	}{{1, 0, false}, {1, 1, false}, {0, 1, false}, {0, 0, true}} {
 		if got := n.IsBestEffort(c.class, c.team); got != c.want {
-			t.Errorf("class %d of team %d can wait: %v", c.class, c.team, got)
+			t.Errorf("class %d of team %d is best effort: %v", c.class, c.team, got)
 		}
 	}
 	if (&Names{}).IsBestEffort(0, 0) {
-		t.Error("no aims at all, yet a class can wait")
+		t.Error("without objectives a class is best effort")
 	}
 }
