--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -9,10 +9,10 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// Budget of disruption of a team's work, or of one class of it; a zero amount bounds
-// nothing.
+// Budget is the disruption budget of a team, or of one job class of a team. A zero amount
+// sets no limit.
 type Budget struct {
-	Team, Class string // Class "": all
+	Team, Class string // Class "": all classes
 	Tasks       int
 	Share       float64
 	CPUs        float64
@@ -24,10 +24,10 @@
 
 const (
 	maxBudgets         = 256
-	defaultLossWindowS = 600 // seconds
+	defaultLossWindowS = 600
 )
 
-// parseBudgets checks the budgets of disruption and reports every mistake with its field.
+// parseBudgets converts the disruption budgets and reports every mistake with its field.
 func parseBudgets(p *settingspb.Disruption) ([]Budget, error) {
 	var errs []error
 	if n := len(p.GetBudgets()); n > maxBudgets {
@@ -67,27 +67,28 @@
 			errs = append(errs, fmt.Errorf("%s: must be given", field("team")))
 		}
 		if key := [2]string{budget.Team, budget.Class}; seen[key] {
-			errs = append(errs, fmt.Errorf("%s: team %q and class %q have a budget already", field("team"), budget.Team,
+			errs = append(errs, fmt.Errorf("%s: team %q and class %q already have a budget", field("team"), budget.Team,
 				budget.Class))
 		} else {
 			seen[key] = true
 		}
 		if b.WindowS != nil && b.LostCpuS == nil {
-			errs = append(errs, fmt.Errorf("%s: lost_cpu_s is missing", field("window_s")))
+			errs = append(errs, fmt.Errorf("%s: needs lost_cpu_s, which is missing", field("window_s")))
 		}
 		if b.WindowS == nil {
 			budget.Window = Seconds(defaultLossWindowS)
 		}
 		if budget.Tasks == 0 && budget.Share == 0 && budget.CPUs == 0 && budget.LostCPUS == 0 && budget.Moves == 0 &&
 			budget.LastPart == 0 {
-			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: bounds nothing", i))
+			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: sets no limit", i))
 		}
 		out = append(out, budget)
 	}
 	return out, errors.Join(errs...)
 }
 
-// CheckPlatform tells what in the operator's settings the platform's file knows nothing of.
+// CheckPlatform returns the mistakes in the operator's settings that show only together
+// with the platform's settings: budgets of unknown teams.
 func (s *Settings) CheckPlatform(p *Platform) error {
 	teams := map[string]bool{}
 	for _, t := range p.Cluster.Teams {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the platform's settings file (TOML) and the operator's
-// own settings (protobuf text format), reporting every mistake at once.
+// Package config reads the platform's settings file (TOML) and the operator's own
+// settings (protobuf text format). It reports all mistakes of a file at once.
 package config
 
 import (
@@ -12,8 +12,7 @@
 	toml "github.com/pelletier/go-toml/v2"
 )
 
-// Platform is the settings file that the platform hands over. Fields that it
-// may have besides these are ignored.
+// Platform is the settings file that the platform provides. Unknown fields are ignored.
 type Platform struct {
 	HostName   string    `toml:"host_name"`
 	Zone       string    `toml:"zone"`
@@ -34,7 +33,7 @@
 	Address  string `toml:"address"`
 }
 
-// Cluster is what is the same for every controller.
+// Cluster is the part of the settings that is the same for every controller.
 type Cluster struct {
 	Zones      []string    `toml:"zones"`
 	SkewMS     float64     `toml:"skew_ms"`
@@ -50,7 +49,8 @@
 		WriteRPS float64 `toml:"write_rps"`
 		ValueKB  float64 `toml:"value_kb"`
 		TxnOps   int     `toml:"txn_ops"`
-		// Next are limits that will hold from some moment on, without notice; 0: as now.
+		// Next are limits that will come into force at an unknown time without notice;
+		// 0: the limit does not change.
 		Next struct {
 			WriteRPS float64 `toml:"write_rps"`
 			ValueKB  float64 `toml:"value_kb"`
@@ -68,7 +68,8 @@
 	} `toml:"resources"`
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Team is a team with its guaranteed CPUs and GPUs, and their limits (CPUsMax, GPUsMax);
+// 0: none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -77,7 +78,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one of the users' aims.
+// Objective is a service level objective of the users.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -107,10 +108,10 @@
 	return &p, nil
 }
 
-// minMemMB is what the process takes before it serves anybody (some 19 MB), and a little.
+// minMemMB is what an idle process needs (about 19 MB) plus a small reserve.
 const minMemMB = 24
 
-// Check returns all mistakes in the settings, joined.
+// Check returns all mistakes in the settings as one joined error.
 func (p *Platform) Check() error {
 	var errs []error
 	addError := func(field string, v any, want string) {
@@ -141,7 +142,7 @@
 		checkName(fmt.Sprintf("siblings[%d].host_name", i), s.HostName)
 		checkAddr(fmt.Sprintf("siblings[%d].address", i), s.Address)
 		if seen[s.HostName] {
-			addError(fmt.Sprintf("siblings[%d].host_name", i), s.HostName, "is there twice")
+			addError(fmt.Sprintf("siblings[%d].host_name", i), s.HostName, "is given twice")
 		}
 		seen[s.HostName] = true
 	}
@@ -150,7 +151,7 @@
 		f := fmt.Sprintf("cluster.teams[%d]", i)
 		checkName(f+".name", t.Name)
 		if teams[t.Name] {
-			addError(f+".name", t.Name, "is there twice")
+			addError(f+".name", t.Name, "is given twice")
 		}
 		teams[t.Name] = true
 		for _, a := range []struct {
@@ -197,10 +198,11 @@
 	return errors.Join(errs...)
 }
 
-// Seconds turns a setting into a duration.
+// Seconds converts a setting in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ValueKB is the size that every value written fits into, whichever limit holds.
+// ValueKB returns the largest value, in KB, that both the present and the next limit of
+// the state service allow.
 func (c *Cluster) ValueKB() float64 {
 	if n := c.State.Next.ValueKB; n > 0 {
 		return min(n, c.State.ValueKB)
@@ -208,7 +210,8 @@
 	return c.State.ValueKB
 }
 
-// TxnOps are the changes that every transaction keeps to, whichever limit holds.
+// TxnOps returns the most changes in a transaction that both the present and the next
+// limit of the state service allow.
 func (c *Cluster) TxnOps() int {
 	if n := c.State.Next.TxnOps; n > 0 {
 		return min(n, c.State.TxnOps)
@@ -216,31 +219,31 @@
 	return c.State.TxnOps
 }
 
-// Vouched is how long a job that waits for others may be called queued on the word of
-// a leader: the users were told of no cancellation before that may be older than
-// cancel_s when the answer arrives.
+// Vouched returns how long a leader's confirmation that a job on hold has not been
+// cancelled allows reporting the job as queued. The bound keeps the cancellation rule: when
+// the answer arrives, a cancellation that it does not reflect is at most cancel_s old.
 func (c *Cluster) Vouched() time.Duration {
 	return max(100*time.Millisecond, Seconds(c.Workers.CancelS)*9/10-3*time.Second)
 }
 
-// Lease of the workers, lengthened by the clocks' drift (0.05% each way) and
-// by late timers, so that after it a worker has surely let go.
+// SureLease returns the longest time that a worker's lease can last: it adds the clocks'
+// drift (0.05% on either side) and late timers to the lease. After this time a worker has
+// certainly stopped its tasks.
 func (c *Cluster) SureLease() time.Duration {
 	return Seconds(c.Workers.LeaseS*1.002) + 250*time.Millisecond
 }
 
-// StalenessBound is how old a leader's picture of the open jobs may be. The
-// cancellation rule bounds it: that time, and then one lease of the workers,
-// must be over within cancel_s.
+// StalenessBound returns how old a leader's view of the open jobs may be. The cancellation
+// rule bounds it: this time plus one worker's lease must fit into cancel_s.
 func (c *Cluster) StalenessBound() time.Duration {
 	available := Seconds(c.Workers.CancelS) - c.SureLease() - time.Second
 	return max(100*time.Millisecond, min(available*9/10, 30*time.Second))
 }
 
-// LeaderTTL is the length of the leader's lease at the state service: short,
-// for a dead leader is replaced when it ends. An outage of the service is
-// outlasted by the siblings' promises.
+// LeaderTTL returns the TTL of the leader's lease at the state service. It is short
+// because a dead leader is replaced only when its lease ends. During an outage of the
+// state service the leader stays in place by the promises of the other controllers.
 func (c *Cluster) LeaderTTL() time.Duration { return min(3*time.Second, c.StalenessBound()) }
 
-// Promise is for how long a member of a leader's term does not take over.
+// Promise is how long a member promises the leader not to take over leadership.
 const Promise = 2500 * time.Millisecond
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,7 +69,7 @@
 		"cancel_s = 9.0").Replace(validSettings)
 	_, err := load(t, s)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, want := range []string{`bind = "here"`, "cluster.state.rps = 0", "cluster.workers.cancel_s = 9"} {
 		if !strings.Contains(err.Error(), want) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A platform that gives too little to serve is refused at the start, by field, figure and the
-// least that would do; so is a limit that is no amount, or not there.
+// Settings with too little memory or too few files are refused at startup. The error names
+// the field, the value and the minimum. Limits that are missing or not numbers are refused too.
 func TestRefusesInsufficientResources(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"mem_mb = 98.0", "mem_mb = 12.0", "cluster.resources.mem_mb = 12: must be 24 or more"},
@@ -95,7 +95,7 @@
 	} {
 		if _, err := load(t, strings.Replace(validSettings, c.old, c.new, 1)); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v does not tell %q", c.new, err, c.want)
+			t.Errorf("%q: error %v does not contain %q", c.new, err, c.want)
 		}
 	}
 	if _, err := load(t, strings.Replace(validSettings, "mem_mb = 98.0", "mem_mb = 24.0", 1)); err != nil {
@@ -103,7 +103,8 @@
 	}
 }
 
-// The cancellation rule: a leader deaf to cancellations, then a worker's lease.
+// The time in which a leader may miss a cancellation plus a worker's lease must be shorter
+// than cancel_s.
 func TestStalenessBoundKeepsCancellationRule(t *testing.T) {
 	for _, c := range [][2]float64{{10, 40}, {42, 67}, {5, 8}, {30, 300}, {10, 12}} {
 		var cl Cluster
@@ -112,7 +113,7 @@
 			t.Errorf("lease %v: %v of %v s", c[0], sum, c[1])
 		}
 		if cl.LeaderTTL() < 100*time.Millisecond {
-			t.Errorf("lease %v: the state service grants none so short", c[0])
+			t.Errorf("lease %v: the leader's TTL is below the state service's minimum", c[0])
 		}
 	}
 }
@@ -125,7 +126,7 @@
 	}
 	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }", "fleet { idle_return_s: -1 }", "scheduling {"} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 			access { name: "a" role: "read" token_sha256: "` + hash + `" } }`: "the same token is given twice",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v does not tell of %s", text, err, want)
+			t.Errorf("%s: error %v does not contain %q", text, err, want)
 		}
 	}
 }
@@ -180,7 +181,7 @@
 	}
 	for in, field := range map[string]string{
 		`budgets { tasks: 3 }`:                                          "budgets[0].team",
-		`budgets { team: "a" }`:                                         "budgets[0]: bounds nothing",
+		`budgets { team: "a" }`:                                         "budgets[0]: sets no limit",
 		`budgets { team: "a" tasks: 0 }`:                                "budgets[0].tasks",
 		`budgets { team: "a" share: 1.5 }`:                              "budgets[0].share",
 		`budgets { team: "a" tasks: 1 window_s: 5 }`:                    "budgets[0].window_s",
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,28 +13,29 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// Operator is the operators' door: where it listens, and who may call.
+// Operator configures the operators' server: its address and who may call it.
 type Operator struct {
 	Listen            string
 	Access            []Access
 	CertFile, KeyFile string // both empty: no TLS
 }
 
-// Access lets the bearer of one token in.
+// Access grants access to the bearer of a token.
 type Access struct {
 	Name    string
 	Hash    [sha256.Size]byte // of the token
-	Operate bool              // may change things, not only look
+	Operate bool              // may make changes, not only read
 }
 
 var accessName = regexp.MustCompile(`^[a-z0-9_-]{1,64}$`)
 
 const (
 	maxAccess     = 64
-	minTokenBytes = 16 // bytes: shorter ones can be guessed
+	minTokenBytes = 16 // shorter tokens can be guessed
 )
 
-// parseOperator checks the door's settings and reports every mistake with its field.
+// parseOperator converts the settings of the operators' server and reports every mistake
+// with its field.
 func parseOperator(p *settingspb.Operator) (*Operator, error) {
 	o := &Operator{Listen: p.GetListen(), CertFile: p.GetTlsCertFile(), KeyFile: p.GetTlsKeyFile()}
 	var errs []error
@@ -54,7 +55,7 @@
 	for i, a := range p.GetAccess() {
 		field := func(f string) string { return fmt.Sprintf("access[%d].%s", i, f) }
 		if !accessName.MatchString(a.GetName()) || names[a.GetName()] {
-			addError(field("name"), "%q must be 1 to 64 of a-z, 0-9, - and _, and be there once", a.GetName())
+			addError(field("name"), "%q must be 1 to 64 of a-z, 0-9, - and _, and be unique", a.GetName())
 		}
 		names[a.GetName()] = true
 		if a.GetRole() != "read" && a.GetRole() != "operate" {
@@ -74,7 +75,7 @@
 	return o, errors.Join(errs...)
 }
 
-// tokenHash returns the hash of a token, and which field told it.
+// tokenHash returns the hash of a token and the name of the field that it came from.
 func tokenHash(a *settingspb.Access) (hash [sha256.Size]byte, field string, err error) {
 	switch {
 	case (a.GetTokenSha256() == "") == (a.GetTokenFile() == ""):
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// Settings are the operator's own, with defaults filled in.
+// Settings are the operator's settings, with defaults filled in.
 type Settings struct {
 	SampleSize   int
 	PaybackLimit time.Duration
@@ -19,18 +19,18 @@
 	DealAhead    int
 	IdleReturn   time.Duration
 	RentHorizon  time.Duration
-	Operator     *Operator // nil: no operators' door
-	Budgets      []Budget  // of disruption
+	Operator     *Operator // nil: no operators' server
+	Budgets      []Budget  // disruption budgets
 	BeginWithin  time.Duration
 }
 
-// DefaultSettings are in force where the operator says nothing.
+// DefaultSettings returns the values of settings that the operator leaves out.
 func DefaultSettings() *Settings {
 	return &Settings{SampleSize: 2, PaybackLimit: time.Minute, DemotionStep: 2, DealAhead: 16,
 		IdleReturn: 240 * time.Second, RentHorizon: 30 * time.Second, BeginWithin: 2 * time.Minute}
 }
 
-// LoadSettings reads the operator's settings; "" means none.
+// LoadSettings reads the operator's settings file. An empty path means the defaults.
 func LoadSettings(path string) (*Settings, error) {
 	if path == "" {
 		return DefaultSettings(), nil
@@ -46,8 +46,8 @@
 	return s, nil
 }
 
-// ParseSettings parses protobuf text. Unknown fields and values out of range
-// are refused.
+// ParseSettings parses settings in protobuf text format. Unknown fields and values out of
+// range are errors.
 func ParseSettings(b []byte) (*Settings, error) {
 	var p settingspb.Settings
 	if err := prototext.Unmarshal(b, &p); err != nil {
--- a/internal/config/teamchange.go
+++ b/internal/config/teamchange.go
@@ -10,7 +10,7 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// TeamChange is what an operator changes about a team; nil: nothing of it.
+// TeamChange is an operator's change of a team's limits and guarantees; nil: unchanged.
 type TeamChange struct {
 	LimitCPUs, LimitGPUs, GuaranteeCPUs, GuaranteeGPUs *float64
 	Until                                              time.Time // zero: until it is unset
@@ -18,7 +18,8 @@
 
 const maxCPUs = 1e9
 
-// ParseTeamChange parses protobuf text and reports every mistake with its field.
+// ParseTeamChange parses a change in protobuf text format and reports every mistake with
+// its field.
 func ParseTeamChange(b []byte) (*TeamChange, error) {
 	var p settingspb.TeamChange
 	if err := prototext.Unmarshal(b, &p); err != nil {
--- a/internal/ops/auth.go
+++ b/internal/ops/auth.go
@@ -15,8 +15,8 @@
 
 const accessKey = "access"
 
-// tokenChecker knows the hashes of the tokens. Wrong ones are taken a few times a second
-// only, so that nobody tries many.
+// tokenChecker holds the hashes of the valid tokens. It limits the rate of wrong tokens,
+// so that tokens can't be guessed by trying many.
 type tokenChecker struct {
 	access      []config.Access
 	wrongTokens *rate.Limiter
@@ -26,8 +26,8 @@
 	return &tokenChecker{a, rate.NewLimiter(5, 20)}
 }
 
-// lookup returns whose token it is. It compares hashes, all of them, in a time that
-// does not depend on what they hold.
+// lookup returns the access entry of a token, nil if there is none. It compares all
+// hashes in constant time, so that its duration reveals nothing about them.
 func (g *tokenChecker) lookup(token string) *config.Access {
 	hash := sha256.Sum256([]byte(token))
 	var found *config.Access
@@ -39,7 +39,7 @@
 	return found
 }
 
-// authorise lets in who bears a token.
+// authorise is middleware that rejects requests without a valid bearer token.
 func (s *Server) authorise(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
@@ -53,7 +53,7 @@
 		case a == nil:
 			c.Response().Header().Set("WWW-Authenticate", "Bearer")
 			return s.answer(c, node.CallReply{Status: http.StatusUnauthorized,
-				Err: "a bearer token of this cluster's operators is needed"})
+				Err: "a valid operator's bearer token for this cluster is required"})
 		}
 		c.Set(accessKey, a)
 		return next(c)
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,6 +1,6 @@
-// Package ops is the operators' door: an HTTP server of its own, behind bearer
-// tokens, on an address that users and workers don't use. Any controller takes a
-// call; the leader answers it.
+// Package ops is the operators' HTTP server. It has an address of its own, which users
+// and workers don't use, and requires bearer tokens. Any controller accepts a call; the
+// leader answers it.
 package ops
 
 import (
@@ -27,17 +27,17 @@
 	maxBody  = 64 << 10
 	maxConns = 32
 	timeout  = 8 * time.Second
-	// RequestHeader carries the asker's id of a change: repeated under it, the
-	// change is answered, not made again.
+	// RequestHeader carries the caller's id of a change. A change that is repeated with
+	// the same id is answered but not made again.
 	RequestHeader = "Request-Id"
 )
 
-// Handler is what the door opens to.
+// Handler executes operators' calls.
 type Handler interface {
 	Operate(context.Context, node.Call) node.CallReply
 }
 
-// Server is the door.
+// Server is the operators' server.
 type Server struct {
 	handler Handler
 	http    *http.Server
@@ -47,7 +47,7 @@
 	calls   *prometheus.CounterVec
 }
 
-// New builds the door.
+// New returns a server. It fails if the TLS certificate can't be loaded.
 func New(handler Handler, settings *config.Operator, log *slog.Logger, reg *prometheus.Registry) (*Server, error) {
 	s := &Server{handler: handler, log: log, tokens: newTokenChecker(settings.Access),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "honeylock_operator_calls_total",
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-// Serve listens until the context ends; a port that is taken is tried again.
+// Serve serves until the context ends. If it can't listen it tries again.
 func (s *Server) Serve(ctx context.Context, addr string) {
 	httpserve.Until(ctx, s.http, addr, " operators", s.log, func(l net.Listener) net.Listener {
 		s.log.Info("serving operators", "addr", addr, "tls", s.cert != nil)
@@ -105,7 +105,7 @@
 
 var requestID = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,64}$`)
 
-// call hands a request to the leader.
+// call returns the handler that passes a request with a verb on to the leader.
 func (s *Server) call(verb node.Verb) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		b, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBody))
@@ -119,7 +119,7 @@
 		}
 		if !requestID.MatchString(id) {
 			return s.answer(c, node.CallReply{Status: http.StatusBadRequest, Err: RequestHeader +
-				": must be 1 to 64 of letters, digits, . _ : and -"})
+				": must be 1 to 64 letters, digits, '.', '_', ':' and '-'"})
 		}
 		c.Response().Header().Set(RequestHeader, id)
 		ctx, cancel := context.WithTimeout(c.Request().Context(), timeout)
@@ -127,7 +127,7 @@
 		a, _ := c.Get(accessKey).(*config.Access)
 		if verb.Changes() && !a.Operate {
 			return s.answer(c, node.CallReply{Status: http.StatusForbidden, Err: a.Name +
-				" may look, but not change anything (role operate)"})
+				" has role read; changes need role operate"})
 		}
 		return s.answer(c, s.handler.Operate(ctx, node.Call{Verb: verb, Name: c.Param("name"), Machine: c.Param("machine"),
 			Plan: string(b),
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -54,7 +54,7 @@
 	return w.Code
 }
 
-// Who may look may also forecast, which changes nothing; who may operate does all.
+// Role read allows reads and forecasts, which change nothing; role operate allows all calls.
 func TestRoles(t *testing.T) {
 	s, e := newTestServer(t)
 	for _, c := range []struct {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Wrong tokens are taken a few times a second only; right ones are not held up.
+// Wrong tokens are limited to a few a second; valid ones are never delayed.
 func TestWrongTokensAreRateLimited(t *testing.T) {
 	s, _ := newTestServer(t)
 	limited := 0
@@ -86,10 +86,10 @@
 		}
 	}
 	if limited < 30 {
-		t.Errorf("%d of 60 guesses were held back", limited)
+		t.Errorf("%d of 60 wrong tokens were rate limited", limited)
 	}
 	if got := s.request("GET", "drains", "o"); got != http.StatusOK {
-		t.Errorf("a right token got %d", got)
+		t.Errorf("a valid token got status %d", got)
 	}
 }
 
@@ -122,8 +122,8 @@
 	return cert, key
 }
 
-// A certificate that has changed is served without a restart; one that can't be
-// read leaves the old one in force.
+// A changed certificate is served without a restart. If it can't be read, the old one
+// stays in use.
 func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := writeCert(t, dir, 1)
@@ -144,21 +144,21 @@
 		return x.SerialNumber.Int64()
 	}
 	if serial() != 1 {
-		t.Error("not the first one")
+		t.Error("the first certificate is not served")
 	}
 	writeCert(t, dir, 2)
 	if serial() != 2 {
-		t.Error("the new one is not served")
+		t.Error("the new certificate is not served")
 	}
 	if err := os.WriteFile(cert, []byte("nothing"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if serial() != 2 {
-		t.Error("the old one is gone")
+		t.Error("the old certificate is no longer served")
 	}
 }
 
-// Over TLS a client that knows the authority is served, and nobody in the clear.
+// With TLS a client that trusts the CA is served, and plain HTTP is refused.
 func TestCallsOverTLS(t *testing.T) {
 	cert, key := writeCert(t, t.TempDir(), 1)
 	s, err := New(&recordingHandler{}, &config.Operator{CertFile: cert, KeyFile: key,
@@ -190,6 +190,6 @@
 	}
 	res.Body.Close()
 	if res.StatusCode != http.StatusBadRequest {
-		t.Errorf("%d in the clear", res.StatusCode)
+		t.Errorf("status %d over plain HTTP", res.StatusCode)
 	}
 }
--- a/internal/ops/tls.go
+++ b/internal/ops/tls.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// certificate is read again when its files change; one that can't be read leaves
-// the old one in force.
+// certificate is a TLS certificate that is reloaded when its files change. If the new
+// files can't be read, the old certificate stays in use.
 type certificate struct {
 	certFile, keyFile string
 	log               *slog.Logger
@@ -28,7 +28,7 @@
 	return c, nil
 }
 
-// fileTimes are when the files were changed; zero where one can't be looked at.
+// fileTimes returns the modification times of the files; zero for one that has no status.
 func (c *certificate) fileTimes() (t [2]time.Time) {
 	for i, f := range []string{c.certFile, c.keyFile} {
 		if st, err := os.Stat(f); err == nil {
@@ -56,7 +56,7 @@
 		c.checkedAt = now
 		if t := c.fileTimes(); t != c.modTimes {
 			if err := c.load(t); err != nil {
-				c.log.Error("operators' certificate not read again; the old one stays", "err", err)
+				c.log.Error("failed to reload operators' certificate; keeping the old one", "err", err)
 			} else {
 				c.log.Info("operators' certificate read again")
 			}
--- a/internal/server/conns.go
+++ b/internal/server/conns.go
@@ -7,19 +7,19 @@
 	"sync"
 )
 
-// connTracker keeps count of the server's connections. Users and workers come through the same
-// port, and nothing tells them apart until a request arrives. Neither can crowd out the
-// other: a part of the sockets is never the users', and once nearly all are taken the
-// users that have been idle for longest are closed; another part is never the workers',
-// whose connections are closed after each answer while they hold more.
+// connTracker counts the server's connections and shares the sockets between users and
+// workers. Both use the same port and can't be told apart before a request arrives.
+// Users never get more than maxUsers connections, and once evictThreshold connections
+// are open each new one closes the user connection that has been idle for longest. While
+// workers hold more than maxOthers, their connections are closed after each answer.
 type connTracker struct {
 	mu             sync.Mutex
-	evictThreshold int // from so many connections on idle users are let go
-	maxUsers       int // users
-	maxOthers      int // others: workers, and whoever has not said anything yet
+	evictThreshold int // with more open connections, idle ones of users are closed
+	maxUsers       int // limit of connections that carry users' requests
+	maxOthers      int // limit of all others: workers, and connections without a request so far
 	open           int
-	users          map[net.Conn]*list.Element // nil: it carries a request
-	idleUsers      *list.List                 // of net.Conn, the longest idle first
+	users          map[net.Conn]*list.Element // nil: a request is in progress
+	idleUsers      *list.List                 // values are net.Conn, the longest idle first
 }
 
 func newConnTracker(limit int) *connTracker {
@@ -32,7 +32,7 @@
 	}
 }
 
-// admitUser tells whether a connection may carry a user's request.
+// admitUser reports whether a connection may carry a user's request.
 func (t *connTracker) admitUser(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,23 +46,23 @@
 	return true
 }
 
-// mayKeepWorker tells whether a worker's connection may stay open after its answer. With all
-// sockets taken by workers neither a user nor the load balancer's health check gets in, while
-// workers that report each few seconds need none in between.
+// mayKeepWorker reports whether a worker's connection may stay open after its answer. If
+// workers held all sockets, neither users nor the load balancer's health checks could
+// connect. Workers report every few seconds and need no connection in between.
 func (t *connTracker) mayKeepWorker() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open-len(t.users) <= t.maxOthers
 }
 
-// onStateChange follows a connection.
+// onStateChange is the server's ConnState hook.
 func (t *connTracker) onStateChange(c net.Conn, st http.ConnState) {
 	if evicted := t.track(c, st); evicted != nil {
-		evicted.Close() // its user opens another when it asks again
+		evicted.Close() // its user reconnects with the next request
 	}
 }
 
-// track returns the connection that must go, if any.
+// track records a connection's state and returns the idle connection to close, if any.
 func (t *connTracker) track(c net.Conn, st http.ConnState) (evicted net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,6 +91,7 @@
 	return nil
 }
 
-// reservedSockets is how many of its sockets a controller keeps for what it opens itself: the
-// state service, the cloud, siblings, and workers that it tells something directly.
+// reservedSockets is the number of sockets that a controller reserves for connections it
+// opens itself: to the state service, the cloud, other controllers, and workers that get
+// direct commands.
 func reservedSockets(fdLimit, directConns int) int { return min(fdLimit/3, 64+directConns) }
--- a/internal/server/conns_test.go
+++ b/internal/server/conns_test.go
@@ -14,8 +14,9 @@
 	"honeylock/internal/node"
 )
 
-// After all controllers had restarted, workers that kept their connections open took all
-// sockets of one; no user and no health check got in, for minutes.
+// Workers must not hold all sockets of a controller. After a restart of all controllers
+// the workers' open connections did, and users and health checks could not connect for
+// minutes.
 func TestWorkersLeaveSocketsToUsers(t *testing.T) {
 	const fdLimit = 96
 	s := New(&node.Node{}, fdLimit, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
@@ -35,20 +36,20 @@
 		}
 	}
 	if kept == 0 || kept > s.limit*8/10 {
-		t.Errorf("%d workers keep their connections, of %d sockets", kept, s.limit)
+		t.Errorf("%d of %d sockets are kept by workers", kept, s.limit)
 	}
 	user := http.Client{Timeout: 2 * time.Second}
 	res, err := user.Get("http://" + addr + "/metrics")
 	if err != nil {
-		t.Fatal("a health check beside many workers:", err)
+		t.Fatal("request while workers hold many connections:", err)
 	}
 	if err := res.Body.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// sendReport sends a worker's report, a malformed one, which is answered all the same. It
-// tells whether the connection may stay open, and leaves its own end so.
+// sendReport sends a malformed worker's report, which is answered too. It reports
+// whether the server keeps the connection open, and keeps its own end open.
 func sendReport(t *testing.T, addr string) (kept bool) {
 	t.Helper()
 	var c net.Conn
@@ -71,7 +72,7 @@
 	}
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatal("a report was not answered:", err)
+		t.Fatal("no answer to a report:", err)
 	}
 	defer res.Body.Close()
 	return !strings.EqualFold(res.Header.Get("Connection"), "close") && !res.Close
--- a/internal/server/serializer.go
+++ b/internal/server/serializer.go
@@ -7,7 +7,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// serializer writes answers with the library that everything else uses.
+// serializer makes echo use the same JSON library as the other packages.
 type serializer struct{}
 
 func (serializer) Serialize(c echo.Context, v any, _ string) error {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package server is the HTTP door for users, workers and health checks.
+// Package server is the HTTP server for users, workers and health checks.
 package server
 
 import (
@@ -26,24 +26,24 @@
 
 const (
 	maxBody     = 64 << 10
-	maxPolls    = 96 // at once; they wait rather than work, and a comparison answers some 80
-	maxChanges  = 64 // submissions and cancellations at once
+	maxPolls    = 96 // concurrent polls; they mostly wait, and one comparison answers about 80
+	maxChanges  = 64 // concurrent submissions and cancellations
 	userTimeout = 1800 * time.Millisecond
 )
 
-// Server is the door.
+// Server serves users' requests, workers' reports, health checks and metrics.
 type Server struct {
 	node  *node.Node
 	http  *http.Server
 	limit int
 	conns *connTracker
-	// Apart, so that a storm of polls leaves room for what changes jobs.
+	// Separate limits, so that many polls never block submissions and cancellations.
 	polls, changes callLimit
 	shed           *prometheus.CounterVec
 	admit          func(overload.Kind) (ok bool, again time.Duration)
 }
 
-// callLimit bounds how many calls of a kind are served at once.
+// callLimit bounds the number of concurrent calls of a kind.
 type callLimit struct {
 	kind     string
 	loadKind overload.Kind
@@ -51,14 +51,15 @@
 	current  atomic.Int32
 }
 
-// acquire tells whether one more may be served; leave follows in either case.
+// acquire reports whether one more call may be served. The caller must call release in
+// either case.
 func (g *callLimit) acquire() bool { return g.current.Add(1) <= g.max }
 func (g *callLimit) release()      { g.current.Add(-1) }
 
 type connKey struct{}
 
-// New builds the door. fdLimit is what the process may open; a part of it is
-// kept for its own connections, and another for workers.
+// New returns a server. fdLimit is the number of files that the process may open. Part of
+// it is reserved for the controller's own connections, another part for workers.
 func New(n *node.Node, fdLimit int, log *slog.Logger, reg *prometheus.Registry) *Server {
 	limit := fdLimit - reservedSockets(fdLimit, node.MaxDirectConns(fdLimit))
 	s := &Server{node: n, limit: limit, conns: newConnTracker(limit), admit: n.Admit,
@@ -88,8 +89,8 @@
 	return s
 }
 
-// Serve listens until the context ends. A port that is taken is tried again:
-// the service never ends by itself.
+// Serve serves until the context ends. If it can't listen it tries again, so that the
+// process never exits by itself.
 func (s *Server) Serve(ctx context.Context, addr string, log *slog.Logger) {
 	httpserve.Until(ctx, s.http, addr, "", log, func(l net.Listener) net.Listener {
 		log.Info("serving", "addr", addr)
@@ -97,7 +98,7 @@
 	})
 }
 
-// overloadedBody is made once: it is told most when there is least time.
+// overloadedBody is encoded in advance, because it is sent when CPU time is short.
 var overloadedBody = []byte(`{"error":"overloaded"}`)
 
 type errorBody struct {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -14,8 +14,7 @@
 	"honeylock/internal/node"
 )
 
-// Polls many times as often took all the places, and submissions and
-// cancellations were refused with them.
+// A flood of polls must not use up the capacity for submissions and cancellations.
 func TestPollsLeaveCapacityForSubmissions(t *testing.T) {
 	s := New(&node.Node{}, 400, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 	s.admit = func(overload.Kind) (bool, time.Duration) { return true, time.Second }
@@ -23,17 +22,17 @@
 	defer close(w.release)
 	w.start(maxPolls)
 	if rec := serve(t, w.poll); rec.Code != http.StatusServiceUnavailable || rec.Header().Get("Retry-After") == "" {
-		t.Errorf("one poll too many: status %d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
+		t.Errorf("poll above the limit: status %d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 	}
 	submit := s.user(&s.changes, func(c echo.Context) error { return c.NoContent(http.StatusCreated) })
 	if rec := serve(t, submit); rec.Code != http.StatusCreated {
-		t.Errorf("a submission in the storm: status %d", rec.Code)
+		t.Errorf("submission during a flood of polls: status %d", rec.Code)
 	}
 }
 
-// Questions wait half a second for the state service, which answers 80 at once. With 48 at the
-// door at a time two of three were turned away at random, by a controller that had time for
-// them: jobs went unanswered for 75 s.
+// The limit of concurrent polls must let one comparison of the state service be full. A
+// poll waits half a second for a comparison, which answers 80 polls. With a limit of 48
+// polls an idle controller refused two of three, and some jobs had no answer for 75 s.
 func TestPollLimitFillsOneComparison(t *testing.T) {
 	const comparison = 4 * 20 // conditions of a transaction of 20 changes
 	s := New(&node.Node{}, 400, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
@@ -45,16 +44,16 @@
 	select {
 	case <-w.started:
 	case <-time.After(2 * time.Second):
-		t.Errorf("a question is turned away beside %d that wait", comparison)
+		t.Errorf("a poll is refused while %d wait", comparison)
 	}
 }
 
-// waitingPolls are questions that a server has let in, and that wait for their answers.
+// waitingPolls are polls that the server has admitted and that block until release is closed.
 type waitingPolls struct {
 	t       *testing.T
 	poll    echo.HandlerFunc
-	started chan struct{} // one each
-	release chan struct{} // closed to let them go
+	started chan struct{} // one value for each admitted poll
+	release chan struct{} // closed to answer all polls
 }
 
 func newWaitingPolls(t *testing.T, s *Server) *waitingPolls {
@@ -68,7 +67,7 @@
 	return w
 }
 
-// start has so many wait.
+// start starts n polls and waits until all of them are admitted.
 func (w *waitingPolls) start(n int) {
 	w.t.Helper()
 	for range n {
@@ -78,12 +77,12 @@
 		select {
 		case <-w.started:
 		case <-time.After(2 * time.Second):
-			w.t.Fatalf("%d of %d questions were let in", i, n)
+			w.t.Fatalf("%d of %d polls were admitted", i, n)
 		}
 	}
 }
 
-// serve has a request served.
+// serve calls a handler and returns its response.
 func serve(t *testing.T, h echo.HandlerFunc) *httptest.ResponseRecorder {
 	rec := httptest.NewRecorder()
 	if err := h(echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/", nil), rec)); err != nil {
