--- a/internal/client/operators.go
+++ b/internal/client/operators.go
@@ -16,7 +16,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Operators is a client of the operators' door.
+// Operators is a client of the controllers' operators' endpoints. It is not safe for
+// concurrent use.
 type Operators struct {
 	addrs  []string
 	token  string
@@ -25,11 +26,11 @@
 	http   *http.Client
 }
 
-// NewOperators returns a client; addrs are HOST:PORT. caFile names the authority
-// that signed the controllers' certificates: with it calls go over TLS.
+// NewOperators returns a client; addrs are HOST:PORT. caFile is a PEM file of the CA that
+// signed the controllers' certificates; if it is given, calls use TLS.
 func NewOperators(addrs []string, token, caFile string) (*Operators, error) {
 	if len(addrs) == 0 {
-		return nil, errors.New("no address of an operators' door is given (--addr or $HONEYLOCK_OPS_ADDR)")
+		return nil, errors.New("no address of an operators' endpoint is given (--addr or $HONEYLOCK_OPS_ADDR)")
 	}
 	if token == "" {
 		return nil, errors.New("no token is given (--token-file or $HONEYLOCK_TOKEN)")
@@ -51,18 +52,19 @@
 	return operators, nil
 }
 
-// Get asks a question.
+// Get makes a call that changes nothing and decodes the answer into out.
 func (o *Operators) Get(ctx context.Context, path string, out any) error {
 	return o.retry(ctx, http.MethodGet, path, "", nil, out, nil)
 }
 
-// Change makes a change, once, however often it has to be asked for. told gets
-// why it takes longer.
+// Change makes a change exactly once, even if the request must be repeated. It calls
+// onRetry with the reason of each retry.
 func (o *Operators) Change(ctx context.Context, path string, body []byte, out any, onRetry func(string)) error {
 	return o.retry(ctx, http.MethodPost, path, rand.Text(), body, out, onRetry)
 }
 
-// Poll asks a question that takes a while, under one id until done.
+// Poll repeats a call under one id until done returns true. It is for calls whose answer
+// takes a while, such as forecasts.
 func (o *Operators) Poll(ctx context.Context, path string, body []byte, out any, done func() bool) error {
 	id := rand.Text()
 	for {
@@ -75,7 +77,8 @@
 	}
 }
 
-// retry repeats a call under one id until it has a final answer.
+// retry repeats a call under one id until it has a final answer, and tries the next
+// address each time.
 func (o *Operators) retry(ctx context.Context, method, path, id string, body []byte, out any,
 	onRetry func(string)) error {
 	return retryUntilFinal(ctx, func(ctx context.Context) (bool, time.Duration, error) {
@@ -90,7 +93,7 @@
 	})
 }
 
-// doOnce makes a call; last tells that its outcome is final.
+// doOnce makes a call once. final reports whether its outcome is final.
 func (o *Operators) doOnce(ctx context.Context, method, path, id string, body []byte, out any) (final bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, o.scheme+"://"+o.addrs[o.next%len(o.addrs)]+"/ops/v1/"+path,
 		bytes.NewReader(body))
@@ -119,7 +122,7 @@
 		return true, nil
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return true, fmt.Errorf("unreadable answer: %w", err)
+		return true, fmt.Errorf("answer can't be decoded: %w", err)
 	}
 	return true, nil
 }
--- a/internal/client/users.go
+++ b/internal/client/users.go
@@ -1,5 +1,5 @@
-// Package client speaks to controllers as users and operators do: with tries
-// that keep to the protocol, and errors that say what to do.
+// Package client contains the clients that users and operators use to call controllers.
+// They retry as the protocol demands.
 package client
 
 import (
@@ -19,8 +19,8 @@
 	"honeylock/internal/wire"
 )
 
-// Users is a client of the users' door. It turns from one address to the next
-// where one does not answer.
+// Users is a client of the controllers' endpoints for users. It tries the next address if
+// a controller does not answer. It is not safe for concurrent use.
 type Users struct {
 	addrs []string
 	next  int
@@ -41,7 +41,7 @@
 	return &Users{addrs: addrs, next: rng.IntN(len(addrs)), rng: rng, http: &http.Client{Timeout: 5 * time.Second}}, nil
 }
 
-// Refused is a final answer: trying again does not help.
+// Refused is the error of a request with a final negative answer: a retry would not help.
 type Refused struct {
 	Status int
 	Why    string
@@ -54,8 +54,8 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// Submit hands a job in, again and again for up to a minute. known tells that it
-// was accepted before.
+// Submit submits a job and retries for up to a minute. duplicate reports that the job had
+// been accepted before.
 func (u *Users) Submit(ctx context.Context, job []byte) (st *wire.JobState, duplicate bool, err error) {
 	status, st, err := u.retry(ctx, http.MethodPost, "/v1/jobs", job)
 	return st, status == http.StatusOK, err
@@ -67,16 +67,16 @@
 	return st, err
 }
 
-// Status asks for a job's state.
+// Status returns a job's state.
 func (u *Users) Status(ctx context.Context, id string) (*wire.JobState, error) {
 	_, st, err := u.retry(ctx, http.MethodGet, "/v1/jobs/"+id, nil)
 	return st, err
 }
 
-// Ended tells whether a job in this state has ended.
+// Ended reports whether a job in this state has ended.
 func Ended(st *wire.JobState) bool { return st.Stage == "done" || st.Stage == "aborted" }
 
-// Wait polls until a job has ended; told gets every state seen.
+// Wait polls until a job has ended. It calls onState with every state it sees.
 func (u *Users) Wait(ctx context.Context, id string, interval time.Duration,
 	onState func(*wire.JobState)) (*wire.JobState,
 	error) {
@@ -111,8 +111,8 @@
 	return status, st, err
 }
 
-// retryUntilFinal tries for up to a minute until the answer is final, each time after the
-// pause that the one before told.
+// retryUntilFinal calls try for up to retryTimeout until its answer is final. It waits
+// between calls for the time that try returns.
 func retryUntilFinal(ctx context.Context, try func(context.Context) (final bool, after time.Duration,
 	err error)) error {
 	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
@@ -124,7 +124,7 @@
 			return err
 		}
 		if ctx.Err() == nil || lastErr == nil {
-			lastErr = err // not that the time was over
+			lastErr = err // keep the cause, rather than the timeout that ends the last try
 		}
 		if sleepErr := sleep(ctx, after); sleepErr != nil {
 			return fmt.Errorf("no answer: %w", errors.Join(lastErr, sleepErr))
@@ -132,7 +132,8 @@
 	}
 }
 
-// doOnce makes a request. Without a final answer it tells when to come back.
+// doOnce makes a request once. Without a final answer it returns the time to wait before
+// the next try.
 func (u *Users) doOnce(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
 	error) {
 	after := time.Second
@@ -153,7 +154,7 @@
 	case http.StatusOK, http.StatusCreated:
 		var st wire.JobState
 		if err := json.Unmarshal(b, &st); err != nil {
-			return 0, nil, after, fmt.Errorf("unreadable answer: %w", err)
+			return 0, nil, after, fmt.Errorf("answer can't be decoded: %w", err)
 		}
 		return res.StatusCode, &st, 0, nil
 	case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
@@ -165,7 +166,7 @@
 	return 0, nil, after, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
 }
 
-// errorMessage is the reason in an answer.
+// errorMessage returns the error text in the body of an answer.
 func errorMessage(b []byte) string {
 	var e struct {
 		Error string `json:"error"`
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud service from which machines are rented.
 package cloud
 
 import (
@@ -16,10 +16,11 @@
 	"honeylock/internal/wire"
 )
 
-// ErrNoCapacity: the cloud has no such machine now; nothing was rented.
+// ErrNoCapacity means that the cloud has no machine of the requested kind now and that
+// nothing was rented.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Client talks to the cloud under its rate limit.
+// Client sends requests to the cloud within its rate limit.
 type Client struct {
 	base    string
 	http    *jsonhttp.Client
@@ -37,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return 0, nil, fmt.Errorf("rate: %w", err)
+		return 0, nil, fmt.Errorf("cloud: wait for the rate limit: %w", err)
 	}
 	return c.http.Do(ctx, method, c.base+path, in, out)
 }
@@ -69,13 +70,14 @@
 	case status == http.StatusOK:
 		return n.Machines, nil
 	case status == http.StatusServiceUnavailable:
-		// Also an outage of the cloud ("trouble"): nothing was rented either.
+		// The cloud also answers 503 during an outage; nothing was rented then either.
 		return nil, ErrNoCapacity
 	}
 	return nil, unexpected(status, body)
 }
 
-// Return gives machines back. On nil they and all on them are gone.
+// Return returns machines to the cloud. If it succeeds, the machines and everything on
+// them are gone.
 func (c *Client) Return(ctx context.Context, names []string) error {
 	status, body, err := c.call(ctx, http.MethodPost, "/rentals/return", wire.MachineNames{Machines: names}, nil)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// List returns the machine list, which lags.
+// List returns the list of rented machines. It lags behind rentals and returns.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	from := ""
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -1,5 +1,5 @@
-// Package httpserve is what the controllers' HTTP doors share: a port that is taken
-// is tried again, and errors that no handler answered are.
+// Package httpserve contains what the controllers' HTTP servers share: serving with
+// retries, and answers to errors that no handler answered.
 package httpserve
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Until serves on an address until the context ends, and tries again where it
-// can't: the service never ends by itself. open gets every new listener; what is
-// for the log, after "not serving".
+// Until serves on an address until the context ends. If it can't listen or serve it tries
+// again, so that the process never exits by itself. It calls wrap with every new listener.
+// label follows "not serving" in the log.
 func Until(ctx context.Context, srv *http.Server, addr, label string, log *slog.Logger,
 	wrap func(net.Listener) net.Listener) {
 	go func() {
@@ -28,14 +28,15 @@
 			err = srv.Serve(wrap(l))
 		}
 		if ctx.Err() == nil {
-			log.Error("not serving"+label+"; trying again", "addr", addr, "err", err)
+			log.Error("not serving"+label+"; retrying", "addr", addr, "err", err)
 			time.Sleep(time.Second)
 		}
 	}
 }
 
-// OnError answers what no handler did, and logs what is not the caller's doing.
-func OnError(log *slog.Logger, answer func(c echo.Context, status int, msg string) error) echo.HTTPErrorHandler {
+// ErrorHandler returns an error handler for echo. It answers requests that no handler answered,
+// and logs errors that the caller did not cause.
+func ErrorHandler(log *slog.Logger, answer func(c echo.Context, status int, msg string) error) echo.HTTPErrorHandler {
 	return func(err error, c echo.Context) {
 		status, msg := http.StatusInternalServerError, "internal error"
 		var he *echo.HTTPError
@@ -46,7 +47,7 @@
 		}
 		if !c.Response().Committed {
 			if err := answer(c, status, msg); err != nil {
-				log.Debug("answer not written", "err", err)
+				log.Debug("failed to write answer", "err", err)
 			}
 		}
 	}
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp sends JSON requests over HTTP/1.1 with bounded answers.
+// Package jsonhttp sends JSON requests over HTTP/1.1 and reads answers of bounded size.
 package jsonhttp
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// ErrNoAnswer means that the request may or may not have been executed, or may
-// yet be executed later.
+// ErrNoAnswer means that the outcome is unknown: the request may or may not have been
+// executed, or may still be executed later.
 var ErrNoAnswer = errors.New("no answer")
 
 const maxAnswer = 8 << 20
 
-// Client talks to servers under one set of connection limits.
+// Client sends requests with common connection limits.
 type Client struct{ http *http.Client }
 
-// New returns a client with at most perHost connections to a server, of which up to
-// idle, to all servers together, are kept for the next request; 0: all.
+// New returns a client with at most perHost connections to a server. It keeps up to idle
+// unused connections, to all servers together, for later requests; 0: all of them.
 func New(perHost, idle int, dial time.Duration) *Client {
 	d := net.Dialer{Timeout: dial, KeepAlive: 15 * time.Second}
 	return &Client{http: &http.Client{
@@ -36,8 +36,8 @@
 	}}
 }
 
-// Do sends in (nil: no body) and decodes a 2xx answer into out (nil: dropped).
-// Other statuses are returned with the body and no error.
+// Do sends in as JSON (nil: no body) and decodes a 2xx answer into out (nil: the answer is
+// discarded). It returns other statuses with the body and without an error.
 func (c *Client) Do(ctx context.Context, method, url string, in, out any) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
@@ -65,7 +65,7 @@
 	}
 	if out != nil && res.StatusCode/100 == 2 {
 		if err := json.Unmarshal(b, out); err != nil {
-			return res.StatusCode, b, fmt.Errorf("%w: unreadable: %w", ErrNoAnswer, err)
+			return res.StatusCode, b, fmt.Errorf("%w: body can't be decoded: %w", ErrNoAnswer, err)
 		}
 	}
 	return res.StatusCode, b, nil
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -61,7 +61,7 @@
 	}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = httpserve.OnError(log, func(c echo.Context, status int, msg string) error {
+	e.HTTPErrorHandler = httpserve.ErrorHandler(log, func(c echo.Context, status int, msg string) error {
 		return s.answer(c, node.CallReply{Status: status, Err: msg})
 	})
 	e.Use(s.authorise)
--- a/internal/planfile/choose.go
+++ b/internal/planfile/choose.go
@@ -10,14 +10,14 @@
 	"honeylock/internal/wire"
 )
 
-// Candidate is a machine that a plan may mean.
+// Candidate is a machine that a plan may select.
 type Candidate struct {
 	Machine model.Machine
 	Age     time.Duration // since it was rented
-	Free    int64         // CPU, in thousandths
+	Free    int64         // free CPU, in thousandths of a CPU
 }
 
-// Choose returns the machines that a plan means, in its order.
+// Choose returns the machines that a plan selects, in the plan's order.
 func Choose(p *planpb.Plan, all []Candidate, n *wire.Names) []model.MachineID {
 	s := p.GetMachines()
 	position := map[string]int{}
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -1,5 +1,5 @@
-// Package planfile reads operators' drain plans: protobuf text, checked against
-// its schema, every mistake told with its field.
+// Package planfile reads operators' drain plans in protobuf text format. It checks them
+// against the schema and reports every mistake with its field.
 package planfile
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	// Windows name time zones, and the controllers have no disk.
+	// Windows name time zones, and controllers have no time zone files on disk.
 	_ "time/tzdata"
 
 	"google.golang.org/protobuf/encoding/prototext"
@@ -23,7 +23,7 @@
 	"honeylock/internal/wire"
 )
 
-// MaxSource is the longest plan that is taken, in bytes.
+// MaxSource is the maximum size of a plan's text, in bytes.
 const MaxSource = 4 << 10
 
 const (
@@ -36,10 +36,10 @@
 
 var planName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,39}$`)
 
-// Parse reads a plan and returns all of its mistakes, joined.
+// Parse parses and checks a plan. It returns all of the plan's mistakes as one joined error.
 func Parse(text []byte) (*planpb.Plan, error) {
 	if len(text) > MaxSource {
-		return nil, fmt.Errorf("the plan has %d bytes, at most %d are taken", len(text), MaxSource)
+		return nil, fmt.Errorf("the plan has %d bytes, the maximum is %d", len(text), MaxSource)
 	}
 	var p planpb.Plan
 	if err := prototext.Unmarshal(text, &p); err != nil {
@@ -90,7 +90,7 @@
 
 func checkWaves(m *fieldErrors, p *planpb.Plan) {
 	if n := len(p.GetWaves()); n > maxWaves {
-		m.add("waves", "%d given, at most %d are taken", n, maxWaves)
+		m.add("waves", "%d given, the maximum is %d", n, maxWaves)
 	}
 	last := 0.0
 	for i, w := range p.GetWaves() {
@@ -102,7 +102,7 @@
 			m.add(f+".machines", "%d must be from 1 to 100000", w.GetMachines())
 		}
 		if w.Share != nil && !(w.GetShare() > last && w.GetShare() <= 1) {
-			m.add(f+".share", "%v must be above %v, as a part of all machines, and at most 1", w.GetShare(), last)
+			m.add(f+".share", "%v must be above %v, the share of the waves before it, and at most 1", w.GetShare(), last)
 		}
 		last = max(last, w.GetShare())
 		if !(w.GetSoakS() >= 0 && w.GetSoakS() <= 86400) {
@@ -114,7 +114,7 @@
 		return
 	}
 	if len(p.GetWaves()) == 0 {
-		m.add("gate", "there are no waves between which it could stand")
+		m.add("gate", "there are no waves, which a gate needs")
 	}
 	if g.Tasks != nil && (g.GetTasks() < 1 || g.GetTasks() > 100_000) {
 		m.add("gate.tasks", "%d must be from 1 to 100000", g.GetTasks())
@@ -127,7 +127,7 @@
 	}
 }
 
-// convertWaves are a plan's waves and its gate in the cores' terms.
+// convertWaves adds a plan's waves and its gate to a drain.Spec.
 func convertWaves(p *planpb.Plan, s *drain.Spec) {
 	for _, w := range p.GetWaves() {
 		s.Waves = append(s.Waves, drain.Wave{Machines: int(w.GetMachines()), Share: w.GetShare(),
@@ -151,7 +151,7 @@
 
 func checkEnum(m *fieldErrors, field string, v int32, names map[int32]string) {
 	if _, ok := names[v]; !ok {
-		m.add(field, "%d has no meaning", v)
+		m.add(field, "%d is no known value", v)
 	}
 }
 
@@ -160,9 +160,9 @@
 		s.GetOlderThanS() > 0
 	switch {
 	case !hasCriteria && !s.GetAll():
-		m.add("machines", "say which: names, types, zones, kind, older_than_s, or all: true")
+		m.add("machines", "say which: give names, types, zones, kind, older_than_s, or all: true")
 	case hasCriteria && s.GetAll():
-		m.add("machines.all", "must not be given together with others")
+		m.add("machines.all", "must not be given together with other fields")
 	}
 	seen := map[string]bool{}
 	for i, n := range s.GetNames() {
@@ -170,7 +170,7 @@
 			m.add(fmt.Sprintf("machines.names[%d]", i), "%w", err)
 		}
 		if seen[n] {
-			m.add(fmt.Sprintf("machines.names[%d]", i), "%q is there twice", n)
+			m.add(fmt.Sprintf("machines.names[%d]", i), "%q is given twice", n)
 		}
 		seen[n] = true
 	}
@@ -182,7 +182,7 @@
 
 func checkRules(m *fieldErrors, rules []*planpb.Rule) {
 	if len(rules) > maxRules {
-		m.add("rules", "%d given, at most %d are taken", len(rules), maxRules)
+		m.add("rules", "%d given, the maximum is %d", len(rules), maxRules)
 	}
 	for i, r := range rules {
 		f := fmt.Sprintf("rules[%d]", i)
@@ -198,7 +198,7 @@
 
 func checkWindows(m *fieldErrors, windows []*planpb.Window) {
 	if len(windows) > maxWindows {
-		m.add("windows", "%d given, at most %d are taken", len(windows), maxWindows)
+		m.add("windows", "%d given, the maximum is %d", len(windows), maxWindows)
 	}
 	for i, w := range windows {
 		f := fmt.Sprintf("windows[%d]", i)
@@ -209,26 +209,26 @@
 			m.add(f+".not_past", "%q must be a time of day, HH:MM", w.GetNotPast())
 		}
 		if _, err := time.LoadLocation(w.GetTimeZone()); err != nil || w.GetTimeZone() == "Local" {
-			m.add(f+".time_zone", "%q is no time zone such as Asia/Muscat", w.GetTimeZone())
+			m.add(f+".time_zone", "%q must be a time zone such as Asia/Muscat", w.GetTimeZone())
 		}
 	}
 }
 
-// parseClock parses a time of day.
+// parseClock parses a time of day, HH:MM.
 func parseClock(s string) (time.Duration, error) {
 	h, min, ok := strings.Cut(s, ":")
 	a, err1 := strconv.ParseUint(h, 10, 8)
 	b, err2 := strconv.ParseUint(min, 10, 8)
 	if !ok || err1 != nil || err2 != nil || len(h) != 2 || len(min) != 2 || a > 23 || b > 59 {
-		return 0, fmt.Errorf("%q is no time of day", s)
+		return 0, fmt.Errorf("%q is not a time of day", s)
 	}
 	return time.Duration(a)*time.Hour + time.Duration(b)*time.Minute, nil
 }
 
-// Encode is what is stored of a plan.
+// Encode returns the stored form of a plan.
 func Encode(p *planpb.Plan) ([]byte, error) { return proto.Marshal(p) }
 
-// Decode reads what is stored.
+// Decode reads the stored form of a plan.
 func Decode(b []byte) (*planpb.Plan, error) {
 	var p planpb.Plan
 	if err := proto.Unmarshal(b, &p); err != nil {
@@ -237,10 +237,10 @@
 	return &p, check(&p)
 }
 
-// Text is a plan as its operator could have written it.
+// Text returns a plan in protobuf text format.
 func Text(p *planpb.Plan) string { return prototext.MarshalOptions{Multiline: true}.Format(p) }
 
-// Spec is the plan in the cores' terms, without its machines.
+// Spec converts a plan to a drain.Spec, without its machines.
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
 	s := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
 		FreeCapacityFloor: p.GetFloor(),
@@ -275,8 +275,8 @@
 		out.Classes = append(out.Classes, n.Classes.ID(c))
 	}
 	if !out.Deadline {
-		out.Clock, _ = parseClock(w.GetNotPast())            // it was checked
-		out.Location, _ = time.LoadLocation(w.GetTimeZone()) // so was this
+		out.Clock, _ = parseClock(w.GetNotPast()) // the plan was checked, so neither can fail
+		out.Location, _ = time.LoadLocation(w.GetTimeZone())
 		out.Name = "the window"
 	}
 	return out
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -87,12 +87,12 @@
 	} {
 		_, err := Parse([]byte(text))
 		if err == nil {
-			t.Errorf("%s was taken", text)
+			t.Errorf("%s was accepted", text)
 			continue
 		}
 		for _, f := range fields {
 			if !strings.Contains(err.Error(), f) {
-				t.Errorf("%s: %q does not tell of %q", text, err, f)
+				t.Errorf("%s: error %q does not contain %q", text, err, f)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-// The plan that the operators' page shows is one that is taken.
+// The example plan in the deploy folder must be valid.
 func TestDeployedPlanParses(t *testing.T) {
 	b, err := os.ReadFile("../../deploy/drain.textproto")
 	if err != nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// FuzzPlan: whatever is written, it is refused or taken whole: what is stored reads
-// as what was declared, and the text made of it is taken again.
+// FuzzPlan checks that any text is either refused or accepted completely: the stored form
+// decodes to the same plan, and the text form parses again.
 func FuzzPlan(f *testing.F) {
 	f.Add([]byte(fullPlan))
 	f.Add([]byte(angleBracketPlan))
@@ -156,14 +156,14 @@
 		}
 		back, err := Decode(b)
 		if err != nil {
-			t.Fatalf("stored, it is refused: %v", err)
+			t.Fatalf("the stored form is refused: %v", err)
 		}
 		if d := cmp.Diff(Spec(p, names()), Spec(back, names()),
 			cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })); d != "" {
 			t.Fatal(d)
 		}
 		if _, err := Parse([]byte(Text(p))); err != nil && len(Text(p)) <= MaxSource {
-			t.Fatalf("its text is refused: %v\n%s", err, Text(p))
+			t.Fatalf("the text form is refused: %v\n%s", err, Text(p))
 		}
 		Choose(p, []Candidate{{}, {Machine: model.Machine{ID: 1}}}, names())
 	})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -71,7 +71,7 @@
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.JSONSerializer = serializer{}
-	e.HTTPErrorHandler = httpserve.OnError(log, func(c echo.Context, status int, msg string) error {
+	e.HTTPErrorHandler = httpserve.ErrorHandler(log, func(c echo.Context, status int, msg string) error {
 		return c.JSON(status, errorBody{msg})
 	})
 	e.POST("/agent/beat", s.report)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker sends commands to workers directly.
+// Package worker sends direct commands to workers, which need not wait for the workers' reports.
 package worker
 
 import (
@@ -12,20 +12,20 @@
 	"honeylock/internal/wire"
 )
 
-// Client sends direct commands.
+// Client sends direct commands to workers.
 type Client struct {
 	http    *jsonhttp.Client
 	timeout time.Duration
 }
 
-// New returns a client whose commands are given up after timeout. It keeps up to
-// idle connections, of all workers together, for the next command.
+// New returns a client whose commands time out after timeout. It keeps up to idle unused
+// connections, to all workers together, for later commands.
 func New(timeout time.Duration, idle int) *Client {
 	return &Client{http: jsonhttp.New(1, idle, timeout), timeout: timeout}
 }
 
-// Send sends commands and returns the worker's report after them. executed is
-// false if the worker refused them for their token or session (409).
+// Send sends commands and returns the report that the worker answers. executed is false if
+// the worker refused the commands because of their token or session (409).
 func (c *Client) Send(ctx context.Context, addr string, token, session uint64,
 	cmds []model.Command) (rep *wire.RawReport, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
