--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -26,19 +26,21 @@
 
 func devCommand() *cobra.Command {
 	var f devFlags
-	c := &cobra.Command{Use: "dev", Short: "Run a whole cluster on loopback, with stand-ins and a small workload",
-		Args: cobra.NoArgs,
-		Long: `Runs controllers against stand-ins of the state service, the cloud and the
-workers, all in this process and on loopback, and lets a small workload arrive.
-No file is needed. At the end it prints one line of jobs, and the exit code is 1
-if a job was lost or a task ran twice at a time.`,
+	c := &cobra.Command{Use: "dev", Args: cobra.NoArgs,
+		Short: "Run a complete cluster on loopback, with simulated services and a small workload",
+		Long: `Runs controllers against simulated workers, state service and cloud, all in this
+process and on loopback, and submits a small workload. It needs no files. At the end
+it prints one line with counts of jobs. The exit code is 1 if a job was lost or two
+attempts of a task ran at the same time.`,
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) }}
-	c.Flags().IntVar(&f.controllers, "controllers", 3, "controllers, 1 to 9")
-	c.Flags().IntVar(&f.workers, "workers", 6, "machines that are up at the start, 1 to 200; as many again can be rented")
-	c.Flags().DurationVar(&f.length, "for", 30*time.Second, "jobs arrive for so long; 0: until interrupted")
-	c.Flags().Float64Var(&f.speed, "speed", 10, "runs, boots and fetches take so many times less than in life, 0.1 to 100")
-	c.Flags().StringVar(&f.workload, "workload", "", "a workload in protobuf text format, or none")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is random")
+	c.Flags().IntVar(&f.controllers, "controllers", 3, "number of controllers, 1 to 9")
+	c.Flags().IntVar(&f.workers, "workers", 6, "number of machines at the start, 1 to 200; as many again can be rented")
+	c.Flags().DurationVar(&f.length, "for", 30*time.Second, "how long jobs are submitted; 0: until interrupted")
+	c.Flags().Float64Var(&f.speed, "speed", 10,
+		"factor by which tasks, boots and image fetches are faster than in production, 0.1 to 100")
+	c.Flags().StringVar(&f.workload, "workload", "",
+		"file with a workload in protobuf text format, or \"none\" (default: a small workload)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random numbers")
 	return c
 }
 
@@ -87,7 +89,7 @@
 	if level := os.Getenv("LOG_LEVEL"); level != "" {
 		o.Log = logger(os.Stderr, level)
 	}
-	token := rand.Text() // of the operators' doors
+	token := rand.Text() // of the operators' servers
 	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(token) }
 	cl, err := dev.Start(o)
 	if err != nil {
@@ -122,8 +124,8 @@
 	return nil
 }
 
-// bounds are until when jobs arrive, and until when they are waited for: a
-// minute longer, unless interrupted.
+// bounds returns two contexts: arrive ends when no more jobs are submitted, wait ends a
+// minute later, when open jobs are no longer waited for. An interrupt ends both.
 func (f *devFlags) bounds(ctx context.Context, busy bool) (arrive, wait context.Context, stop func()) {
 	if f.length == 0 {
 		return ctx, ctx, func() {}
@@ -137,7 +139,7 @@
 	return arrive, wait, func() { stop1(); stop2() }
 }
 
-// follow tells how it goes, on a terminal in one line.
+// follow prints the progress until ended is closed. On a terminal it updates one line.
 func (f *devFlags) follow(c *cobra.Command, u *dev.Users, ended <-chan struct{}) {
 	began := time.Now()
 	terminal := false
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -18,7 +18,8 @@
 	"honeylock/internal/planfile"
 )
 
-// operatorFlags is how an operator's command reaches the controllers.
+// operatorFlags are the flags of an operator's command: how it reaches the controllers, and
+// how it prints their answer.
 type operatorFlags struct {
 	addrs         []string
 	tokenFile, ca string
@@ -26,11 +27,11 @@
 }
 
 func (d *operatorFlags) flags(c *cobra.Command) {
-	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "operators' doors of controllers")
+	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "addresses of the controllers' operators' endpoints")
 	c.PersistentFlags().StringVar(&d.tokenFile, "token-file", "",
-		"a file that holds your token (default: $HONEYLOCK_TOKEN)")
+		"file with your token (default: $HONEYLOCK_TOKEN)")
 	c.PersistentFlags().StringVar(&d.ca, "ca", "",
-		"the authority (PEM) of the controllers' certificates: calls go over TLS")
+		"file with the CA (PEM) of the controllers' certificates; if given, calls use TLS")
 	c.PersistentFlags().BoolVar(&d.asJSON, "json", false, "print JSON")
 }
 
@@ -46,7 +47,7 @@
 	return client.NewOperators(d.addrs, token, d.ca)
 }
 
-// get asks a question and shows the answer.
+// get makes a call that changes nothing and prints the answer.
 func get[T any](c *cobra.Command, d *operatorFlags, path string, show func(io.Writer, *T) error) error {
 	o, err := d.dial()
 	if err != nil {
@@ -62,7 +63,7 @@
 	return show(c.OutOrStdout(), &v)
 }
 
-// change makes a change and shows its outcome.
+// change makes a change and prints its outcome.
 func (d *operatorFlags) change(c *cobra.Command, path string, body []byte) error {
 	o, err := d.dial()
 	if err != nil {
@@ -82,7 +83,8 @@
 
 func drainCommand() *cobra.Command {
 	var d operatorFlags
-	c := &cobra.Command{Use: "drain", Short: "Empty machines by plan, to patch them or give them back"}
+	c := &cobra.Command{Use: "drain",
+		Short: "Drain machines according to a plan, to patch them or return them to the cloud"}
 	d.flags(c)
 	planAction := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1),
@@ -96,14 +98,14 @@
 			RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "drains", showPlans)
 			}},
-		&cobra.Command{Use: "budgets", Short: "Show what teams may lose by our own doing, and what is out of work now",
+		&cobra.Command{Use: "budgets", Short: "Show teams' disruption budgets, and the work that is interrupted now",
 			Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "budgets", showBudgets)
 			}},
-		planAction("pause", "Stop a plan: no machine is begun, nothing moves"),
-		planAction("resume", "Let a paused plan go on"),
-		planAction("cancel", "End a plan: its machines are wanted again"),
-		&cobra.Command{Use: "patched NAME MACHINE", Short: "Say that a machine of a plan is patched: it is wanted again",
+		planAction("pause", "Pause a plan: no more machines are started and no tasks are moved"),
+		planAction("resume", "Resume a paused plan"),
+		planAction("cancel", "Cancel a plan: its machines get tasks again"),
+		&cobra.Command{Use: "patched NAME MACHINE", Short: "Report that a machine of a plan is patched: it gets tasks again",
 			Args: cobra.ExactArgs(2),
 			RunE: func(c *cobra.Command, args []string) error {
 				return d.change(c, "drains/"+url.PathEscape(args[0])+"/machines/"+url.PathEscape(args[1])+"/patched", nil)
@@ -119,7 +121,7 @@
 		})
 }
 
-// planCommand is a command about a plan in a file, which must be without mistakes.
+// planCommand returns a command that reads and checks a plan in a file and passes it to do.
 func planCommand(use, short string, do func(c *cobra.Command, plan []byte) error) *cobra.Command {
 	return &cobra.Command{Use: use + " FILE|-", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -143,15 +145,16 @@
 }
 
 func applyCommand(d *operatorFlags) *cobra.Command {
-	return planCommand("apply", "Begin a plan", func(c *cobra.Command, plan []byte) error {
+	return planCommand("apply", "Start a plan", func(c *cobra.Command, plan []byte) error {
 		return d.change(c, "drains", plan)
 	})
 }
 
 func drainStatusCommand(d *operatorFlags) *cobra.Command {
 	var watch bool
-	c := &cobra.Command{Use: "status NAME", Short: "Show how a plan stands, machine by machine", Args: cobra.ExactArgs(1)}
-	c.Flags().BoolVar(&watch, "watch", false, "show it again until the plan has ended; exit code 1 unless it is done")
+	c := &cobra.Command{Use: "status NAME", Short: "Show the state of a plan, machine by machine",
+		Args: cobra.ExactArgs(1)}
+	c.Flags().BoolVar(&watch, "watch", false, "print changes until the plan has ended; exit code 1 unless it is done")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		path := "drains/" + url.PathEscape(args[0])
 		if !watch {
@@ -162,7 +165,7 @@
 	return c
 }
 
-// watch follows a plan to its end.
+// watch prints a plan's state whenever it changes, until the plan has ended.
 func (d *operatorFlags) watch(c *cobra.Command, path string) error {
 	o, err := d.dial()
 	if err != nil {
@@ -253,9 +256,9 @@
 
 func auditCommand() *cobra.Command {
 	var d operatorFlags
-	c := &cobra.Command{Use: "audit", Short: "What operators changed"}
+	c := &cobra.Command{Use: "audit", Short: "Show operators' changes"}
 	d.flags(c)
-	c.AddCommand(&cobra.Command{Use: "list", Short: "List the newest changes, made or refused", Args: cobra.NoArgs,
+	c.AddCommand(&cobra.Command{Use: "list", Short: "List the latest changes, made or refused", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "audit", showAudit) }})
 	return c
 }
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -12,12 +12,12 @@
 )
 
 func forecastCommand(d *operatorFlags) *cobra.Command {
-	return planCommand("plan", "Forecast a plan: which jobs it would delay, by how long and why; nothing is changed",
+	return planCommand("plan", "Forecast which jobs a plan would delay, by how long and why; changes nothing",
 		func(c *cobra.Command, plan []byte) error { return d.forecast(c, "forecasts", plan) })
 }
 
 func forecastRestCommand(d *operatorFlags) *cobra.Command {
-	return &cobra.Command{Use: "forecast NAME", Short: "Forecast the rest of a plan that is under way",
+	return &cobra.Command{Use: "forecast NAME", Short: "Forecast the rest of a plan in progress",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return d.forecast(c, "drains/"+url.PathEscape(args[0])+"/forecast", nil)
@@ -47,7 +47,8 @@
 	return showForecast(c.OutOrStdout(), &r)
 }
 
-// formatRange is a span for people: its middle, and its ends where they differ.
+// formatRange formats a range of seconds (low, middle, high): the middle, and both ends if
+// they differ.
 func formatRange(s [3]float64) string {
 	d := func(v float64) string { return time.Duration(v * float64(time.Second)).Round(time.Second).String() }
 	if d(s[0]) == d(s[2]) {
@@ -60,13 +61,13 @@
 	fmt.Fprintf(w, "%s  takes %s; %d of %d open jobs would be delayed\n", r.Name, formatRange(r.TookS), len(r.Delayed),
 		r.Jobs)
 	if r.Unfinished != "" {
-		fmt.Fprintf(w, "it does not end in the time played: %s\n", r.Unfinished)
+		fmt.Fprintf(w, "the plan does not end within the simulated time: %s\n", r.Unfinished)
 	}
 	if r.Unreported > 0 {
-		fmt.Fprintf(w, "%d machines are left out: their controllers did not tell what runs there\n", r.Unreported)
+		fmt.Fprintf(w, "%d machines are left out: their controllers did not report the tasks on them\n", r.Unreported)
 	}
 	for _, g := range r.Guarantees {
-		fmt.Fprintf(w, "work of %s within its guarantee would wait %.0f s in place of %.0f s\n", g.Team, g.WithS, g.WithoutS)
+		fmt.Fprintf(w, "work of %s within its guarantee would wait %.0f s instead of %.0f s\n", g.Team, g.WithS, g.WithoutS)
 	}
 	if len(r.Delayed) == 0 {
 		return nil
--- a/cmd/honeylock/job.go
+++ b/cmd/honeylock/job.go
@@ -16,7 +16,8 @@
 	"honeylock/internal/wire"
 )
 
-// addrFlag names the controllers that a client turns to.
+// addrFlag adds the flag for the controllers' addresses, with the environment variable env
+// as the default.
 func addrFlag(c *cobra.Command, addrs *[]string, env, what string) {
 	var given []string
 	if v := os.Getenv(env); v != "" {
@@ -29,8 +30,8 @@
 func jobCommand() *cobra.Command {
 	var addrs []string
 	var asJSON bool
-	c := &cobra.Command{Use: "job", Short: "Submit jobs, follow and withdraw them"}
-	addrFlag(c, &addrs, "HONEYLOCK_ADDR", "controllers")
+	c := &cobra.Command{Use: "job", Short: "Submit, follow and withdraw jobs"}
+	addrFlag(c, &addrs, "HONEYLOCK_ADDR", "addresses of controllers")
 	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	dial := func() (*client.Users, error) {
 		return client.NewUsers(addrs, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), uint64(os.Getpid()))))
@@ -65,11 +66,11 @@
 				}
 			})
 			if err == nil && st.Stage != "done" {
-				err = fmt.Errorf("it has ended as %s", st.Stage)
+				err = fmt.Errorf("the job has ended as %s", st.Stage)
 			}
 			return st, err
 		})
-	wait.Flags().DurationVar(&every, "every", every, "ask so often")
+	wait.Flags().DurationVar(&every, "every", every, "time between two requests")
 	c.AddCommand(submitCommand(dial, show), wait,
 		one("status", "Show a job's state", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			return u.Status(c.Context(), id)
@@ -100,13 +101,13 @@
 				return failed(err)
 			}
 			if duplicate {
-				fmt.Fprintln(c.ErrOrStderr(), "it was accepted before")
+				fmt.Fprintln(c.ErrOrStderr(), "the job had been accepted before")
 			}
 			return show(c, st)
 		}}
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads a file, or standard input if path is "-".
 func readFile(c *cobra.Command, path string) ([]byte, error) {
 	if path != "-" {
 		return os.ReadFile(path)
--- a/cmd/honeylock/main.go
+++ b/cmd/honeylock/main.go
@@ -1,5 +1,5 @@
-// Command honeylock is a controller of the honeylock cluster scheduler, and the
-// clients of its users and operators.
+// Command honeylock runs a controller of the honeylock cluster scheduler. It also contains
+// the command-line clients of users and operators.
 package main
 
 import (
@@ -17,16 +17,16 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // refused, or it failed
-	exitUsage  = 2 // wrong usage, or a mistake in a file
+	exitFailed = 1 // the command failed or was refused
+	exitUsage  = 2 // wrong usage, or an invalid file
 )
 
-// failure is an error that is not the caller's wrong usage.
+// failure marks an error that is not caused by wrong usage. It decides the exit code.
 type failure struct{ error }
 
 func (f failure) Unwrap() error { return f.error }
 
-// failed marks an error as a failure.
+// failed marks an error as a failure; nil stays nil.
 func failed(err error) error {
 	if err == nil {
 		return nil
--- a/cmd/honeylock/member.go
+++ b/cmd/honeylock/member.go
@@ -11,7 +11,7 @@
 
 func memberCommand() *cobra.Command {
 	var d operatorFlags
-	c := &cobra.Command{Use: "member", Short: "The controllers, and which release each speaks"}
+	c := &cobra.Command{Use: "member", Short: "Show the controllers and the release of each"}
 	d.flags(c)
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List the controllers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "members", showMembers) }})
--- a/cmd/honeylock/scale.go
+++ b/cmd/honeylock/scale.go
@@ -16,10 +16,10 @@
 )
 
 func scaleCommand() *cobra.Command {
-	c := &cobra.Command{Use: "scale", Short: "Measure what a fleet of a given size costs, on this machine"}
+	c := &cobra.Command{Use: "scale", Short: "Measure the cost of a fleet of a given size on this machine"}
 	c.AddCommand(scaleRunCommand(), scaleSlopesCommand(),
-		scaleChildCommand("hollow", "Hollow workers of a region", scale.ServeHollow),
-		scaleChildCommand("world", "Users, state service and cloud of a region", scale.ServeWorld))
+		scaleChildCommand("hollow", "Run the simulated workers of a region", scale.ServeHollow),
+		scaleChildCommand("world", "Run the users, state service and cloud of a region", scale.ServeWorld))
 	return c
 }
 
@@ -34,18 +34,18 @@
 func scaleRunCommand() *cobra.Command {
 	f := scaleFlags{options: scale.Defaults()}
 	c := &cobra.Command{Use: "run", Args: cobra.NoArgs,
-		Short: "Play a fleet with real controllers and hollow workers, and measure it",
+		Short: "Run a fleet of real controllers and simulated workers, and measure it",
 		Long: `Starts the controllers of each region as they are deployed, one process each, and
-stand-ins of all else on loopback: hollow workers that keep to the whole protocol and
-run nothing (one process a region), users, state service and cloud (another).
+simulates everything else on loopback: workers that speak the whole protocol and run
+nothing (one process per region), and users, state service and cloud (another process).
 
-It brings all workers up, has users submit arrays until as many tasks run as are wanted,
-waits for --ramp, measures for --for, then once more for 30 s after each --fault, and
-ends. Figures of processes come from the kernel; starts, waits, bytes, tasks on two
-machines and teams over their limits are counted by the workers and users themselves.
+It starts all workers, submits arrays of tasks until the wanted number of tasks runs,
+waits for --ramp, measures for --for, then measures another 30 s after each --fault, and
+ends. Figures of processes come from the kernel. The simulated workers and users count
+starts, waits, bytes, tasks that run on two machines, and teams over their limits.
 
-Nothing else on this machine is touched, and all that was started ends with the run, also
-when it is interrupted. A size that will not fit into half of the machine's memory is
+The run touches nothing else on this machine. All processes that it started end with it,
+also when it is interrupted. A fleet that needs more than half of the machine's memory is
 refused. Exit codes: 0 done, 1 failed or a rule was broken, 2 wrong usage.
 
   honeylock scale run --workers 1000 --controllers 3 --report small.json
@@ -54,31 +54,36 @@
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) }}
 	o := &f.options
 	flags := c.Flags()
-	flags.IntVar(&o.Workers, "workers", o.Workers, "workers of all regions, 1 to 60000")
-	flags.IntVar(&o.Controllers, "controllers", o.Controllers, "controllers of all regions, one process each, 1 to 100")
-	flags.IntVar(&o.Regions, "regions", o.Regions, "regions, each with a state service and a cloud of its own, 1 to 9")
-	flags.IntVar(&o.Zones, "zones", o.Zones, "zones of all regions, 1 to 50")
-	flags.IntVar(&o.Teams, "teams", o.Teams, "teams, each with a guarantee and a limit in every region, 1 to 1000")
-	flags.StringVar(&f.profile, "profile", string(o.Profile), "peak: tasks run for 45 s; ordinary: for 135 s")
-	flags.IntVar(&o.TasksPerWorker, "tasks-per-worker", o.TasksPerWorker, "tasks that run on a worker on average, 1 to 64")
-	flags.DurationVar(&o.TaskTime, "task-time", 0, "mean run time of a task, 1s to 1h; 0: the profile's")
-	flags.IntVar(&o.TasksPerJob, "tasks-per-job", o.TasksPerJob, "mean number of tasks of an array, 1 to 20000")
+	flags.IntVar(&o.Workers, "workers", o.Workers, "number of workers in all regions, 1 to 60000")
+	flags.IntVar(&o.Controllers, "controllers", o.Controllers,
+		"number of controllers in all regions, one process each, 1 to 100")
+	flags.IntVar(&o.Regions, "regions", o.Regions, "number of regions, each with its own state service and cloud, 1 to 9")
+	flags.IntVar(&o.Zones, "zones", o.Zones, "number of zones in all regions, 1 to 50")
+	flags.IntVar(&o.Teams, "teams", o.Teams,
+		"number of teams, each with a guarantee and a limit in every region, 1 to 1000")
+	flags.StringVar(&f.profile, "profile", string(o.Profile),
+		"load profile: peak (tasks run for 45 s) or ordinary (135 s)")
+	flags.IntVar(&o.TasksPerWorker, "tasks-per-worker", o.TasksPerWorker,
+		"mean number of running tasks per worker, 1 to 64")
+	flags.DurationVar(&o.TaskTime, "task-time", 0, "mean run time of a task, 1s to 1h; 0: as in the profile")
+	flags.IntVar(&o.TasksPerJob, "tasks-per-job", o.TasksPerJob, "mean number of tasks per job, 1 to 20000")
 	flags.Float64Var(&o.ReplacedPerDay, "replaced-per-day", o.ReplacedPerDay,
-		"workers that stop a day; the cloud has others")
-	flags.Float64Var(&o.ReplacedFaster, "replaced-faster", o.ReplacedFaster, "they stop so many times as often, 0 to 1000")
+		"number of workers that stop per day and are replaced by rented ones")
+	flags.Float64Var(&o.ReplacedFaster, "replaced-faster", o.ReplacedFaster, "factor on --replaced-per-day, 0 to 1000")
 	flags.Float64Var(&o.CancelledShare, "cancelled-share", o.CancelledShare,
-		"part of the arrays that users cancel, 0 to 1")
+		"fraction of the jobs that users cancel, 0 to 1")
 	flags.Float64Var(&o.LimitChangesPerDay, "limit-changes-per-day", o.LimitChangesPerDay,
-		"changes of teams' limits a day, all of which each region applies; 0: none")
-	flags.DurationVar(&o.Ramp, "ramp", o.Ramp, "load before anything is measured, 1s to 1h")
-	flags.DurationVar(&o.Duration, "for", o.Duration, "measured for so long, 1s to 24h")
+		"number of changes of teams' limits per day, each applied in every region; 0: none")
+	flags.DurationVar(&o.Ramp, "ramp", o.Ramp, "time under load before the measurement, 1s to 1h")
+	flags.DurationVar(&o.Duration, "for", o.Duration, "duration of the measurement, 1s to 24h")
 	flags.StringArrayVar(&f.faults, "fault", nil,
-		"a fault that strikes the first region afterwards, again for more: leader-ends, controller-restarts, rack-gone "+
-			"(40 workers), zone-lost (with its controllers, for good), all-controllers-end")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of all that is random")
-	flags.StringVar(&o.Report, "report", "", "file for the raw report (JSON)")
+		"fault in the first region after the measurement; may be repeated: leader-ends, controller-restarts, rack-gone "+
+			"(40 workers), zone-lost (with its controllers, permanently), all-controllers-end")
+	flags.Uint64Var(&o.Seed, "seed", o.Seed, "seed of all random numbers")
+	flags.StringVar(&o.Report, "report", "", "write the raw report (JSON) to this file")
 	flags.StringVar(&f.settings, "settings", "",
-		"all of this and the limits of state service and cloud, in protobuf text format (internal/scale/scalepb)")
+		"file with all of these settings and the limits of state service and cloud, in protobuf text format "+
+			"(internal/scale/scalepb)")
 	return c
 }
 
@@ -99,7 +104,7 @@
 	}
 	binary, err := os.Executable()
 	if err != nil {
-		return failed(fmt.Errorf("this program's path: %w", err))
+		return failed(fmt.Errorf("find this program's path: %w", err))
 	}
 	commit := builtFrom()
 	fmt.Fprintf(c.OutOrStdout(), "seed %d, commit %s: %.0f starts a second wanted\n", o.Seed, commit, o.StartsPerSecond())
@@ -117,12 +122,13 @@
 		for _, v := range report.Verdicts {
 			fmt.Fprintln(c.ErrOrStderr(), v)
 		}
-		return failed(errors.New("something went wrong; see above"))
+		return failed(errors.New("the run broke a rule or failed; see above"))
 	}
 	return nil
 }
 
-// builtFrom is the commit of the sources that this program was built from.
+// builtFrom returns the commit that this program was built from, with a "+" if the sources
+// had changes.
 func builtFrom() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -140,7 +146,7 @@
 	return commit + changed
 }
 
-// printWindows tells the main figures.
+// printWindows prints the main figures of each window of measurement.
 func printWindows(out io.Writer, r *scale.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer w.Flush()
@@ -166,11 +172,11 @@
 func scaleSlopesCommand() *cobra.Command {
 	var predict string
 	c := &cobra.Command{Use: "slopes REPORT...", Args: cobra.MinimumNArgs(1),
-		Short: "Fit what each role costs to the reports of runs",
+		Short: "Fit the cost of each role to the reports of runs",
 		Long: `Fits the figures of each role to the steady windows of the reports of "scale run", by
-least squares, and prints what each costs with nothing, for one more of each variable,
-and how far the measured figures are from that. With --predict it tells what the slopes
-say of a run that they do not rest on, beside what was measured there.`,
+least squares. It prints the base cost of each role, the cost of one more of each variable,
+and the residuals. With --predict it prints the fit's prediction for another run beside the
+figures measured in that run.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			var reports []*scale.Report
 			for _, path := range args {
@@ -199,11 +205,11 @@
 			printPredictions(c.OutOrStdout(), predictions)
 			return nil
 		}}
-	c.Flags().StringVar(&predict, "predict", "", "a report that is predicted")
+	c.Flags().StringVar(&predict, "predict", "", "report of a run to predict")
 	return c
 }
 
-// printSlopes prints a table in Markdown.
+// printSlopes prints the fitted slopes as a Markdown table.
 func printSlopes(out io.Writer, slopes []scale.Slope) {
 	fmt.Fprintln(out, "| role | figure | base | for one more of | | residual: rms, worst | R² | rows |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -227,7 +233,8 @@
 	}
 }
 
-// scaleChildCommand is a process of a run; only `scale run` starts it.
+// scaleChildCommand returns the hidden command of a child process, which only `scale run`
+// starts.
 func scaleChildCommand(verb, short string,
 	serve func(context.Context, scale.RegionSpec, io.Reader, io.Writer) error) *cobra.Command {
 	var path string
@@ -244,10 +251,10 @@
 			debug.SetGCPercent(childGCPercent)
 			return failed(serve(c.Context(), spec, os.Stdin, os.Stdout))
 		}}
-	c.Flags().StringVar(&path, "spec", "", "the region, as `scale run` describes it")
+	c.Flags().StringVar(&path, "spec", "", "description of the region, written by `scale run`")
 	cobra.CheckErr(c.MarkFlagRequired("spec"))
 	return c
 }
 
-// childGCPercent has the stand-ins' collector run as the controllers' does.
+// childGCPercent is the GC setting of the child processes, the same as that of controllers.
 const childGCPercent = 300
--- a/cmd/honeylock/scale_test.go
+++ b/cmd/honeylock/scale_test.go
@@ -12,8 +12,8 @@
 	"honeylock/internal/scale"
 )
 
-// runAsCommandEnv has this test's binary run as the command: a scale run starts its processes from
-// the program that it is itself.
+// runAsCommandEnv makes the test binary run as the honeylock command: a scale run starts its
+// child processes from its own executable.
 const runAsCommandEnv = "HONEYLOCK_TEST_AS_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -37,8 +37,8 @@
 	return b.String(), err
 }
 
-// A tiny fleet from end to end: two regions with three real controllers each, whose leader
-// ends. Everything is measured, no rule is broken, and nothing is left running.
+// Runs a tiny fleet end to end: two regions with three real controllers each, with a fault
+// that ends the leader. All figures are measured and no rule is broken.
 func TestScaleRun(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, err := runScale(t, "--workers", "60", "--controllers", "6", "--regions", "2", "--zones", "4", "--teams", "5",
@@ -58,7 +58,7 @@
 	for i, reg := range r.Windows[0].Regions {
 		starts := float64(reg.Workers.Starts) / r.Windows[0].Seconds
 		if starts < wanted/2 || starts > wanted*2 {
-			t.Errorf("region %d: %.1f starts a second, %.1f wanted", i, starts, wanted)
+			t.Errorf("region %d: %.1f starts per second, want about %.1f", i, starts, wanted)
 		}
 		if reg.Workers.Up < 30 || reg.Workers.BytesOut == 0 || reg.World.Done == 0 || reg.Workers.UrgentWait.Count == 0 {
 			t.Errorf("region %d: %+v", i, reg)
@@ -95,7 +95,7 @@
 	}
 }
 
-// What can't be asked for is refused with its flag and its range, before anything is started.
+// Invalid flags are refused with the flag and its range, before any process is started.
 func TestScaleRunRejectsInvalidFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -114,12 +114,12 @@
 			t.Errorf("%v: %v\n%s", c.args, err, out)
 		}
 		if errors.As(err, new(failure)) || time.Since(began) > 5*time.Second {
-			t.Errorf("%v: not wrong usage, or something was started", c.args)
+			t.Errorf("%v: not reported as wrong usage, or something was started", c.args)
 		}
 	}
 }
 
-// A settings file says what flags say, and more; what it leaves out stays.
+// A settings file overrides the flags that it sets and keeps the others.
 func TestScaleSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "run.textproto")
 	text := `size { workers: 70 } load { profile: "ordinary" } limits { state_rps: 99 } workers { lease_s: 20 cancel_s: 21 }
--- a/cmd/honeylock/serve.go
+++ b/cmd/honeylock/serve.go
@@ -21,7 +21,7 @@
 	"honeylock/internal/server"
 )
 
-// files are the two settings files of a command.
+// files are the paths of the two settings files.
 type files struct{ config, settings string }
 
 func (f *files) flags(c *cobra.Command) *cobra.Command {
@@ -63,7 +63,7 @@
 		}}
 }
 
-// load reads both files, so that all their mistakes are told at once.
+// load reads both files even if the first is invalid, so that it reports all mistakes at once.
 func (f *files) load() (*config.Platform, *config.Settings, error) {
 	cfg, err := config.Load(f.config)
 	set, settingsErr := config.LoadSettings(f.settings)
@@ -90,15 +90,15 @@
 	l, known := levels[level]
 	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
 	if !known {
-		log.Warn("LOG_LEVEL is unknown, info is taken", "LOG_LEVEL", level, "allowed", "error, info, debug")
+		log.Warn("LOG_LEVEL is unknown, using info", "LOG_LEVEL", level, "allowed", "error, info, debug")
 	}
 	return log
 }
 
 func serve(ctx context.Context, cfg *config.Platform, set *config.Settings) error {
 	runtime.GOMAXPROCS(1)
-	// Memory is there, the processor is not: the collector runs a third as often as it
-	// would by itself, until the limit is near.
+	// CPU time is scarcer than memory: the garbage collector runs a third as often as by
+	// default, until memory use is near the limit.
 	debug.SetGCPercent(300)
 	debug.SetMemoryLimit(int64(cfg.Cluster.Resources.MemMB * 0.7 * (1 << 20)))
 	log := logger(os.Stderr, os.Getenv("LOG_LEVEL"))
--- a/cmd/honeylock/team.go
+++ b/cmd/honeylock/team.go
@@ -16,17 +16,17 @@
 
 func teamCommand() *cobra.Command {
 	var d operatorFlags
-	c := &cobra.Command{Use: "team", Short: "Teams' limits and guarantees, and what holds each team now"}
+	c := &cobra.Command{Use: "team", Short: "Show and change teams' limits and guarantees"}
 	d.flags(c)
 	c.AddCommand(
 		&cobra.Command{Use: "list", Short: "List the teams", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "teams", showTeams) }},
-		&cobra.Command{Use: "show NAME", Short: "Show how a team stands", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "show NAME", Short: "Show the state of a team", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				return get(c, &d, "teams/"+url.PathEscape(args[0]), showTeam)
 			}},
 		setTeamCommand(&d),
-		&cobra.Command{Use: "unset NAME", Short: "Take changes of a team back: it is as the platform has it",
+		&cobra.Command{Use: "unset NAME", Short: "Undo all changes of a team: the platform's settings apply again",
 			Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				return d.change(c, "teams/"+url.PathEscape(args[0])+"/unset", nil)
@@ -38,13 +38,13 @@
 	var limit, limitGPUs, guarantee, guaranteeGPUs float64
 	var until string
 	c := &cobra.Command{Use: "set NAME", Args: cobra.ExactArgs(1),
-		Short: "Change a team's limit or guarantee, at once and until it is unset, or until a time"}
+		Short: "Change a team's limit or guarantee at once, until it is unset or until a given time"}
 	f := c.Flags()
-	f.Float64Var(&limit, "limit-cpus", 0, "CPUs at most; not above the platform's limit")
-	f.Float64Var(&limitGPUs, "limit-gpus", 0, "accelerators at most")
-	f.Float64Var(&guarantee, "guarantee-cpus", 0, "CPUs guaranteed; not above the limit")
-	f.Float64Var(&guaranteeGPUs, "guarantee-gpus", 0, "accelerators guaranteed")
-	f.StringVar(&until, "until", "", "when the change ends: a time (2026-12-31T18:00:00+04:00) or a span (90m)")
+	f.Float64Var(&limit, "limit-cpus", 0, "maximum CPUs; not above the platform's limit")
+	f.Float64Var(&limitGPUs, "limit-gpus", 0, "maximum accelerators")
+	f.Float64Var(&guarantee, "guarantee-cpus", 0, "guaranteed CPUs; not above the limit")
+	f.Float64Var(&guaranteeGPUs, "guarantee-gpus", 0, "guaranteed accelerators")
+	f.StringVar(&until, "until", "", "when the change ends: a time (2026-12-31T18:00:00+04:00) or a duration (90m)")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		p := &settingspb.TeamChange{Until: until}
 		if span, err := time.ParseDuration(until); err == nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -124,7 +124,8 @@
 		s.DealAhead != DefaultSettings().DealAhead {
 		t.Fatalf("%+v %v", s, err)
 	}
-	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }", "fleet { idle_return_s: -1 }", "scheduling {"} {
+	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }",
+		"fleet { idle_return_s: -1 }", "scheduling {"} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
