--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -72,11 +72,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("--workload: %w", err)
 	}
-	cs, err := dev.ParseWorkload(b)
+	classes, err := dev.ParseWorkload(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.workload, err)
 	}
-	return cs, nil
+	return classes, nil
 }
 
 func (f *devFlags) run(c *cobra.Command) error {
@@ -141,16 +141,16 @@
 
 // follow prints the progress until ended is closed. On a terminal it updates one line.
 func (f *devFlags) follow(c *cobra.Command, u *dev.Users, ended <-chan struct{}) {
-	began := time.Now()
+	start := time.Now()
 	terminal := false
 	if st, err := os.Stderr.Stat(); err == nil {
 		terminal = st.Mode()&os.ModeCharDevice != 0
 	}
-	every := 5 * time.Second
+	interval := 5 * time.Second
 	if terminal {
-		every = 500 * time.Millisecond
+		interval = 500 * time.Millisecond
 	}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -161,7 +161,7 @@
 			return
 		case <-t.C:
 			n := u.Counts()
-			line := fmt.Sprintf("%4.0f s  %d accepted, %d done, %d cancelled, %d open", time.Since(began).Seconds(),
+			line := fmt.Sprintf("%4.0f s  %d accepted, %d done, %d cancelled, %d open", time.Since(start).Seconds(),
 				n.Accepted, n.Done, n.Cancelled, n.Open)
 			if terminal {
 				fmt.Fprintf(c.ErrOrStderr(), "\r%-70s", line)
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -224,18 +224,19 @@
 	return table(w, []string{"PLAN", "PHASE", "BY", "MACHINES", "WAITS FOR"}, rows)
 }
 
-func showBudgets(w io.Writer, bs *[]node.BudgetStatus) error {
-	bound := func(of float64) string {
-		if of <= 0 {
+func showBudgets(w io.Writer, budgets *[]node.BudgetStatus) error {
+	formatLimit := func(limit float64) string {
+		if limit <= 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%g", of)
+		return fmt.Sprintf("%g", limit)
 	}
 	var rows [][]string
-	for _, b := range *bs {
+	for _, b := range *budgets {
 		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted),
-			bound(float64(b.MaxTasks)),
-			fmt.Sprintf("%g", b.InterruptedCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS), bound(b.MaxLostCPUS),
+			formatLimit(float64(b.MaxTasks)),
+			fmt.Sprintf("%g", b.InterruptedCPUs), formatLimit(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS),
+			formatLimit(b.MaxLostCPUS),
 			counts(b.By)})
 	}
 	return table(w, []string{"TEAM", "CLASS", "RUNNING", "OUT", "MOST", "OUT CPUS", "MOST", "LOST CPU S", "MOST", "WHY"},
@@ -263,9 +264,9 @@
 	return c
 }
 
-func showAudit(w io.Writer, es *[]audit.Entry) error {
+func showAudit(w io.Writer, entries *[]audit.Entry) error {
 	var rows [][]string
-	for _, e := range *es {
+	for _, e := range *entries {
 		rows = append(rows, []string{time.UnixMilli(e.AtMS).Format(time.RFC3339), e.Who, e.What, e.Name,
 			fmt.Sprint(e.Status), e.Outcome})
 	}
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -50,11 +50,11 @@
 // formatRange formats a range of seconds (low, middle, high): the middle, and both ends if
 // they differ.
 func formatRange(s [3]float64) string {
-	d := func(v float64) string { return time.Duration(v * float64(time.Second)).Round(time.Second).String() }
-	if d(s[0]) == d(s[2]) {
-		return d(s[1])
+	formatSeconds := func(v float64) string { return time.Duration(v * float64(time.Second)).Round(time.Second).String() }
+	if formatSeconds(s[0]) == formatSeconds(s[2]) {
+		return formatSeconds(s[1])
 	}
-	return fmt.Sprintf("%s (%s to %s)", d(s[1]), d(s[0]), d(s[2]))
+	return fmt.Sprintf("%s (%s to %s)", formatSeconds(s[1]), formatSeconds(s[0]), formatSeconds(s[2]))
 }
 
 func showForecast(w io.Writer, r *node.ForecastReply) error {
@@ -73,8 +73,9 @@
 		return nil
 	}
 	var rows [][]string
-	for _, l := range r.Delayed {
-		rows = append(rows, []string{l.Job, l.Class, formatRange(l.DelayS), formatRange(l.EndS), l.Why, l.MissedLimit})
+	for _, delayed := range r.Delayed {
+		rows = append(rows, []string{delayed.Job, delayed.Class, formatRange(delayed.DelayS), formatRange(delayed.EndS),
+			delayed.Why, delayed.MissedLimit})
 	}
 	return table(w, []string{"JOB", "CLASS", "LATER BY", "ENDS IN", "WHY", "PUSHED PAST"}, rows)
 }
--- a/cmd/honeylock/job.go
+++ b/cmd/honeylock/job.go
@@ -37,7 +37,7 @@
 		return client.NewUsers(addrs, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), uint64(os.Getpid()))))
 	}
 	show := func(c *cobra.Command, st *wire.JobState) error { return showJob(c.OutOrStdout(), st, asJSON) }
-	one := func(use, short string, f func(c *cobra.Command, u *client.Users, id string) (*wire.JobState,
+	jobAction := func(use, short string, f func(c *cobra.Command, u *client.Users, id string) (*wire.JobState,
 		error)) *cobra.Command {
 		return &cobra.Command{Use: use + " JOB", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -55,11 +55,11 @@
 				return show(c, st)
 			}}
 	}
-	every := 2 * time.Second
-	wait := one("wait", "Wait until a job has ended; exit code 1 if it was cancelled",
+	interval := 2 * time.Second
+	wait := jobAction("wait", "Wait until a job has ended; exit code 1 if it was cancelled",
 		func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			last := ""
-			st, err := u.Wait(c.Context(), id, every, func(st *wire.JobState) {
+			st, err := u.Wait(c.Context(), id, interval, func(st *wire.JobState) {
 				if now := progressOf(st); now != last && !client.Ended(st) {
 					last = now
 					fmt.Fprintln(c.ErrOrStderr(), id, now)
@@ -70,12 +70,12 @@
 			}
 			return st, err
 		})
-	wait.Flags().DurationVar(&every, "every", every, "time between two requests")
+	wait.Flags().DurationVar(&interval, "every", interval, "time between two requests")
 	c.AddCommand(submitCommand(dial, show), wait,
-		one("status", "Show a job's state", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
+		jobAction("status", "Show a job's state", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			return u.Status(c.Context(), id)
 		}),
-		one("withdraw", "Cancel a job", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
+		jobAction("withdraw", "Cancel a job", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			return u.Withdraw(c.Context(), id)
 		}))
 	return c
--- a/cmd/honeylock/member.go
+++ b/cmd/honeylock/member.go
@@ -18,9 +18,9 @@
 	return c
 }
 
-func showMembers(w io.Writer, ms *[]node.MemberReply) error {
+func showMembers(w io.Writer, members *[]node.MemberReply) error {
 	var rows [][]string
-	for _, m := range *ms {
+	for _, m := range *members {
 		state, status := "-", "away"
 		if m.StateAgeS >= 0 {
 			state = fmt.Sprintf("%.1fs", m.StateAgeS)
--- a/cmd/honeylock/scale_test.go
+++ b/cmd/honeylock/scale_test.go
@@ -37,8 +37,8 @@
 	return b.String(), err
 }
 
-// Runs a tiny fleet end to end: two regions with three real controllers each, with a fault
-// that ends the leader. All figures are measured and no rule is broken.
+// A tiny fleet must run end to end: two regions with three real controllers each, and a
+// fault that ends the first region's leader. All figures must be measured and no rule broken.
 func TestScaleRun(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	out, err := runScale(t, "--workers", "60", "--controllers", "6", "--regions", "2", "--zones", "4", "--teams", "5",
--- a/cmd/honeylock/team.go
+++ b/cmd/honeylock/team.go
@@ -72,9 +72,9 @@
 	return c
 }
 
-func showTeams(w io.Writer, ts *[]node.TeamReply) error {
+func showTeams(w io.Writer, teams *[]node.TeamReply) error {
 	var rows [][]string
-	for _, t := range *ts {
+	for _, t := range *teams {
 		limit := "-"
 		if t.Limit > 0 {
 			limit = fmt.Sprintf("%g", t.Limit)
--- a/internal/client/users.go
+++ b/internal/client/users.go
@@ -56,9 +56,9 @@
 
 // Submit submits a job and retries for up to a minute. duplicate reports that the job had
 // been accepted before.
-func (u *Users) Submit(ctx context.Context, job []byte) (st *wire.JobState, duplicate bool, err error) {
-	status, st, err := u.retry(ctx, http.MethodPost, "/v1/jobs", job)
-	return st, status == http.StatusOK, err
+func (u *Users) Submit(ctx context.Context, job []byte) (state *wire.JobState, duplicate bool, err error) {
+	status, state, err := u.retry(ctx, http.MethodPost, "/v1/jobs", job)
+	return state, status == http.StatusOK, err
 }
 
 // Withdraw cancels a job.
@@ -74,20 +74,20 @@
 }
 
 // Ended reports whether a job in this state has ended.
-func Ended(st *wire.JobState) bool { return st.Stage == "done" || st.Stage == "aborted" }
+func Ended(state *wire.JobState) bool { return state.Stage == "done" || state.Stage == "aborted" }
 
 // Wait polls until a job has ended. It calls onState with every state it sees.
 func (u *Users) Wait(ctx context.Context, id string, interval time.Duration,
 	onState func(*wire.JobState)) (*wire.JobState,
 	error) {
 	for {
-		st, err := u.Status(ctx, id)
+		state, err := u.Status(ctx, id)
 		if err != nil {
 			return nil, err
 		}
-		onState(st)
-		if Ended(st) {
-			return st, nil
+		onState(state)
+		if Ended(state) {
+			return state, nil
 		}
 		if err := sleep(ctx, interval); err != nil {
 			return nil, err
@@ -96,37 +96,37 @@
 }
 
 // retry repeats a request until it has a final answer.
-func (u *Users) retry(ctx context.Context, method, path string, body []byte) (status int, st *wire.JobState,
+func (u *Users) retry(ctx context.Context, method, path string, body []byte) (status int, state *wire.JobState,
 	err error) {
 	err = retryUntilFinal(ctx, func(ctx context.Context) (bool, time.Duration, error) {
-		var after time.Duration
-		status, st, after, err = u.doOnce(ctx, method, path, body)
+		var delay time.Duration
+		status, state, delay, err = u.doOnce(ctx, method, path, body)
 		var final *Refused
 		if err == nil || errors.As(err, &final) {
 			return true, 0, err
 		}
 		u.next++
-		return false, after + time.Duration(u.rng.Int64N(int64(after/4))), err
+		return false, delay + time.Duration(u.rng.Int64N(int64(delay/4))), err
 	})
-	return status, st, err
+	return status, state, err
 }
 
 // retryUntilFinal calls try for up to retryTimeout until its answer is final. It waits
 // between calls for the time that try returns.
-func retryUntilFinal(ctx context.Context, try func(context.Context) (final bool, after time.Duration,
+func retryUntilFinal(ctx context.Context, try func(context.Context) (final bool, delay time.Duration,
 	err error)) error {
 	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	var lastErr error
 	for {
-		final, after, err := try(ctx)
+		final, delay, err := try(ctx)
 		if final {
 			return err
 		}
 		if ctx.Err() == nil || lastErr == nil {
 			lastErr = err // keep the cause, rather than the timeout that ends the last try
 		}
-		if sleepErr := sleep(ctx, after); sleepErr != nil {
+		if sleepErr := sleep(ctx, delay); sleepErr != nil {
 			return fmt.Errorf("no answer: %w", errors.Join(lastErr, sleepErr))
 		}
 	}
@@ -136,34 +136,34 @@
 // the next try.
 func (u *Users) doOnce(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
 	error) {
-	after := time.Second
+	delay := time.Second
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.addrs[u.next%len(u.addrs)]+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, after, &Refused{Why: err.Error()}
+		return 0, nil, delay, &Refused{Why: err.Error()}
 	}
 	res, err := u.http.Do(req)
 	if err != nil {
-		return 0, nil, after, err
+		return 0, nil, delay, err
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(res.Body, 64<<10))
 	if err != nil {
-		return 0, nil, after, err
+		return 0, nil, delay, err
 	}
 	switch res.StatusCode {
 	case http.StatusOK, http.StatusCreated:
-		var st wire.JobState
-		if err := json.Unmarshal(b, &st); err != nil {
-			return 0, nil, after, fmt.Errorf("answer can't be decoded: %w", err)
+		var state wire.JobState
+		if err := json.Unmarshal(b, &state); err != nil {
+			return 0, nil, delay, fmt.Errorf("answer can't be decoded: %w", err)
 		}
-		return res.StatusCode, &st, 0, nil
+		return res.StatusCode, &state, 0, nil
 	case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
 		return res.StatusCode, nil, 0, &Refused{res.StatusCode, errorMessage(b)}
 	}
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		after = min(max(after, time.Duration(s)*time.Second), maxRetryAfter)
+		delay = min(max(delay, time.Duration(s)*time.Second), maxRetryAfter)
 	}
-	return 0, nil, after, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
+	return 0, nil, delay, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
 }
 
 // errorMessage returns the error text in the body of an answer.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -49,26 +49,26 @@
 
 // Catalog returns the machine types with their current prices.
 func (c *Client) Catalog(ctx context.Context) (*wire.Catalog, error) {
-	var cat wire.Catalog
-	status, body, err := c.call(ctx, http.MethodGet, "/catalog", nil, &cat)
+	var catalog wire.Catalog
+	status, body, err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog)
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
 		return nil, unexpected(status, body)
 	}
-	return &cat, nil
+	return &catalog, nil
 }
 
 // Rent asks for machines and returns the names of those rented.
 func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
-	var n wire.MachineNames
-	status, body, err := c.call(ctx, http.MethodPost, "/rentals", r, &n)
+	var names wire.MachineNames
+	status, body, err := c.call(ctx, http.MethodPost, "/rentals", r, &names)
 	switch {
 	case err != nil:
 		return nil, err
 	case status == http.StatusOK:
-		return n.Machines, nil
+		return names.Machines, nil
 	case status == http.StatusServiceUnavailable:
 		// The cloud also answers 503 during an outage; nothing was rented then either.
 		return nil, ErrNoCapacity
@@ -98,18 +98,18 @@
 		if from != "" {
 			q.Set("From", from)
 		}
-		var l wire.Listing
-		status, body, err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &l)
+		var listing wire.Listing
+		status, body, err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &listing)
 		if err != nil {
 			return nil, err
 		}
 		if status != http.StatusOK {
 			return nil, unexpected(status, body)
 		}
-		all = append(all, l.Machines...)
-		if !l.More || len(l.Machines) == 0 {
+		all = append(all, listing.Machines...)
+		if !listing.More || len(listing.Machines) == 0 {
 			return all, nil
 		}
-		from = l.Machines[len(l.Machines)-1].Name
+		from = listing.Machines[len(listing.Machines)-1].Name
 	}
 }
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -37,32 +37,33 @@
 	seen := map[[2]string]bool{}
 	for i, b := range p.GetBudgets() {
 		field := func(f string) string { return fmt.Sprintf("disruption.budgets[%d].%s", i, f) }
-		num := func(name string, v *float64, lo, hi float64) float64 {
+		number := func(name string, v *float64, lo, hi float64) float64 {
 			if v == nil {
 				return 0
 			}
 			if !(*v >= lo && *v <= hi) {
-				from := fmt.Sprint("from ", lo)
+				lowerBound := fmt.Sprint("from ", lo)
 				if lo == math.SmallestNonzeroFloat64 {
-					from = "above 0"
+					lowerBound = "above 0"
 				}
-				errs = append(errs, fmt.Errorf("%s = %v: must be %s to %v", field(name), *v, from, hi))
+				errs = append(errs, fmt.Errorf("%s = %v: must be %s to %v", field(name), *v, lowerBound, hi))
 			}
 			return *v
 		}
-		whole := func(name string, v *int32, hi float64) int {
+		integer := func(name string, v *int32, hi float64) int {
 			if v == nil {
 				return 0
 			}
 			f := float64(*v)
-			return int(num(name, &f, 1, hi))
+			return int(number(name, &f, 1, hi))
 		}
-		const above = math.SmallestNonzeroFloat64
-		budget := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: whole("tasks", b.Tasks, 1e6),
-			Share: num("share", b.Share, above, 1),
-			CPUs:  num("cpus", b.Cpus, above, 1e6), LostCPUS: num("lost_cpu_s", b.LostCpuS, above, 1e9),
-			Window: Seconds(num("window_s", b.WindowS, 1, 86400)), Moves: whole("moves", b.Moves, 1000),
-			LastPart: num("last_part", b.LastPart, above, 1)}
+		const smallestPositive = math.SmallestNonzeroFloat64
+		budget := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: integer("tasks", b.Tasks, 1e6),
+			Share:    number("share", b.Share, smallestPositive, 1),
+			CPUs:     number("cpus", b.Cpus, smallestPositive, 1e6),
+			LostCPUS: number("lost_cpu_s", b.LostCpuS, smallestPositive, 1e9),
+			Window:   Seconds(number("window_s", b.WindowS, 1, 86400)), Moves: integer("moves", b.Moves, 1000),
+			LastPart: number("last_part", b.LastPart, smallestPositive, 1)}
 		if budget.Team == "" {
 			errs = append(errs, fmt.Errorf("%s: must be given", field("team")))
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -55,7 +55,7 @@
 	}
 	s := DefaultSettings()
 	var errs []error
-	num := func(field string, v *float64, lo, hi float64, set func(float64)) {
+	number := func(field string, v *float64, lo, hi float64, set func(float64)) {
 		if v == nil {
 			return
 		}
@@ -65,7 +65,7 @@
 		}
 		set(*v)
 	}
-	whole := func(v *int32) *float64 {
+	optionalFloat := func(v *int32) *float64 {
 		if v == nil {
 			return nil
 		}
@@ -73,15 +73,15 @@
 		return &f
 	}
 	if c := p.Scheduling; c != nil {
-		num("scheduling.sample_size", whole(c.SampleSize), 1, 64, func(v float64) { s.SampleSize = int(v) })
-		num("scheduling.payback_limit_s", c.PaybackLimitS, 0, 3600, func(v float64) { s.PaybackLimit = Seconds(v) })
-		num("scheduling.demotion_step", c.DemotionStep, 1, 10, func(v float64) { s.DemotionStep = v })
-		num("scheduling.begin_within_s", c.BeginWithinS, 10, 230, func(v float64) { s.BeginWithin = Seconds(v) })
-		num("scheduling.deal_ahead", whole(c.DealAhead), 0, 1000, func(v float64) { s.DealAhead = int(v) })
+		number("scheduling.sample_size", optionalFloat(c.SampleSize), 1, 64, func(v float64) { s.SampleSize = int(v) })
+		number("scheduling.payback_limit_s", c.PaybackLimitS, 0, 3600, func(v float64) { s.PaybackLimit = Seconds(v) })
+		number("scheduling.demotion_step", c.DemotionStep, 1, 10, func(v float64) { s.DemotionStep = v })
+		number("scheduling.begin_within_s", c.BeginWithinS, 10, 230, func(v float64) { s.BeginWithin = Seconds(v) })
+		number("scheduling.deal_ahead", optionalFloat(c.DealAhead), 0, 1000, func(v float64) { s.DealAhead = int(v) })
 	}
 	if c := p.Fleet; c != nil {
-		num("fleet.idle_return_s", c.IdleReturnS, 1, 86400, func(v float64) { s.IdleReturn = Seconds(v) })
-		num("fleet.rent_horizon_s", c.RentHorizonS, 1, 86400, func(v float64) { s.RentHorizon = Seconds(v) })
+		number("fleet.idle_return_s", c.IdleReturnS, 1, 86400, func(v float64) { s.IdleReturn = Seconds(v) })
+		number("fleet.rent_horizon_s", c.RentHorizonS, 1, 86400, func(v float64) { s.RentHorizon = Seconds(v) })
 	}
 	if p.Operator != nil {
 		var err error
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -18,7 +18,7 @@
 // executed, or may still be executed later.
 var ErrNoAnswer = errors.New("no answer")
 
-const maxAnswer = 8 << 20
+const maxAnswer = 8 << 20 // bytes
 
 // Client sends requests with common connection limits.
 type Client struct{ http *http.Client }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	maxBody  = 64 << 10
+	maxBody  = 64 << 10 // bytes
 	maxConns = 32
 	timeout  = 8 * time.Second
 	// RequestHeader carries the caller's id of a change. A change that is repeated with
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -83,11 +83,11 @@
 }
 
 // Status encodes a shard's status.
-func (c *Codec) Status(now time.Duration, ms []model.MachineStatus, jobs map[model.JobID]model.TaskCounts,
+func (c *Codec) Status(now time.Duration, machines []model.MachineStatus, jobs map[model.JobID]model.TaskCounts,
 	assignmentsReceived uint64) *peerpb.Up {
 	p := &peerpb.Status{Deals: assignmentsReceived}
-	for i := range ms {
-		m := &ms[i]
+	for i := range machines {
+		m := &machines[i]
 		p.Machines = append(p.Machines, &peerpb.MachineStatus{Id: uint64(m.Machine.ID), Cpu: m.Avail.CPU, Gpu: m.Avail.GPU,
 			Mem:   m.Avail.Mem,
 			Ready: m.Ready, Draining: m.Draining, Slots: int32(m.Slots), IdleUs: (now - m.IdleSince).Microseconds(),
@@ -102,50 +102,54 @@
 // FromStatus decodes a shard's status. It converts the relative times to the local clock.
 func (c *Codec) FromStatus(now time.Duration, p *peerpb.Status) ([]model.MachineStatus,
 	map[model.JobID]model.TaskCounts) {
-	ms := make([]model.MachineStatus, 0, len(p.GetMachines()))
-	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+	machines := make([]model.MachineStatus, 0, len(p.GetMachines()))
+	microseconds := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	for _, m := range p.GetMachines() {
-		ms = append(ms, model.MachineStatus{Machine: model.Machine{ID: model.MachineID(m.GetId())},
+		machines = append(machines, model.MachineStatus{Machine: model.Machine{ID: model.MachineID(m.GetId())},
 			Avail: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, Ready: m.GetReady(),
 			Draining: m.GetDraining(),
-			Slots:    int(m.GetSlots()), IdleSince: now - us(m.GetIdleUs()), Faulty: m.GetBad()})
+			Slots:    int(m.GetSlots()), IdleSince: now - microseconds(m.GetIdleUs()), Faulty: m.GetBad()})
 	}
 	jobs := make(map[model.JobID]model.TaskCounts, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
 		jobs[model.JobID(j.GetJob())] = model.TaskCounts{Waiting: int(j.GetWaiting()), Running: int(j.GetRunning())}
 	}
-	return ms, jobs
+	return machines, jobs
 }
 
-func (c *Codec) spec(s *model.Spec) *peerpb.Spec {
-	p := &peerpb.Spec{Job: uint64(s.ID), Class: c.names.Classes.Name(s.Class), Team: c.names.Teams.Name(s.Team),
-		Image:  c.names.Images.Name(s.Image),
-		Daemon: s.Daemon, Rank: uint32(s.Rank), Tasks: s.Tasks, Cpu: s.PerTask.CPU, Gpu: s.PerTask.GPU, Mem: s.PerTask.Mem,
-		ImageGb: s.ImageGB,
-		AnyType: s.Types == nil, Together: s.SameZone, Spread: s.Spread, Spot: s.Spot, EstimateUs: s.Estimate.Microseconds(),
-		CheckpointUs: s.CheckpointInterval.Microseconds(), SaveUs: s.CheckpointTime.Microseconds(),
-		DeadlineUs:  s.Deadline.Microseconds(),
-		SubmittedMs: s.SubmittedMS, Aimed: !s.BestEffort}
-	for _, t := range s.Types {
+func (c *Codec) spec(jobSpec *model.Spec) *peerpb.Spec {
+	p := &peerpb.Spec{Job: uint64(jobSpec.ID), Class: c.names.Classes.Name(jobSpec.Class),
+		Team:   c.names.Teams.Name(jobSpec.Team),
+		Image:  c.names.Images.Name(jobSpec.Image),
+		Daemon: jobSpec.Daemon, Rank: uint32(jobSpec.Rank), Tasks: jobSpec.Tasks, Cpu: jobSpec.PerTask.CPU,
+		Gpu: jobSpec.PerTask.GPU, Mem: jobSpec.PerTask.Mem,
+		ImageGb: jobSpec.ImageGB,
+		AnyType: jobSpec.Types == nil, Together: jobSpec.SameZone, Spread: jobSpec.Spread, Spot: jobSpec.Spot,
+		EstimateUs:   jobSpec.Estimate.Microseconds(),
+		CheckpointUs: jobSpec.CheckpointInterval.Microseconds(), SaveUs: jobSpec.CheckpointTime.Microseconds(),
+		DeadlineUs:  jobSpec.Deadline.Microseconds(),
+		SubmittedMs: jobSpec.SubmittedMS, Aimed: !jobSpec.BestEffort}
+	for _, t := range jobSpec.Types {
 		p.Types = append(p.Types, c.names.Types.Name(t))
 	}
-	if s.Zone != model.None {
-		z := c.names.Zones.Name(s.Zone)
+	if jobSpec.Zone != model.None {
+		z := c.names.Zones.Name(jobSpec.Zone)
 		p.Zone = &z
 	}
 	return p
 }
 
 func (c *Codec) fromSpec(p *peerpb.Spec) *model.Spec {
-	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+	microseconds := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	s := &model.Spec{ID: model.JobID(p.GetJob()), Class: c.names.Classes.ID(p.GetClass()),
 		Team: c.names.Teams.ID(p.GetTeam()), Image: c.names.Images.ID(p.GetImage()),
 		Daemon: p.GetDaemon(), Rank: model.Rank(p.GetRank()), Tasks: p.GetTasks(),
 		PerTask: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
 		ImageGB: p.GetImageGb(), Zone: model.None, SameZone: p.GetTogether(), Spread: p.GetSpread(), Spot: p.GetSpot(),
-		Estimate: us(p.GetEstimateUs()), CheckpointInterval: us(p.GetCheckpointUs()), CheckpointTime: us(p.GetSaveUs()),
-		Deadline:    us(p.GetDeadlineUs()),
-		SubmittedMS: p.GetSubmittedMs()}
+		Estimate: microseconds(p.GetEstimateUs()), CheckpointInterval: microseconds(p.GetCheckpointUs()),
+		CheckpointTime: microseconds(p.GetSaveUs()),
+		Deadline:       microseconds(p.GetDeadlineUs()),
+		SubmittedMS:    p.GetSubmittedMs()}
 	s.BestEffort = !p.GetAimed() && c.names.IsBestEffort(s.Class, s.Team)
 	if !p.GetAnyType() {
 		s.Types = []model.Name{}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -13,7 +13,7 @@
 	"honeylock/internal/wire"
 )
 
-func names(shift int) *wire.Names {
+func newNames(shift int) *wire.Names {
 	n := &wire.Names{Teams: wire.NewTable("t"), Types: wire.NewTable(), Zones: wire.NewTable(), Images: wire.NewTable(),
 		Classes: wire.NewTable()}
 	for range shift { // make the indices differ from those of the other process
@@ -27,7 +27,7 @@
 // Each process has its own indices, so a name must be decoded to the same name, not to
 // the same index.
 func TestOrdersCarryNames(t *testing.T) {
-	a, b := names(0), names(1)
+	a, b := newNames(0), newNames(1)
 	from, to := NewCodec(a), NewCodec(b)
 	sp := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"),
 		Rank: model.Urgent, Tasks: 3,
@@ -59,7 +59,7 @@
 }
 
 func TestEventsAndStatusRoundTrip(t *testing.T) {
-	a, b := names(0), names(1)
+	a, b := newNames(0), newNames(1)
 	task := model.Task{Job: 7, Index: 3}
 	e := model.Event{Kind: model.AttemptFound, Machine: 4, Task: task, Attempt: 1 << 60,
 		Status: model.AttemptStatus{Task: task, Attempt: 1 << 60, Stage: model.Exited, Cause: model.CauseDone},
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -31,7 +31,7 @@
 // OpsPath is the path for operators' calls that a controller forwards to the leader.
 const OpsPath = "/peer/ops"
 
-const maxMessage = 4 << 20
+const maxMessage = 4 << 20 // bytes
 
 var errQueueFull = errors.New("send queue is full: the receiver does not keep up")
 
--- a/internal/planfile/choose.go
+++ b/internal/planfile/choose.go
@@ -18,21 +18,22 @@
 }
 
 // Choose returns the machines that a plan selects, in the plan's order.
-func Choose(p *planpb.Plan, all []Candidate, n *wire.Names) []model.MachineID {
-	s := p.GetMachines()
+func Choose(p *planpb.Plan, candidates []Candidate, n *wire.Names) []model.MachineID {
+	selector := p.GetMachines()
 	position := map[string]int{}
-	for i, name := range s.GetNames() {
+	for i, name := range selector.GetNames() {
 		position[name] = i
 	}
-	all = slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool {
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool {
 		_, named := position[wire.MachineName(c.Machine.ID)]
 		return len(position) > 0 && !named ||
-			len(s.GetTypes()) > 0 && !slices.Contains(s.GetTypes(), n.Types.Name(c.Machine.Type)) ||
-			len(s.GetZones()) > 0 && !slices.Contains(s.GetZones(), n.Zones.Name(c.Machine.Zone)) ||
-			s.GetKind() == planpb.Kind_SPOT && !c.Machine.Spot || s.GetKind() == planpb.Kind_ORDINARY && c.Machine.Spot ||
-			c.Age.Seconds() < s.GetOlderThanS()
+			len(selector.GetTypes()) > 0 && !slices.Contains(selector.GetTypes(), n.Types.Name(c.Machine.Type)) ||
+			len(selector.GetZones()) > 0 && !slices.Contains(selector.GetZones(), n.Zones.Name(c.Machine.Zone)) ||
+			selector.GetKind() == planpb.Kind_SPOT && !c.Machine.Spot ||
+			selector.GetKind() == planpb.Kind_ORDINARY && c.Machine.Spot ||
+			c.Age.Seconds() < selector.GetOlderThanS()
 	})
-	slices.SortFunc(all, func(a, b Candidate) int {
+	slices.SortFunc(candidates, func(a, b Candidate) int {
 		order := 0
 		switch p.GetOrder() {
 		case planpb.Order_OLDEST_FIRST:
@@ -44,9 +45,9 @@
 		}
 		return cmp.Or(order, cmp.Compare(a.Machine.ID, b.Machine.ID))
 	})
-	out := make([]model.MachineID, len(all))
-	for i := range all {
-		out[i] = all[i].Machine.ID
+	out := make([]model.MachineID, len(candidates))
+	for i := range candidates {
+		out[i] = candidates[i].Machine.ID
 	}
 	return out
 }
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -55,58 +55,58 @@
 }
 
 func check(p *planpb.Plan) error {
-	var m fieldErrors
+	var errs fieldErrors
 	if !planName.MatchString(p.GetName()) {
-		m.add("name", "%q must be 1 to 40 of a-z, 0-9 and -, beginning with a letter", p.GetName())
+		errs.add("name", "%q must be 1 to 40 of a-z, 0-9 and -, beginning with a letter", p.GetName())
 	}
-	checkMachines(&m, p.GetMachines())
+	checkMachines(&errs, p.GetMachines())
 	for _, f := range []struct {
 		name string
 		v    *int32
 	}{{"at_once", p.AtOnce}, {"at_once_per_zone", p.AtOncePerZone}} {
 		if f.v != nil && (*f.v < 1 || *f.v > maxAtOnce) {
-			m.add(f.name, "%d must be from 1 to %d", *f.v, maxAtOnce)
+			errs.add(f.name, "%d must be from 1 to %d", *f.v, maxAtOnce)
 		}
 	}
-	checkEnum(&m, "order", int32(p.GetOrder()), planpb.Order_name)
-	checkEnum(&m, "running", int32(p.GetRunning()), planpb.How_name)
-	checkEnum(&m, "after", int32(p.GetAfter()), planpb.After_name)
+	checkEnum(&errs, "order", int32(p.GetOrder()), planpb.Order_name)
+	checkEnum(&errs, "running", int32(p.GetRunning()), planpb.How_name)
+	checkEnum(&errs, "after", int32(p.GetAfter()), planpb.After_name)
 	if !(p.GetFloor() >= 0 && p.GetFloor() <= maxFloor) {
-		m.add("floor", "%v must be from 0 to %d", p.GetFloor(), maxFloor)
+		errs.add("floor", "%v must be from 0 to %d", p.GetFloor(), maxFloor)
 	}
 	if p.PatchS != nil && !(p.GetPatchS() >= 0 && p.GetPatchS() <= 1e6) {
-		m.add("patch_s", "%v must be from 0 to 1000000", p.GetPatchS())
+		errs.add("patch_s", "%v must be from 0 to 1000000", p.GetPatchS())
 	}
 	if p.GetLatestEnd() != "" {
 		if _, err := time.Parse(time.RFC3339, p.GetLatestEnd()); err != nil {
-			m.add("latest_end", "%q must be a time such as 2026-12-31T18:00:00+04:00", p.GetLatestEnd())
+			errs.add("latest_end", "%q must be a time such as 2026-12-31T18:00:00+04:00", p.GetLatestEnd())
 		}
 	}
-	checkRules(&m, p.GetRules())
-	checkWindows(&m, p.GetWindows())
-	checkWaves(&m, p)
-	return errors.Join(m...)
+	checkRules(&errs, p.GetRules())
+	checkWindows(&errs, p.GetWindows())
+	checkWaves(&errs, p)
+	return errors.Join(errs...)
 }
 
-func checkWaves(m *fieldErrors, p *planpb.Plan) {
+func checkWaves(errs *fieldErrors, p *planpb.Plan) {
 	if n := len(p.GetWaves()); n > maxWaves {
-		m.add("waves", "%d given, the maximum is %d", n, maxWaves)
+		errs.add("waves", "%d given, the maximum is %d", n, maxWaves)
 	}
 	last := 0.0
 	for i, w := range p.GetWaves() {
 		f := fmt.Sprintf("waves[%d]", i)
 		if (w.Machines == nil) == (w.Share == nil) {
-			m.add(f, "give either machines or share")
+			errs.add(f, "give either machines or share")
 		}
 		if w.Machines != nil && (w.GetMachines() < 1 || w.GetMachines() > 100_000) {
-			m.add(f+".machines", "%d must be from 1 to 100000", w.GetMachines())
+			errs.add(f+".machines", "%d must be from 1 to 100000", w.GetMachines())
 		}
 		if w.Share != nil && !(w.GetShare() > last && w.GetShare() <= 1) {
-			m.add(f+".share", "%v must be above %v, the share of the waves before it, and at most 1", w.GetShare(), last)
+			errs.add(f+".share", "%v must be above %v, the share of the waves before it, and at most 1", w.GetShare(), last)
 		}
 		last = max(last, w.GetShare())
 		if !(w.GetSoakS() >= 0 && w.GetSoakS() <= 86400) {
-			m.add(f+".soak_s", "%v must be from 0 to 86400", w.GetSoakS())
+			errs.add(f+".soak_s", "%v must be from 0 to 86400", w.GetSoakS())
 		}
 	}
 	g := p.GetGate()
@@ -114,102 +114,103 @@
 		return
 	}
 	if len(p.GetWaves()) == 0 {
-		m.add("gate", "there are no waves, which a gate needs")
+		errs.add("gate", "there are no waves, which a gate needs")
 	}
 	if g.Tasks != nil && (g.GetTasks() < 1 || g.GetTasks() > 100_000) {
-		m.add("gate.tasks", "%d must be from 1 to 100000", g.GetTasks())
+		errs.add("gate.tasks", "%d must be from 1 to 100000", g.GetTasks())
 	}
 	if g.Slower != nil && !(g.GetSlower() >= 1 && g.GetSlower() <= 100) {
-		m.add("gate.slower", "%v must be from 1 to 100", g.GetSlower())
+		errs.add("gate.slower", "%v must be from 1 to 100", g.GetSlower())
 	}
 	if g.Errors != nil && !(g.GetErrors() >= 0 && g.GetErrors() <= 1) {
-		m.add("gate.errors", "%v must be from 0 to 1", g.GetErrors())
+		errs.add("gate.errors", "%v must be from 0 to 1", g.GetErrors())
 	}
 }
 
 // convertWaves adds a plan's waves and its gate to a drain.Spec.
-func convertWaves(p *planpb.Plan, s *drain.Spec) {
+func convertWaves(p *planpb.Plan, spec *drain.Spec) {
 	for _, w := range p.GetWaves() {
-		s.Waves = append(s.Waves, drain.Wave{Machines: int(w.GetMachines()), Share: w.GetShare(),
+		spec.Waves = append(spec.Waves, drain.Wave{Machines: int(w.GetMachines()), Share: w.GetShare(),
 			Soak: wire.Duration(w.GetSoakS())})
 	}
 	g := p.GetGate()
 	if g == nil {
 		return
 	}
-	s.Gate = &rollout.Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
+	spec.Gate = &rollout.Gate{MinTasks: 20, MaxSlowdown: 1.25, MaxErrorIncrease: 0.05}
 	if g.Tasks != nil {
-		s.Gate.MinTasks = int(g.GetTasks())
+		spec.Gate.MinTasks = int(g.GetTasks())
 	}
 	if g.Slower != nil {
-		s.Gate.MaxSlowdown = g.GetSlower()
+		spec.Gate.MaxSlowdown = g.GetSlower()
 	}
 	if g.Errors != nil {
-		s.Gate.MaxErrorIncrease = g.GetErrors()
+		spec.Gate.MaxErrorIncrease = g.GetErrors()
 	}
 }
 
-func checkEnum(m *fieldErrors, field string, v int32, names map[int32]string) {
+func checkEnum(errs *fieldErrors, field string, v int32, names map[int32]string) {
 	if _, ok := names[v]; !ok {
-		m.add(field, "%d is no known value", v)
+		errs.add(field, "%d is no known value", v)
 	}
 }
 
-func checkMachines(m *fieldErrors, s *planpb.Machines) {
-	hasCriteria := len(s.GetNames())+len(s.GetTypes())+len(s.GetZones()) > 0 || s.GetKind() != planpb.Kind_ANY ||
-		s.GetOlderThanS() > 0
+func checkMachines(errs *fieldErrors, selector *planpb.Machines) {
+	hasCriteria := len(selector.GetNames())+len(selector.GetTypes())+len(selector.GetZones()) > 0 ||
+		selector.GetKind() != planpb.Kind_ANY ||
+		selector.GetOlderThanS() > 0
 	switch {
-	case !hasCriteria && !s.GetAll():
-		m.add("machines", "say which: give names, types, zones, kind, older_than_s, or all: true")
-	case hasCriteria && s.GetAll():
-		m.add("machines.all", "must not be given together with other fields")
+	case !hasCriteria && !selector.GetAll():
+		errs.add("machines", "say which: give names, types, zones, kind, older_than_s, or all: true")
+	case hasCriteria && selector.GetAll():
+		errs.add("machines.all", "must not be given together with other fields")
 	}
 	seen := map[string]bool{}
-	for i, n := range s.GetNames() {
+	for i, n := range selector.GetNames() {
 		if _, err := wire.ParseMachine(n); err != nil {
-			m.add(fmt.Sprintf("machines.names[%d]", i), "%w", err)
+			errs.add(fmt.Sprintf("machines.names[%d]", i), "%w", err)
 		}
 		if seen[n] {
-			m.add(fmt.Sprintf("machines.names[%d]", i), "%q is given twice", n)
+			errs.add(fmt.Sprintf("machines.names[%d]", i), "%q is given twice", n)
 		}
 		seen[n] = true
 	}
-	checkEnum(m, "machines.kind", int32(s.GetKind()), planpb.Kind_name)
-	if !(s.GetOlderThanS() >= 0 && s.GetOlderThanS() <= 1e9) {
-		m.add("machines.older_than_s", "%v must not be negative", s.GetOlderThanS())
+	checkEnum(errs, "machines.kind", int32(selector.GetKind()), planpb.Kind_name)
+	if !(selector.GetOlderThanS() >= 0 && selector.GetOlderThanS() <= 1e9) {
+		errs.add("machines.older_than_s", "%v must not be negative", selector.GetOlderThanS())
 	}
 }
 
-func checkRules(m *fieldErrors, rules []*planpb.Rule) {
+func checkRules(errs *fieldErrors, rules []*planpb.Rule) {
 	if len(rules) > maxRules {
-		m.add("rules", "%d given, the maximum is %d", len(rules), maxRules)
+		errs.add("rules", "%d given, the maximum is %d", len(rules), maxRules)
 	}
 	for i, r := range rules {
 		f := fmt.Sprintf("rules[%d]", i)
 		if r.GetClass() == "" && r.GetRank() == "" {
-			m.add(f, "give a class, a rank or both")
+			errs.add(f, "give a class, a rank or both")
 		}
 		if _, ok := wire.Rank(r.GetRank()); !ok && r.GetRank() != "" {
-			m.add(f+".rank", "%q must be idle, standard, urgent or prod", r.GetRank())
+			errs.add(f+".rank", "%q must be idle, standard, urgent or prod", r.GetRank())
 		}
-		checkEnum(m, f+".running", int32(r.GetRunning()), planpb.How_name)
+		checkEnum(errs, f+".running", int32(r.GetRunning()), planpb.How_name)
 	}
 }
 
-func checkWindows(m *fieldErrors, windows []*planpb.Window) {
+func checkWindows(errs *fieldErrors, windows []*planpb.Window) {
 	if len(windows) > maxWindows {
-		m.add("windows", "%d given, the maximum is %d", len(windows), maxWindows)
+		errs.add("windows", "%d given, the maximum is %d", len(windows), maxWindows)
 	}
 	for i, w := range windows {
 		f := fmt.Sprintf("windows[%d]", i)
 		if w.GetDeadline() == (w.GetNotPast() != "") {
-			m.add(f, "give either not_past or deadline: true")
+			errs.add(f, "give either not_past or deadline: true")
 		}
 		if _, err := parseClock(w.GetNotPast()); err != nil && w.GetNotPast() != "" {
-			m.add(f+".not_past", "%q must be a time of day, HH:MM", w.GetNotPast())
+			errs.add(f+".not_past", "%q must be a time of day, HH:MM", w.GetNotPast())
 		}
 		if _, err := time.LoadLocation(w.GetTimeZone()); err != nil || w.GetTimeZone() == "Local" {
-			m.add(f+".time_zone", "%q must be a time zone such as Asia/Muscat", w.GetTimeZone())
+			errs.add(f+".time_zone", "%q must be a time zone such as Asia/Muscat", w.GetTimeZone())
 		}
 	}
 }
@@ -242,42 +243,42 @@
 
 // Spec converts a plan to a drain.Spec, without its machines.
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
-	s := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
+	spec := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
 		FreeCapacityFloor: p.GetFloor(),
 		RentFirst:         p.GetRentFirst(),
 		Default:           drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
 	if p.AtOnce != nil {
-		s.MaxConcurrent = int(*p.AtOnce)
+		spec.MaxConcurrent = int(*p.AtOnce)
 	}
 	if t, err := time.Parse(time.RFC3339, p.GetLatestEnd()); err == nil {
-		s.LatestEnd = t
+		spec.LatestEnd = t
 	}
 	for _, r := range p.GetRules() {
-		out := drain.Rule{Class: model.None, Rank: -1, How: drain.How(r.GetRunning())}
+		rule := drain.Rule{Class: model.None, Rank: -1, How: drain.How(r.GetRunning())}
 		if r.GetClass() != "" {
-			out.Class = n.Classes.ID(r.GetClass())
+			rule.Class = n.Classes.ID(r.GetClass())
 		}
 		if rank, ok := wire.Rank(r.GetRank()); ok {
-			out.Rank = int(rank)
+			rule.Rank = int(rank)
 		}
-		s.Rules = append(s.Rules, out)
+		spec.Rules = append(spec.Rules, rule)
 	}
 	for _, w := range p.GetWindows() {
-		s.Windows = append(s.Windows, convertWindow(w, n))
+		spec.Windows = append(spec.Windows, convertWindow(w, n))
 	}
-	convertWaves(p, s)
-	return s
+	convertWaves(p, spec)
+	return spec
 }
 
 func convertWindow(w *planpb.Window, n *wire.Names) drain.Window {
-	out := drain.Window{Deadline: w.GetDeadline(), Location: time.UTC, Name: "its deadline"}
+	window := drain.Window{Deadline: w.GetDeadline(), Location: time.UTC, Name: "its deadline"}
 	for _, c := range w.GetClasses() {
-		out.Classes = append(out.Classes, n.Classes.ID(c))
+		window.Classes = append(window.Classes, n.Classes.ID(c))
 	}
-	if !out.Deadline {
-		out.Clock, _ = parseClock(w.GetNotPast()) // the plan was checked, so neither can fail
-		out.Location, _ = time.LoadLocation(w.GetTimeZone())
-		out.Name = "the window"
+	if !window.Deadline {
+		window.Clock, _ = parseClock(w.GetNotPast()) // the plan was checked, so neither can fail
+		window.Location, _ = time.LoadLocation(w.GetTimeZone())
+		window.Name = "the window"
 	}
-	return out
+	return window
 }
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -14,7 +14,7 @@
 	"honeylock/internal/wire"
 )
 
-func names() *wire.Names {
+func newNames() *wire.Names {
 	return &wire.Names{Teams: wire.NewTable(), Types: wire.NewTable("k8", "k64"), Zones: wire.NewTable("east", "west"),
 		Images: wire.NewTable(), Classes: wire.NewTable("payslip", "transfer")}
 }
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Spec(p, names())
+	got := Spec(p, newNames())
 	if !got.LatestEnd.Equal(time.Date(2026, 12, 31, 14, 0, 0, 0, time.UTC)) {
 		t.Errorf("latest end %v", got.LatestEnd)
 	}
@@ -99,11 +99,11 @@
 }
 
 func TestChooseMachines(t *testing.T) {
-	at := func(id model.MachineID, typ, zone model.Name, spot bool, age time.Duration, free int64) Candidate {
+	candidate := func(id model.MachineID, typ, zone model.Name, spot bool, age time.Duration, free int64) Candidate {
 		return Candidate{Machine: model.Machine{ID: id, Type: typ, Zone: zone, Spot: spot}, Age: age, Free: free}
 	}
-	all := []Candidate{at(1, 0, 0, false, 30*time.Second, 5), at(2, 1, 0, true, 90*time.Second, 9),
-		at(3, 0, 1, false, 60*time.Second, 7)}
+	candidates := []Candidate{candidate(1, 0, 0, false, 30*time.Second, 5), candidate(2, 1, 0, true, 90*time.Second, 9),
+		candidate(3, 0, 1, false, 60*time.Second, 7)}
 	for text, want := range map[string][]model.MachineID{
 		`all: true`: {1, 2, 3}, `names: "m-000003" names: "m-000001"`: {3, 1}, `types: "k64"`: {2}, `zones: "west"`: {3},
 		`kind: SPOT`: {2}, `kind: ORDINARY`: {1, 3}, `older_than_s: 60`: {2, 3}, `types: "k9"`: {},
@@ -112,7 +112,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Choose(p, all, names()); !slices.Equal(got, want) {
+		if got := Choose(p, candidates, newNames()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", text, got, want)
 		}
 	}
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Choose(p, all, names()); !slices.Equal(got, want) {
+		if got := Choose(p, candidates, newNames()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", order, got, want)
 		}
 	}
@@ -158,14 +158,14 @@
 		if err != nil {
 			t.Fatalf("the stored form is refused: %v", err)
 		}
-		if d := cmp.Diff(Spec(p, names()), Spec(back, names()),
+		if d := cmp.Diff(Spec(p, newNames()), Spec(back, newNames()),
 			cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })); d != "" {
 			t.Fatal(d)
 		}
 		if _, err := Parse([]byte(Text(p))); err != nil && len(Text(p)) <= MaxSource {
 			t.Fatalf("the text form is refused: %v\n%s", err, Text(p))
 		}
-		Choose(p, []Candidate{{}, {Machine: model.Machine{ID: 1}}}, names())
+		Choose(p, []Candidate{{}, {Machine: model.Machine{ID: 1}}}, newNames())
 	})
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	maxBody     = 64 << 10
-	maxPolls    = 96 // concurrent polls; they mostly wait, and one comparison answers about 80
-	maxChanges  = 64 // concurrent submissions and cancellations
+	maxBody     = 64 << 10 // bytes
+	maxPolls    = 96       // concurrent polls; they mostly wait, and one comparison answers about 80
+	maxChanges  = 64       // concurrent submissions and cancellations
 	userTimeout = 1800 * time.Millisecond
 )
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -138,18 +138,18 @@
 	if d, ok := ctx.Deadline(); ok {
 		until = min(until, d.Sub(c.start))
 	}
-	t := c.limiter.Request(now, classOf(ctx), writes, until)
+	ticket := c.limiter.Request(now, classOf(ctx), writes, until)
 	c.step(now)
 	c.mu.Unlock()
 	select {
-	case <-t.Decided:
+	case <-ticket.Decided:
 	case <-ctx.Done():
 		c.mu.Lock()
-		c.limiter.Cancel(t)
+		c.limiter.Cancel(ticket)
 		c.mu.Unlock()
 		return fmt.Errorf("%w: %w", ErrBusy, ctx.Err())
 	}
-	if t.Refused {
+	if ticket.Refused {
 		return fmt.Errorf("%w: this controller's share is used up", ErrBusy)
 	}
 	return nil
@@ -191,7 +191,8 @@
 	defer cancel()
 	sent := time.Now()
 	status, body, err := conns.Do(ctx, method, c.base+path, in, out)
-	if !errors.Is(parent.Err(), context.Canceled) { // a request that its caller canceled says nothing about the service
+	// A request that its caller canceled says nothing about the service.
+	if !errors.Is(parent.Err(), context.Canceled) {
 		c.recordOutcome(sent, status, err)
 	}
 	return status, body, err
@@ -218,6 +219,7 @@
 	}
 }
 
+// statusError returns the error that stands for an answer's status, nil for a 2xx.
 func statusError(status int, body []byte, err error) error {
 	switch {
 	case err != nil:
@@ -242,11 +244,11 @@
 
 // Get reads a key. It returns ErrNotFound if the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
-	var it wire.Item
-	if err := c.call(ctx, 0, http.MethodGet, "/store/"+key, nil, &it); err != nil {
+	var item wire.Item
+	if err := c.call(ctx, 0, http.MethodGet, "/store/"+key, nil, &item); err != nil {
 		return nil, err
 	}
-	return &it, nil
+	return &item, nil
 }
 
 // List calls f for every key with the prefix. It returns the revision of the first page:
@@ -312,12 +314,12 @@
 	if err = statusError(status, body, err); !errors.Is(err, ErrConflict) {
 		return nil, err
 	}
-	var f wire.FailedGuards
-	if err := json.Unmarshal(body, &f); err != nil || len(f.Keys) == 0 {
+	var conflict wire.FailedGuards
+	if err := json.Unmarshal(body, &conflict); err != nil || len(conflict.Keys) == 0 {
 		return nil, fmt.Errorf("state service: conflict answer can't be decoded: %.200s", body)
 	}
-	failed = make(map[string]bool, len(f.Keys))
-	for _, k := range f.Keys {
+	failed = make(map[string]bool, len(conflict.Keys))
+	for _, k := range conflict.Keys {
 		failed[k] = true
 	}
 	return failed, nil
@@ -325,12 +327,12 @@
 
 // Grant creates a lease and returns its id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var l wire.Lease
+	var lease wire.Lease
 	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()},
-		&l); err != nil {
+		&lease); err != nil {
 		return 0, err
 	}
-	return l.ID, nil
+	return lease.ID, nil
 }
 
 // Extend renews a lease. It returns ErrNotFound if the lease has ended.
@@ -357,13 +359,13 @@
 	}
 	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)},
 		"WaitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	var ev wire.Events
-	status, body, err := c.watches.Do(ctx, http.MethodGet, c.base+"/watch?"+q.Encode(), nil, &ev)
+	var events wire.Events
+	status, body, err := c.watches.Do(ctx, http.MethodGet, c.base+"/watch?"+q.Encode(), nil, &events)
 	if status == http.StatusTooManyRequests {
 		c.recordOutcome(time.Now(), status, nil)
 	}
 	if err := statusError(status, body, err); err != nil {
 		return nil, err
 	}
-	return &ev, nil
+	return &events, nil
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -26,13 +26,13 @@
 func (c *Catalog) MachineTypes(n *Names) []model.MachineType {
 	var out []model.MachineType
 	for _, t := range c.Types {
-		mt := model.MachineType{Name: n.Types.ID(t.Name), Cap: model.Capacity(t.CPUs, t.GPUs, t.MemGB),
+		machineType := model.MachineType{Name: n.Types.ID(t.Name), Cap: model.Capacity(t.CPUs, t.GPUs, t.MemGB),
 			FetchRate: t.FetchRate,
 			Price:     t.Price, SpotPrice: t.SpotPrice, Boot: time.Duration(t.BootS * float64(time.Second))}
 		for _, z := range t.Zones {
-			mt.Zones = append(mt.Zones, n.Zones.ID(z))
+			machineType.Zones = append(machineType.Zones, n.Zones.ID(z))
 		}
-		out = append(out, mt)
+		out = append(out, machineType)
 	}
 	return out
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -116,8 +116,8 @@
 }
 
 // EncodeMachines returns the stored record of a block of machines.
-func EncodeMachines(ms []model.Machine, n *Names) MachineBlock {
-	b := MachineBlock{Machines: make([]StoredMachine, 0, len(ms))}
+func EncodeMachines(machines []model.Machine, n *Names) MachineBlock {
+	block := MachineBlock{Machines: make([]StoredMachine, 0, len(machines))}
 	index := func(list *[]string, name string) int {
 		i := slices.Index(*list, name)
 		if i < 0 {
@@ -126,28 +126,28 @@
 		}
 		return i
 	}
-	for i := range ms {
-		m := &ms[i]
-		b.Machines = append(b.Machines, StoredMachine{Name: MachineName(m.ID), Addr: m.Addr,
-			Type: index(&b.Types, n.Types.Name(m.Type)),
-			Zone: index(&b.Zones, n.Zones.Name(m.Zone)), Spot: m.Spot})
+	for i := range machines {
+		m := &machines[i]
+		block.Machines = append(block.Machines, StoredMachine{Name: MachineName(m.ID), Addr: m.Addr,
+			Type: index(&block.Types, n.Types.Name(m.Type)),
+			Zone: index(&block.Zones, n.Zones.Name(m.Zone)), Spot: m.Spot})
 	}
-	return b
+	return block
 }
 
 // Decode returns the machines of a block.
 func (b *MachineBlock) Decode(n *Names) ([]model.Machine, error) {
 	out := make([]model.Machine, 0, len(b.Machines))
-	for _, s := range b.Machines {
-		id, err := ParseMachine(s.Name)
+	for _, stored := range b.Machines {
+		id, err := ParseMachine(stored.Name)
 		if err != nil {
 			return nil, err
 		}
-		if s.Type < 0 || s.Type >= len(b.Types) || s.Zone < 0 || s.Zone >= len(b.Zones) {
-			return nil, fmt.Errorf("record of %s: type or zone out of range", s.Name)
+		if stored.Type < 0 || stored.Type >= len(b.Types) || stored.Zone < 0 || stored.Zone >= len(b.Zones) {
+			return nil, fmt.Errorf("record of %s: type or zone out of range", stored.Name)
 		}
-		out = append(out, model.Machine{ID: id, Addr: s.Addr, Type: n.Types.ID(b.Types[s.Type]),
-			Zone: n.Zones.ID(b.Zones[s.Zone]), Spot: s.Spot})
+		out = append(out, model.Machine{ID: id, Addr: stored.Addr, Type: n.Types.ID(b.Types[stored.Type]),
+			Zone: n.Zones.ID(b.Zones[stored.Zone]), Spot: stored.Spot})
 	}
 	return out, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -44,10 +44,11 @@
 	SubmittedMS int64    `json:"SubmittedMs,omitempty"`
 }
 
+// Limits on the fields of a submission.
 const (
 	maxTasks  = 100_000
-	maxAmount = 1e9
-	maxName   = 200
+	maxAmount = 1e9 // of resources and of seconds
+	maxName   = 200 // bytes
 )
 
 // FieldError reports an invalid field of a submission. Its text is shown to the user.
@@ -70,38 +71,38 @@
 }
 
 func (s *Submission) check() error {
-	str := func(f string, v *string) error {
+	checkString := func(f string, v *string) error {
 		if v == nil || *v == "" || len(*v) > maxName {
 			return fmt.Errorf("%s is missing or invalid", f)
 		}
 		return nil
 	}
-	num := func(f string, v *float64, zero bool) error {
+	checkNumber := func(f string, v *float64, zero bool) error {
 		if v == nil || math.IsNaN(*v) || *v < 0 || *v > maxAmount || (!zero && *v == 0) {
 			return fmt.Errorf("%s is missing or out of range", f)
 		}
 		return nil
 	}
-	flag := func(f string, v *bool) error {
+	checkPresent := func(f string, v *bool) error {
 		if v == nil {
 			return fmt.Errorf("%s is missing", f)
 		}
 		return nil
 	}
 	for _, err := range []error{
-		str("NameId", s.NameID), str("Comb", s.Class), str("Colony", s.Team),
-		str("Shape", s.Shape), str("Rank", s.Rank), str("Wax", s.Image),
-		num("Cpus", s.CPUs, false), num("Accelerators", s.GPUs, true), num("MemGb", s.MemGB, false),
-		num("ImageGb", s.ImageGB, true), num("ForageS", s.EstimateS, true),
-		num("CapIntervalS", s.CheckpointS, true), num("CapS", s.SaveS, true),
-		flag("Together", s.Together), flag("Spread", s.Spread), flag("SwarmBoxes", s.Spot),
+		checkString("NameId", s.NameID), checkString("Comb", s.Class), checkString("Colony", s.Team),
+		checkString("Shape", s.Shape), checkString("Rank", s.Rank), checkString("Wax", s.Image),
+		checkNumber("Cpus", s.CPUs, false), checkNumber("Accelerators", s.GPUs, true), checkNumber("MemGb", s.MemGB, false),
+		checkNumber("ImageGb", s.ImageGB, true), checkNumber("ForageS", s.EstimateS, true),
+		checkNumber("CapIntervalS", s.CheckpointS, true), checkNumber("CapS", s.SaveS, true),
+		checkPresent("Together", s.Together), checkPresent("Spread", s.Spread), checkPresent("SwarmBoxes", s.Spot),
 	} {
 		if err != nil {
 			return err
 		}
 	}
 	if s.DeadlineS != nil {
-		if err := num("HarvestS", s.DeadlineS, false); err != nil {
+		if err := checkNumber("HarvestS", s.DeadlineS, false); err != nil {
 			return err
 		}
 	}
@@ -217,6 +218,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
+// attemptJSON is one attempt in a worker's report.
 type attemptJSON struct {
 	Task    string `json:"Cell"`
 	Attempt uint64 `json:"Brood"`
@@ -225,6 +227,7 @@
 	Saved   bool   `json:"Saved"`
 }
 
+// reportJSON is the body of a worker's report.
 type reportJSON struct {
 	Machine           string        `json:"Hive"`
 	Addr              string        `json:"Addr"`
@@ -259,33 +262,34 @@
 
 // Report converts the report, looking up its names.
 func (r *RawReport) Report(n *Names) (*model.Report, error) {
-	b := &r.body
-	id, err := ParseMachine(b.Machine)
+	body := &r.body
+	id, err := ParseMachine(body.Machine)
 	if err != nil {
 		return nil, err
 	}
-	if b.Session == 0 {
+	if body.Session == 0 {
 		return nil, errors.New("report: Flight (the session) is missing or 0")
 	}
 	out := &model.Report{
-		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Type), Zone: n.Zones.ID(b.Zone), Spot: b.Spot},
-		Session: b.Session, Seq: b.Seq, Token: b.Token, PreemptionNotice: -1,
-		Attempts: make([]model.AttemptStatus, 0, len(b.Attempts)),
+		Machine: model.Machine{ID: id, Addr: body.Addr, Type: n.Types.ID(body.Type), Zone: n.Zones.ID(body.Zone),
+			Spot: body.Spot},
+		Session: body.Session, Seq: body.Seq, Token: body.Token, PreemptionNotice: -1,
+		Attempts: make([]model.AttemptStatus, 0, len(body.Attempts)),
 	}
-	if b.PreemptionNoticeS != nil {
-		out.PreemptionNotice = Duration(max(0, *b.PreemptionNoticeS))
+	if body.PreemptionNoticeS != nil {
+		out.PreemptionNotice = Duration(max(0, *body.PreemptionNoticeS))
 	}
-	for _, c := range b.Attempts {
+	for _, c := range body.Attempts {
 		t, err := parseTask(c.Task)
 		if err != nil {
 			return nil, err
 		}
-		st, ok := stages[c.Stage]
+		stage, ok := stages[c.Stage]
 		if !ok {
 			// An attempt in a stage unknown to this release occupies the machine too.
-			st = model.Running
+			stage = model.Running
 		}
-		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: st,
+		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: stage,
 			Cause: causes[c.Cause], Saved: c.Saved})
 	}
 	return out, nil
@@ -310,6 +314,7 @@
 // TaskName returns the name of a task.
 func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
+// commandJSON is a command to a worker.
 type commandJSON struct {
 	Verb    string   `json:"Dance"`
 	Task    string   `json:"Cell"`
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -27,7 +27,7 @@
 // Send sends commands and returns the report that the worker answers. executed is false if
 // the worker refused the commands because of their token or session (409).
 func (c *Client) Send(ctx context.Context, addr string, token, session uint64,
-	cmds []model.Command) (rep *wire.RawReport, executed bool, err error) {
+	cmds []model.Command) (report *wire.RawReport, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	status, body, err := c.http.Do(ctx, http.MethodPost, "http://"+addr+"/commands", wire.Direct(token, session, cmds),
@@ -38,6 +38,6 @@
 	if status != http.StatusOK && status != http.StatusConflict {
 		return nil, false, fmt.Errorf("worker %s: status %d", addr, status)
 	}
-	rep, err = wire.ParseReport(body)
-	return rep, status == http.StatusOK, err
+	report, err = wire.ParseReport(body)
+	return report, status == http.StatusOK, err
 }
