--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -102,7 +102,7 @@
 			Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "budgets", showBudgets)
 			}},
-		planAction("pause", "Pause a plan: no more machines are started and no tasks are moved"),
+		planAction("pause", "Pause a plan: no more machines are drained and no tasks are moved"),
 		planAction("resume", "Resume a paused plan"),
 		planAction("cancel", "Cancel a plan: its machines get tasks again"),
 		&cobra.Command{Use: "patched NAME MACHINE", Short: "Report that a machine of a plan is patched: it gets tasks again",
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -31,7 +31,7 @@
 	}
 	var r node.ForecastReply
 	reported := 0
-	err = o.Poll(c.Context(), path, body, &r, func() bool {
+	err = o.Ask(c.Context(), path, body, &r, func() bool {
 		if tenths := int(r.Done * 10); tenths > reported {
 			reported = tenths
 			fmt.Fprintf(c.ErrOrStderr(), "forecasting: %d%%\n", 10*tenths)
--- a/internal/client/users.go
+++ b/internal/client/users.go
@@ -78,8 +78,7 @@
 
 // Wait polls until a job has ended. It calls onState with every state it sees.
 func (u *Users) Wait(ctx context.Context, id string, interval time.Duration,
-	onState func(*wire.JobState)) (*wire.JobState,
-	error) {
+	onState func(*wire.JobState)) (*wire.JobState, error) {
 	for {
 		state, err := u.Status(ctx, id)
 		if err != nil {
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -58,7 +58,7 @@
 
 func forecastOf(t *testing.T, ops *client.Operators, path, plan string) (f node.ForecastReply) {
 	t.Helper()
-	if err := ops.Poll(t.Context(), path, []byte(plan), &f, func() bool { return f.Done >= 1 }); err != nil {
+	if err := ops.Ask(t.Context(), path, []byte(plan), &f, func() bool { return f.Done >= 1 }); err != nil {
 		t.Fatal(err)
 	}
 	return f
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -119,16 +119,13 @@
 
 func (c *Codec) spec(jobSpec *model.Spec) *peerpb.Spec {
 	p := &peerpb.Spec{Job: uint64(jobSpec.ID), Class: c.names.Classes.Name(jobSpec.Class),
-		Team:   c.names.Teams.Name(jobSpec.Team),
-		Image:  c.names.Images.Name(jobSpec.Image),
+		Team: c.names.Teams.Name(jobSpec.Team), Image: c.names.Images.Name(jobSpec.Image),
 		Daemon: jobSpec.Daemon, Rank: uint32(jobSpec.Rank), Tasks: jobSpec.Tasks, Cpu: jobSpec.PerTask.CPU,
-		Gpu: jobSpec.PerTask.GPU, Mem: jobSpec.PerTask.Mem,
-		ImageGb: jobSpec.ImageGB,
+		Gpu: jobSpec.PerTask.GPU, Mem: jobSpec.PerTask.Mem, ImageGb: jobSpec.ImageGB,
 		AnyType: jobSpec.Types == nil, Together: jobSpec.SameZone, Spread: jobSpec.Spread, Spot: jobSpec.Spot,
 		EstimateUs:   jobSpec.Estimate.Microseconds(),
 		CheckpointUs: jobSpec.CheckpointInterval.Microseconds(), SaveUs: jobSpec.CheckpointTime.Microseconds(),
-		DeadlineUs:  jobSpec.Deadline.Microseconds(),
-		SubmittedMs: jobSpec.SubmittedMS, Aimed: !jobSpec.BestEffort}
+		DeadlineUs: jobSpec.Deadline.Microseconds(), SubmittedMs: jobSpec.SubmittedMS, Aimed: !jobSpec.BestEffort}
 	for _, t := range jobSpec.Types {
 		p.Types = append(p.Types, c.names.Types.Name(t))
 	}
@@ -147,9 +144,8 @@
 		PerTask: model.Resources{CPU: p.GetCpu(), GPU: p.GetGpu(), Mem: p.GetMem()},
 		ImageGB: p.GetImageGb(), Zone: model.None, SameZone: p.GetTogether(), Spread: p.GetSpread(), Spot: p.GetSpot(),
 		Estimate: microseconds(p.GetEstimateUs()), CheckpointInterval: microseconds(p.GetCheckpointUs()),
-		CheckpointTime: microseconds(p.GetSaveUs()),
-		Deadline:       microseconds(p.GetDeadlineUs()),
-		SubmittedMS:    p.GetSubmittedMs()}
+		CheckpointTime: microseconds(p.GetSaveUs()), Deadline: microseconds(p.GetDeadlineUs()),
+		SubmittedMS: p.GetSubmittedMs()}
 	s.BestEffort = !p.GetAimed() && c.names.IsBestEffort(s.Class, s.Team)
 	if !p.GetAnyType() {
 		s.Types = []model.Name{}
@@ -166,8 +162,7 @@
 // Order encodes an order. A job's description goes with its first task on the stream only.
 func (c *Codec) Order(now time.Duration, o *model.Order) *peerpb.Down {
 	p := &peerpb.Order{Kind: uint32(o.Kind), Token: o.Token, Usable: o.Usable, Id: uint64(o.ID), Task: task(o.Task),
-		Attempt: o.Attempt,
-		Job:     uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.RedirectTo,
+		Attempt: o.Attempt, Job: uint64(o.Job), Price: o.Price, Count: int32(o.Count), Keeper: o.RedirectTo,
 		Aim: uint32(o.Objective), Prove: o.VerifyFirst, Session: o.Session, Seq: o.Seq}
 	switch o.Kind {
 	case model.OwnMachine:
@@ -213,8 +208,7 @@
 			return o, fmt.Errorf("received a task of %s without the job's description", wire.JobName(o.Task.Job))
 		}
 		o.Assignment = model.Assignment{Task: o.Task, Spec: spec, Price: o.Price, Zone: model.None, Machine: o.ID,
-			Attempt:      o.Attempt,
-			Redispatched: p.GetAgain(), WithinLimits: p.GetChecked(),
+			Attempt: o.Attempt, Redispatched: p.GetAgain(), WithinLimits: p.GetChecked(),
 			WaitingSince: now - time.Duration(p.GetWaitedUs())*time.Microsecond}
 		if p.Zone != nil {
 			o.Assignment.Zone = c.names.Zones.ID(p.GetZone())
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -244,9 +244,8 @@
 // Spec converts a plan to a drain.Spec, without its machines.
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
 	spec := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
-		FreeCapacityFloor: p.GetFloor(),
-		RentFirst:         p.GetRentFirst(),
-		Default:           drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
+		FreeCapacityFloor: p.GetFloor(), RentFirst: p.GetRentFirst(),
+		Default: drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
 	if p.AtOnce != nil {
 		spec.MaxConcurrent = int(*p.AtOnce)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -40,7 +40,7 @@
 	// Separate limits, so that many polls never block submissions and cancellations.
 	polls, changes callLimit
 	shed           *prometheus.CounterVec
-	admit          func(overload.Kind) (ok bool, again time.Duration)
+	admit          func(overload.Kind) (ok bool, retryAfter time.Duration)
 }
 
 // callLimit bounds the number of concurrent calls of a kind.
@@ -53,8 +53,8 @@
 
 // acquire reports whether one more call may be served. The caller must call release in
 // either case.
-func (g *callLimit) acquire() bool { return g.current.Add(1) <= g.max }
-func (g *callLimit) release()      { g.current.Add(-1) }
+func (l *callLimit) acquire() bool { return l.current.Add(1) <= l.max }
+func (l *callLimit) release()      { l.current.Add(-1) }
 
 type connKey struct{}
 
