--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -26,8 +26,9 @@
 
 func devCommand() *cobra.Command {
 	var f devFlags
-	c := &cobra.Command{Use: "dev", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "dev",
 		Short: "Run a complete cluster on loopback, with simulated services and a small workload",
+		Args:  cobra.NoArgs,
 		Long: `Runs controllers against simulated workers, state service and cloud, all in this
 process and on loopback, and submits a small workload. It needs no files. At the end
 it prints one line with counts of jobs. The exit code is 1 if a job was lost or two
