--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -26,19 +26,22 @@
 
 func devCommand() *cobra.Command {
 	var f devFlags
-	c := &cobra.Command{Use: "dev", Short: "Run a whole cluster on loopback, with stand-ins and a small workload",
-		Args: cobra.NoArgs,
-		Long: `Runs controllers against stand-ins of the state service, the cloud and the
-workers, all in this process and on loopback, and lets a small workload arrive.
-No file is needed. At the end it prints one line of jobs, and the exit code is 1
-if a job was lost or a task ran twice at a time.`,
+	c := &cobra.Command{Use: "dev",
+		Short: "Run a complete cluster on loopback, with simulated services and a small workload",
+		Args:  cobra.NoArgs,
+		Long: `Runs controllers against simulated workers, state service and cloud, all in this
+process and on loopback, and submits a small workload. It needs no files. At the end
+it prints one line with counts of jobs. The exit code is 1 if a job was lost or two
+attempts of a task ran at the same time.`,
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) }}
-	c.Flags().IntVar(&f.controllers, "controllers", 3, "controllers, 1 to 9")
-	c.Flags().IntVar(&f.workers, "workers", 6, "machines that are up at the start, 1 to 200; as many again can be rented")
-	c.Flags().DurationVar(&f.length, "for", 30*time.Second, "jobs arrive for so long; 0: until interrupted")
-	c.Flags().Float64Var(&f.speed, "speed", 10, "runs, boots and fetches take so many times less than in life, 0.1 to 100")
-	c.Flags().StringVar(&f.workload, "workload", "", "a workload in protobuf text format, or none")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is random")
+	c.Flags().IntVar(&f.controllers, "controllers", 3, "number of controllers, 1 to 9")
+	c.Flags().IntVar(&f.workers, "workers", 6, "number of machines at the start, 1 to 200; as many again can be rented")
+	c.Flags().DurationVar(&f.length, "for", 30*time.Second, "how long jobs are submitted; 0: until interrupted")
+	c.Flags().Float64Var(&f.speed, "speed", 10,
+		"factor by which tasks, boots and image fetches are faster than in production, 0.1 to 100")
+	c.Flags().StringVar(&f.workload, "workload", "",
+		"file with a workload in protobuf text format, or \"none\" (default: a small workload)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random numbers")
 	return c
 }
 
@@ -70,11 +73,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("--workload: %w", err)
 	}
-	cs, err := dev.ParseWorkload(b)
+	classes, err := dev.ParseWorkload(b)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.workload, err)
 	}
-	return cs, nil
+	return classes, nil
 }
 
 func (f *devFlags) run(c *cobra.Command) error {
@@ -87,7 +90,7 @@
 	if level := os.Getenv("LOG_LEVEL"); level != "" {
 		o.Log = logger(os.Stderr, level)
 	}
-	token := rand.Text() // of the operators' doors
+	token := rand.Text() // of the operators' servers
 	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(token) }
 	cl, err := dev.Start(o)
 	if err != nil {
@@ -98,57 +101,57 @@
 	fmt.Fprintf(out, "users        %s\n", strings.Join(cl.Addrs(), ","))
 	fmt.Fprintf(out, "operators    %s\ntoken        %s\n", strings.Join(cl.OpsAddrs(), ","), token)
 	users := dev.NewUsers(cl.Addrs(), classes, f.speed, f.seed)
-	arrive, all, stop := f.bounds(c.Context(), len(classes) > 0)
+	arrive, wait, stop := f.bounds(c.Context(), len(classes) > 0)
 	defer stop()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		users.Run(arrive, all)
+		users.Run(arrive, wait)
 		if len(classes) == 0 {
 			<-arrive.Done()
 		}
 	}()
 	f.follow(c, users, ended)
-	n := users.Counts()
+	counts := users.Counts()
 	broken := cl.Depot.Broken()
-	for _, s := range append(n.Losses, broken...) {
+	for _, s := range append(counts.Losses, broken...) {
 		fmt.Fprintln(c.ErrOrStderr(), s)
 	}
 	fmt.Fprintf(out, "jobs: %d accepted, %d done, %d cancelled, %d open, %d refused, %d lost; tasks run twice: %d\n",
-		n.Accepted, n.Done, n.Cancelled, n.Open, n.Refused, n.Lost, len(broken))
-	if n.Lost > 0 || len(broken) > 0 {
+		counts.Accepted, counts.Done, counts.Cancelled, counts.Open, counts.Refused, counts.Lost, len(broken))
+	if counts.Lost > 0 || len(broken) > 0 {
 		return failed(errors.New("jobs were lost, or tasks ran twice"))
 	}
 	return nil
 }
 
-// bounds are until when jobs arrive, and until when they are waited for: a
-// minute longer, unless interrupted.
-func (f *devFlags) bounds(ctx context.Context, busy bool) (arrive, all context.Context, stop func()) {
+// bounds returns two contexts: arrive ends when no more jobs are submitted, wait ends a
+// minute later, when open jobs are no longer waited for. An interrupt ends both.
+func (f *devFlags) bounds(ctx context.Context, busy bool) (arrive, wait context.Context, stop func()) {
 	if f.length == 0 {
 		return ctx, ctx, func() {}
 	}
-	rest := time.Minute
+	extra := time.Minute
 	if !busy {
-		rest = 0
+		extra = 0
 	}
 	arrive, stop1 := context.WithTimeout(ctx, f.length)
-	all, stop2 := context.WithTimeout(ctx, f.length+rest)
-	return arrive, all, func() { stop1(); stop2() }
+	wait, stop2 := context.WithTimeout(ctx, f.length+extra)
+	return arrive, wait, func() { stop1(); stop2() }
 }
 
-// follow tells how it goes, on a terminal in one line.
+// follow prints the progress until ended is closed. On a terminal it updates one line.
 func (f *devFlags) follow(c *cobra.Command, u *dev.Users, ended <-chan struct{}) {
-	began := time.Now()
+	start := time.Now()
 	terminal := false
 	if st, err := os.Stderr.Stat(); err == nil {
 		terminal = st.Mode()&os.ModeCharDevice != 0
 	}
-	every := 5 * time.Second
+	interval := 5 * time.Second
 	if terminal {
-		every = 500 * time.Millisecond
+		interval = 500 * time.Millisecond
 	}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -159,7 +162,7 @@
 			return
 		case <-t.C:
 			n := u.Counts()
-			line := fmt.Sprintf("%4.0f s  %d accepted, %d done, %d cancelled, %d open", time.Since(began).Seconds(),
+			line := fmt.Sprintf("%4.0f s  %d accepted, %d done, %d cancelled, %d open", time.Since(start).Seconds(),
 				n.Accepted, n.Done, n.Cancelled, n.Open)
 			if terminal {
 				fmt.Fprintf(c.ErrOrStderr(), "\r%-70s", line)
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -18,23 +18,24 @@
 	"honeylock/internal/planfile"
 )
 
-// door is how an operator's command reaches the controllers.
-type door struct {
+// operatorFlags are the flags of an operator's command: how it reaches the controllers, and
+// how it prints their answer.
+type operatorFlags struct {
 	addrs         []string
 	tokenFile, ca string
 	asJSON        bool
 }
 
-func (d *door) flags(c *cobra.Command) {
-	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "operators' doors of controllers")
+func (d *operatorFlags) flags(c *cobra.Command) {
+	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "addresses of the controllers' operators' endpoints")
 	c.PersistentFlags().StringVar(&d.tokenFile, "token-file", "",
-		"a file that holds your token (default: $HONEYLOCK_TOKEN)")
+		"file with your token (default: $HONEYLOCK_TOKEN)")
 	c.PersistentFlags().StringVar(&d.ca, "ca", "",
-		"the authority (PEM) of the controllers' certificates: calls go over TLS")
+		"file with the CA (PEM) of the controllers' certificates; if given, calls use TLS")
 	c.PersistentFlags().BoolVar(&d.asJSON, "json", false, "print JSON")
 }
 
-func (d *door) dial() (*client.Operators, error) {
+func (d *operatorFlags) dial() (*client.Operators, error) {
 	token := os.Getenv("HONEYLOCK_TOKEN")
 	if d.tokenFile != "" {
 		b, err := os.ReadFile(d.tokenFile)
@@ -46,8 +47,8 @@
 	return client.NewOperators(d.addrs, token, d.ca)
 }
 
-// get asks a question and shows the answer.
-func get[T any](c *cobra.Command, d *door, path string, show func(io.Writer, *T) error) error {
+// get makes a call that changes nothing and prints the answer.
+func get[T any](c *cobra.Command, d *operatorFlags, path string, show func(io.Writer, *T) error) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -62,8 +63,8 @@
 	return show(c.OutOrStdout(), &v)
 }
 
-// change makes a change and shows its outcome.
-func (d *door) change(c *cobra.Command, path string, body []byte) error {
+// change makes a change and prints its outcome.
+func (d *operatorFlags) change(c *cobra.Command, path string, body []byte) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -81,28 +82,30 @@
 }
 
 func drainCommand() *cobra.Command {
-	var d door
-	c := &cobra.Command{Use: "drain", Short: "Empty machines by plan, to patch them or give them back"}
+	var d operatorFlags
+	c := &cobra.Command{Use: "drain",
+		Short: "Drain machines according to a plan, to patch them or return them to the cloud"}
 	d.flags(c)
-	about := func(use, short string) *cobra.Command {
+	planAction := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				return d.change(c, "drains/"+url.PathEscape(args[0])+"/"+use, nil)
 			}}
 	}
-	c.AddCommand(checkPlanCommand(), forecastCommand(&d), againCommand(&d), applyCommand(&d), drainStatusCommand(&d),
+	c.AddCommand(checkPlanCommand(), forecastCommand(&d), forecastRestCommand(&d), applyCommand(&d),
+		drainStatusCommand(&d),
 		&cobra.Command{Use: "list", Short: "List the plans", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "drains", showPlans)
 			}},
-		&cobra.Command{Use: "budgets", Short: "Show what teams may lose by our own doing, and what is out of work now",
+		&cobra.Command{Use: "budgets", Short: "Show teams' disruption budgets, and the work that is interrupted now",
 			Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 				return get(c, &d, "budgets", showBudgets)
 			}},
-		about("pause", "Stop a plan: no machine is begun, nothing moves"),
-		about("resume", "Let a paused plan go on"),
-		about("cancel", "End a plan: its machines are wanted again"),
-		&cobra.Command{Use: "patched NAME MACHINE", Short: "Say that a machine of a plan is patched: it is wanted again",
+		planAction("pause", "Pause a plan: no more machines are drained and no tasks are moved"),
+		planAction("resume", "Resume a paused plan"),
+		planAction("cancel", "Cancel a plan: its machines get tasks again"),
+		&cobra.Command{Use: "patched NAME MACHINE", Short: "Report that a machine of a plan is patched: it gets tasks again",
 			Args: cobra.ExactArgs(2),
 			RunE: func(c *cobra.Command, args []string) error {
 				return d.change(c, "drains/"+url.PathEscape(args[0])+"/machines/"+url.PathEscape(args[1])+"/patched", nil)
@@ -118,7 +121,7 @@
 		})
 }
 
-// planCommand is a command about a plan in a file, which must be without mistakes.
+// planCommand returns a command that reads and checks a plan in a file and passes it to do.
 func planCommand(use, short string, do func(c *cobra.Command, plan []byte) error) *cobra.Command {
 	return &cobra.Command{Use: use + " FILE|-", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -141,16 +144,17 @@
 	return b, nil
 }
 
-func applyCommand(d *door) *cobra.Command {
-	return planCommand("apply", "Begin a plan", func(c *cobra.Command, plan []byte) error {
+func applyCommand(d *operatorFlags) *cobra.Command {
+	return planCommand("apply", "Start a plan", func(c *cobra.Command, plan []byte) error {
 		return d.change(c, "drains", plan)
 	})
 }
 
-func drainStatusCommand(d *door) *cobra.Command {
+func drainStatusCommand(d *operatorFlags) *cobra.Command {
 	var watch bool
-	c := &cobra.Command{Use: "status NAME", Short: "Show how a plan stands, machine by machine", Args: cobra.ExactArgs(1)}
-	c.Flags().BoolVar(&watch, "watch", false, "show it again until the plan has ended; exit code 1 unless it is done")
+	c := &cobra.Command{Use: "status NAME", Short: "Show the state of a plan, machine by machine",
+		Args: cobra.ExactArgs(1)}
+	c.Flags().BoolVar(&watch, "watch", false, "print changes until the plan has ended; exit code 1 unless it is done")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		path := "drains/" + url.PathEscape(args[0])
 		if !watch {
@@ -161,8 +165,8 @@
 	return c
 }
 
-// watch follows a plan to its end.
-func (d *door) watch(c *cobra.Command, path string) error {
+// watch prints a plan's state whenever it changes, until the plan has ended.
+func (d *operatorFlags) watch(c *cobra.Command, path string) error {
 	o, err := d.dial()
 	if err != nil {
 		return err
@@ -220,17 +224,20 @@
 	return table(w, []string{"PLAN", "PHASE", "BY", "MACHINES", "WAITS FOR"}, rows)
 }
 
-func showBudgets(w io.Writer, bs *[]node.BudgetStatus) error {
-	bound := func(of float64) string {
-		if of <= 0 {
+func showBudgets(w io.Writer, budgets *[]node.BudgetStatus) error {
+	formatLimit := func(limit float64) string {
+		if limit <= 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%g", of)
+		return fmt.Sprintf("%g", limit)
 	}
 	var rows [][]string
-	for _, b := range *bs {
-		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted), bound(float64(b.MaxTasks)),
-			fmt.Sprintf("%g", b.InterruptedCPUs), bound(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS), bound(b.MaxLostCPUS), counts(b.By)})
+	for _, b := range *budgets {
+		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted),
+			formatLimit(float64(b.MaxTasks)),
+			fmt.Sprintf("%g", b.InterruptedCPUs), formatLimit(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS),
+			formatLimit(b.MaxLostCPUS),
+			counts(b.By)})
 	}
 	return table(w, []string{"TEAM", "CLASS", "RUNNING", "OUT", "MOST", "OUT CPUS", "MOST", "LOST CPU S", "MOST", "WHY"},
 		rows)
@@ -249,17 +256,17 @@
 }
 
 func auditCommand() *cobra.Command {
-	var d door
-	c := &cobra.Command{Use: "audit", Short: "What operators changed"}
+	var d operatorFlags
+	c := &cobra.Command{Use: "audit", Short: "Show operators' changes"}
 	d.flags(c)
-	c.AddCommand(&cobra.Command{Use: "list", Short: "List the newest changes, made or refused", Args: cobra.NoArgs,
+	c.AddCommand(&cobra.Command{Use: "list", Short: "List the latest changes, made or refused", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "audit", showAudit) }})
 	return c
 }
 
-func showAudit(w io.Writer, es *[]audit.Entry) error {
+func showAudit(w io.Writer, entries *[]audit.Entry) error {
 	var rows [][]string
-	for _, e := range *es {
+	for _, e := range *entries {
 		rows = append(rows, []string{time.UnixMilli(e.AtMS).Format(time.RFC3339), e.Who, e.What, e.Name,
 			fmt.Sprint(e.Status), e.Outcome})
 	}
--- a/cmd/honeylock/job.go
+++ b/cmd/honeylock/job.go
@@ -16,7 +16,8 @@
 	"honeylock/internal/wire"
 )
 
-// addrFlag names the controllers that a client turns to.
+// addrFlag adds the flag for the controllers' addresses, with the environment variable env
+// as the default.
 func addrFlag(c *cobra.Command, addrs *[]string, env, what string) {
 	var given []string
 	if v := os.Getenv(env); v != "" {
@@ -29,14 +30,14 @@
 func jobCommand() *cobra.Command {
 	var addrs []string
 	var asJSON bool
-	c := &cobra.Command{Use: "job", Short: "Submit jobs, follow and withdraw them"}
-	addrFlag(c, &addrs, "HONEYLOCK_ADDR", "controllers")
+	c := &cobra.Command{Use: "job", Short: "Submit, follow and withdraw jobs"}
+	addrFlag(c, &addrs, "HONEYLOCK_ADDR", "addresses of controllers")
 	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	dial := func() (*client.Users, error) {
 		return client.NewUsers(addrs, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), uint64(os.Getpid()))))
 	}
 	show := func(c *cobra.Command, st *wire.JobState) error { return showJob(c.OutOrStdout(), st, asJSON) }
-	one := func(use, short string, f func(c *cobra.Command, u *client.Users, id string) (*wire.JobState,
+	jobAction := func(use, short string, f func(c *cobra.Command, u *client.Users, id string) (*wire.JobState,
 		error)) *cobra.Command {
 		return &cobra.Command{Use: use + " JOB", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -54,27 +55,27 @@
 				return show(c, st)
 			}}
 	}
-	every := 2 * time.Second
-	wait := one("wait", "Wait until a job has ended; exit code 1 if it was cancelled",
+	interval := 2 * time.Second
+	wait := jobAction("wait", "Wait until a job has ended; exit code 1 if it was cancelled",
 		func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			last := ""
-			st, err := u.Wait(c.Context(), id, every, func(st *wire.JobState) {
+			st, err := u.Wait(c.Context(), id, interval, func(st *wire.JobState) {
 				if now := progressOf(st); now != last && !client.Ended(st) {
 					last = now
 					fmt.Fprintln(c.ErrOrStderr(), id, now)
 				}
 			})
 			if err == nil && st.Stage != "done" {
-				err = fmt.Errorf("it has ended as %s", st.Stage)
+				err = fmt.Errorf("the job has ended as %s", st.Stage)
 			}
 			return st, err
 		})
-	wait.Flags().DurationVar(&every, "every", every, "ask so often")
+	wait.Flags().DurationVar(&interval, "every", interval, "time between two requests")
 	c.AddCommand(submitCommand(dial, show), wait,
-		one("status", "Show a job's state", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
+		jobAction("status", "Show a job's state", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			return u.Status(c.Context(), id)
 		}),
-		one("withdraw", "Cancel a job", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
+		jobAction("withdraw", "Cancel a job", func(c *cobra.Command, u *client.Users, id string) (*wire.JobState, error) {
 			return u.Withdraw(c.Context(), id)
 		}))
 	return c
@@ -95,18 +96,18 @@
 			if err != nil {
 				return err
 			}
-			st, known, err := u.Submit(c.Context(), body)
+			st, duplicate, err := u.Submit(c.Context(), body)
 			if err != nil {
 				return failed(err)
 			}
-			if known {
-				fmt.Fprintln(c.ErrOrStderr(), "it was accepted before")
+			if duplicate {
+				fmt.Fprintln(c.ErrOrStderr(), "the job had been accepted before")
 			}
 			return show(c, st)
 		}}
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads a file, or standard input if path is "-".
 func readFile(c *cobra.Command, path string) ([]byte, error) {
 	if path != "-" {
 		return os.ReadFile(path)
--- a/internal/client/users.go
+++ b/internal/client/users.go
@@ -1,5 +1,5 @@
-// Package client speaks to controllers as users and operators do: with tries
-// that keep to the protocol, and errors that say what to do.
+// Package client contains the clients that users and operators use to call controllers.
+// They retry as the protocol demands.
 package client
 
 import (
@@ -19,8 +19,8 @@
 	"honeylock/internal/wire"
 )
 
-// Users is a client of the users' door. It turns from one address to the next
-// where one does not answer.
+// Users is a client of the controllers' endpoints for users. It tries the next address if
+// a controller does not answer. It is not safe for concurrent use.
 type Users struct {
 	addrs []string
 	next  int
@@ -41,7 +41,7 @@
 	return &Users{addrs: addrs, next: rng.IntN(len(addrs)), rng: rng, http: &http.Client{Timeout: 5 * time.Second}}, nil
 }
 
-// Refused is a final answer: trying again does not help.
+// Refused is the error of a request with a final negative answer: a retry would not help.
 type Refused struct {
 	Status int
 	Why    string
@@ -50,121 +50,123 @@
 func (r *Refused) Error() string { return fmt.Sprintf("refused (%d): %s", r.Status, r.Why) }
 
 const (
-	giveUp   = time.Minute
-	mostWait = 30 * time.Second
+	retryTimeout  = time.Minute
+	maxRetryAfter = 30 * time.Second
 )
 
-// Submit hands a job in, again and again for up to a minute. known tells that it
-// was accepted before.
-func (u *Users) Submit(ctx context.Context, job []byte) (st *wire.JobState, known bool, err error) {
-	status, st, err := u.insist(ctx, http.MethodPost, "/v1/jobs", job)
-	return st, status == http.StatusOK, err
+// Submit submits a job and retries for up to a minute. duplicate reports that the job had
+// been accepted before.
+func (u *Users) Submit(ctx context.Context, job []byte) (state *wire.JobState, duplicate bool, err error) {
+	status, state, err := u.retry(ctx, http.MethodPost, "/v1/jobs", job)
+	return state, status == http.StatusOK, err
 }
 
 // Withdraw cancels a job.
 func (u *Users) Withdraw(ctx context.Context, id string) (*wire.JobState, error) {
-	_, st, err := u.insist(ctx, http.MethodPost, "/v1/jobs/"+id+"/withdraw", nil)
+	_, st, err := u.retry(ctx, http.MethodPost, "/v1/jobs/"+id+"/withdraw", nil)
 	return st, err
 }
 
-// Status asks for a job's state.
+// Status returns a job's state.
 func (u *Users) Status(ctx context.Context, id string) (*wire.JobState, error) {
-	_, st, err := u.insist(ctx, http.MethodGet, "/v1/jobs/"+id, nil)
+	_, st, err := u.retry(ctx, http.MethodGet, "/v1/jobs/"+id, nil)
 	return st, err
 }
 
-// Ended tells whether a job in this state has ended.
-func Ended(st *wire.JobState) bool { return st.Stage == "done" || st.Stage == "aborted" }
+// Ended reports whether a job in this state has ended.
+func Ended(state *wire.JobState) bool { return state.Stage == "done" || state.Stage == "aborted" }
 
-// Wait polls until a job has ended; told gets every state seen.
-func (u *Users) Wait(ctx context.Context, id string, every time.Duration, told func(*wire.JobState)) (*wire.JobState,
-	error) {
+// Wait polls until a job has ended. It calls onState with every state it sees.
+func (u *Users) Wait(ctx context.Context, id string, interval time.Duration,
+	onState func(*wire.JobState)) (*wire.JobState, error) {
 	for {
-		st, err := u.Status(ctx, id)
+		state, err := u.Status(ctx, id)
 		if err != nil {
 			return nil, err
 		}
-		told(st)
-		if Ended(st) {
-			return st, nil
+		onState(state)
+		if Ended(state) {
+			return state, nil
 		}
-		if err := pause(ctx, every); err != nil {
+		if err := sleep(ctx, interval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// insist repeats a request until it has a final answer.
-func (u *Users) insist(ctx context.Context, method, path string, body []byte) (status int, st *wire.JobState,
+// retry repeats a request until it has a final answer.
+func (u *Users) retry(ctx context.Context, method, path string, body []byte) (status int, state *wire.JobState,
 	err error) {
-	err = insist(ctx, func(ctx context.Context) (bool, time.Duration, error) {
-		var after time.Duration
-		status, st, after, err = u.once(ctx, method, path, body)
+	err = retryUntilFinal(ctx, func(ctx context.Context) (bool, time.Duration, error) {
+		var delay time.Duration
+		status, state, delay, err = u.doOnce(ctx, method, path, body)
 		var final *Refused
 		if err == nil || errors.As(err, &final) {
 			return true, 0, err
 		}
 		u.next++
-		return false, after + time.Duration(u.rng.Int64N(int64(after/4))), err
+		return false, delay + time.Duration(u.rng.Int64N(int64(delay/4))), err
 	})
-	return status, st, err
+	return status, state, err
 }
 
-// insist tries for up to a minute until the answer is final, each time after the
-// pause that the one before told.
-func insist(ctx context.Context, try func(context.Context) (final bool, after time.Duration, err error)) error {
-	ctx, cancel := context.WithTimeout(ctx, giveUp)
+// retryUntilFinal calls try for up to retryTimeout until its answer is final. It waits
+// between calls for the time that try returns.
+func retryUntilFinal(ctx context.Context, try func(context.Context) (final bool, delay time.Duration,
+	err error)) error {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for {
-		final, after, err := try(ctx)
+		final, delay, err := try(ctx)
 		if final {
 			return err
 		}
-		if ctx.Err() == nil || last == nil {
-			last = err // not that the time was over
+		if ctx.Err() == nil || lastErr == nil {
+			lastErr = err // keep the cause, rather than the timeout that ends the last try
 		}
-		if perr := pause(ctx, after); perr != nil {
-			return fmt.Errorf("no answer: %w", errors.Join(last, perr))
+		if sleepErr := sleep(ctx, delay); sleepErr != nil {
+			return fmt.Errorf("no answer: %w", errors.Join(lastErr, sleepErr))
 		}
 	}
 }
 
-// once makes a request. Without a final answer it tells when to come back.
-func (u *Users) once(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
+// doOnce makes a request once. Without a final answer it returns the time to wait before
+// the next try.
+func (u *Users) doOnce(ctx context.Context, method, path string, body []byte) (int, *wire.JobState, time.Duration,
 	error) {
-	after := time.Second
+	delay := time.Second
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.addrs[u.next%len(u.addrs)]+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, after, &Refused{Why: err.Error()}
+		return 0, nil, delay, &Refused{Why: err.Error()}
 	}
 	res, err := u.http.Do(req)
 	if err != nil {
-		return 0, nil, after, err
+		return 0, nil, delay, err
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(res.Body, 64<<10))
 	if err != nil {
-		return 0, nil, after, err
+		return 0, nil, delay, err
 	}
 	switch res.StatusCode {
 	case http.StatusOK, http.StatusCreated:
-		var st wire.JobState
-		if err := json.Unmarshal(b, &st); err != nil {
-			return 0, nil, after, fmt.Errorf("unreadable answer: %w", err)
+		var state wire.JobState
+		if err := json.Unmarshal(b, &state); err != nil {
+			return 0, nil, delay, fmt.Errorf("answer can't be decoded: %w", err)
 		}
-		return res.StatusCode, &st, 0, nil
+		return res.StatusCode, &state, 0, nil
 	case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
-		return res.StatusCode, nil, 0, &Refused{res.StatusCode, told(b)}
+		return res.StatusCode, nil, 0, &Refused{res.StatusCode, errorMessage(b)}
 	}
 	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		after = min(max(after, time.Duration(s)*time.Second), mostWait)
+		delay = min(max(delay, time.Duration(s)*time.Second), maxRetryAfter)
 	}
-	return 0, nil, after, fmt.Errorf("status %d: %s", res.StatusCode, told(b))
+	return 0, nil, delay, fmt.Errorf("status %d: %s", res.StatusCode, errorMessage(b))
 }
 
-// told is the reason in an answer.
-func told(b []byte) string {
+// errorMessage returns the error text in the body of an answer.
+func errorMessage(b []byte) string {
 	var e struct {
 		Error string `json:"error"`
 	}
@@ -174,7 +176,7 @@
 	return string(bytes.TrimSpace(b))
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud service from which machines are rented.
 package cloud
 
 import (
@@ -16,28 +16,29 @@
 	"honeylock/internal/wire"
 )
 
-// ErrNoCapacity: the cloud has no such machine now; nothing was rented.
+// ErrNoCapacity means that the cloud has no machine of the requested kind now and that
+// nothing was rented.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Client talks to the cloud under its rate limit.
+// Client sends requests to the cloud within its rate limit.
 type Client struct {
 	base    string
 	http    *jsonhttp.Client
-	reqs    *rate.Limiter
+	limiter *rate.Limiter
 	timeout time.Duration
 }
 
 // New returns a client that makes at most rps calls a second.
 func New(addr string, rps float64, timeout time.Duration) *Client {
 	return &Client{base: "http://" + addr, http: jsonhttp.New(4, 0, 2*time.Second),
-		reqs: rate.NewLimiter(rate.Limit(rps), 1), timeout: timeout}
+		limiter: rate.NewLimiter(rate.Limit(rps), 1), timeout: timeout}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	if err := c.reqs.Wait(ctx); err != nil {
-		return 0, nil, fmt.Errorf("rate: %w", err)
+	if err := c.limiter.Wait(ctx); err != nil {
+		return 0, nil, fmt.Errorf("cloud: wait for the rate limit: %w", err)
 	}
 	return c.http.Do(ctx, method, c.base+path, in, out)
 }
@@ -48,34 +49,35 @@
 
 // Catalog returns the machine types with their current prices.
 func (c *Client) Catalog(ctx context.Context) (*wire.Catalog, error) {
-	var cat wire.Catalog
-	status, body, err := c.call(ctx, http.MethodGet, "/catalog", nil, &cat)
+	var catalog wire.Catalog
+	status, body, err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog)
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
 		return nil, unexpected(status, body)
 	}
-	return &cat, nil
+	return &catalog, nil
 }
 
 // Rent asks for machines and returns the names of those rented.
 func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
-	var n wire.MachineNames
-	status, body, err := c.call(ctx, http.MethodPost, "/rentals", r, &n)
+	var names wire.MachineNames
+	status, body, err := c.call(ctx, http.MethodPost, "/rentals", r, &names)
 	switch {
 	case err != nil:
 		return nil, err
 	case status == http.StatusOK:
-		return n.Machines, nil
+		return names.Machines, nil
 	case status == http.StatusServiceUnavailable:
-		// Also an outage of the cloud ("trouble"): nothing was rented either.
+		// The cloud also answers 503 during an outage; nothing was rented then either.
 		return nil, ErrNoCapacity
 	}
 	return nil, unexpected(status, body)
 }
 
-// Return gives machines back. On nil they and all on them are gone.
+// Return returns machines to the cloud. If it succeeds, the machines and everything on
+// them are gone.
 func (c *Client) Return(ctx context.Context, names []string) error {
 	status, body, err := c.call(ctx, http.MethodPost, "/rentals/return", wire.MachineNames{Machines: names}, nil)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// List returns the machine list, which lags.
+// List returns the list of rented machines. It lags behind rentals and returns.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	from := ""
@@ -96,18 +98,18 @@
 		if from != "" {
 			q.Set("From", from)
 		}
-		var l wire.Listing
-		status, body, err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &l)
+		var listing wire.Listing
+		status, body, err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &listing)
 		if err != nil {
 			return nil, err
 		}
 		if status != http.StatusOK {
 			return nil, unexpected(status, body)
 		}
-		all = append(all, l.Machines...)
-		if !l.More || len(l.Machines) == 0 {
+		all = append(all, listing.Machines...)
+		if !listing.More || len(listing.Machines) == 0 {
 			return all, nil
 		}
-		from = l.Machines[len(l.Machines)-1].Name
+		from = listing.Machines[len(listing.Machines)-1].Name
 	}
 }
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -9,10 +9,10 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// Budget of disruption of a team's work, or of one class of it; a zero amount bounds
-// nothing.
+// Budget is the disruption budget of a team, or of one job class of a team. A zero amount
+// sets no limit.
 type Budget struct {
-	Team, Class string // Class "": all
+	Team, Class string // Class "": all classes
 	Tasks       int
 	Share       float64
 	CPUs        float64
@@ -23,70 +23,74 @@
 }
 
 const (
-	mostBudgets = 256
-	lossWindow  = 600 // seconds
+	maxBudgets         = 256
+	defaultLossWindowS = 600
 )
 
-// budgets checks the budgets of disruption and reports every mistake with its field.
-func budgets(p *settingspb.Disruption) ([]Budget, error) {
+// parseBudgets converts the disruption budgets and reports every mistake with its field.
+func parseBudgets(p *settingspb.Disruption) ([]Budget, error) {
 	var errs []error
-	if n := len(p.GetBudgets()); n > mostBudgets {
-		errs = append(errs, fmt.Errorf("disruption.budgets: %d given, at most %d", n, mostBudgets))
+	if n := len(p.GetBudgets()); n > maxBudgets {
+		errs = append(errs, fmt.Errorf("disruption.budgets: %d given, at most %d", n, maxBudgets))
 	}
 	out := make([]Budget, 0, len(p.GetBudgets()))
 	seen := map[[2]string]bool{}
 	for i, b := range p.GetBudgets() {
 		field := func(f string) string { return fmt.Sprintf("disruption.budgets[%d].%s", i, f) }
-		num := func(name string, v *float64, lo, hi float64) float64 {
+		number := func(name string, v *float64, lo, hi float64) float64 {
 			if v == nil {
 				return 0
 			}
 			if !(*v >= lo && *v <= hi) {
-				from := fmt.Sprint("from ", lo)
+				lowerBound := fmt.Sprint("from ", lo)
 				if lo == math.SmallestNonzeroFloat64 {
-					from = "above 0"
+					lowerBound = "above 0"
 				}
-				errs = append(errs, fmt.Errorf("%s = %v: must be %s to %v", field(name), *v, from, hi))
+				errs = append(errs, fmt.Errorf("%s = %v: must be %s to %v", field(name), *v, lowerBound, hi))
 			}
 			return *v
 		}
-		whole := func(name string, v *int32, hi float64) int {
+		integer := func(name string, v *int32, hi float64) int {
 			if v == nil {
 				return 0
 			}
 			f := float64(*v)
-			return int(num(name, &f, 1, hi))
+			return int(number(name, &f, 1, hi))
 		}
-		const above = math.SmallestNonzeroFloat64
-		x := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: whole("tasks", b.Tasks, 1e6),
-			Share: num("share", b.Share, above, 1),
-			CPUs:  num("cpus", b.Cpus, above, 1e6), LostCPUS: num("lost_cpu_s", b.LostCpuS, above, 1e9),
-			Window: Seconds(num("window_s", b.WindowS, 1, 86400)), Moves: whole("moves", b.Moves, 1000),
-			LastPart: num("last_part", b.LastPart, above, 1)}
-		if x.Team == "" {
+		const smallestPositive = math.SmallestNonzeroFloat64
+		budget := Budget{Team: b.GetTeam(), Class: b.GetClass(), Tasks: integer("tasks", b.Tasks, 1e6),
+			Share:    number("share", b.Share, smallestPositive, 1),
+			CPUs:     number("cpus", b.Cpus, smallestPositive, 1e6),
+			LostCPUS: number("lost_cpu_s", b.LostCpuS, smallestPositive, 1e9),
+			Window:   Seconds(number("window_s", b.WindowS, 1, 86400)), Moves: integer("moves", b.Moves, 1000),
+			LastPart: number("last_part", b.LastPart, smallestPositive, 1)}
+		if budget.Team == "" {
 			errs = append(errs, fmt.Errorf("%s: must be given", field("team")))
 		}
-		if key := [2]string{x.Team, x.Class}; seen[key] {
-			errs = append(errs, fmt.Errorf("%s: team %q and class %q have a budget already", field("team"), x.Team, x.Class))
+		if key := [2]string{budget.Team, budget.Class}; seen[key] {
+			errs = append(errs, fmt.Errorf("%s: team %q and class %q already have a budget", field("team"), budget.Team,
+				budget.Class))
 		} else {
 			seen[key] = true
 		}
 		if b.WindowS != nil && b.LostCpuS == nil {
-			errs = append(errs, fmt.Errorf("%s: lost_cpu_s is missing", field("window_s")))
+			errs = append(errs, fmt.Errorf("%s: needs lost_cpu_s, which is missing", field("window_s")))
 		}
 		if b.WindowS == nil {
-			x.Window = Seconds(lossWindow)
+			budget.Window = Seconds(defaultLossWindowS)
 		}
-		if x.Tasks == 0 && x.Share == 0 && x.CPUs == 0 && x.LostCPUS == 0 && x.Moves == 0 && x.LastPart == 0 {
-			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: bounds nothing", i))
+		if budget.Tasks == 0 && budget.Share == 0 && budget.CPUs == 0 && budget.LostCPUS == 0 && budget.Moves == 0 &&
+			budget.LastPart == 0 {
+			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: sets no limit", i))
 		}
-		out = append(out, x)
+		out = append(out, budget)
 	}
 	return out, errors.Join(errs...)
 }
 
-// Suits tells what in the operator's settings the platform's file knows nothing of.
-func (s *Settings) Suits(p *Platform) error {
+// CheckPlatform returns the mistakes in the operator's settings that show only together
+// with the platform's settings: budgets of unknown teams.
+func (s *Settings) CheckPlatform(p *Platform) error {
 	teams := map[string]bool{}
 	for _, t := range p.Cluster.Teams {
 		teams[t.Name] = true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `
+const validSettings = `
 host_name = "hive-0"
 zone = "a"
 bind = "10.0.0.1:8080"
@@ -55,7 +55,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	p, err := load(t, good)
+	p, err := load(t, validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,11 +64,12 @@
 	}
 }
 
-func TestAllMistakesAtOnce(t *testing.T) {
-	s := strings.NewReplacer(`"10.0.0.1:8080"`, `"here"`, "rps = 150.0", "rps = 0", "cancel_s = 40.0", "cancel_s = 9.0").Replace(good)
+func TestReportsAllErrors(t *testing.T) {
+	s := strings.NewReplacer(`"10.0.0.1:8080"`, `"here"`, "rps = 150.0", "rps = 0", "cancel_s = 40.0",
+		"cancel_s = 9.0").Replace(validSettings)
 	_, err := load(t, s)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, want := range []string{`bind = "here"`, "cluster.state.rps = 0", "cluster.workers.cancel_s = 9"} {
 		if !strings.Contains(err.Error(), want) {
@@ -77,10 +78,10 @@
 	}
 }
 
-// A platform that gives too little to serve is refused at the start, by field, figure and the
-// least that would do; so is a limit that is no amount, or not there.
-func TestTooLittleToServe(t *testing.T) {
-	for _, c := range []struct{ was, is, want string }{
+// Settings with too little memory or too few files are refused at startup. The error names
+// the field, the value and the minimum. Limits that are missing or not numbers are refused too.
+func TestRefusesInsufficientResources(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{"mem_mb = 98.0", "mem_mb = 12.0", "cluster.resources.mem_mb = 12: must be 24 or more"},
 		{"mem_mb = 98.0", "mem_mb = 0.0", "cluster.resources.mem_mb = 0: must be 24 or more"},
 		{"mem_mb = 98.0", "mem_mb = -98.0", "cluster.resources.mem_mb = -98: must be 24 or more"},
@@ -92,17 +93,19 @@
 		{"fd_limit = 800", "", "cluster.resources.fd_limit = 0: must be 64 or more"},
 		{"fd_limit = 800", `fd_limit = "many"`, "fd_limit"},
 	} {
-		if _, err := load(t, strings.Replace(good, c.was, c.is, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v does not tell %q", c.is, err, c.want)
+		if _, err := load(t, strings.Replace(validSettings, c.old, c.new, 1)); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: error %v does not contain %q", c.new, err, c.want)
 		}
 	}
-	if _, err := load(t, strings.Replace(good, "mem_mb = 98.0", "mem_mb = 24.0", 1)); err != nil {
+	if _, err := load(t, strings.Replace(validSettings, "mem_mb = 98.0", "mem_mb = 24.0", 1)); err != nil {
 		t.Error(err)
 	}
 }
 
-// The cancellation rule: a leader deaf to cancellations, then a worker's lease.
-func TestDeafTimeKeepsTheCancellationRule(t *testing.T) {
+// The time in which a leader may miss a cancellation plus a worker's lease must be shorter
+// than cancel_s.
+func TestStalenessBoundKeepsCancellationRule(t *testing.T) {
 	for _, c := range [][2]float64{{10, 40}, {42, 67}, {5, 8}, {30, 300}, {10, 12}} {
 		var cl Cluster
 		cl.Workers.LeaseS, cl.Workers.CancelS = c[0], c[1]
@@ -110,24 +113,26 @@
 			t.Errorf("lease %v: %v of %v s", c[0], sum, c[1])
 		}
 		if cl.LeaderTTL() < 100*time.Millisecond {
-			t.Errorf("lease %v: the state service grants none so short", c[0])
+			t.Errorf("lease %v: the leader's TTL is below the state service's minimum", c[0])
 		}
 	}
 }
 
-func TestOperatorsSettings(t *testing.T) {
+func TestOperatorSettings(t *testing.T) {
 	s, err := ParseSettings([]byte("scheduling { sample_size: 3 payback_limit_s: 30 } fleet { idle_return_s: 90 }"))
-	if err != nil || s.SampleSize != 3 || s.PaybackLimit != 30*time.Second || s.IdleReturn != 90*time.Second || s.DealAhead != DefaultSettings().DealAhead {
+	if err != nil || s.SampleSize != 3 || s.PaybackLimit != 30*time.Second || s.IdleReturn != 90*time.Second ||
+		s.DealAhead != DefaultSettings().DealAhead {
 		t.Fatalf("%+v %v", s, err)
 	}
-	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }", "fleet { idle_return_s: -1 }", "scheduling {"} {
+	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }",
+		"fleet { idle_return_s: -1 }", "scheduling {"} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-func TestOperatorsDoor(t *testing.T) {
+func TestOperatorEndpoint(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "token")
 	if err := os.WriteFile(file, []byte("a long enough token\n"), 0o600); err != nil {
@@ -156,12 +161,12 @@
 			access { name: "a" role: "read" token_sha256: "` + hash + `" } }`: "the same token is given twice",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v does not tell of %s", text, err, want)
+			t.Errorf("%s: error %v does not contain %q", text, err, want)
 		}
 	}
 }
 
-func TestBudgetsOfDisruption(t *testing.T) {
+func TestDisruptionBudgets(t *testing.T) {
 	s, err := ParseSettings([]byte(`disruption {
 		budgets { team: "a" share: 0.1 moves: 2 }
 		budgets { team: "a" class: "c" tasks: 3 lost_cpu_s: 600 }
@@ -172,12 +177,12 @@
 	var p Platform
 	p.Cluster.Teams = []Team{{Name: "b"}}
 	const want = `budgets[0].team: the platform's file has no team "a"`
-	if err := s.Suits(&p); err == nil || !strings.Contains(err.Error(), want) {
+	if err := s.CheckPlatform(&p); err == nil || !strings.Contains(err.Error(), want) {
 		t.Errorf("%v", err)
 	}
 	for in, field := range map[string]string{
 		`budgets { tasks: 3 }`:                                          "budgets[0].team",
-		`budgets { team: "a" }`:                                         "budgets[0]: bounds nothing",
+		`budgets { team: "a" }`:                                         "budgets[0]: sets no limit",
 		`budgets { team: "a" tasks: 0 }`:                                "budgets[0].tasks",
 		`budgets { team: "a" share: 1.5 }`:                              "budgets[0].share",
 		`budgets { team: "a" tasks: 1 window_s: 5 }`:                    "budgets[0].window_s",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"honeylock/internal/config/settingspb"
 )
 
-// Settings are the operator's own, with defaults filled in.
+// Settings are the operator's settings, with defaults filled in.
 type Settings struct {
 	SampleSize   int
 	PaybackLimit time.Duration
@@ -19,18 +19,18 @@
 	DealAhead    int
 	IdleReturn   time.Duration
 	RentHorizon  time.Duration
-	Operator     *Operator // nil: no operators' door
-	Budgets      []Budget  // of disruption
+	Operator     *Operator // nil: no operators' server
+	Budgets      []Budget  // disruption budgets
 	BeginWithin  time.Duration
 }
 
-// DefaultSettings are in force where the operator says nothing.
+// DefaultSettings returns the values of settings that the operator leaves out.
 func DefaultSettings() *Settings {
 	return &Settings{SampleSize: 2, PaybackLimit: time.Minute, DemotionStep: 2, DealAhead: 16,
 		IdleReturn: 240 * time.Second, RentHorizon: 30 * time.Second, BeginWithin: 2 * time.Minute}
 }
 
-// LoadSettings reads the operator's settings; "" means none.
+// LoadSettings reads the operator's settings file. An empty path means the defaults.
 func LoadSettings(path string) (*Settings, error) {
 	if path == "" {
 		return DefaultSettings(), nil
@@ -46,8 +46,8 @@
 	return s, nil
 }
 
-// ParseSettings parses protobuf text. Unknown fields and values out of range
-// are refused.
+// ParseSettings parses settings in protobuf text format. Unknown fields and values out of
+// range are errors.
 func ParseSettings(b []byte) (*Settings, error) {
 	var p settingspb.Settings
 	if err := prototext.Unmarshal(b, &p); err != nil {
@@ -55,7 +55,7 @@
 	}
 	s := DefaultSettings()
 	var errs []error
-	num := func(field string, v *float64, lo, hi float64, set func(float64)) {
+	number := func(field string, v *float64, lo, hi float64, set func(float64)) {
 		if v == nil {
 			return
 		}
@@ -65,7 +65,7 @@
 		}
 		set(*v)
 	}
-	whole := func(v *int32) *float64 {
+	optionalFloat := func(v *int32) *float64 {
 		if v == nil {
 			return nil
 		}
@@ -73,23 +73,23 @@
 		return &f
 	}
 	if c := p.Scheduling; c != nil {
-		num("scheduling.sample_size", whole(c.SampleSize), 1, 64, func(v float64) { s.SampleSize = int(v) })
-		num("scheduling.payback_limit_s", c.PaybackLimitS, 0, 3600, func(v float64) { s.PaybackLimit = Seconds(v) })
-		num("scheduling.demotion_step", c.DemotionStep, 1, 10, func(v float64) { s.DemotionStep = v })
-		num("scheduling.begin_within_s", c.BeginWithinS, 10, 230, func(v float64) { s.BeginWithin = Seconds(v) })
-		num("scheduling.deal_ahead", whole(c.DealAhead), 0, 1000, func(v float64) { s.DealAhead = int(v) })
+		number("scheduling.sample_size", optionalFloat(c.SampleSize), 1, 64, func(v float64) { s.SampleSize = int(v) })
+		number("scheduling.payback_limit_s", c.PaybackLimitS, 0, 3600, func(v float64) { s.PaybackLimit = Seconds(v) })
+		number("scheduling.demotion_step", c.DemotionStep, 1, 10, func(v float64) { s.DemotionStep = v })
+		number("scheduling.begin_within_s", c.BeginWithinS, 10, 230, func(v float64) { s.BeginWithin = Seconds(v) })
+		number("scheduling.deal_ahead", optionalFloat(c.DealAhead), 0, 1000, func(v float64) { s.DealAhead = int(v) })
 	}
 	if c := p.Fleet; c != nil {
-		num("fleet.idle_return_s", c.IdleReturnS, 1, 86400, func(v float64) { s.IdleReturn = Seconds(v) })
-		num("fleet.rent_horizon_s", c.RentHorizonS, 1, 86400, func(v float64) { s.RentHorizon = Seconds(v) })
+		number("fleet.idle_return_s", c.IdleReturnS, 1, 86400, func(v float64) { s.IdleReturn = Seconds(v) })
+		number("fleet.rent_horizon_s", c.RentHorizonS, 1, 86400, func(v float64) { s.RentHorizon = Seconds(v) })
 	}
 	if p.Operator != nil {
 		var err error
-		s.Operator, err = operator(p.Operator)
+		s.Operator, err = parseOperator(p.Operator)
 		errs = append(errs, err)
 	}
 	var err error
-	s.Budgets, err = budgets(p.GetDisruption())
+	s.Budgets, err = parseBudgets(p.GetDisruption())
 	errs = append(errs, err)
 	return s, errors.Join(errs...)
 }
--- a/internal/ops/guard.go
+++ b/internal/ops/auth.go
@@ -15,18 +15,20 @@
 
 const accessKey = "access"
 
-// guard knows the hashes of the tokens. Wrong ones are taken a few times a second
-// only, so that nobody tries many.
-type guard struct {
-	access []config.Access
-	wrong  *rate.Limiter
+// tokenChecker holds the hashes of the valid tokens. It limits the rate of wrong tokens,
+// so that tokens can't be guessed by trying many.
+type tokenChecker struct {
+	access      []config.Access
+	wrongTokens *rate.Limiter
 }
 
-func newGuard(a []config.Access) *guard { return &guard{a, rate.NewLimiter(5, 20)} }
+func newTokenChecker(a []config.Access) *tokenChecker {
+	return &tokenChecker{a, rate.NewLimiter(5, 20)}
+}
 
-// find returns whose token it is. It compares hashes, all of them, in a time that
-// does not depend on what they hold.
-func (g *guard) find(token string) *config.Access {
+// lookup returns the access entry of a token, nil if there is none. It compares all
+// hashes in constant time, so that its duration reveals nothing about them.
+func (g *tokenChecker) lookup(token string) *config.Access {
 	hash := sha256.Sum256([]byte(token))
 	var found *config.Access
 	for i := range g.access {
@@ -37,21 +39,21 @@
 	return found
 }
 
-// authorise lets in who bears a token.
+// authorise is middleware that rejects requests without a valid bearer token.
 func (s *Server) authorise(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		var a *config.Access
 		if ok {
-			a = s.guard.find(token)
+			a = s.tokens.lookup(token)
 		}
 		switch {
-		case a == nil && !s.guard.wrong.Allow():
+		case a == nil && !s.tokens.wrongTokens.Allow():
 			return s.answer(c, node.CallReply{Status: http.StatusTooManyRequests, Err: "too many wrong tokens"})
 		case a == nil:
 			c.Response().Header().Set("WWW-Authenticate", "Bearer")
 			return s.answer(c, node.CallReply{Status: http.StatusUnauthorized,
-				Err: "a bearer token of this cluster's operators is needed"})
+				Err: "a valid operator's bearer token for this cluster is required"})
 		}
 		c.Set(accessKey, a)
 		return next(c)
--- a/internal/ops/tls.go
+++ b/internal/ops/tls.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// certificate is read again when its files change; one that can't be read leaves
-// the old one in force.
+// certificate is a TLS certificate that is reloaded when its files change. If the new
+// files can't be read, the old certificate stays in use.
 type certificate struct {
 	certFile, keyFile string
 	log               *slog.Logger
 	mu                sync.Mutex
 	cert              *tls.Certificate
-	changed           [2]time.Time
-	looked            time.Time
+	modTimes          [2]time.Time
+	checkedAt         time.Time
 }
 
 func loadCertificate(certFile, keyFile string, log *slog.Logger) (*certificate, error) {
 	c := &certificate{certFile: certFile, keyFile: keyFile, log: log}
-	if err := c.load(c.times()); err != nil {
+	if err := c.load(c.fileTimes()); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// times are when the files were changed; zero where one can't be looked at.
-func (c *certificate) times() (t [2]time.Time) {
+// fileTimes returns the modification times of the files; zero for one that has no status.
+func (c *certificate) fileTimes() (t [2]time.Time) {
 	for i, f := range []string{c.certFile, c.keyFile} {
 		if st, err := os.Stat(f); err == nil {
 			t[i] = st.ModTime()
@@ -38,25 +38,25 @@
 	return t
 }
 
-func (c *certificate) load(changed [2]time.Time) error {
+func (c *certificate) load(modTimes [2]time.Time) error {
 	cert, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
 	if err != nil {
 		return fmt.Errorf("operators' certificate: %w", err)
 	}
-	c.cert, c.changed = &cert, changed
+	c.cert, c.modTimes = &cert, modTimes
 	return nil
 }
 
-const lookEvery = time.Second
+const checkInterval = time.Second
 
 func (c *certificate) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.looked) >= lookEvery {
-		c.looked = now
-		if t := c.times(); t != c.changed {
+	if now := time.Now(); now.Sub(c.checkedAt) >= checkInterval {
+		c.checkedAt = now
+		if t := c.fileTimes(); t != c.modTimes {
 			if err := c.load(t); err != nil {
-				c.log.Error("operators' certificate not read again; the old one stays", "err", err)
+				c.log.Error("failed to reload operators' certificate; keeping the old one", "err", err)
 			} else {
 				c.log.Info("operators' certificate read again")
 			}
--- a/internal/planfile/choose.go
+++ b/internal/planfile/choose.go
@@ -10,43 +10,44 @@
 	"honeylock/internal/wire"
 )
 
-// Candidate is a machine that a plan may mean.
+// Candidate is a machine that a plan may select.
 type Candidate struct {
 	Machine model.Machine
 	Age     time.Duration // since it was rented
-	Free    int64         // CPU, in thousandths
+	Free    int64         // free CPU, in thousandths of a CPU
 }
 
-// Choose returns the machines that a plan means, in its order.
-func Choose(p *planpb.Plan, all []Candidate, n *wire.Names) []model.MachineID {
-	s := p.GetMachines()
-	place := map[string]int{}
-	for i, name := range s.GetNames() {
-		place[name] = i
+// Choose returns the machines that a plan selects, in the plan's order.
+func Choose(p *planpb.Plan, candidates []Candidate, n *wire.Names) []model.MachineID {
+	selector := p.GetMachines()
+	position := map[string]int{}
+	for i, name := range selector.GetNames() {
+		position[name] = i
 	}
-	all = slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool {
-		_, named := place[wire.MachineName(c.Machine.ID)]
-		return len(place) > 0 && !named ||
-			len(s.GetTypes()) > 0 && !slices.Contains(s.GetTypes(), n.Types.Name(c.Machine.Type)) ||
-			len(s.GetZones()) > 0 && !slices.Contains(s.GetZones(), n.Zones.Name(c.Machine.Zone)) ||
-			s.GetKind() == planpb.Kind_SPOT && !c.Machine.Spot || s.GetKind() == planpb.Kind_ORDINARY && c.Machine.Spot ||
-			c.Age.Seconds() < s.GetOlderThanS()
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool {
+		_, named := position[wire.MachineName(c.Machine.ID)]
+		return len(position) > 0 && !named ||
+			len(selector.GetTypes()) > 0 && !slices.Contains(selector.GetTypes(), n.Types.Name(c.Machine.Type)) ||
+			len(selector.GetZones()) > 0 && !slices.Contains(selector.GetZones(), n.Zones.Name(c.Machine.Zone)) ||
+			selector.GetKind() == planpb.Kind_SPOT && !c.Machine.Spot ||
+			selector.GetKind() == planpb.Kind_ORDINARY && c.Machine.Spot ||
+			c.Age.Seconds() < selector.GetOlderThanS()
 	})
-	slices.SortFunc(all, func(a, b Candidate) int {
-		by := 0
+	slices.SortFunc(candidates, func(a, b Candidate) int {
+		order := 0
 		switch p.GetOrder() {
 		case planpb.Order_OLDEST_FIRST:
-			by = cmp.Compare(b.Age, a.Age)
+			order = cmp.Compare(b.Age, a.Age)
 		case planpb.Order_EMPTIEST_FIRST:
-			by = cmp.Compare(b.Free, a.Free)
+			order = cmp.Compare(b.Free, a.Free)
 		default:
-			by = cmp.Compare(place[wire.MachineName(a.Machine.ID)], place[wire.MachineName(b.Machine.ID)])
+			order = cmp.Compare(position[wire.MachineName(a.Machine.ID)], position[wire.MachineName(b.Machine.ID)])
 		}
-		return cmp.Or(by, cmp.Compare(a.Machine.ID, b.Machine.ID))
+		return cmp.Or(order, cmp.Compare(a.Machine.ID, b.Machine.ID))
 	})
-	out := make([]model.MachineID, len(all))
-	for i := range all {
-		out[i] = all[i].Machine.ID
+	out := make([]model.MachineID, len(candidates))
+	for i := range candidates {
+		out[i] = candidates[i].Machine.ID
 	}
 	return out
 }
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -14,12 +14,12 @@
 	"honeylock/internal/wire"
 )
 
-func names() *wire.Names {
+func newNames() *wire.Names {
 	return &wire.Names{Teams: wire.NewTable(), Types: wire.NewTable("k8", "k64"), Zones: wire.NewTable("east", "west"),
 		Images: wire.NewTable(), Classes: wire.NewTable("payslip", "transfer")}
 }
 
-const full = `
+const fullPlan = `
 name: "month-end"
 machines { types: "k8" zones: "east" kind: SPOT older_than_s: 60 }
 at_once: 3  at_once_per_zone: 2  order: OLDEST_FIRST  floor: 0.5
@@ -32,8 +32,8 @@
 rent_first: true  after: PATCH  patch_s: 90
 `
 
-func TestAPlanInTheCoresTerms(t *testing.T) {
-	p, err := Parse([]byte(full))
+func TestPlanToSpec(t *testing.T) {
+	p, err := Parse([]byte(fullPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,12 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Spec(p, names())
+	got := Spec(p, newNames())
 	if !got.LatestEnd.Equal(time.Date(2026, 12, 31, 14, 0, 0, 0, time.UTC)) {
 		t.Errorf("latest end %v", got.LatestEnd)
 	}
 	got.LatestEnd = time.Time{}
-	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5, Default: drain.MoveSaved, RentFirst: true,
+	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5,
+		Default: drain.MoveSaved, RentFirst: true,
 		After: drain.Patch,
 		Rules: []drain.Rule{{Class: 1, Rank: -1}, {Class: model.None, Rank: int(model.Idle), How: drain.Move}},
 		Windows: []drain.Window{{Classes: []model.Name{1}, Clock: 15 * time.Hour, Location: muscat, Name: "the window"},
@@ -66,7 +67,7 @@
 	}
 }
 
-func TestEveryMistakeIsToldWithItsField(t *testing.T) {
+func TestErrorsNameTheirFields(t *testing.T) {
 	for text, fields := range map[string][]string{
 		``: {"name: ", "machines: say which"},
 		`name: "a" machines { all: true kind: SPOT }`: {"machines.all: "},
@@ -86,23 +87,23 @@
 	} {
 		_, err := Parse([]byte(text))
 		if err == nil {
-			t.Errorf("%s was taken", text)
+			t.Errorf("%s was accepted", text)
 			continue
 		}
 		for _, f := range fields {
 			if !strings.Contains(err.Error(), f) {
-				t.Errorf("%s: %q does not tell of %q", text, err, f)
+				t.Errorf("%s: error %q does not contain %q", text, err, f)
 			}
 		}
 	}
 }
 
-func TestWhichMachinesInWhichOrder(t *testing.T) {
-	at := func(id model.MachineID, typ, zone model.Name, spot bool, age time.Duration, free int64) Candidate {
+func TestChooseMachines(t *testing.T) {
+	candidate := func(id model.MachineID, typ, zone model.Name, spot bool, age time.Duration, free int64) Candidate {
 		return Candidate{Machine: model.Machine{ID: id, Type: typ, Zone: zone, Spot: spot}, Age: age, Free: free}
 	}
-	all := []Candidate{at(1, 0, 0, false, 30*time.Second, 5), at(2, 1, 0, true, 90*time.Second, 9),
-		at(3, 0, 1, false, 60*time.Second, 7)}
+	candidates := []Candidate{candidate(1, 0, 0, false, 30*time.Second, 5), candidate(2, 1, 0, true, 90*time.Second, 9),
+		candidate(3, 0, 1, false, 60*time.Second, 7)}
 	for text, want := range map[string][]model.MachineID{
 		`all: true`: {1, 2, 3}, `names: "m-000003" names: "m-000001"`: {3, 1}, `types: "k64"`: {2}, `zones: "west"`: {3},
 		`kind: SPOT`: {2}, `kind: ORDINARY`: {1, 3}, `older_than_s: 60`: {2, 3}, `types: "k9"`: {},
@@ -111,7 +112,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Choose(p, all, names()); !slices.Equal(got, want) {
+		if got := Choose(p, candidates, newNames()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", text, got, want)
 		}
 	}
@@ -121,14 +122,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Choose(p, all, names()); !slices.Equal(got, want) {
+		if got := Choose(p, candidates, newNames()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", order, got, want)
 		}
 	}
 }
 
-// The plan that the operators' page shows is one that is taken.
-func TestTheShownPlan(t *testing.T) {
+// The example plan in the deploy folder must be valid.
+func TestDeployedPlanParses(t *testing.T) {
 	b, err := os.ReadFile("../../deploy/drain.textproto")
 	if err != nil {
 		t.Fatal(err)
@@ -138,11 +139,11 @@
 	}
 }
 
-// FuzzPlan: whatever is written, it is refused or taken whole: what is stored reads
-// as what was declared, and the text made of it is taken again.
+// FuzzPlan checks that any text is either refused or accepted completely: the stored form
+// decodes to the same plan, and the text form parses again.
 func FuzzPlan(f *testing.F) {
-	f.Add([]byte(full))
-	f.Add([]byte(twoBrackets))
+	f.Add([]byte(fullPlan))
+	f.Add([]byte(angleBracketPlan))
 	f.Add([]byte(`name: "a" machines { all: true } windows { not_past: "00:00" }`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p, err := Parse(text)
@@ -155,20 +156,20 @@
 		}
 		back, err := Decode(b)
 		if err != nil {
-			t.Fatalf("stored, it is refused: %v", err)
+			t.Fatalf("the stored form is refused: %v", err)
 		}
-		if d := cmp.Diff(Spec(p, names()), Spec(back, names()),
+		if d := cmp.Diff(Spec(p, newNames()), Spec(back, newNames()),
 			cmp.Comparer(func(a, b *time.Location) bool { return a.String() == b.String() })); d != "" {
 			t.Fatal(d)
 		}
 		if _, err := Parse([]byte(Text(p))); err != nil && len(Text(p)) <= MaxSource {
-			t.Fatalf("its text is refused: %v\n%s", err, Text(p))
+			t.Fatalf("the text form is refused: %v\n%s", err, Text(p))
 		}
-		Choose(p, []Candidate{{}, {Machine: model.Machine{ID: 1}}}, names())
+		Choose(p, []Candidate{{}, {Machine: model.Machine{ID: 1}}}, newNames())
 	})
 }
 
-const twoBrackets = `name: "a" machines < names: "m-000001" > running: MOVE`
+const angleBracketPlan = `name: "a" machines < names: "m-000001" > running: MOVE`
 
 func TestWaves(t *testing.T) {
 	const head = "name: \"p\" machines { all: true } "
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,51 +19,55 @@
 	"honeylock/internal/wire"
 )
 
-// Errors that tell what became of a request.
+// Errors by which callers tell the outcomes of a request apart.
 var (
-	// ErrRefused: surely not executed (429, 503).
-	ErrRefused = errors.New("state service refused")
-	// ErrBusy: not executed, for the service's rate or this controller's part of it.
-	ErrBusy = fmt.Errorf("%w: over its rate", ErrRefused)
-	// ErrConflict: a guard of the transaction failed.
+	// ErrRefused means that the request was certainly not executed (429, 503).
+	ErrRefused = errors.New("state service refused the request")
+	// ErrBusy means that the request was not executed because it exceeds the service's
+	// rate or this controller's share of it.
+	ErrBusy = fmt.Errorf("%w: rate limit exceeded", ErrRefused)
+	// ErrConflict means that a guard of the transaction failed.
 	ErrConflict = errors.New("a guard failed")
-	// ErrNotFound: no such key or lease.
+	// ErrNotFound means that there is no such key or lease.
 	ErrNotFound = errors.New("not found")
-	// ErrInvalid: the request itself was refused (400): what it holds is too large, most
-	// likely, and it would be again.
-	ErrInvalid = errors.New("state service took the request for invalid")
-	// ErrCompacted: the watch's revision is too old.
+	// ErrInvalid means that the service rejected the request itself (400), most likely
+	// because it is too large. Repeating it does not help.
+	ErrInvalid = errors.New("state service rejected the request as invalid")
+	// ErrCompacted means that the service no longer has the revision from which a
+	// watch should start.
 	ErrCompacted = errors.New("revision too old")
 )
 
-// Client talks to the state service, within its rates.
+// Client sends requests to the state service within its rate limits. It is safe for
+// concurrent use.
 type Client struct {
-	base    string
-	http    *jsonhttp.Client
-	first   *jsonhttp.Client // of Authority: nothing else holds it up
-	watches *jsonhttp.Client
-	timeout time.Duration
-	start   time.Time
-	noted   func(sent time.Time, o storehealth.Outcome)
-
-	mu      sync.Mutex
-	invalid uint64 // requests taken for invalid
-	limiter *ratelimit.Limiter
-	due     time.Duration // the limiter is to be stepped then; 0: nothing waits
+	base      string
+	http      *jsonhttp.Client
+	authority *jsonhttp.Client // for requests of class Authority, so that others never delay them
+	watches   *jsonhttp.Client
+	timeout   time.Duration
+	start     time.Time
+	onOutcome func(sent time.Time, o storehealth.Outcome)
+
+	mu       sync.Mutex
+	invalid  uint64 // requests that the service rejected as invalid
+	limiter  *ratelimit.Limiter
+	nextStep time.Duration // when to step the limiter next; 0: no request waits
 }
 
-// New returns a client. noted hears what became of every request.
+// New returns a client. It calls onOutcome with the outcome of every request that was sent.
 func New(addr string, p ratelimit.Params, timeout time.Duration,
-	noted func(sent time.Time, o storehealth.Outcome)) *Client {
+	onOutcome func(sent time.Time, o storehealth.Outcome)) *Client {
 	return &Client{
-		base: "http://" + addr, http: jsonhttp.New(24, 0, 2*time.Second), first: jsonhttp.New(4, 0, 2*time.Second),
-		watches: jsonhttp.New(4, 0, 2*time.Second), timeout: timeout, start: time.Now(), noted: noted,
+		base: "http://" + addr, http: jsonhttp.New(24, 0, 2*time.Second), authority: jsonhttp.New(4, 0, 2*time.Second),
+		watches: jsonhttp.New(4, 0, 2*time.Second), timeout: timeout, start: time.Now(), onOutcome: onOutcome,
 		limiter: ratelimit.New(p),
 	}
 }
 
-// Stats are the client's share of the service's rate, and its counts of requests
-// that were shed here for lack of it, and refused by the service for its rate.
+// Stats returns the client's share of the service's rate, the number of requests that it
+// shed because the share was used up, and the number that the service refused as over
+// its rate.
 func (c *Client) Stats() (share float64, shed, busy uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,48 +77,48 @@
 	return c.limiter.Share(), shed, c.limiter.ServiceRefusals
 }
 
-// Writes is the service's rate of changes as far as is known, and whether that is the
-// one that was announced.
+// Writes returns the service's write rate limit as far as it is known, and whether that
+// is the announced lower limit.
 func (c *Client) Writes() (perSecond float64, lowered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.WriteRate()
 }
 
-// SetPart takes this controller's part of the service's rate, good for a while.
-func (c *Client) SetPart(p ratelimit.Allocation, good time.Duration) {
+// SetPart sets this controller's allocation of the service's rate, valid for validFor.
+func (c *Client) SetPart(p ratelimit.Allocation, validFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Since(c.start)
-	c.limiter.SetAllocation(now, p, now+good)
+	c.limiter.SetAllocation(now, p, now+validFor)
 	c.step(now)
 }
 
-// Needs are what was asked for lately, as parts of the service's rate.
+// Needs returns the recent demand, as shares of the service's rate.
 func (c *Client) Needs() ratelimit.Allocation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.Demand(time.Since(c.start))
 }
 
-// Invalid counts the requests that the service took for invalid.
+// Invalid returns the number of requests that the service rejected as invalid.
 func (c *Client) Invalid() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.invalid
 }
 
-type patienceKey struct{}
+type timeoutKey struct{}
 
-// Patiently marks a context whose requests are given up after d only: an answer is
-// worth something as long.
+// Patiently returns a context whose requests have the timeout d instead of the client's.
+// It is for requests whose answers are still useful after the usual timeout.
 func Patiently(ctx context.Context, d time.Duration) context.Context {
-	return context.WithValue(ctx, patienceKey{}, d)
+	return context.WithValue(ctx, timeoutKey{}, d)
 }
 
 type classKey struct{}
 
-// As marks a context whose requests are of a class; without it they are Reads.
+// As returns a context whose requests belong to a class. The default is Reads.
 func As(ctx context.Context, c ratelimit.Class) context.Context {
 	return context.WithValue(ctx, classKey{}, c)
 }
@@ -126,7 +130,7 @@
 	return ratelimit.Reads
 }
 
-// admit waits until a request may go.
+// admit waits until the rate limits allow a request.
 func (c *Client) admit(ctx context.Context, writes int) error {
 	c.mu.Lock()
 	now := time.Since(c.start)
@@ -134,30 +138,31 @@
 	if d, ok := ctx.Deadline(); ok {
 		until = min(until, d.Sub(c.start))
 	}
-	t := c.limiter.Request(now, classOf(ctx), writes, until)
+	ticket := c.limiter.Request(now, classOf(ctx), writes, until)
 	c.step(now)
 	c.mu.Unlock()
 	select {
-	case <-t.Decided:
+	case <-ticket.Decided:
 	case <-ctx.Done():
 		c.mu.Lock()
-		c.limiter.Cancel(t)
+		c.limiter.Cancel(ticket)
 		c.mu.Unlock()
 		return fmt.Errorf("%w: %w", ErrBusy, ctx.Err())
 	}
-	if t.Refused {
+	if ticket.Refused {
 		return fmt.Errorf("%w: this controller's share is used up", ErrBusy)
 	}
 	return nil
 }
 
-// step steps the limiter, and once more when that is due.
+// step steps the limiter, and schedules the next step if requests still wait. The
+// caller holds c.mu.
 func (c *Client) step(now time.Duration) {
 	next := c.limiter.Step(now)
-	if next == 0 || c.due != 0 && c.due <= next && c.due > now {
+	if next == 0 || c.nextStep != 0 && c.nextStep <= next && c.nextStep > now {
 		return
 	}
-	c.due = next
+	c.nextStep = next
 	time.AfterFunc(next-now, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -167,53 +172,55 @@
 
 func (c *Client) call(ctx context.Context, writes int, method, path string, in, out any) error {
 	status, body, err := c.exchange(ctx, writes, method, path, in, out)
-	return verdict(status, body, err)
+	return statusError(status, body, err)
 }
 
-// exchange asks once the rate lets it, and notes what became of it.
+// exchange sends a request once the rate limits allow it, and records its outcome.
 func (c *Client) exchange(parent context.Context, writes int, method, path string, in, out any) (int, []byte, error) {
 	if err := c.admit(parent, writes); err != nil {
 		return 0, nil, err
 	}
 	conns, timeout := c.http, c.timeout
 	if classOf(parent) == ratelimit.Authority {
-		conns = c.first
+		conns = c.authority
 	}
-	if d, ok := parent.Value(patienceKey{}).(time.Duration); ok {
+	if d, ok := parent.Value(timeoutKey{}).(time.Duration); ok {
 		timeout = d
 	}
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
 	sent := time.Now()
 	status, body, err := conns.Do(ctx, method, c.base+path, in, out)
-	if !errors.Is(parent.Err(), context.Canceled) { // else its asker has left: that says nothing
-		c.note(sent, status, err)
+	// A request that its caller canceled says nothing about the service.
+	if !errors.Is(parent.Err(), context.Canceled) {
+		c.recordOutcome(sent, status, err)
 	}
 	return status, body, err
 }
 
-func (c *Client) note(sent time.Time, status int, err error) {
+func (c *Client) recordOutcome(sent time.Time, status int, err error) {
 	switch {
 	case err != nil:
-		c.noted(sent, storehealth.NoAnswer)
+		c.onOutcome(sent, storehealth.NoAnswer)
 	case status == http.StatusBadRequest:
 		c.mu.Lock()
 		c.invalid++
 		c.mu.Unlock()
-		c.noted(sent, storehealth.Served)
+		c.onOutcome(sent, storehealth.Served)
 	case status == http.StatusTooManyRequests:
 		c.mu.Lock()
 		c.limiter.HandleRefusal(time.Since(c.start))
 		c.mu.Unlock()
-		c.noted(sent, storehealth.Busy)
+		c.onOutcome(sent, storehealth.Busy)
 	case status >= 500:
-		c.noted(sent, storehealth.Refused)
+		c.onOutcome(sent, storehealth.Refused)
 	default:
-		c.noted(sent, storehealth.Served)
+		c.onOutcome(sent, storehealth.Served)
 	}
 }
 
-func verdict(status int, body []byte, err error) error {
+// statusError returns the error that stands for an answer's status, nil for a 2xx.
+func statusError(status int, body []byte, err error) error {
 	switch {
 	case err != nil:
 		return err
@@ -235,21 +242,21 @@
 	return fmt.Errorf("state service: status %d: %.200s", status, body)
 }
 
-// Get reads a key; ErrNotFound if it is absent.
+// Get reads a key. It returns ErrNotFound if the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
-	var it wire.Item
-	if err := c.call(ctx, 0, http.MethodGet, "/store/"+key, nil, &it); err != nil {
+	var item wire.Item
+	if err := c.call(ctx, 0, http.MethodGet, "/store/"+key, nil, &item); err != nil {
 		return nil, err
 	}
-	return &it, nil
+	return &item, nil
 }
 
-// List calls f for every key with the prefix, and returns the revision of the
-// first page: a watch from there misses nothing.
+// List calls f for every key with the prefix. It returns the revision of the first page:
+// a watch that starts there misses no change.
 func (c *Client) List(ctx context.Context, prefix string, f func(*wire.Item) error) (uint64, error) {
-	var first uint64
+	var revision uint64
 	from := ""
-	for n := 0; ; n++ {
+	for pages := 0; ; pages++ {
 		q := url.Values{"Starts": {prefix}, "Page": {"200"}}
 		if from != "" {
 			q.Set("From", from)
@@ -258,8 +265,8 @@
 		if err := c.page(ctx, q, &p); err != nil {
 			return 0, err
 		}
-		if n == 0 {
-			first = p.Revision
+		if pages == 0 {
+			revision = p.Revision
 		}
 		for i := range p.Items {
 			if err := f(&p.Items[i]); err != nil {
@@ -268,24 +275,24 @@
 			from = p.Items[i].Key
 		}
 		if !p.More || len(p.Items) == 0 {
-			return first, nil
+			return revision, nil
 		}
 	}
 }
 
-// pageTries is how often a page is asked for: what was read before it is not read
-// again because the service was busy.
-const pageTries = 4
+// maxPageAttempts is how often List requests a page before it fails. Without retries a
+// busy service would make the caller read all earlier pages again.
+const maxPageAttempts = 4
 
 func (c *Client) page(ctx context.Context, q url.Values, p *wire.Page) (err error) {
-	for try := range pageTries {
+	for attempt := range maxPageAttempts {
 		if err = c.call(ctx, 0, http.MethodGet, "/store?"+q.Encode(), nil, p); !errors.Is(err, ErrRefused) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(time.Duration(try+1) * 150 * time.Millisecond):
+		case <-time.After(time.Duration(attempt+1) * 150 * time.Millisecond):
 		}
 	}
 	return err
@@ -300,39 +307,40 @@
 	return r.Revision, nil
 }
 
-// Compare asks whether keys have the stated versions, and returns those that
+// Compare checks whether keys have the versions in guards, and returns the keys that
 // don't.
 func (c *Client) Compare(ctx context.Context, guards []wire.Guard) (failed map[string]bool, err error) {
 	status, body, err := c.exchange(ctx, 0, http.MethodPost, "/txn", wire.Txn{Guards: guards}, nil)
-	if err = verdict(status, body, err); !errors.Is(err, ErrConflict) {
+	if err = statusError(status, body, err); !errors.Is(err, ErrConflict) {
 		return nil, err
 	}
-	var f wire.Failed
-	if err := json.Unmarshal(body, &f); err != nil || len(f.Keys) == 0 {
-		return nil, fmt.Errorf("state service: unreadable conflict %.200s", body)
+	var conflict wire.FailedGuards
+	if err := json.Unmarshal(body, &conflict); err != nil || len(conflict.Keys) == 0 {
+		return nil, fmt.Errorf("state service: conflict answer can't be decoded: %.200s", body)
 	}
-	failed = make(map[string]bool, len(f.Keys))
-	for _, k := range f.Keys {
+	failed = make(map[string]bool, len(conflict.Keys))
+	for _, k := range conflict.Keys {
 		failed[k] = true
 	}
 	return failed, nil
 }
 
-// Grant asks for a lease.
+// Grant creates a lease and returns its id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var l wire.Lease
-	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &l); err != nil {
+	var lease wire.Lease
+	if err := c.call(ctx, 0, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: ttl.Milliseconds()},
+		&lease); err != nil {
 		return 0, err
 	}
-	return l.ID, nil
+	return lease.ID, nil
 }
 
-// Extend renews a lease; ErrNotFound if it has ended.
+// Extend renews a lease. It returns ErrNotFound if the lease has ended.
 func (c *Client) Extend(ctx context.Context, id uint64) error {
 	return c.call(ctx, 0, http.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/extend", struct{}{}, nil)
 }
 
-// End ends a lease at once.
+// End ends a lease at once. A lease that has ended already is no error.
 func (c *Client) End(ctx context.Context, id uint64) error {
 	err := c.call(ctx, 0, http.MethodDelete, "/grants/"+strconv.FormatUint(id, 10), nil, nil)
 	if errors.Is(err, ErrNotFound) {
@@ -341,22 +349,23 @@
 	return err
 }
 
-// Watch waits for changes below a prefix after a revision. It opens a
-// connection of its own kind, so that waiting never holds up other requests.
+// Watch waits for changes to keys with a prefix after a revision. It uses separate
+// connections, so that a waiting watch never delays other requests.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
 	if err := c.admit(As(ctx, ratelimit.Authority), 0); err != nil {
 		return nil, err
 	}
-	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)}, "WaitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	var ev wire.Events
-	status, body, err := c.watches.Do(ctx, http.MethodGet, c.base+"/watch?"+q.Encode(), nil, &ev)
+	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)},
+		"WaitMs": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	var events wire.Events
+	status, body, err := c.watches.Do(ctx, http.MethodGet, c.base+"/watch?"+q.Encode(), nil, &events)
 	if status == http.StatusTooManyRequests {
-		c.note(time.Now(), status, nil)
+		c.recordOutcome(time.Now(), status, nil)
 	}
-	if err := verdict(status, body, err); err != nil {
+	if err := statusError(status, body, err); err != nil {
 		return nil, err
 	}
-	return &ev, nil
+	return &events, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire maps the protocols' JSON to the cores' terms and back. The
-// words of the wire (Hive, Cell, Brood, ...) stop here.
+// Package wire converts between the JSON messages of the protocols and the types of
+// internal/core/model. The protocol's own field names (Hive, Cell, Brood, ...) are used
+// in this package only.
 package wire
 
 import (
@@ -17,7 +18,7 @@
 	"honeylock/internal/core/model"
 )
 
-// Submission is the body of POST /v1/jobs, and what the state service keeps.
+// Submission is the body of POST /v1/jobs. The state service stores it too.
 type Submission struct {
 	NameID      *string  `json:"NameId"`
 	Class       *string  `json:"Comb"`
@@ -39,22 +40,23 @@
 	CheckpointS *float64 `json:"CapIntervalS"`
 	SaveS       *float64 `json:"CapS"`
 	DeadlineS   *float64 `json:"HarvestS,omitempty"`
-	Awaits      []string `json:"Awaits,omitempty"` // jobs to be done before any task starts
+	Awaits      []string `json:"Awaits,omitempty"` // jobs that must be done before any task starts
 	SubmittedMS int64    `json:"SubmittedMs,omitempty"`
 }
 
+// Limits on the fields of a submission.
 const (
 	maxTasks  = 100_000
-	maxAmount = 1e9
-	maxName   = 200
+	maxAmount = 1e9 // of resources and of seconds
+	maxName   = 200 // bytes
 )
 
-// FieldError is a mistake in one field of a submission. Its text is for the user.
-type FieldError struct{ Field, Why string }
+// FieldError reports an invalid field of a submission. Its text is shown to the user.
+type FieldError struct{ Field, Reason string }
 
-func (e *FieldError) Error() string { return e.Field + " " + e.Why }
+func (e *FieldError) Error() string { return e.Field + " " + e.Reason }
 
-// ParseSubmission reads and checks a submission. Its error is for the user.
+// ParseSubmission decodes and checks a submission. Its error is shown to the user.
 func ParseSubmission(body []byte) (*Submission, error) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -69,38 +71,38 @@
 }
 
 func (s *Submission) check() error {
-	str := func(f string, v *string) error {
+	checkString := func(f string, v *string) error {
 		if v == nil || *v == "" || len(*v) > maxName {
 			return fmt.Errorf("%s is missing or invalid", f)
 		}
 		return nil
 	}
-	num := func(f string, v *float64, zero bool) error {
+	checkNumber := func(f string, v *float64, zero bool) error {
 		if v == nil || math.IsNaN(*v) || *v < 0 || *v > maxAmount || (!zero && *v == 0) {
 			return fmt.Errorf("%s is missing or out of range", f)
 		}
 		return nil
 	}
-	flag := func(f string, v *bool) error {
+	checkPresent := func(f string, v *bool) error {
 		if v == nil {
 			return fmt.Errorf("%s is missing", f)
 		}
 		return nil
 	}
 	for _, err := range []error{
-		str("NameId", s.NameID), str("Comb", s.Class), str("Colony", s.Team),
-		str("Shape", s.Shape), str("Rank", s.Rank), str("Wax", s.Image),
-		num("Cpus", s.CPUs, false), num("Accelerators", s.GPUs, true), num("MemGb", s.MemGB, false),
-		num("ImageGb", s.ImageGB, true), num("ForageS", s.EstimateS, true),
-		num("CapIntervalS", s.CheckpointS, true), num("CapS", s.SaveS, true),
-		flag("Together", s.Together), flag("Spread", s.Spread), flag("SwarmBoxes", s.Spot),
+		checkString("NameId", s.NameID), checkString("Comb", s.Class), checkString("Colony", s.Team),
+		checkString("Shape", s.Shape), checkString("Rank", s.Rank), checkString("Wax", s.Image),
+		checkNumber("Cpus", s.CPUs, false), checkNumber("Accelerators", s.GPUs, true), checkNumber("MemGb", s.MemGB, false),
+		checkNumber("ImageGb", s.ImageGB, true), checkNumber("ForageS", s.EstimateS, true),
+		checkNumber("CapIntervalS", s.CheckpointS, true), checkNumber("CapS", s.SaveS, true),
+		checkPresent("Together", s.Together), checkPresent("Spread", s.Spread), checkPresent("SwarmBoxes", s.Spot),
 	} {
 		if err != nil {
 			return err
 		}
 	}
 	if s.DeadlineS != nil {
-		if err := num("HarvestS", s.DeadlineS, false); err != nil {
+		if err := checkNumber("HarvestS", s.DeadlineS, false); err != nil {
 			return err
 		}
 	}
@@ -124,7 +126,7 @@
 			return &FieldError{"Breeds", "holds an invalid name"}
 		}
 	}
-	if err := s.checkAwaits(); err != nil {
+	if err := s.checkDependencies(); err != nil {
 		return err
 	}
 	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxName) {
@@ -133,16 +135,16 @@
 	return nil
 }
 
-// checkAwaits checks the names of the jobs that are awaited, and drops those that are
-// there twice.
-func (s *Submission) checkAwaits() error {
+// checkDependencies checks the names of the jobs that this job depends on, and removes
+// duplicates.
+func (s *Submission) checkDependencies() error {
 	seen := map[string]bool{}
 	for i, name := range s.Awaits {
 		if _, err := ParseJob(name); err != nil {
 			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), err.Error()}
 		}
 		if name == *s.NameID {
-			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), name + " can't await itself"}
+			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), name + " can't depend on itself"}
 		}
 		seen[name] = true
 	}
@@ -156,29 +158,30 @@
 	return nil
 }
 
-// Needs are the jobs that are awaited.
+// Needs returns the jobs that this job depends on.
 func (s *Submission) Needs() []model.JobID {
 	if len(s.Awaits) == 0 {
 		return nil
 	}
 	out := make([]model.JobID, 0, len(s.Awaits))
 	for _, name := range s.Awaits {
-		if id, err := ParseJob(name); err == nil { // it was checked
+		if id, err := ParseJob(name); err == nil { // checkDependencies has checked it
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-var ranks = map[string]model.Rank{"idle": model.Idle, "standard": model.Standard, "urgent": model.Urgent, "prod": model.Prod}
+var ranks = map[string]model.Rank{"idle": model.Idle, "standard": model.Standard, "urgent": model.Urgent,
+	"prod": model.Prod}
 
-// Rank is a rank by its name.
+// Rank returns the rank with a name, and whether there is one.
 func Rank(s string) (model.Rank, bool) {
 	r, ok := ranks[s]
 	return r, ok
 }
 
-// Spec turns an accepted submission into the cores' terms.
+// Spec converts an accepted submission to a job description.
 func (s *Submission) Spec(n *Names) *model.Spec {
 	id, _ := ParseJob(*s.NameID)
 	sp := &model.Spec{
@@ -189,7 +192,7 @@
 		Estimate: Duration(*s.EstimateS), CheckpointInterval: Duration(*s.CheckpointS), CheckpointTime: Duration(*s.SaveS),
 		SubmittedMS: s.SubmittedMS,
 	}
-	sp.BestEffort = n.CanWait(sp.Class, sp.Team)
+	sp.BestEffort = n.IsBestEffort(sp.Class, sp.Team)
 	if s.DeadlineS != nil {
 		sp.Deadline = Duration(*s.DeadlineS)
 	}
@@ -202,12 +205,12 @@
 	return sp
 }
 
-// Duration turns seconds into a duration, without overflow.
+// Duration converts seconds to a duration. It caps large values to prevent overflow.
 func Duration(s float64) time.Duration {
 	return time.Duration(min(s, maxAmount) * float64(time.Second))
 }
 
-// JobState is the answer about a job.
+// JobState is the answer to requests about a job.
 type JobState struct {
 	NameID  string `json:"NameId"`
 	Stage   string `json:"Stage"`
@@ -215,139 +218,146 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-type cell struct {
-	Cell  string `json:"Cell"`
-	Brood uint64 `json:"Brood"`
-	Stage string `json:"Stage"`
-	Cause string `json:"Cause"`
-	Saved bool   `json:"Saved"`
+// attemptJSON is one attempt in a worker's report.
+type attemptJSON struct {
+	Task    string `json:"Cell"`
+	Attempt uint64 `json:"Brood"`
+	Stage   string `json:"Stage"`
+	Cause   string `json:"Cause"`
+	Saved   bool   `json:"Saved"`
 }
 
-type beat struct {
-	Hive       string   `json:"Hive"`
-	Addr       string   `json:"Addr"`
-	Breed      string   `json:"Breed"`
-	Yard       string   `json:"Yard"`
-	SwarmBoxes bool     `json:"SwarmBoxes"`
-	Flight     uint64   `json:"Flight"`
-	Buzz       uint64   `json:"Buzz"`
-	QueenMark  uint64   `json:"QueenMark"`
-	SmokeS     *float64 `json:"SmokeS"`
-	Cells      []cell   `json:"Cells"`
+// reportJSON is the body of a worker's report.
+type reportJSON struct {
+	Machine           string        `json:"Hive"`
+	Addr              string        `json:"Addr"`
+	Type              string        `json:"Breed"`
+	Zone              string        `json:"Yard"`
+	Spot              bool          `json:"SwarmBoxes"`
+	Session           uint64        `json:"Flight"`
+	Seq               uint64        `json:"Buzz"`
+	Token             uint64        `json:"QueenMark"`
+	PreemptionNoticeS *float64      `json:"SmokeS"`
+	Attempts          []attemptJSON `json:"Cells"`
 }
 
-var stages = map[string]model.Stage{"fetching": model.Fetching, "running": model.Running, "saving": model.Saving, "exited": model.Exited}
+var stages = map[string]model.Stage{"fetching": model.Fetching, "running": model.Running, "saving": model.Saving,
+	"exited": model.Exited}
 
 var causes = map[string]model.Cause{"done": model.CauseDone, "stopped": model.CauseStopped, "error": model.CauseError,
 	"no_room": model.CauseNoCapacity, "busy": model.CauseBusy, "unknown": model.CauseUnknown}
 
-// RawReport is a worker's report before its names are looked up, so that the
-// costly parsing needs no lock.
-type RawReport struct{ b beat }
+// RawReport is a worker's report whose names have not been looked up yet. Parsing the
+// JSON is expensive and needs no lock; looking up the names does.
+type RawReport struct{ body reportJSON }
 
-// ParseReport parses a report's JSON.
+// ParseReport decodes the JSON of a worker's report.
 func ParseReport(body []byte) (*RawReport, error) {
 	var r RawReport
-	if err := json.Unmarshal(body, &r.b); err != nil {
+	if err := json.Unmarshal(body, &r.body); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	return &r, nil
 }
 
-// Report maps the names of a report.
+// Report converts the report, looking up its names.
 func (r *RawReport) Report(n *Names) (*model.Report, error) {
-	b := &r.b
-	id, err := ParseMachine(b.Hive)
+	body := &r.body
+	id, err := ParseMachine(body.Machine)
 	if err != nil {
 		return nil, err
 	}
-	if b.Flight == 0 {
-		return nil, errors.New("report without a session")
+	if body.Session == 0 {
+		return nil, errors.New("report: Flight (the session) is missing or 0")
 	}
 	out := &model.Report{
-		Machine: model.Machine{ID: id, Addr: b.Addr, Type: n.Types.ID(b.Breed), Zone: n.Zones.ID(b.Yard), Spot: b.SwarmBoxes},
-		Session: b.Flight, Seq: b.Buzz, Token: b.QueenMark, PreemptionNotice: -1,
-		Attempts: make([]model.AttemptStatus, 0, len(b.Cells)),
+		Machine: model.Machine{ID: id, Addr: body.Addr, Type: n.Types.ID(body.Type), Zone: n.Zones.ID(body.Zone),
+			Spot: body.Spot},
+		Session: body.Session, Seq: body.Seq, Token: body.Token, PreemptionNotice: -1,
+		Attempts: make([]model.AttemptStatus, 0, len(body.Attempts)),
 	}
-	if b.SmokeS != nil {
-		out.PreemptionNotice = Duration(max(0, *b.SmokeS))
+	if body.PreemptionNoticeS != nil {
+		out.PreemptionNotice = Duration(max(0, *body.PreemptionNoticeS))
 	}
-	for _, c := range b.Cells {
-		t, err := parseTask(c.Cell)
+	for _, c := range body.Attempts {
+		t, err := parseTask(c.Task)
 		if err != nil {
 			return nil, err
 		}
-		st, ok := stages[c.Stage]
+		stage, ok := stages[c.Stage]
 		if !ok {
-			// A stage of other days' protocols still occupies the machine.
-			st = model.Running
+			// An attempt in a stage unknown to this release occupies the machine too.
+			stage = model.Running
 		}
-		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Brood, Stage: st, Cause: causes[c.Cause], Saved: c.Saved})
+		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: stage,
+			Cause: causes[c.Cause], Saved: c.Saved})
 	}
 	return out, nil
 }
 
 func parseTask(s string) (model.Task, error) {
-	j, no, ok := strings.Cut(s, "/")
+	jobName, indexText, ok := strings.Cut(s, "/")
 	if !ok {
-		return model.Task{}, fmt.Errorf("task %q", s)
+		return model.Task{}, fmt.Errorf("task %q is not of the form job-000000/0", s)
 	}
-	id, err := ParseJob(j)
+	id, err := ParseJob(jobName)
 	if err != nil {
 		return model.Task{}, err
 	}
-	k, err := strconv.ParseInt(no, 10, 32)
-	if err != nil || k < 0 {
-		return model.Task{}, fmt.Errorf("task %q", s)
+	index, err := strconv.ParseInt(indexText, 10, 32)
+	if err != nil || index < 0 {
+		return model.Task{}, fmt.Errorf("task %q has an invalid index", s)
 	}
-	return model.Task{Job: id, Index: int32(k)}, nil
+	return model.Task{Job: id, Index: int32(index)}, nil
 }
 
-// TaskName is the name of a task.
+// TaskName returns the name of a task.
 func TaskName(t model.Task) string { return JobName(t.Job) + "/" + strconv.Itoa(int(t.Index)) }
 
-type dance struct {
-	Dance   string   `json:"Dance"`
-	Cell    string   `json:"Cell"`
-	Brood   uint64   `json:"Brood"`
-	SettleS *float64 `json:"SettleS,omitempty"`
+// commandJSON is a command to a worker.
+type commandJSON struct {
+	Verb    string   `json:"Dance"`
+	Task    string   `json:"Cell"`
+	Attempt uint64   `json:"Brood"`
+	GraceS  *float64 `json:"SettleS,omitempty"`
 }
 
-func dances(cmds []model.Command) []dance {
-	out := make([]dance, 0, len(cmds))
+func encodeCommands(cmds []model.Command) []commandJSON {
+	out := make([]commandJSON, 0, len(cmds))
 	for _, c := range cmds {
-		d := dance{Cell: TaskName(c.Task), Brood: c.Attempt}
+		d := commandJSON{Task: TaskName(c.Task), Attempt: c.Attempt}
 		switch c.Verb {
 		case model.Launch:
-			d.Dance = "launch"
+			d.Verb = "launch"
 		case model.Kill:
 			g := c.Grace.Seconds()
-			d.Dance, d.SettleS = "kill", &g
+			d.Verb, d.GraceS = "kill", &g
 		case model.Clear:
-			d.Dance = "clear"
+			d.Verb = "clear"
 		}
 		out = append(out, d)
 	}
 	return out
 }
 
-// ReportAnswer is the body of a 200 to a report.
+// ReportAnswer returns the body of a 200 answer to a report.
 func ReportAnswer(token uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark uint64
-		Dances    []dance
-	}{token, dances(cmds)}
+		Dances    []commandJSON
+	}{token, encodeCommands(cmds)}
 }
 
-// Redirect is the body of a 421 to a report.
+// Redirect is the body of a 421 answer to a report. It names the controller that owns
+// the worker's machine, if that is known.
 type Redirect struct {
-	Keeper string `json:"Keeper,omitempty"`
+	RedirectTo string `json:"Keeper,omitempty"`
 }
 
-// Direct is the body of a direct command.
+// Direct returns the body of direct commands to a worker.
 func Direct(token, session uint64, cmds []model.Command) any {
 	return struct {
 		QueenMark, Flight uint64
-		Dances            []dance
-	}{token, session, dances(cmds)}
+		Dances            []commandJSON
+	}{token, session, encodeCommands(cmds)}
 }
