--- a/internal/scale/cancellations.go
+++ b/internal/scale/cancellations.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// cancellations has users cancel some of their jobs, and finds out whether the tasks are gone
+// canceller has users cancel some of their jobs, and finds out whether the tasks are gone
 // in time.
-type cancellations struct {
-	users  *users
-	answer *histogram // from the first call to the answer
-	// running counts a job's tasks on machines, by the workers' word.
-	running func(ctx context.Context, job string) (int, error)
+type canceller struct {
+	users         *users
+	answerLatency *histogram // from the first call to the answer
+	// runningTasks counts a job's tasks on machines, by the workers' word.
+	runningTasks func(ctx context.Context, job string) (int, error)
 
 	mu    sync.Mutex
 	stats CancelStats
@@ -28,7 +28,7 @@
 	Answer     Quantiles
 }
 
-func (s CancelStats) since(before CancelStats) CancelStats {
+func (s CancelStats) minus(before CancelStats) CancelStats {
 	s.Answered -= before.Answered
 	s.Unanswered -= before.Unanswered
 	s.Checked -= before.Checked
@@ -36,53 +36,53 @@
 	return s
 }
 
-func (c *cancellations) take(reset bool) CancelStats {
+func (c *canceller) snapshot(reset bool) CancelStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.stats
-	s.Answer = c.answer.take(reset)
-	return s
+	stats := c.stats
+	stats.Answer = c.answerLatency.snapshot(reset)
+	return stats
 }
 
-func (c *cancellations) count(f func(*CancelStats)) {
+func (c *canceller) updateStats(f func(*CancelStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.stats)
 }
 
-// cancel cancels a job after a while, and looks for its tasks cancel_s after the answer.
-func (c *cancellations) cancel(ctx context.Context, name string, after time.Duration) {
-	if sleep(ctx, after) != nil {
+// cancelAndCheck cancels a job after a while, and looks for its tasks cancel_s after the answer.
+func (c *canceller) cancelAndCheck(ctx context.Context, name string, delay time.Duration) {
+	if sleepContext(ctx, delay) != nil {
 		return
 	}
-	if !c.answered(ctx, name) {
+	if !c.cancelJob(ctx, name) {
 		return
 	}
-	if sleep(ctx, c.users.spec.Timing.Cancel) != nil {
+	if sleepContext(ctx, c.users.spec.Timing.Cancel) != nil {
 		return
 	}
-	n, err := c.running(ctx, name)
+	remaining, err := c.runningTasks(ctx, name)
 	if err != nil {
 		return // the workers' process has ended, and the run with it
 	}
-	c.count(func(s *CancelStats) {
+	c.updateStats(func(s *CancelStats) {
 		s.Checked++
-		if n > 0 {
+		if remaining > 0 {
 			s.StillRun++
 		}
 	})
 }
 
-// answered cancels a job until that is answered, for up to a minute.
-func (c *cancellations) answered(ctx context.Context, name string) bool {
-	began := time.Now()
+// cancelJob cancels a job until that is answered, for up to a minute.
+func (c *canceller) cancelJob(ctx context.Context, name string) bool {
+	started := time.Now()
 	switch {
-	case c.users.insist(ctx, began, "/v1/jobs/"+name+"/withdraw", nil, http.StatusOK) == http.StatusOK:
-		c.answer.record(time.Since(began))
-		c.count(func(s *CancelStats) { s.Answered++ })
+	case c.users.retryCall(ctx, started, "/v1/jobs/"+name+"/withdraw", nil, http.StatusOK) == http.StatusOK:
+		c.answerLatency.record(time.Since(started))
+		c.updateStats(func(s *CancelStats) { s.Answered++ })
 		return true
 	case ctx.Err() == nil:
-		c.count(func(s *CancelStats) { s.Unanswered++ })
+		c.updateStats(func(s *CancelStats) { s.Unanswered++ })
 	}
 	return false
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -31,45 +31,45 @@
 	Cloud   string   // world
 }
 
-// Attach tells a hollow process where jobs are described.
-type Attach struct{ World string }
+// AttachRequest tells a hollow process where jobs are described.
+type AttachRequest struct{ World string }
 
-// Named is a machine's name.
-type Named struct{ Name string }
+// NameRequest is a machine's name.
+type NameRequest struct{ Name string }
 
-// Lose has machines stop: Count of a zone, or of all zones. For good: the zone has no others.
-type Lose struct {
+// LoseRequest has machines stop: Count of a zone, or of all zones. For good: the zone has no others.
+type LoseRequest struct {
 	Count   int
 	Zone    string
 	ForGood bool
 }
 
-// Running is how many tasks of a job are on machines.
-type Running struct{ Tasks int }
+// RunningReply is how many tasks of a job are on machines.
+type RunningReply struct{ Tasks int }
 
-// Booted is a machine's address.
-type Booted struct{ Addr string }
+// BootReply is a machine's address.
+type BootReply struct{ Addr string }
 
-// maxControl is the largest message between a run's own processes.
-const maxControl = 64 << 20
+// maxControlBytes is the largest message between a run's own processes.
+const maxControlBytes = 64 << 20
 
 // serveControl serves a child's control requests on loopback and returns its address.
-func serveControl(ctx context.Context, h http.Handler) (string, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+func serveControl(ctx context.Context, handler http.Handler) (string, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("control server: %w", err)
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	context.AfterFunc(ctx, func() { _ = srv.Close() })
-	go func() { _ = srv.Serve(l) }() // it ends with Close
-	return l.Addr().String(), nil
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	go func() { _ = server.Serve(listener) }() // it ends with Close
+	return listener.Addr().String(), nil
 }
 
-// handle serves a control request: In is read from its body, what f returns is answered.
-func handle[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
+// controlHandler serves a control request: In is read from its body, what f returns is answered.
+func controlHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControl))
+		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
 		if err == nil && len(b) > 0 {
 			err = json.Unmarshal(b, &in)
 		}
@@ -90,55 +90,55 @@
 // controlClient is for calls between a run's own processes.
 var controlClient = &http.Client{Timeout: 2 * time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// control calls a child's control server.
-func control(ctx context.Context, method, addr, path string, in, out any) error {
+// callControl calls a child's control server.
+func callControl(ctx context.Context, method, addr, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
-		b, err := json.Marshal(in)
+		encoded, err := json.Marshal(in)
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		body = bytes.NewReader(b)
+		body = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	res, err := controlClient.Do(req)
+	response, err := controlClient.Do(request)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxControl))
+	defer response.Body.Close()
+	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxControlBytes))
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: status %d: %.200s", path, res.StatusCode, b)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: status %d: %.200s", path, response.StatusCode, encoded)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(b, out); err != nil {
+	if err := json.Unmarshal(encoded, out); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-// announce tells the parent that this child serves, and waits until the parent is gone or
+// announceReady tells the parent that this child serves, and waits until the parent is gone or
 // the context ends.
-func announce(ctx context.Context, in io.Reader, out io.Writer, r Ready) error {
-	if err := json.NewEncoder(out).Encode(r); err != nil {
+func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready Ready) error {
+	if err := json.NewEncoder(out).Encode(ready); err != nil {
 		return fmt.Errorf("announce: %w", err)
 	}
-	gone := make(chan struct{})
+	parentGone := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(parentGone)
 		_, _ = io.Copy(io.Discard, in) // until the parent closes it, or ends
 	}()
 	select {
 	case <-ctx.Done():
-	case <-gone:
+	case <-parentGone:
 	}
 	return nil
 }
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -12,20 +12,20 @@
 
 // Kinds of faults.
 const (
-	LeaderEnds        FaultKind = "leader-ends"         // a region's leader is killed, and started again
-	ControllerRestart FaultKind = "controller-restarts" // another controller is killed, and started again
-	RackGone          FaultKind = "rack-gone"           // some workers of one zone stop at once
-	ZoneLost          FaultKind = "zone-lost"           // a zone's workers and controllers end at once, for good
-	AllEnd            FaultKind = "all-controllers-end" // all controllers of a region are killed at once
+	LeaderKilled         FaultKind = "leader-ends"         // a region's leader is killed, and started again
+	ControllerKilled     FaultKind = "controller-restarts" // another controller is killed, and started again
+	RackGone             FaultKind = "rack-gone"           // some workers of one zone stop at once
+	ZoneLost             FaultKind = "zone-lost"           // a zone's workers and controllers end at once, for good
+	AllControllersKilled FaultKind = "all-controllers-end" // all controllers of a region are killed at once
 )
 
 // FaultKinds are all kinds.
-var FaultKinds = []FaultKind{LeaderEnds, ControllerRestart, RackGone, ZoneLost, AllEnd}
+var FaultKinds = []FaultKind{LeaderKilled, ControllerKilled, RackGone, ZoneLost, AllControllersKilled}
 
 const (
-	restartAfter = 3 * time.Second // a killed controller is started again
+	restartDelay = 3 * time.Second // a killed controller is started again
 	rackSize     = 40              // workers behind one switch
-	afterFault   = 30 * time.Second
+	faultWindow  = 30 * time.Second
 )
 
 // Fault of a run. It strikes the first region.
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -21,8 +21,8 @@
 
 // Mean run times of a task.
 const (
-	peakTask     = 45 * time.Second
-	ordinaryTask = 3 * peakTask
+	peakTaskTime     = 45 * time.Second
+	ordinaryTaskTime = 3 * peakTaskTime
 )
 
 // Limits of a region's state service and cloud.
@@ -89,9 +89,9 @@
 	case o.TaskTime > 0:
 		return o.TaskTime
 	case o.Profile == Ordinary:
-		return ordinaryTask
+		return ordinaryTaskTime
 	}
-	return peakTask
+	return peakTaskTime
 }
 
 // StartsPerSecond is how many tasks have to start so that as many run as are wanted.
@@ -102,49 +102,49 @@
 // Check returns all mistakes, each naming its flag.
 func (o *Options) Check() error {
 	var errs []error
-	whole := func(flag string, v, least, most int) {
-		if v < least || v > most {
-			errs = append(errs, fmt.Errorf("--%s = %d: must be from %d to %d", flag, v, least, most))
+	checkInt := func(flag string, v, lowest, highest int) {
+		if v < lowest || v > highest {
+			errs = append(errs, fmt.Errorf("--%s = %d: must be from %d to %d", flag, v, lowest, highest))
 		}
 	}
-	amount := func(flag string, v, least, most float64) {
-		if !(v >= least && v <= most) {
-			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, least, most))
+	checkFloat := func(flag string, v, lowest, highest float64) {
+		if !(v >= lowest && v <= highest) {
+			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, lowest, highest))
 		}
 	}
-	span := func(flag string, v, least, most time.Duration) {
-		if v < least || v > most {
-			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, least, most))
+	checkDuration := func(flag string, v, lowest, highest time.Duration) {
+		if v < lowest || v > highest {
+			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, lowest, highest))
 		}
 	}
-	whole("regions", o.Regions, 1, 9)
-	whole("workers", o.Workers, max(1, o.Regions), 60_000)
-	whole("controllers", o.Controllers, max(1, o.Regions), 100)
-	whole("zones", o.Zones, max(1, o.Regions), 50)
-	whole("teams", o.Teams, 1, 1000)
-	whole("tasks-per-worker", o.TasksPerWorker, 1, 64)
-	whole("tasks-per-job", o.TasksPerJob, 1, 20_000)
+	checkInt("regions", o.Regions, 1, 9)
+	checkInt("workers", o.Workers, max(1, o.Regions), 60_000)
+	checkInt("controllers", o.Controllers, max(1, o.Regions), 100)
+	checkInt("zones", o.Zones, max(1, o.Regions), 50)
+	checkInt("teams", o.Teams, 1, 1000)
+	checkInt("tasks-per-worker", o.TasksPerWorker, 1, 64)
+	checkInt("tasks-per-job", o.TasksPerJob, 1, 20_000)
 	if o.Profile != Peak && o.Profile != Ordinary {
 		errs = append(errs, fmt.Errorf("--profile = %q: must be %s or %s", o.Profile, Peak, Ordinary))
 	}
 	if o.TaskTime != 0 {
-		span("task-time", o.TaskTime, time.Second, time.Hour)
+		checkDuration("task-time", o.TaskTime, time.Second, time.Hour)
 	}
-	amount("replaced-per-day", o.ReplacedPerDay, 0, 1e6)
-	amount("replaced-faster", o.ReplacedFaster, 0, 1000)
-	amount("cancelled-share", o.CancelledShare, 0, 1)
-	amount("limit-changes-per-day", o.LimitChangesPerDay, 0, 1e6)
-	span("ramp", o.Ramp, time.Second, time.Hour)
-	span("for", o.Duration, time.Second, 24*time.Hour)
-	amount("limits.state_rps", o.Limits.StateRPS, 1, 1e6)
-	amount("limits.state_write_rps", o.Limits.StateWriteRPS, 1, 1e6)
-	amount("limits.state_value_kb", o.Limits.StateValueKB, 1, 1024)
-	whole("limits.state_txn_ops", o.Limits.StateTxnOps, 4, 1000)
-	span("limits.state_latency_ms", o.Limits.StateLatency, 0, time.Second)
-	amount("limits.cloud_rps", o.Limits.CloudRPS, 1, 1e4)
-	span("limits.cloud_list_lag_s", o.Limits.CloudListLag, 0, 5*time.Minute)
-	span("workers.report_s", o.Timing.Report, 500*time.Millisecond, 5*time.Minute)
-	span("workers.lease_s", o.Timing.Lease, 2*time.Second, 10*time.Minute)
-	span("workers.cancel_s", o.Timing.Cancel, o.Timing.Lease+2*time.Second, 20*time.Minute)
+	checkFloat("replaced-per-day", o.ReplacedPerDay, 0, 1e6)
+	checkFloat("replaced-faster", o.ReplacedFaster, 0, 1000)
+	checkFloat("cancelled-share", o.CancelledShare, 0, 1)
+	checkFloat("limit-changes-per-day", o.LimitChangesPerDay, 0, 1e6)
+	checkDuration("ramp", o.Ramp, time.Second, time.Hour)
+	checkDuration("for", o.Duration, time.Second, 24*time.Hour)
+	checkFloat("limits.state_rps", o.Limits.StateRPS, 1, 1e6)
+	checkFloat("limits.state_write_rps", o.Limits.StateWriteRPS, 1, 1e6)
+	checkFloat("limits.state_value_kb", o.Limits.StateValueKB, 1, 1024)
+	checkInt("limits.state_txn_ops", o.Limits.StateTxnOps, 4, 1000)
+	checkDuration("limits.state_latency_ms", o.Limits.StateLatency, 0, time.Second)
+	checkFloat("limits.cloud_rps", o.Limits.CloudRPS, 1, 1e4)
+	checkDuration("limits.cloud_list_lag_s", o.Limits.CloudListLag, 0, 5*time.Minute)
+	checkDuration("workers.report_s", o.Timing.Report, 500*time.Millisecond, 5*time.Minute)
+	checkDuration("workers.lease_s", o.Timing.Lease, 2*time.Second, 10*time.Minute)
+	checkDuration("workers.cancel_s", o.Timing.Cancel, o.Timing.Lease+2*time.Second, 20*time.Minute)
 	return errors.Join(errs...)
 }
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -54,40 +54,40 @@
 	return float64(s.Workers*s.TasksPerWorker) / s.MeanTask.Seconds()
 }
 
-// part is the ith of n nearly equal parts of a whole.
-func part(whole, n, i int) int { return whole*(i+1)/n - whole*i/n }
+// evenShare is the ith of n nearly equal parts of a whole.
+func evenShare(total, n, i int) int { return total*(i+1)/n - total*i/n }
 
-// regions divides the fleet. Controllers and zones are dealt out as evenly as can be, the
+// regionSpecs divides the fleet. Controllers and zones are dealt out as evenly as can be, the
 // first regions having one more.
-func (o *Options) regions() []RegionSpec {
+func (o *Options) regionSpecs() []RegionSpec {
 	out := make([]RegionSpec, o.Regions)
 	for i := range out {
-		s := RegionSpec{
-			Index: i, Name: fmt.Sprintf("region-%d", i), Workers: part(o.Workers, o.Regions, i),
+		spec := RegionSpec{
+			Index: i, Name: fmt.Sprintf("region-%d", i), Workers: evenShare(o.Workers, o.Regions, i),
 			TasksPerWorker: o.TasksPerWorker, MeanTask: o.MeanTask(), TasksPerJob: o.TasksPerJob,
 			Limits: o.Limits, Timing: o.Timing, Seed: o.Seed + uint64(i)*1000,
 			CancelledShare: o.CancelledShare, LimitChangesPerDay: o.LimitChangesPerDay,
 		}
-		for z := range part(o.Zones, o.Regions, o.Regions-1-i) {
-			s.Zones = append(s.Zones, fmt.Sprintf("zone-%d%c", i, 'a'+z))
+		for z := range evenShare(o.Zones, o.Regions, o.Regions-1-i) {
+			spec.Zones = append(spec.Zones, fmt.Sprintf("zone-%d%c", i, 'a'+z))
 		}
-		for h := range part(o.Controllers, o.Regions, o.Regions-1-i) {
-			s.Hosts = append(s.Hosts, Host{Name: fmt.Sprintf("controller-%d-%d", i, h), Zone: s.Zones[h%len(s.Zones)]})
+		for h := range evenShare(o.Controllers, o.Regions, o.Regions-1-i) {
+			spec.Hosts = append(spec.Hosts, Host{Name: fmt.Sprintf("controller-%d-%d", i, h), Zone: spec.Zones[h%len(spec.Zones)]})
 		}
-		s.Teams = s.teams(o.Teams)
-		out[i] = s
+		spec.Teams = spec.teamSpecs(o.Teams)
+		out[i] = spec
 	}
 	return out
 }
 
-// teams share the region's room as guarantees; each may use three times its part, and two
+// teamSpecs share the region's room as guarantees; each may use three times its part, and two
 // arrays at once.
-func (s *RegionSpec) teams(n int) []TeamSpec {
+func (s *RegionSpec) teamSpecs(n int) []TeamSpec {
 	mean := float64(s.Workers) * s.workerCPUs() / float64(n)
-	most := max(3*mean, 2*taskCPUs*float64(2*s.TasksPerJob))
+	maxCPUs := max(3*mean, 2*taskCPUs*float64(2*s.TasksPerJob))
 	out := make([]TeamSpec, n)
 	for i := range out {
-		out[i] = TeamSpec{Name: fmt.Sprintf("team-%03d", i), CPUs: mean, CPUsMax: most}
+		out[i] = TeamSpec{Name: fmt.Sprintf("team-%03d", i), CPUs: mean, CPUsMax: maxCPUs}
 	}
 	return out
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -46,8 +46,8 @@
 	World   WorldStats
 }
 
-// since takes what was counted before off the counts.
-func (w WorkersStats) since(before WorkersStats) WorkersStats {
+// minus takes what was counted before off the counts.
+func (w WorkersStats) minus(before WorkersStats) WorkersStats {
 	w.Starts -= before.Starts
 	w.Reports -= before.Reports
 	w.Commands -= before.Commands
@@ -61,7 +61,7 @@
 	return w
 }
 
-func (w WorldStats) since(before WorldStats) WorldStats {
+func (w WorldStats) minus(before WorldStats) WorldStats {
 	w.Submitted -= before.Submitted
 	w.Accepted -= before.Accepted
 	w.Refused -= before.Refused
@@ -73,8 +73,8 @@
 	w.StateChangesRefused -= before.StateChangesRefused
 	w.CloudCalls -= before.CloudCalls
 	w.CloudRefused -= before.CloudRefused
-	w.Cancels = w.Cancels.since(before.Cancels)
-	w.LimitChanges = w.LimitChanges.since(before.LimitChanges)
+	w.Cancels = w.Cancels.minus(before.Cancels)
+	w.LimitChanges = w.LimitChanges.minus(before.LimitChanges)
 	w.State = append([]FrontStats(nil), w.State...)
 	for i := range w.State {
 		if i < len(before.State) {
@@ -96,41 +96,41 @@
 	return all, refused
 }
 
-// standInBound is the part of a core at which a stand-in may hold up what it is asked for.
-const standInBound = 0.9
+// maxStandInCores is the part of a core at which a stand-in may hold up what it is asked for.
+const maxStandInCores = 0.9
 
-// verdict notes what went wrong.
-func (r *Report) verdict(format string, args ...any) {
+// addVerdict notes what went wrong.
+func (r *Report) addVerdict(format string, args ...any) {
 	r.Verdicts = append(r.Verdicts, fmt.Sprintf(format, args...))
 }
 
-// judge tells what went wrong.
-func (r *Report) judge() {
-	for _, w := range r.Windows {
-		for i, reg := range w.Regions {
-			if n := reg.Workers.BrokenCount; n > 0 {
-				r.verdict("%s, region %d: %d rules broken: %v", w.Name, i, n, reg.Workers.Broken)
+// addVerdicts tells what went wrong.
+func (r *Report) addVerdicts() {
+	for _, window := range r.Windows {
+		for i, region := range window.Regions {
+			if n := region.Workers.BrokenCount; n > 0 {
+				r.addVerdict("%s, region %d: %d rules broken: %v", window.Name, i, n, region.Workers.Broken)
 			}
-			if reg.World.Lost > 0 {
-				r.verdict("%s, region %d: %d jobs lost: %v", w.Name, i, reg.World.Lost, reg.World.Losses)
+			if region.World.Lost > 0 {
+				r.addVerdict("%s, region %d: %d jobs lost: %v", window.Name, i, region.World.Lost, region.World.Losses)
 			}
-			if n := reg.World.Cancels.StillRun; n > 0 {
-				r.verdict("%s, region %d: %d cancelled jobs have tasks on machines after cancel_s", w.Name, i, n)
+			if n := region.World.Cancels.StillRun; n > 0 {
+				r.addVerdict("%s, region %d: %d cancelled jobs have tasks on machines after cancel_s", window.Name, i, n)
 			}
-			if n := reg.World.LimitChanges.Stale; n > 0 {
-				r.verdict("%s, region %d: %d limits were told that had been changed before", w.Name, i, n)
+			if n := region.World.LimitChanges.Stale; n > 0 {
+				r.addVerdict("%s, region %d: %d limits were told that had been changed before", window.Name, i, n)
 			}
 		}
-		for _, u := range w.Processes {
-			if u.Role == RoleWorld && u.Cores > standInBound {
-				r.verdict("%s: %s uses %.2f cores: its own bound may show in the figures", w.Name, u.Name, u.Cores)
+		for _, usage := range window.Processes {
+			if usage.Role == RoleWorld && usage.Cores > maxStandInCores {
+				r.addVerdict("%s: %s uses %.2f cores: its own bound may show in the figures", window.Name, usage.Name, usage.Cores)
 			}
 		}
 	}
 }
 
-// write stores the report.
-func (r *Report) write(path string) error {
+// writeFile stores the report.
+func (r *Report) writeFile(path string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -34,34 +34,34 @@
 // Unwrap returns the mistakes.
 func (e *UsageError) Unwrap() error { return e.Err }
 
-// region is a region that runs.
-type region struct {
-	spec        RegionSpec
-	hollow      *process
-	world       *process
-	hollowAddr  string
-	worldAddr   string
-	controllers []*process
-	configs     []files
-	lost        map[int]bool // controllers that ended for good
+// runningRegion is a region that runs.
+type runningRegion struct {
+	spec            RegionSpec
+	hollow          *process
+	world           *process
+	hollowAddr      string
+	worldAddr       string
+	controllers     []*process
+	files           []controllerFiles
+	permanentlyLost map[int]bool // controllers that ended for good
 }
 
 // run is a run under way.
 type run struct {
-	o       Options
-	env     Environment
-	fs      procfs.FS
-	machine machine
-	start   *starter
-	dir     string
-	rng     *rand.Rand
-	regions []*region
-	report  *Report
+	options   Options
+	env       Environment
+	procFS    procfs.FS
+	machine   machine
+	starter   *starter
+	configDir string
+	rng       *rand.Rand
+	regions   []*runningRegion
+	report    *Report
 
-	restarts   sync.WaitGroup // controllers that are to be started again
-	background sync.WaitGroup // what goes on beside the measuring until the run's context ends
+	pendingRestarts sync.WaitGroup // controllers that are to be started again
+	background      sync.WaitGroup // what goes on beside the measuring until the run's context ends
 
-	telling sync.Mutex // of Progress, which need not be safe for several goroutines
+	progressMu sync.Mutex // of Progress, which need not be safe for several goroutines
 
 	mu     sync.Mutex // of regions' processes and of meters: sampling goes on beside the rest
 	meters map[string]*meter
@@ -71,25 +71,25 @@
 const steadyWindow = "steady"
 
 const (
-	sampleEvery   = time.Second
-	progressEvery = 5 * time.Second
-	startPatience = time.Minute // for a leader, and for all machines to be up
+	sampleInterval   = time.Second
+	progressInterval = 5 * time.Second
+	startTimeout     = time.Minute // for a leader, and for all machines to be up
 )
 
 // Run plays a fleet and measures it. All that it starts has ended when it returns.
-func Run(ctx context.Context, o Options, env Environment) (*Report, error) {
+func Run(ctx context.Context, options Options, env Environment) (*Report, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return nil, fmt.Errorf("figures of processes: %w", err)
 	}
-	m, err := thisMachine(fs)
+	machine, err := readMachine(fs)
 	if err != nil {
 		return nil, err
 	}
-	if err := o.Check(); err != nil {
+	if err := options.Check(); err != nil {
 		return nil, &UsageError{err}
 	}
-	if err := o.fits(m); err != nil {
+	if err := options.checkCapacity(machine); err != nil {
 		return nil, &UsageError{err}
 	}
 	dir, err := os.MkdirTemp("", "honeylock-scale-")
@@ -97,137 +97,137 @@
 		return nil, fmt.Errorf("settings of controllers: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{o: o, env: env, fs: fs, machine: m, start: newStarter(), dir: dir, meters: map[string]*meter{},
-		rng: rand.New(rand.NewPCG(o.Seed, 21)),
-		report: &Report{Schema: SchemaVersion, Commit: env.Commit, Version: env.Version, At: time.Now().UTC(), Options: o,
-			Machine: MachineFacts{CPUs: runtime.NumCPU(), MemoryMB: m.memoryMB}}}
-	defer close(r.start.work)
-	defer r.end()
+	r := &run{options: options, env: env, procFS: fs, machine: machine, starter: newStarter(), configDir: dir, meters: map[string]*meter{},
+		rng: rand.New(rand.NewPCG(options.Seed, 21)),
+		report: &Report{Schema: SchemaVersion, Commit: env.Commit, Version: env.Version, At: time.Now().UTC(), Options: options,
+			Machine: MachineFacts{CPUs: runtime.NumCPU(), MemoryMB: machine.memoryMB}}}
+	defer close(r.starter.calls)
+	defer r.stopAll()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if err := r.play(ctx, cancel); err != nil {
+	if err := r.execute(ctx, cancel); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
 		return nil, err
 	}
-	r.report.judge()
-	if o.Report != "" {
-		if err := r.report.write(o.Report); err != nil {
+	r.report.addVerdicts()
+	if options.Report != "" {
+		if err := r.report.writeFile(options.Report); err != nil {
 			return nil, err
 		}
 	}
 	return r.report, nil
 }
 
-// play brings the fleet up, loads it, and measures window after window.
-func (r *run) play(ctx context.Context, cancel context.CancelCauseFunc) error {
-	for _, spec := range r.o.regions() {
+// execute brings the fleet up, loads it, and measures window after window.
+func (r *run) execute(ctx context.Context, cancel context.CancelCauseFunc) error {
+	for _, spec := range r.options.regionSpecs() {
 		if err := r.startRegion(ctx, spec); err != nil {
 			return err
 		}
 	}
-	r.background.Go(func() { r.watch(ctx, cancel) })
-	r.say("%d processes started", len(r.processes()))
-	if err := r.each(func(g *region) error { return r.await(ctx, g) }); err != nil {
+	r.background.Go(func() { r.monitor(ctx, cancel) })
+	r.printProgress("%d processes started", len(r.processes()))
+	if err := r.forEachRegion(func(region *runningRegion) error { return r.awaitHealthy(ctx, region) }); err != nil {
 		return err
 	}
-	err := r.each(func(g *region) error {
-		return control(ctx, http.MethodPost, g.worldAddr, pathSeed, struct{}{}, nil)
+	err := r.forEachRegion(func(region *runningRegion) error {
+		return callControl(ctx, http.MethodPost, region.worldAddr, pathSeed, struct{}{}, nil)
 	})
 	if err != nil {
 		return err
 	}
-	if err := r.each(func(g *region) error {
-		return control(ctx, http.MethodPost, g.worldAddr, pathLoad, struct{}{}, nil)
+	if err := r.forEachRegion(func(region *runningRegion) error {
+		return callControl(ctx, http.MethodPost, region.worldAddr, pathLoad, struct{}{}, nil)
 	}); err != nil {
 		return err
 	}
-	r.background.Go(func() { r.replace(ctx) })
-	r.say("%d workers are up, users begin", r.o.Workers)
-	if err := sleep(ctx, r.o.Ramp); err != nil {
+	r.background.Go(func() { r.replaceWorkers(ctx) })
+	r.printProgress("%d workers are up, users begin", r.options.Workers)
+	if err := sleepContext(ctx, r.options.Ramp); err != nil {
 		return err
 	}
-	if err := r.measure(ctx, steadyWindow, r.o.Duration, nil); err != nil {
+	if err := r.measureWindow(ctx, steadyWindow, r.options.Duration, nil); err != nil {
 		return err
 	}
-	for _, f := range r.o.Faults {
-		if err := r.measure(ctx, string(f.Kind), afterFault, &f); err != nil {
+	for _, f := range r.options.Faults {
+		if err := r.measureWindow(ctx, string(f.Kind), faultWindow, &f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// each does something in all regions at once.
-func (r *run) each(f func(*region) error) error {
+// forEachRegion does something in all regions at once.
+func (r *run) forEachRegion(f func(*runningRegion) error) error {
 	errs := make([]error, len(r.regions))
-	var all sync.WaitGroup
-	for i, g := range r.regions {
-		all.Go(func() { errs[i] = f(g) })
+	var wg sync.WaitGroup
+	for i, region := range r.regions {
+		wg.Go(func() { errs[i] = f(region) })
 	}
-	all.Wait()
+	wg.Wait()
 	return errors.Join(errs...)
 }
 
-// say writes a line of progress.
-func (r *run) say(format string, args ...any) {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+// printProgress writes a line of progress.
+func (r *run) printProgress(format string, args ...any) {
+	r.progressMu.Lock()
+	defer r.progressMu.Unlock()
 	fmt.Fprintf(r.env.Progress, format+"\n", args...)
 }
 
-// watch samples all processes, and stops the run if one ends by itself or if they take
+// monitor samples all processes, and stops the run if one ends by itself or if they take
 // more than half of the machine's memory.
-func (r *run) watch(ctx context.Context, cancel context.CancelCauseFunc) {
-	sampled, told := time.NewTicker(sampleEvery), time.NewTicker(progressEvery)
-	defer sampled.Stop()
-	defer told.Stop()
-	began := time.Now()
+func (r *run) monitor(ctx context.Context, cancel context.CancelCauseFunc) {
+	sampleTicker, progressTicker := time.NewTicker(sampleInterval), time.NewTicker(progressInterval)
+	defer sampleTicker.Stop()
+	defer progressTicker.Stop()
+	started := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-sampled.C:
-			if err := r.sample(); err != nil {
+		case <-sampleTicker.C:
+			if err := r.sampleProcesses(); err != nil {
 				cancel(err)
 				return
 			}
-		case <-told.C:
-			r.progress(ctx, time.Since(began))
+		case <-progressTicker.C:
+			r.reportProgress(ctx, time.Since(started))
 		}
 	}
 }
 
-// sample reads all processes' figures.
-func (r *run) sample() error {
-	total := 0.0
+// sampleProcesses reads all processes' figures.
+func (r *run) sampleProcesses() error {
+	totalMB := 0.0
 	for _, p := range r.processes() {
-		if err := p.crashed(); err != nil {
+		if err := p.unexpectedExit(); err != nil {
 			return err
 		}
-		s, err := sampleOf(r.fs, p.pid())
+		s, err := readSample(r.procFS, p.pid())
 		if err != nil {
 			continue // it ended just now: told the next time, unless it was to
 		}
-		total += float64(s.rss) / (1 << 20)
+		totalMB += float64(s.rss) / (1 << 20)
 		r.mu.Lock()
-		r.meters[p.name].take(s)
+		r.meters[p.name].addSample(s)
 		r.mu.Unlock()
 	}
-	if half := r.machine.memoryMB / 2; total > half {
+	if half := r.machine.memoryMB / 2; totalMB > half {
 		return fmt.Errorf("the processes take %.0f MB, more than half of this machine's memory (%.0f MB): stopped",
-			total, half)
+			totalMB, half)
 	}
 	return nil
 }
 
-func (r *run) progress(ctx context.Context, since time.Duration) {
+func (r *run) reportProgress(ctx context.Context, elapsed time.Duration) {
 	up, running, starts, mb := 0, 0, int64(0), 0.0
-	for _, g := range r.regions {
-		var s WorkersStats
-		if control(ctx, http.MethodGet, g.hollowAddr, pathStats, nil, &s) == nil {
-			up, running, starts = up+s.Up, running+s.Running, starts+s.Starts
+	for _, region := range r.regions {
+		var stats WorkersStats
+		if callControl(ctx, http.MethodGet, region.hollowAddr, pathStats, nil, &stats) == nil {
+			up, running, starts = up+stats.Up, running+stats.Running, starts+stats.Starts
 		}
 	}
 	r.mu.Lock()
@@ -235,27 +235,27 @@
 		mb += float64(m.last.rss) / (1 << 20)
 	}
 	r.mu.Unlock()
-	r.say("%4.0f s  %d workers up, %d tasks running, %d started, %.0f MB", since.Seconds(), up, running, starts, mb)
+	r.printProgress("%4.0f s  %d workers up, %d tasks running, %d started, %.0f MB", elapsed.Seconds(), up, running, starts, mb)
 }
 
-// replace has workers stop as often as in life, or more often by the factor.
-func (r *run) replace(ctx context.Context) {
-	perSecond := r.o.ReplacedPerDay * r.o.ReplacedFaster / (24 * time.Hour).Seconds()
+// replaceWorkers has workers stop as often as in life, or more often by the factor.
+func (r *run) replaceWorkers(ctx context.Context) {
+	perSecond := r.options.ReplacedPerDay * r.options.ReplacedFaster / (24 * time.Hour).Seconds()
 	if perSecond <= 0 {
 		return
 	}
 	for {
-		if sleep(ctx, time.Duration(r.rng.ExpFloat64()/perSecond*float64(time.Second))) != nil {
+		if sleepContext(ctx, time.Duration(r.rng.ExpFloat64()/perSecond*float64(time.Second))) != nil {
 			return
 		}
-		g := r.regions[r.rng.IntN(len(r.regions))]
-		if err := control(ctx, http.MethodPost, g.worldAddr, pathLose, Lose{Count: 1}, nil); err != nil {
-			r.env.Log.Warn("no worker was lost", "region", g.spec.Name, "err", err)
+		region := r.regions[r.rng.IntN(len(r.regions))]
+		if err := callControl(ctx, http.MethodPost, region.worldAddr, pathLose, LoseRequest{Count: 1}, nil); err != nil {
+			r.env.Log.Warn("no worker was lost", "region", region.spec.Name, "err", err)
 		}
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+func sleepContext(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -21,67 +21,67 @@
 	if err := prototext.Unmarshal(b, &p); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if err := o.apply(&p); err != nil {
+	if err := o.applySettings(&p); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-func set[T any](to *T, v *T) {
-	if v != nil {
-		*to = *v
+func setIfPresent[T any](target *T, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
-func setWhole(to *int, v *int32) {
-	if v != nil {
-		*to = int(*v)
+func setInt(target *int, value *int32) {
+	if value != nil {
+		*target = int(*value)
 	}
 }
 
-func setSeconds(to *time.Duration, v *float64) {
-	if v != nil {
-		*to = config.Seconds(*v)
+func setSeconds(target *time.Duration, value *float64) {
+	if value != nil {
+		*target = config.Seconds(*value)
 	}
 }
 
-func (o *Options) apply(p *scalepb.Settings) error {
-	if s := p.GetSize(); s != nil {
-		setWhole(&o.Workers, s.Workers)
-		setWhole(&o.Controllers, s.Controllers)
-		setWhole(&o.Regions, s.Regions)
-		setWhole(&o.Zones, s.Zones)
-		setWhole(&o.Teams, s.Teams)
+func (o *Options) applySettings(settings *scalepb.Settings) error {
+	if s := settings.GetSize(); s != nil {
+		setInt(&o.Workers, s.Workers)
+		setInt(&o.Controllers, s.Controllers)
+		setInt(&o.Regions, s.Regions)
+		setInt(&o.Zones, s.Zones)
+		setInt(&o.Teams, s.Teams)
 	}
-	if l := p.GetLoad(); l != nil {
+	if l := settings.GetLoad(); l != nil {
 		if l.Profile != nil {
 			o.Profile = Profile(*l.Profile)
 		}
-		setWhole(&o.TasksPerWorker, l.TasksPerWorker)
+		setInt(&o.TasksPerWorker, l.TasksPerWorker)
 		setSeconds(&o.TaskTime, l.TaskS)
-		setWhole(&o.TasksPerJob, l.TasksPerJob)
-		set(&o.ReplacedPerDay, l.ReplacedPerDay)
-		set(&o.ReplacedFaster, l.ReplacedFaster)
-		set(&o.CancelledShare, l.CancelledShare)
-		set(&o.LimitChangesPerDay, l.LimitChangesPerDay)
+		setInt(&o.TasksPerJob, l.TasksPerJob)
+		setIfPresent(&o.ReplacedPerDay, l.ReplacedPerDay)
+		setIfPresent(&o.ReplacedFaster, l.ReplacedFaster)
+		setIfPresent(&o.CancelledShare, l.CancelledShare)
+		setIfPresent(&o.LimitChangesPerDay, l.LimitChangesPerDay)
 	}
-	if l := p.GetLimits(); l != nil {
-		set(&o.Limits.StateRPS, l.StateRps)
-		set(&o.Limits.StateWriteRPS, l.StateWriteRps)
-		set(&o.Limits.StateValueKB, l.StateValueKb)
-		setWhole(&o.Limits.StateTxnOps, l.StateTxnOps)
+	if l := settings.GetLimits(); l != nil {
+		setIfPresent(&o.Limits.StateRPS, l.StateRps)
+		setIfPresent(&o.Limits.StateWriteRPS, l.StateWriteRps)
+		setIfPresent(&o.Limits.StateValueKB, l.StateValueKb)
+		setInt(&o.Limits.StateTxnOps, l.StateTxnOps)
 		if l.StateLatencyMs != nil {
 			o.Limits.StateLatency = time.Duration(*l.StateLatencyMs * float64(time.Millisecond))
 		}
-		set(&o.Limits.CloudRPS, l.CloudRps)
+		setIfPresent(&o.Limits.CloudRPS, l.CloudRps)
 		setSeconds(&o.Limits.CloudListLag, l.CloudListLagS)
 	}
-	if w := p.GetWorkers(); w != nil {
+	if w := settings.GetWorkers(); w != nil {
 		setSeconds(&o.Timing.Report, w.ReportS)
 		setSeconds(&o.Timing.Lease, w.LeaseS)
 		setSeconds(&o.Timing.Cancel, w.CancelS)
 	}
-	for i, s := range p.GetFaults() {
+	for i, s := range settings.GetFaults() {
 		f, err := ParseFault(s)
 		if err != nil {
 			return fmt.Errorf("faults[%d]: %w", i, err)
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -9,24 +9,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// row is one region in one window: what was varied, and what it cost.
-type row struct {
+// observation is one region in one window: what was varied, and what it cost.
+type observation struct {
 	report *Report
 	window *Window
 	region int
 }
 
-func (r *row) workers() WorkersStats { return r.window.Regions[r.region].Workers }
-func (r *row) world() WorldStats     { return r.window.Regions[r.region].World }
+func (r *observation) workers() WorkersStats { return r.window.Regions[r.region].Workers }
+func (r *observation) world() WorldStats     { return r.window.Regions[r.region].World }
 
-func (r *row) perSecond(n int64) float64 { return float64(n) / r.window.Seconds }
+func (r *observation) perSecond(n int64) float64 { return float64(n) / r.window.Seconds }
 
-// mean is the mean of a figure of the region's processes of a role.
-func (r *row) mean(role Role, leader bool, f func(Usage) float64) float64 {
+// meanUsage is the mean of a figure of the region's processes of a role.
+func (r *observation) meanUsage(role Role, leader bool, value func(Usage) float64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range r.window.Processes {
 		if p.Role == role && p.Region == r.region && (role != RoleController || p.Leader == leader) {
-			sum += f(p)
+			sum += value(p)
 			n++
 		}
 	}
@@ -36,7 +36,7 @@
 	return sum / float64(n)
 }
 
-func (r *row) controllers() float64 {
+func (r *observation) controllers() float64 {
 	n := 0
 	for _, p := range r.window.Processes {
 		if p.Role == RoleController && p.Region == r.region {
@@ -48,26 +48,26 @@
 
 // Variable is what a figure may grow with.
 type Variable struct {
-	Name string
-	of   func(*row) float64
+	Name  string
+	value func(*observation) float64
 }
 
 // Variables of a region.
 var (
-	varWorkers = Variable{"workers", func(r *row) float64 { return float64(r.workers().Up) }}
-	varReports = Variable{"reports a second of a worker", func(r *row) float64 {
+	workersVariable          = Variable{"workers", func(r *observation) float64 { return float64(r.workers().Up) }}
+	reportsPerWorkerVariable = Variable{"reports a second of a worker", func(r *observation) float64 {
 		return r.perSecond(r.workers().Reports) / float64(r.workers().Up)
 	}}
-	varOwn = Variable{"workers of a controller", func(r *row) float64 {
+	workersPerControllerVariable = Variable{"workers of a controller", func(r *observation) float64 {
 		return float64(r.workers().Up) / r.controllers()
 	}}
-	varStarts  = Variable{"starts a second", func(r *row) float64 { return r.perSecond(r.workers().Starts) }}
-	varOwnEnds = Variable{"starts a second of a controller", func(r *row) float64 {
+	startsVariable              = Variable{"starts a second", func(r *observation) float64 { return r.perSecond(r.workers().Starts) }}
+	startsPerControllerVariable = Variable{"starts a second of a controller", func(r *observation) float64 {
 		return r.perSecond(r.workers().Starts) / r.controllers()
 	}}
-	varMembers = Variable{"controllers", (*row).controllers}
-	varOpen    = Variable{"open jobs", func(r *row) float64 { return float64(r.world().Open) }}
-	varJobs    = Variable{"jobs a second", func(r *row) float64 {
+	controllersVariable = Variable{"controllers", (*observation).controllers}
+	openJobsVariable    = Variable{"open jobs", func(r *observation) float64 { return float64(r.world().Open) }}
+	jobsVariable        = Variable{"jobs a second", func(r *observation) float64 {
 		w := r.world()
 		return r.perSecond(int64(w.Accepted+w.Done)) / 2
 	}}
@@ -76,40 +76,40 @@
 // figure is what a role costs.
 type figure struct {
 	role, unit string
-	of         func(*row) float64
-	by         []Variable
+	value      func(*observation) float64
+	variables  []Variable
 }
 
-func cores(u Usage) float64 { return u.Cores }
-func mb(u Usage) float64    { return u.ResidentMB }
+func coresOf(u Usage) float64      { return u.Cores }
+func residentMBOf(u Usage) float64 { return u.ResidentMB }
 
 // figures are those of the capacity page, in its order.
 var figures = []figure{
-	{"worker, control part", "ms of processor a second", func(r *row) float64 {
-		return 1000 * r.mean(RoleHollow, false, cores) / float64(r.workers().Up)
-	}, []Variable{varReports}},
-	{"worker, control part", "bytes a second", func(r *row) float64 {
+	{"worker, control part", "ms of processor a second", func(r *observation) float64 {
+		return 1000 * r.meanUsage(RoleHollow, false, coresOf) / float64(r.workers().Up)
+	}, []Variable{reportsPerWorkerVariable}},
+	{"worker, control part", "bytes a second", func(r *observation) float64 {
 		w := r.workers()
 		return r.perSecond(w.BytesIn+w.BytesOut) / float64(w.Up)
-	}, []Variable{varReports}},
-	{"hollow workers, all of a region", "MB", func(r *row) float64 { return r.mean(RoleHollow, false, mb) },
-		[]Variable{varWorkers}},
-	{"controller that does not lead", "cores", func(r *row) float64 { return r.mean(RoleController, false, cores) },
-		[]Variable{varOwn, varOwnEnds}},
-	{"controller that does not lead", "MB", func(r *row) float64 { return r.mean(RoleController, false, mb) },
-		[]Variable{varOwn}},
-	{"leader of a region", "cores", func(r *row) float64 { return r.mean(RoleController, true, cores) },
-		[]Variable{varWorkers, varStarts, varOpen}},
-	{"leader of a region", "MB", func(r *row) float64 { return r.mean(RoleController, true, mb) },
-		[]Variable{varWorkers, varOwn}},
-	{"state service of a region", "requests a second", func(r *row) float64 {
+	}, []Variable{reportsPerWorkerVariable}},
+	{"hollow workers, all of a region", "MB", func(r *observation) float64 { return r.meanUsage(RoleHollow, false, residentMBOf) },
+		[]Variable{workersVariable}},
+	{"controller that does not lead", "cores", func(r *observation) float64 { return r.meanUsage(RoleController, false, coresOf) },
+		[]Variable{workersPerControllerVariable, startsPerControllerVariable}},
+	{"controller that does not lead", "MB", func(r *observation) float64 { return r.meanUsage(RoleController, false, residentMBOf) },
+		[]Variable{workersPerControllerVariable}},
+	{"leader of a region", "cores", func(r *observation) float64 { return r.meanUsage(RoleController, true, coresOf) },
+		[]Variable{workersVariable, startsVariable, openJobsVariable}},
+	{"leader of a region", "MB", func(r *observation) float64 { return r.meanUsage(RoleController, true, residentMBOf) },
+		[]Variable{workersVariable, workersPerControllerVariable}},
+	{"state service of a region", "requests a second", func(r *observation) float64 {
 		w := r.world()
 		all, _ := w.StateRequests()
 		return float64(all) / r.window.Seconds
-	}, []Variable{varMembers, varJobs, varStarts}},
-	{"state service of a region", "changes a second", func(r *row) float64 {
+	}, []Variable{controllersVariable, jobsVariable, startsVariable}},
+	{"state service of a region", "changes a second", func(r *observation) float64 {
 		return r.perSecond(int64(r.world().StateChanges))
-	}, []Variable{varJobs, varStarts}},
+	}, []Variable{jobsVariable, startsVariable}},
 }
 
 // Slope is a figure as a linear function of what it grows with, by least squares.
@@ -123,15 +123,15 @@
 	Rows       int
 }
 
-// errTooFew tells that a slope can't be told.
-var errTooFew = errors.New("too few windows: two more than a figure has variables are needed")
+// errTooFewWindows tells that a slope can't be told.
+var errTooFewWindows = errors.New("too few windows: two more than a figure has variables are needed")
 
 // Slopes fits all figures to the steady windows of some reports.
 func Slopes(reports []*Report) ([]Slope, error) {
-	rows := steady(reports)
+	observations := steadyObservations(reports)
 	out := make([]Slope, 0, len(figures))
 	for i := range figures {
-		s, err := figures[i].fit(rows)
+		s, err := figures[i].fit(observations)
 		if err != nil {
 			return nil, fmt.Errorf("%s, %s: %w", figures[i].role, figures[i].unit, err)
 		}
@@ -140,54 +140,54 @@
 	return out, nil
 }
 
-func steady(reports []*Report) (rows []*row) {
-	for _, r := range reports {
-		for w := range r.Windows {
-			if r.Windows[w].Name != steadyWindow {
+func steadyObservations(reports []*Report) (observations []*observation) {
+	for _, report := range reports {
+		for w := range report.Windows {
+			if report.Windows[w].Name != steadyWindow {
 				continue
 			}
-			for i := range r.Windows[w].Regions {
-				rows = append(rows, &row{r, &r.Windows[w], i})
+			for i := range report.Windows[w].Regions {
+				observations = append(observations, &observation{report, &report.Windows[w], i})
 			}
 		}
 	}
-	return rows
+	return observations
 }
 
-func (f *figure) fit(rows []*row) (Slope, error) {
-	s := Slope{Role: f.role, Unit: f.unit, Rows: len(rows)}
-	n, k := len(rows), 1+len(f.by)
+func (f *figure) fit(observations []*observation) (Slope, error) {
+	slope := Slope{Role: f.role, Unit: f.unit, Rows: len(observations)}
+	n, k := len(observations), 1+len(f.variables)
 	if n < k+1 {
-		return s, errTooFew
+		return slope, errTooFewWindows
 	}
 	x, y := mat.NewDense(n, k, nil), mat.NewVecDense(n, nil)
-	for i, r := range rows {
+	for i, r := range observations {
 		x.Set(i, 0, 1)
-		for j, v := range f.by {
-			x.Set(i, j+1, v.of(r))
+		for j, v := range f.variables {
+			x.Set(i, j+1, v.value(r))
 		}
-		y.SetVec(i, f.of(r))
+		y.SetVec(i, f.value(r))
 	}
 	var beta mat.VecDense
 	if err := beta.SolveVec(x, y); err != nil { // QR: least squares
-		return s, fmt.Errorf("least squares: %w", err)
+		return slope, fmt.Errorf("least squares: %w", err)
 	}
-	s.Base = beta.AtVec(0)
-	for j, v := range f.by {
-		s.By = append(s.By, v.Name)
-		s.Each = append(s.Each, beta.AtVec(j+1))
+	slope.Base = beta.AtVec(0)
+	for j, v := range f.variables {
+		slope.By = append(slope.By, v.Name)
+		slope.Each = append(slope.Each, beta.AtVec(j+1))
 	}
-	var at mat.VecDense
-	at.MulVec(x, &beta)
+	var predicted mat.VecDense
+	predicted.MulVec(x, &beta)
 	sum := 0.0
 	for i := range n {
-		off := math.Abs(y.AtVec(i) - at.AtVec(i))
-		sum += off * off
-		s.Worst = max(s.Worst, off)
+		residual := math.Abs(y.AtVec(i) - predicted.AtVec(i))
+		sum += residual * residual
+		slope.Worst = max(slope.Worst, residual)
 	}
-	s.RMS = math.Sqrt(sum / float64(n))
-	s.R2 = stat.RSquaredFrom(at.RawVector().Data, y.RawVector().Data, nil)
-	return s, nil
+	slope.RMS = math.Sqrt(sum / float64(n))
+	slope.R2 = stat.RSquaredFrom(predicted.RawVector().Data, y.RawVector().Data, nil)
+	return slope, nil
 }
 
 // Prediction of a figure of a run that the slopes do not rest on.
@@ -199,21 +199,21 @@
 // Predict tells what slopes say of a run's steady window, region by region on average,
 // beside what was measured.
 func Predict(slopes []Slope, run *Report) ([]Prediction, error) {
-	rows := steady([]*Report{run})
-	if len(rows) == 0 {
-		return nil, errTooFew
+	observations := steadyObservations([]*Report{run})
+	if len(observations) == 0 {
+		return nil, errTooFewWindows
 	}
 	out := make([]Prediction, 0, len(figures))
 	for i := range figures {
 		f, s := &figures[i], &slopes[i]
 		p := Prediction{Role: f.role, Unit: f.unit}
-		for _, r := range rows {
-			at := s.Base
-			for j, v := range f.by {
-				at += s.Each[j] * v.of(r)
+		for _, r := range observations {
+			predicted := s.Base
+			for j, v := range f.variables {
+				predicted += s.Each[j] * v.value(r)
 			}
-			p.Predicted += at / float64(len(rows))
-			p.Measured += f.of(r) / float64(len(rows))
+			p.Predicted += predicted / float64(len(observations))
+			p.Measured += f.value(r) / float64(len(observations))
 		}
 		out = append(out, p)
 	}
--- a/internal/scale/slopes_test.go
+++ b/internal/scale/slopes_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// linear is a report of a region of so many workers whose costs are known linear functions.
-func linear(workers, controllers int, starts float64) *Report {
+// linearReport is a report of a region of so many workers whose costs are known linear functions.
+func linearReport(workers, controllers int, starts float64) *Report {
 	const seconds = 10
 	w := Window{Name: steadyWindow, Seconds: seconds}
 	own := float64(workers) / float64(controllers)
@@ -33,10 +33,10 @@
 
 // Costs that are linear are found as such, and a size that the slopes do not rest on is
 // predicted; too few runs are told.
-func TestSlopes(t *testing.T) {
+func TestSlopesFitLinearCosts(t *testing.T) {
 	var reports []*Report
 	for i, workers := range []int{100, 217, 450, 800, 1300, 1900} {
-		reports = append(reports, linear(workers, 3+i*2, float64(10+(i*i*37)%101)))
+		reports = append(reports, linearReport(workers, 3+i*2, float64(10+(i*i*37)%101)))
 	}
 	slopes, err := Slopes(reports)
 	if err != nil {
@@ -56,7 +56,7 @@
 	if !found {
 		t.Error("no slope of the controllers")
 	}
-	predictions, err := Predict(slopes, linear(9400, 20, 3300))
+	predictions, err := Predict(slopes, linearReport(9400, 20, 3300))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 			t.Errorf("%+v", p)
 		}
 	}
-	if _, err := Slopes(reports[:2]); !errors.Is(err, errTooFew) {
+	if _, err := Slopes(reports[:2]); !errors.Is(err, errTooFewWindows) {
 		t.Errorf("%v of two runs", err)
 	}
 }
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -23,38 +23,38 @@
 
 // startRegion starts a region's processes.
 func (r *run) startRegion(ctx context.Context, spec RegionSpec) error {
-	g := &region{spec: spec, lost: map[int]bool{}}
+	region := &runningRegion{spec: spec, permanentlyLost: map[int]bool{}}
 	r.mu.Lock()
-	r.regions = append(r.regions, g)
+	r.regions = append(r.regions, region)
 	r.mu.Unlock()
-	for i := range g.spec.Hosts {
-		h := &g.spec.Hosts[i]
-		for _, a := range []*string{&h.Bind, &h.Peer, &h.Operators} {
+	for i := range region.spec.Hosts {
+		host := &region.spec.Hosts[i]
+		for _, addr := range []*string{&host.Bind, &host.Peer, &host.Operators} {
 			var err error
-			if *a, err = dev.FreeAddr(); err != nil {
+			if *addr, err = dev.FreeAddr(); err != nil {
 				return err
 			}
 		}
 	}
-	g.spec.OperatorToken = rand.Text()
+	region.spec.OperatorToken = rand.Text()
 	var err error
 	var ready Ready
-	if g.hollow, ready, err = r.startChild(RoleHollow, g, "hollow"); err != nil {
+	if region.hollow, ready, err = r.startChild(RoleHollow, region, "hollow"); err != nil {
 		return err
 	}
-	g.hollowAddr, g.spec.HollowAddr = ready.Control, ready.Control
-	if g.world, ready, err = r.startChild(RoleWorld, g, "world"); err != nil {
+	region.hollowAddr, region.spec.HollowAddr = ready.Control, ready.Control
+	if region.world, ready, err = r.startChild(RoleWorld, region, "world"); err != nil {
 		return err
 	}
-	g.worldAddr = ready.Control
-	for i := range g.spec.Hosts {
-		files, err := r.configure(g, i, &ready)
+	region.worldAddr = ready.Control
+	for i := range region.spec.Hosts {
+		files, err := r.writeConfig(region, i, &ready)
 		if err != nil {
 			return err
 		}
-		g.configs = append(g.configs, files)
-		g.controllers = append(g.controllers, nil)
-		if err := r.startController(g, i); err != nil {
+		region.files = append(region.files, files)
+		region.controllers = append(region.controllers, nil)
+		if err := r.startController(region, i); err != nil {
 			return err
 		}
 	}
@@ -62,68 +62,68 @@
 }
 
 // startChild starts a process of hollow workers or of a region's world.
-func (r *run) startChild(role Role, g *region, verb string) (*process, Ready, error) {
-	path := filepath.Join(r.dir, g.spec.Name+"-"+verb+".json")
-	b, err := json.Marshal(g.spec)
+func (r *run) startChild(role Role, region *runningRegion, verb string) (*process, Ready, error) {
+	path := filepath.Join(r.configDir, region.spec.Name+"-"+verb+".json")
+	encoded, err := json.Marshal(region.spec)
 	if err != nil {
 		return nil, Ready{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := os.WriteFile(path, b, 0o600); err != nil {
+	if err := os.WriteFile(path, encoded, 0o600); err != nil {
 		return nil, Ready{}, fmt.Errorf("%s: %w", path, err)
 	}
-	p, err := r.start.start(role, g.spec.Index, g.spec.Name+"-"+verb, r.env.Binary,
+	child, err := r.starter.start(role, region.spec.Index, region.spec.Name+"-"+verb, r.env.Binary,
 		[]string{"scale", verb, "--spec", path}, os.Environ())
 	if err != nil {
 		return nil, Ready{}, err
 	}
-	r.keep(p)
-	ready, err := p.ready()
-	return p, ready, err
+	r.ensureMeter(child)
+	ready, err := child.awaitReady()
+	return child, ready, err
 }
 
-// files configure a controller.
-type files struct {
+// controllerFiles configure a controller.
+type controllerFiles struct {
 	platform string // what the platform tells it
 	settings string // its operators' settings
 }
 
-// configure writes a controller's files.
-func (r *run) configure(g *region, i int, world *Ready) (files, error) {
-	s, o := &g.spec, &r.o
-	h := s.Hosts[i]
-	p := config.Platform{HostName: h.Name, Zone: h.Zone, Bind: h.Bind, PeerListen: h.Peer}
-	for j, other := range s.Hosts {
+// writeConfig writes a controller's files.
+func (r *run) writeConfig(region *runningRegion, i int, world *Ready) (controllerFiles, error) {
+	spec, options := &region.spec, &r.options
+	host := spec.Hosts[i]
+	platform := config.Platform{HostName: host.Name, Zone: host.Zone, Bind: host.Bind, PeerListen: host.Peer}
+	for j, other := range spec.Hosts {
 		if j != i {
-			p.Siblings = append(p.Siblings, config.Sibling{HostName: other.Name, Zone: other.Zone, Address: other.Peer})
+			platform.Siblings = append(platform.Siblings, config.Sibling{HostName: other.Name, Zone: other.Zone, Address: other.Peer})
 		}
 	}
-	p.Services.Cloud, p.Services.State = world.Cloud, world.State[i]
-	c := &p.Cluster
-	c.Zones, c.SkewMS = s.Zones, 100
-	for _, t := range s.Teams {
-		c.Teams = append(c.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax})
-	}
-	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS = o.Timing.Report.Seconds(), o.Timing.Lease.Seconds(),
-		o.Timing.Cancel.Seconds()
-	c.State.RPS, c.State.WriteRPS, c.State.ValueKB, c.State.TxnOps = o.Limits.StateRPS, o.Limits.StateWriteRPS,
-		o.Limits.StateValueKB, o.Limits.StateTxnOps
-	c.Cloud.RPS, c.Cloud.ListLagS = o.Limits.CloudRPS, o.Limits.CloudListLag.Seconds()
-	c.Resources.CPU, c.Resources.MemMB, c.Resources.FDLimit = o.ControllerLimit.CPU, o.ControllerLimit.MemMB,
-		o.ControllerLimit.FDs
-	b, err := toml.Marshal(p)
+	platform.Services.Cloud, platform.Services.State = world.Cloud, world.State[i]
+	cluster := &platform.Cluster
+	cluster.Zones, cluster.SkewMS = spec.Zones, 100
+	for _, team := range spec.Teams {
+		cluster.Teams = append(cluster.Teams, config.Team{Name: team.Name, CPUs: team.CPUs, CPUsMax: team.CPUsMax})
+	}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = options.Timing.Report.Seconds(), options.Timing.Lease.Seconds(),
+		options.Timing.Cancel.Seconds()
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = options.Limits.StateRPS, options.Limits.StateWriteRPS,
+		options.Limits.StateValueKB, options.Limits.StateTxnOps
+	cluster.Cloud.RPS, cluster.Cloud.ListLagS = options.Limits.CloudRPS, options.Limits.CloudListLag.Seconds()
+	cluster.Resources.CPU, cluster.Resources.MemMB, cluster.Resources.FDLimit = options.ControllerLimit.CPU, options.ControllerLimit.MemMB,
+		options.ControllerLimit.FDs
+	encoded, err := toml.Marshal(platform)
 	if err != nil {
-		return files{}, fmt.Errorf("settings of %s: %w", h.Name, err)
+		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
 	}
-	settings, err := prototext.Marshal(&settingspb.Settings{Operator: &settingspb.Operator{Listen: h.Operators,
-		Access: []*settingspb.Access{{Name: "scale", Role: "operate", TokenSha256: tokenHash(s.OperatorToken)}}}})
+	settings, err := prototext.Marshal(&settingspb.Settings{Operator: &settingspb.Operator{Listen: host.Operators,
+		Access: []*settingspb.Access{{Name: "scale", Role: "operate", TokenSha256: tokenHash(spec.OperatorToken)}}}})
 	if err != nil {
-		return files{}, fmt.Errorf("settings of %s: %w", h.Name, err)
+		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
 	}
-	f := files{platform: filepath.Join(r.dir, h.Name+".toml"), settings: filepath.Join(r.dir, h.Name+".textproto")}
-	if err := errors.Join(os.WriteFile(f.platform, b, 0o600), os.WriteFile(f.settings, settings, 0o600)); err != nil {
-		return files{}, fmt.Errorf("settings of %s: %w", h.Name, err)
+	paths := controllerFiles{platform: filepath.Join(r.configDir, host.Name+".toml"), settings: filepath.Join(r.configDir, host.Name+".textproto")}
+	if err := errors.Join(os.WriteFile(paths.platform, encoded, 0o600), os.WriteFile(paths.settings, settings, 0o600)); err != nil {
+		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
 	}
-	return f, nil
+	return paths, nil
 }
 
 func tokenHash(token string) string {
@@ -132,24 +132,24 @@
 }
 
 // startController starts a controller as it is deployed, or starts it again.
-func (r *run) startController(g *region, i int) error {
-	p, err := r.start.start(RoleController, g.spec.Index, g.spec.Hosts[i].Name, r.env.Binary,
-		[]string{"serve", "--config", g.configs[i].platform, "--settings", g.configs[i].settings}, os.Environ())
+func (r *run) startController(region *runningRegion, i int) error {
+	p, err := r.starter.start(RoleController, region.spec.Index, region.spec.Hosts[i].Name, r.env.Binary,
+		[]string{"serve", "--config", region.files[i].platform, "--settings", region.files[i].settings}, os.Environ())
 	if err != nil {
 		return err
 	}
 	go func() { _, _ = io.Copy(io.Discard, p.stdout) }()
 	r.mu.Lock()
-	g.controllers[i] = p
+	region.controllers[i] = p
 	if m := r.meters[p.name]; m != nil {
-		m.restarted()
+		m.recordRestart()
 	}
 	r.mu.Unlock()
-	r.keep(p)
+	r.ensureMeter(p)
 	return nil
 }
 
-func (r *run) keep(p *process) {
+func (r *run) ensureMeter(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.meters[p.name] == nil {
@@ -162,8 +162,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*process
-	for _, g := range r.regions {
-		for _, p := range append([]*process{g.hollow, g.world}, g.controllers...) {
+	for _, region := range r.regions {
+		for _, p := range append([]*process{region.hollow, region.world}, region.controllers...) {
 			if p != nil {
 				out = append(out, p)
 			}
@@ -172,13 +172,13 @@
 	return out
 }
 
-// end ends all processes that were started. The run's context has ended.
-func (r *run) end() {
+// stopAll ends all processes that were started. The run's context has ended.
+func (r *run) stopAll() {
 	r.background.Wait() // nothing is told or asked once the run has returned
-	r.restarts.Wait()
-	var all sync.WaitGroup
+	r.pendingRestarts.Wait()
+	var wg sync.WaitGroup
 	for _, p := range r.processes() {
-		all.Go(func() {
+		wg.Go(func() {
 			if p.role == RoleController {
 				p.kill()
 			} else {
@@ -186,5 +186,5 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
--- a/internal/scale/stats.go
+++ b/internal/scale/stats.go
@@ -21,20 +21,20 @@
 }
 
 const (
-	longestMS = int64(time.Hour / time.Millisecond)
-	digits    = 3
+	maxMillis         = int64(time.Hour / time.Millisecond)
+	significantDigits = 3
 )
 
-func newHistogram() *histogram { return &histogram{h: hdr.New(1, longestMS, digits)} }
+func newHistogram() *histogram { return &histogram{h: hdr.New(1, maxMillis, significantDigits)} }
 
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(max(d.Milliseconds(), 0), longestMS)) // within its range
+	_ = h.h.RecordValue(min(max(d.Milliseconds(), 0), maxMillis)) // within its range
 }
 
-// take sums up, and begins anew if that is wanted.
-func (h *histogram) take(reset bool) Quantiles {
+// snapshot sums up, and begins anew if that is wanted.
+func (h *histogram) snapshot(reset bool) Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q := Quantiles{Count: h.h.TotalCount(), P50: h.h.ValueAtQuantile(50), P90: h.h.ValueAtQuantile(90),
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -9,25 +9,25 @@
 
 // sample is what a process has used so far, as the kernel tells.
 type sample struct {
-	at      time.Time
-	cpu     float64 // seconds
-	rss     int     // bytes
-	sockets int     // open files, which are sockets but for a few
-	read    uint64  // bytes, of sockets for the most part
-	written uint64
+	at           time.Time
+	cpu          float64 // seconds
+	rss          int     // bytes
+	sockets      int     // open files, which are sockets but for a few
+	readBytes    uint64  // bytes, of sockets for the most part
+	writtenBytes uint64
 }
 
-// sampleOf reads a process's figures.
-func sampleOf(fs procfs.FS, pid int) (sample, error) {
+// readSample reads a process's figures.
+func readSample(fs procfs.FS, pid int) (sample, error) {
 	p, err := fs.Proc(pid)
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	st, err := p.Stat()
+	stat, err := p.Stat()
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	io, err := p.IO()
+	ioCounters, err := p.IO()
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
@@ -35,8 +35,8 @@
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	return sample{at: time.Now(), cpu: st.CPUTime(), rss: st.ResidentMemory(), sockets: files, read: io.RChar,
-		written: io.WChar}, nil
+	return sample{at: time.Now(), cpu: stat.CPUTime(), rss: stat.ResidentMemory(), sockets: files, readBytes: ioCounters.RChar,
+		writtenBytes: ioCounters.WChar}, nil
 }
 
 // Usage of a process in a window.
@@ -56,51 +56,51 @@
 
 // meter follows a process through its restarts.
 type meter struct {
-	last    sample // since its last start; its time is zero before the first
-	usage   Usage
-	begun   sample
-	cpu     float64 // of earlier lives in this window
-	read    uint64
-	written uint64
-	since   time.Time
+	last           sample // since its last start; its time is zero before the first
+	usage          Usage
+	base           sample
+	earlierCPU     float64 // of earlier lives in this window
+	earlierRead    uint64
+	earlierWritten uint64
+	windowStart    time.Time
 }
 
-// open begins a window.
-func (m *meter) open(now time.Time) {
-	*m = meter{last: m.last, begun: m.last, since: now}
+// beginWindow begins a window.
+func (m *meter) beginWindow(now time.Time) {
+	*m = meter{last: m.last, base: m.last, windowStart: now}
 }
 
-// restarted begins another life.
-func (m *meter) restarted() {
-	m.addLife()
-	m.last, m.begun = sample{}, sample{}
+// recordRestart begins another life.
+func (m *meter) recordRestart() {
+	m.addCurrentRun()
+	m.last, m.base = sample{}, sample{}
 	m.usage.Restarts++
 }
 
-// addLife adds what the present life has used in this window.
-func (m *meter) addLife() {
-	m.cpu += m.last.cpu - m.begun.cpu
-	m.read += m.last.read - m.begun.read
-	m.written += m.last.written - m.begun.written
+// addCurrentRun adds what the present life has used in this window.
+func (m *meter) addCurrentRun() {
+	m.earlierCPU += m.last.cpu - m.base.cpu
+	m.earlierRead += m.last.readBytes - m.base.readBytes
+	m.earlierWritten += m.last.writtenBytes - m.base.writtenBytes
 }
 
-func (m *meter) take(s sample) {
-	if d := s.at.Sub(m.last.at).Seconds(); d > 0 && !m.last.at.IsZero() {
-		m.usage.PeakCores = max(m.usage.PeakCores, (s.cpu-m.last.cpu)/d)
+func (m *meter) addSample(s sample) {
+	if elapsed := s.at.Sub(m.last.at).Seconds(); elapsed > 0 && !m.last.at.IsZero() {
+		m.usage.PeakCores = max(m.usage.PeakCores, (s.cpu-m.last.cpu)/elapsed)
 	}
 	m.last = s
 	m.usage.ResidentMB = max(m.usage.ResidentMB, float64(s.rss)/(1<<20))
 	m.usage.Sockets = max(m.usage.Sockets, s.sockets)
 }
 
-// close ends a window.
-func (m *meter) close(now time.Time) Usage {
-	m.addLife()
-	u := m.usage
-	if d := now.Sub(m.since).Seconds(); d > 0 {
-		u.Cores = m.cpu / d
-		u.ReadKBPerS = float64(m.read) / d / 1024
-		u.WrittenKBPerS = float64(m.written) / d / 1024
+// endWindow ends a window.
+func (m *meter) endWindow(now time.Time) Usage {
+	m.addCurrentRun()
+	usage := m.usage
+	if elapsed := now.Sub(m.windowStart).Seconds(); elapsed > 0 {
+		usage.Cores = m.earlierCPU / elapsed
+		usage.ReadKBPerS = float64(m.earlierRead) / elapsed / 1024
+		usage.WrittenKBPerS = float64(m.earlierWritten) / elapsed / 1024
 	}
-	return u
+	return usage
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -27,93 +27,93 @@
 
 // What users do, by their protocol.
 const (
-	urgentShare  = 0.2 // of all jobs; an urgent job is smaller
-	urgentPart   = 20  // ... by so many times
-	servicesEach = 8   // of so many teams one runs a service
-	replicas     = 2   // of a service
-	pollEvery    = 5 * time.Second
-	pollPatience = 2 * time.Second
-	askPatience  = 5 * time.Second
-	askAgain     = time.Second
-	longestAgain = 30 * time.Second
-	giveUpAfter  = time.Minute
-	maxTurns     = 3 // controllers that the load balancer tries for one connection
+	urgentShare         = 0.2 // of all jobs; an urgent job is smaller
+	urgentSizeDivisor   = 20  // ... by so many times
+	teamsPerService     = 8   // of so many teams one runs a service
+	serviceReplicas     = 2   // of a service
+	pollInterval        = 5 * time.Second
+	pollTimeout         = 2 * time.Second
+	requestTimeout      = 5 * time.Second
+	minRetryDelay       = time.Second
+	maxRetryDelay       = 30 * time.Second
+	retryPeriod         = time.Minute
+	maxControllersTried = 3 // controllers that the load balancer tries for one connection
 )
 
 // users submit a region's jobs and poll them.
 type users struct {
-	spec   RegionSpec
-	http   *http.Client
-	submit *histogram
-	poll   *histogram
-	finish *histogram
+	spec          RegionSpec
+	client        *http.Client
+	submitLatency *histogram
+	pollLatency   *histogram
+	finishLatency *histogram
 
-	polls, unanswered atomic.Int64
-	cancels           *cancellations
+	polls, unansweredPolls atomic.Int64
+	canceller              *canceller
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	last    int
-	next    int               // controller
-	jobs    map[string][]byte // described, by name
-	open    map[string]time.Time
-	counts  WorldStats
-	longest time.Duration
+	mu                sync.Mutex
+	rng               *rand.Rand
+	lastJob           int
+	nextController    int               // controller
+	descriptions      map[string][]byte // described, by name
+	lastAnswered      map[string]time.Time
+	counts            WorldStats
+	longestUnanswered time.Duration
 }
 
 func newUsers(spec RegionSpec) *users {
 	u := &users{
-		spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 11)), jobs: map[string][]byte{}, open: map[string]time.Time{},
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
+		spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 11)), descriptions: map[string][]byte{}, lastAnswered: map[string]time.Time{},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
 			IdleConnTimeout: 30 * time.Second}},
-		submit: newHistogram(), poll: newHistogram(), finish: newHistogram(),
+		submitLatency: newHistogram(), pollLatency: newHistogram(), finishLatency: newHistogram(),
 	}
-	u.cancels = &cancellations{users: u, answer: newHistogram()}
+	u.canceller = &canceller{users: u, answerLatency: newHistogram()}
 	return u
 }
 
 // run submits jobs until the context ends: as many tasks at once as are to run on average,
 // then as many as end.
 func (u *users) run(ctx context.Context) {
-	for i := 0; i < len(u.spec.Teams); i += servicesEach {
-		u.start(ctx, u.newJob(i, "daemon", standardRank, replicas, false))
+	for i := 0; i < len(u.spec.Teams); i += teamsPerService {
+		u.startJob(ctx, u.newJob(i, "daemon", standardRank, serviceReplicas, false))
 	}
 	for tasks := u.spec.Workers * u.spec.TasksPerWorker; tasks > 0; {
-		size := min(tasks, u.size())
-		u.start(ctx, u.newJob(u.team(), "batch", standardRank, size, true))
+		size := min(tasks, u.randomArraySize())
+		u.startJob(ctx, u.newJob(u.randomTeam(), "batch", standardRank, size, true))
 		tasks -= size
 	}
-	perJob := float64(u.spec.TasksPerJob) * (1 - urgentShare + urgentShare/urgentPart)
-	mean := float64(time.Second) * perJob / u.spec.startsPerSecond()
-	for sleep(ctx, time.Duration(u.exponential()*mean)) == nil {
-		if u.chance(urgentShare) {
-			u.start(ctx, u.newJob(u.team(), "batch", urgentRank, max(1, u.size()/urgentPart), false))
+	meanTasksPerJob := float64(u.spec.TasksPerJob) * (1 - urgentShare + urgentShare/urgentSizeDivisor)
+	meanInterval := float64(time.Second) * meanTasksPerJob / u.spec.startsPerSecond()
+	for sleepContext(ctx, time.Duration(u.randomExponential()*meanInterval)) == nil {
+		if u.randomBool(urgentShare) {
+			u.startJob(ctx, u.newJob(u.randomTeam(), "batch", urgentRank, max(1, u.randomArraySize()/urgentSizeDivisor), false))
 		} else {
-			u.start(ctx, u.newJob(u.team(), "batch", standardRank, u.size(), false))
+			u.startJob(ctx, u.newJob(u.randomTeam(), "batch", standardRank, u.randomArraySize(), false))
 		}
 	}
 }
 
-func (u *users) exponential() float64 {
+func (u *users) randomExponential() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.ExpFloat64()
 }
 
-func (u *users) chance(p float64) bool {
+func (u *users) randomBool(p float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.Float64() < p
 }
 
-func (u *users) team() int {
+func (u *users) randomTeam() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.IntN(len(u.spec.Teams))
 }
 
-// size is an array's number of tasks: half to one and a half times the mean.
-func (u *users) size() int {
+// randomArraySize is an array's number of tasks: half to one and a half times the mean.
+func (u *users) randomArraySize() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return max(1, int(float64(u.spec.TasksPerJob)*(0.5+u.rng.Float64())))
@@ -123,15 +123,15 @@
 type job struct {
 	name, rank, shape string
 	body              []byte
-	asked             time.Time
+	submittedAt       time.Time
 }
 
 // newJob describes a job. The tasks of a residual one are taken to have run for a while.
 func (u *users) newJob(team int, shape, rank string, tasks int, residual bool) *job {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.last++
-	j := &job{name: fmt.Sprintf("job-%06d", u.last), rank: rank, shape: shape, asked: time.Now()}
+	u.lastJob++
+	j := &job{name: fmt.Sprintf("job-%06d", u.lastJob), rank: rank, shape: shape, submittedAt: time.Now()}
 	estimate := u.spec.MeanTask.Seconds()
 	if shape != "batch" {
 		estimate = 0
@@ -140,161 +140,161 @@
 		"NameId": j.name, "Comb": shape + "-" + rank, "Colony": u.spec.Teams[team].Name, "Shape": shape, "Rank": rank,
 		"Cells": tasks, "Cpus": taskCPUs, "Accelerators": 0, "MemGb": taskMemGB, "Wax": "image-" + rank, "ImageGb": 0,
 		"Together": false, "Spread": false, "SwarmBoxes": false, "ForageS": estimate, "CapIntervalS": 0, "CapS": 0,
-		"AskedMs": j.asked.UnixMilli(), "Residual": residual,
+		"AskedMs": j.submittedAt.UnixMilli(), "Residual": residual,
 	})
 	if err != nil {
 		panic(fmt.Sprintf("encode a job: %v", err)) // plain values always encode
 	}
 	j.body = body
-	u.jobs[j.name] = body
+	u.descriptions[j.name] = body
 	u.counts.Submitted++
 	return j
 }
 
-// described is a job's description, nil if there is none of that name.
-func (u *users) described(name string) []byte {
+// description is a job's description, nil if there is none of that name.
+func (u *users) description(name string) []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.jobs[name]
+	return u.descriptions[name]
 }
 
-func (u *users) start(ctx context.Context, j *job) { go u.follow(ctx, j) }
+func (u *users) startJob(ctx context.Context, j *job) { go u.runJob(ctx, j) }
 
-// follow is a user's life with one job.
-func (u *users) follow(ctx context.Context, j *job) {
-	if !u.accepted(ctx, j) {
+// runJob is a user's life with one job.
+func (u *users) runJob(ctx context.Context, j *job) {
+	if !u.submitJob(ctx, j) {
 		return
 	}
-	if j.shape == "batch" && u.chance(u.spec.CancelledShare) {
-		go u.cancels.cancel(ctx, j.name, time.Duration(u.exponential()*float64(u.spec.MeanTask)))
+	if j.shape == "batch" && u.randomBool(u.spec.CancelledShare) {
+		go u.canceller.cancelAndCheck(ctx, j.name, time.Duration(u.randomExponential()*float64(u.spec.MeanTask)))
 	}
-	answered := time.Now()
-	u.note(func() { u.open[j.name] = answered })
-	for sleep(ctx, u.jittered(pollEvery)) == nil {
-		st, status := u.ask(ctx, j.name)
+	acceptedAt := time.Now()
+	u.withLock(func() { u.lastAnswered[j.name] = acceptedAt })
+	for sleepContext(ctx, u.withJitter(pollInterval)) == nil {
+		state, status := u.pollJob(ctx, j.name)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case status == http.StatusNotFound:
-			u.note(func() {
+			u.withLock(func() {
 				u.counts.Lost++
 				u.counts.Losses = append(u.counts.Losses, j.name+" was accepted, then answered with 404")
-				delete(u.open, j.name)
+				delete(u.lastAnswered, j.name)
 			})
 			return
 		case status != http.StatusOK:
 			continue
 		}
 		now := time.Now()
-		u.note(func() {
-			u.longest = max(u.longest, now.Sub(u.open[j.name]))
-			u.open[j.name] = now
+		u.withLock(func() {
+			u.longestUnanswered = max(u.longestUnanswered, now.Sub(u.lastAnswered[j.name]))
+			u.lastAnswered[j.name] = now
 		})
-		if st.Stage == "done" || st.Stage == "aborted" {
-			u.finish.record(now.Sub(j.asked))
-			u.note(func() {
+		if state.Stage == "done" || state.Stage == "aborted" {
+			u.finishLatency.record(now.Sub(j.submittedAt))
+			u.withLock(func() {
 				u.counts.Done++
-				delete(u.open, j.name)
+				delete(u.lastAnswered, j.name)
 			})
 			return
 		}
 	}
 }
 
-func (u *users) note(f func()) {
+func (u *users) withLock(f func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f()
 }
 
-// jittered is a duration plus or minus a tenth.
-func (u *users) jittered(d time.Duration) time.Duration {
+// withJitter is a duration plus or minus a tenth.
+func (u *users) withJitter(d time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return time.Duration(float64(d) * (0.9 + 0.2*u.rng.Float64()))
 }
 
-// accepted submits a job until it is accepted, for up to a minute.
-func (u *users) accepted(ctx context.Context, j *job) bool {
-	status := u.insist(ctx, j.asked, "/v1/jobs", j.body, http.StatusOK, http.StatusCreated, http.StatusBadRequest,
+// submitJob submits a job until it is accepted, for up to a minute.
+func (u *users) submitJob(ctx context.Context, j *job) bool {
+	status := u.retryCall(ctx, j.submittedAt, "/v1/jobs", j.body, http.StatusOK, http.StatusCreated, http.StatusBadRequest,
 		http.StatusUnprocessableEntity)
 	switch {
 	case status == http.StatusOK || status == http.StatusCreated:
-		u.submit.record(time.Since(j.asked))
-		u.note(func() { u.counts.Accepted++ })
+		u.submitLatency.record(time.Since(j.submittedAt))
+		u.withLock(func() { u.counts.Accepted++ })
 		return true
 	case ctx.Err() == nil:
-		u.note(func() { u.counts.Refused++ })
+		u.withLock(func() { u.counts.Refused++ })
 	}
 	return false
 }
 
-// insist repeats a call until it is answered with one of the final statuses, and returns that;
+// retryCall repeats a call until it is answered with one of the final statuses, and returns that;
 // 0 if it was not for a minute since the first try, or the context has ended.
-func (u *users) insist(ctx context.Context, began time.Time, path string, body []byte, final ...int) int {
-	for time.Since(began) < giveUpAfter {
-		status, again, _ := u.call(ctx, askPatience, http.MethodPost, path, body)
+func (u *users) retryCall(ctx context.Context, started time.Time, path string, body []byte, final ...int) int {
+	for time.Since(started) < retryPeriod {
+		status, retryAfter, _ := u.callOnce(ctx, requestTimeout, http.MethodPost, path, body)
 		if slices.Contains(final, status) {
 			return status
 		}
-		if sleep(ctx, u.jittered(again)) != nil {
+		if sleepContext(ctx, u.withJitter(retryAfter)) != nil {
 			return 0
 		}
 	}
 	return 0
 }
 
-// ask polls a job once.
-func (u *users) ask(ctx context.Context, name string) (st wire.JobState, status int) {
+// pollJob polls a job once.
+func (u *users) pollJob(ctx context.Context, name string) (state wire.JobState, status int) {
 	u.polls.Add(1)
-	began := time.Now()
-	status, _, b := u.call(ctx, pollPatience, http.MethodGet, "/v1/jobs/"+name, nil)
+	started := time.Now()
+	status, _, answer := u.callOnce(ctx, pollTimeout, http.MethodGet, "/v1/jobs/"+name, nil)
 	if status != http.StatusOK && status != http.StatusNotFound {
-		u.unanswered.Add(1)
-		return st, status
+		u.unansweredPolls.Add(1)
+		return state, status
 	}
-	u.poll.record(time.Since(began))
-	if status == http.StatusOK && json.Unmarshal(b, &st) != nil {
+	u.pollLatency.record(time.Since(started))
+	if status == http.StatusOK && json.Unmarshal(answer, &state) != nil {
 		status = 0
 	}
-	return st, status
+	return state, status
 }
 
-// call makes one request by way of a load balancer; again is when to try once more.
-func (u *users) call(ctx context.Context, patience time.Duration, method, path string, body []byte) (status int,
-	again time.Duration, answer []byte) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// callOnce makes one request by way of a load balancer; again is when to try once more.
+func (u *users) callOnce(ctx context.Context, timeout time.Duration, method, path string, body []byte) (status int,
+	retryAfter time.Duration, answer []byte) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	res, err := u.balanced(ctx, method, path, body)
+	response, err := u.doBalanced(ctx, method, path, body)
 	if err != nil {
-		return 0, askAgain, nil
+		return 0, minRetryDelay, nil
 	}
-	defer res.Body.Close()
-	answer, err = io.ReadAll(res.Body)
+	defer response.Body.Close()
+	answer, err = io.ReadAll(response.Body)
 	if err != nil {
-		return 0, askAgain, nil
+		return 0, minRetryDelay, nil
 	}
-	again = askAgain
-	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		again = min(max(again, time.Duration(s)*time.Second), longestAgain)
+	retryAfter = minRetryDelay
+	if s, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
+		retryAfter = min(max(retryAfter, time.Duration(s)*time.Second), maxRetryDelay)
 	}
-	return res.StatusCode, again, answer
+	return response.StatusCode, retryAfter, answer
 }
 
-// balanced makes a request at the next controller in turn; one that refuses the connection is
+// doBalanced makes a request at the next controller in turn; one that refuses the connection is
 // passed over for the next, for up to maxTurns in all.
-func (u *users) balanced(ctx context.Context, method, path string, body []byte) (res *http.Response, err error) {
-	for range maxTurns {
+func (u *users) doBalanced(ctx context.Context, method, path string, body []byte) (response *http.Response, err error) {
+	for range maxControllersTried {
 		u.mu.Lock()
-		u.next++
-		addr := u.spec.Hosts[u.next%len(u.spec.Hosts)].Bind
+		u.nextController++
+		addr := u.spec.Hosts[u.nextController%len(u.spec.Hosts)].Bind
 		u.mu.Unlock()
 		var req *http.Request
 		if req, err = http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body)); err != nil {
 			return nil, err
 		}
-		if res, err = u.http.Do(req); !errors.Is(err, syscall.ECONNREFUSED) {
-			return res, err
+		if response, err = u.client.Do(req); !errors.Is(err, syscall.ECONNREFUSED) {
+			return response, err
 		}
 	}
 	return nil, err
@@ -302,19 +302,19 @@
 
 func (u *users) stats(reset bool) WorldStats {
 	u.mu.Lock()
-	s := u.counts
-	s.Open = len(u.open)
-	longest := u.longest
-	for _, at := range u.open {
-		longest = max(longest, time.Since(at))
+	stats := u.counts
+	stats.Open = len(u.lastAnswered)
+	longest := u.longestUnanswered
+	for _, answeredAt := range u.lastAnswered {
+		longest = max(longest, time.Since(answeredAt))
 	}
 	if reset {
-		u.longest = 0
+		u.longestUnanswered = 0
 	}
 	u.mu.Unlock()
-	s.LongestUnanswered = longest.Seconds()
-	s.Polls, s.PollsUnanswered = u.polls.Load(), u.unanswered.Load()
-	s.Cancels = u.cancels.take(reset)
-	s.Submit, s.Poll, s.Finish = u.submit.take(reset), u.poll.take(reset), u.finish.take(reset)
-	return s
+	stats.LongestUnanswered = longest.Seconds()
+	stats.Polls, stats.PollsUnanswered = u.polls.Load(), u.unansweredPolls.Load()
+	stats.Cancels = u.canceller.snapshot(reset)
+	stats.Submit, stats.Poll, stats.Finish = u.submitLatency.snapshot(reset), u.pollLatency.snapshot(reset), u.finishLatency.snapshot(reset)
+	return stats
 }
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -16,19 +16,19 @@
 // snapshot asks all regions; their quantiles begin anew.
 func (r *run) snapshot(ctx context.Context) (snapshot, error) {
 	s := snapshot{make([]WorkersStats, len(r.regions)), make([]WorldStats, len(r.regions))}
-	err := r.each(func(g *region) error {
-		i := g.spec.Index
-		if err := control(ctx, http.MethodGet, g.hollowAddr, pathStats+"?reset=1", nil, &s.workers[i]); err != nil {
+	err := r.forEachRegion(func(region *runningRegion) error {
+		i := region.spec.Index
+		if err := callControl(ctx, http.MethodGet, region.hollowAddr, pathStats+"?reset=1", nil, &s.workers[i]); err != nil {
 			return err
 		}
-		return control(ctx, http.MethodGet, g.worldAddr, pathStats+"?reset=1", nil, &s.worlds[i])
+		return callControl(ctx, http.MethodGet, region.worldAddr, pathStats+"?reset=1", nil, &s.worlds[i])
 	})
 	return s, err
 }
 
-// measure measures for a while, after a fault if there is one.
-func (r *run) measure(ctx context.Context, name string, d time.Duration, f *Fault) error {
-	r.say("measuring: %s, for %v", name, d)
+// measureWindow measures for a while, after a fault if there is one.
+func (r *run) measureWindow(ctx context.Context, name string, duration time.Duration, fault *Fault) error {
+	r.printProgress("measuring: %s, for %v", name, duration)
 	before, err := r.snapshot(ctx)
 	if err != nil {
 		return err
@@ -36,115 +36,115 @@
 	began := time.Now()
 	r.mu.Lock()
 	for _, m := range r.meters {
-		m.open(began)
+		m.beginWindow(began)
 	}
 	r.mu.Unlock()
-	if f != nil {
-		if err := r.strike(ctx, f.Kind); err != nil {
+	if fault != nil {
+		if err := r.injectFault(ctx, fault.Kind); err != nil {
 			return err
 		}
 	}
-	if err := sleep(ctx, d-time.Since(began)); err != nil {
+	if err := sleepContext(ctx, duration-time.Since(began)); err != nil {
 		return err
 	}
 	after, err := r.snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	r.report.Windows = append(r.report.Windows, r.window(ctx, name, began, before, after))
+	r.report.Windows = append(r.report.Windows, r.buildWindow(ctx, name, began, before, after))
 	return nil
 }
 
-func (r *run) window(ctx context.Context, name string, began time.Time, before, after snapshot) Window {
+func (r *run) buildWindow(ctx context.Context, name string, began time.Time, before, after snapshot) Window {
 	now := time.Now()
-	w := Window{Name: name, Seconds: now.Sub(began).Seconds()}
+	window := Window{Name: name, Seconds: now.Sub(began).Seconds()}
 	leaders := map[string]bool{}
-	for i, g := range r.regions {
-		w.Regions = append(w.Regions, RegionWindow{Workers: after.workers[i].since(before.workers[i]),
-			World: after.worlds[i].since(before.worlds[i])})
-		if l := r.leader(ctx, g); l >= 0 {
-			leaders[g.spec.Hosts[l].Name] = true
+	for i, region := range r.regions {
+		window.Regions = append(window.Regions, RegionWindow{Workers: after.workers[i].minus(before.workers[i]),
+			World: after.worlds[i].minus(before.worlds[i])})
+		if l := r.leaderIndex(ctx, region); l >= 0 {
+			leaders[region.spec.Hosts[l].Name] = true
 		}
 	}
 	for _, p := range r.processes() {
 		r.mu.Lock()
-		u := r.meters[p.name].close(now)
+		usage := r.meters[p.name].endWindow(now)
 		r.mu.Unlock()
-		u.Role, u.Region, u.Name, u.Leader = p.role, p.region, p.name, leaders[p.name]
-		w.Processes = append(w.Processes, u)
+		usage.Role, usage.Region, usage.Name, usage.Leader = p.role, p.region, p.name, leaders[p.name]
+		window.Processes = append(window.Processes, usage)
 	}
-	return w
+	return window
 }
 
-// strike carries a fault out in the first region.
-func (r *run) strike(ctx context.Context, k FaultKind) error {
-	g := r.regions[0]
-	switch k {
+// injectFault carries a fault out in the first region.
+func (r *run) injectFault(ctx context.Context, kind FaultKind) error {
+	region := r.regions[0]
+	switch kind {
 	case RackGone:
-		return control(ctx, http.MethodPost, g.worldAddr, pathLose, Lose{Count: rackSize, Zone: g.spec.Zones[0]}, nil)
+		return callControl(ctx, http.MethodPost, region.worldAddr, pathLose, LoseRequest{Count: rackSize, Zone: region.spec.Zones[0]}, nil)
 	case ZoneLost:
-		return r.loseZone(ctx, g)
-	case AllEnd:
-		for i := range g.controllers {
-			if !g.lost[i] {
-				r.killController(ctx, g, i)
+		return r.loseZone(ctx, region)
+	case AllControllersKilled:
+		for i := range region.controllers {
+			if !region.permanentlyLost[i] {
+				r.killAndRestartController(ctx, region, i)
 			}
 		}
 		return nil
 	}
-	struck := r.leader(ctx, g)
-	if struck < 0 {
-		return fmt.Errorf("%s: %s has no leader", k, g.spec.Name)
+	target := r.leaderIndex(ctx, region)
+	if target < 0 {
+		return fmt.Errorf("%s: %s has no leader", kind, region.spec.Name)
 	}
-	if k == ControllerRestart {
-		struck = g.after(struck)
+	if kind == ControllerKilled {
+		target = region.nextController(target)
 	}
-	r.killController(ctx, g, struck)
+	r.killAndRestartController(ctx, region, target)
 	return nil
 }
 
 // loseZone ends all that is in a region's first zone: its workers, for which the cloud has no
 // others there, and its controllers, which don't come back within the run.
-func (r *run) loseZone(ctx context.Context, g *region) error {
-	zone := g.spec.Zones[0]
-	for i, h := range g.spec.Hosts {
+func (r *run) loseZone(ctx context.Context, region *runningRegion) error {
+	zone := region.spec.Zones[0]
+	for i, h := range region.spec.Hosts {
 		if h.Zone == zone {
-			g.lost[i] = true
-			r.endController(g, i)
+			region.permanentlyLost[i] = true
+			r.killController(region, i)
 		}
 	}
-	all := Lose{Count: g.spec.Workers, Zone: zone, ForGood: true}
-	return control(ctx, http.MethodPost, g.worldAddr, pathLose, all, nil)
+	request := LoseRequest{Count: region.spec.Workers, Zone: zone, ForGood: true}
+	return callControl(ctx, http.MethodPost, region.worldAddr, pathLose, request, nil)
 }
 
-// after is the next controller that has not ended for good; the same one if there is no other.
-func (g *region) after(i int) int {
-	for range g.controllers {
-		i = (i + 1) % len(g.controllers)
-		if !g.lost[i] {
+// nextController is the next controller that has not ended for good; the same one if there is no other.
+func (region *runningRegion) nextController(i int) int {
+	for range region.controllers {
+		i = (i + 1) % len(region.controllers)
+		if !region.permanentlyLost[i] {
 			break
 		}
 	}
 	return i
 }
 
-// endController kills a controller.
-func (r *run) endController(g *region, i int) *process {
+// killController kills a controller.
+func (r *run) killController(region *runningRegion, i int) *process {
 	r.mu.Lock()
-	p := g.controllers[i]
+	p := region.controllers[i]
 	r.mu.Unlock()
 	p.kill()
 	return p
 }
 
-// killController kills a controller, and starts it again after a while.
-func (r *run) killController(ctx context.Context, g *region, i int) {
-	p := r.endController(g, i)
-	r.restarts.Go(func() {
-		if sleep(ctx, restartAfter) != nil {
+// killAndRestartController kills a controller, and starts it again after a while.
+func (r *run) killAndRestartController(ctx context.Context, region *runningRegion, i int) {
+	p := r.killController(region, i)
+	r.pendingRestarts.Go(func() {
+		if sleepContext(ctx, restartDelay) != nil {
 			return
 		}
-		if err := r.startController(g, i); err != nil {
+		if err := r.startController(region, i); err != nil {
 			r.env.Log.Error("a controller was not started again", "host", p.name, "err", err)
 		}
 	})
