--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -76,7 +76,8 @@
 			"raise it or take more --regions", o.Workers, needed, machine.maxOpenFiles)
 	}
 	if needed := uint64(o.ControllerLimit.FDs); needed > machine.maxOpenFiles {
-		return fmt.Errorf("a controller may open %d files, more than this machine's limit of %d", needed, machine.maxOpenFiles)
+		return fmt.Errorf("a controller may open %d files, more than this machine's limit of %d", needed,
+			machine.maxOpenFiles)
 	}
 	return o.checkAddresses()
 }
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault that a run can inject.
 type FaultKind string
 
-// Kinds of faults.
+// The kinds of faults.
 const (
-	LeaderKilled         FaultKind = "leader-ends"         // a region's leader is killed, and started again
-	ControllerKilled     FaultKind = "controller-restarts" // another controller is killed, and started again
-	RackGone             FaultKind = "rack-gone"           // some workers of one zone stop at once
-	ZoneLost             FaultKind = "zone-lost"           // a zone's workers and controllers end at once, for good
-	AllControllersKilled FaultKind = "all-controllers-end" // all controllers of a region are killed at once
+	LeaderKilled         FaultKind = "leader-ends"         // the leader is killed and restarted
+	ControllerKilled     FaultKind = "controller-restarts" // a controller that does not lead is killed and restarted
+	RackGone             FaultKind = "rack-gone"           // rackSize workers of one zone stop at the same time
+	ZoneLost             FaultKind = "zone-lost"           // all workers and controllers of a zone stop and do not come back
+	AllControllersKilled FaultKind = "all-controllers-end" // all controllers are killed at the same time and restarted
 )
 
-// FaultKinds are all kinds.
+// FaultKinds lists all kinds of faults.
 var FaultKinds = []FaultKind{LeaderKilled, ControllerKilled, RackGone, ZoneLost, AllControllersKilled}
 
 const (
-	restartDelay = 3 * time.Second // a killed controller is started again
-	rackSize     = 40              // workers behind one switch
-	faultWindow  = 30 * time.Second
+	restartDelay = 3 * time.Second  // from the kill of a controller to its restart
+	rackSize     = 40               // workers behind one switch
+	faultWindow  = 30 * time.Second // length of the window that begins with a fault
 )
 
-// Fault of a run. It strikes the first region.
+// Fault is a fault that is injected into the first region.
 type Fault struct{ Kind FaultKind }
 
-// ParseFault reads a fault's name.
+// ParseFault returns the fault of the given name.
 func ParseFault(s string) (Fault, error) {
 	if k := FaultKind(s); slices.Contains(FaultKinds, k) {
 		return Fault{k}, nil
@@ -40,5 +40,5 @@
 	for _, k := range FaultKinds {
 		names = append(names, string(k))
 	}
-	return Fault{}, fmt.Errorf("%q is no fault: must be one of %s", s, strings.Join(names, ", "))
+	return Fault{}, fmt.Errorf("unknown fault %q: must be one of %s", s, strings.Join(names, ", "))
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -15,10 +15,11 @@
 	"honeylock/internal/standin"
 )
 
-// firstNetworkOctet is the second byte of the first region's workers' addresses.
+// firstNetworkOctet is the second octet of the loopback addresses (127.x.0.0/16) of the first region's workers; the
+// octet grows by one for each further region.
 const firstNetworkOctet = 20
 
-// hollowWorkers runs a region's workers.
+// hollowWorkers is the hollow process of a region: workers that speak the worker protocol but run no tasks.
 type hollowWorkers struct {
 	spec       RegionSpec
 	registry   *standin.Depot
@@ -28,12 +29,12 @@
 	otherWait  *histogram
 
 	mu            sync.Mutex
-	currentSecond int64 // unix time of the second that is being counted
-	currentStarts int64 // starts in it
-	peakStarts    int64 // starts in any second since the last reset
+	currentSecond int64 // Unix time of the second that currentStarts counts
+	currentStarts int64 // task starts in currentSecond
+	peakStarts    int64 // most task starts in one second since the last reset
 }
 
-// ServeHollow runs a region's workers until the context or the parent ends.
+// ServeHollow runs the workers of a region until the context ends or the parent process exits.
 func ServeHollow(ctx context.Context, spec RegionSpec, in io.Reader, out io.Writer) error {
 	h := &hollowWorkers{spec: spec, registry: standin.NewDepot(), urgentWait: newHistogram(), otherWait: newHistogram()}
 	h.registry.Brief = true
@@ -81,9 +82,10 @@
 	return announceReady(ctx, in, out, Ready{Control: addr})
 }
 
-// runTimeFactor is how much longer than the mean a task runs: 0.5 to 1.5, evenly, and the same for
-// a task whenever it runs. A task that is taken to have run for a while has left what such
-// tasks have left at a moment chosen by chance, so that a run begins in its steady state.
+// runTimeFactor is the ratio of a task's run time to the mean. It is uniform between 0.5 and 1.5 and depends only on
+// the seed and the task, so it is the same for every attempt. The tasks of a residual job count as already running:
+// their factor has the distribution of the remaining run time at a random moment, so the run starts in its steady
+// state.
 func runTimeFactor(seed uint64, j *standin.Job, task string) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s", seed, task)
@@ -92,13 +94,13 @@
 	switch {
 	case !j.Residual:
 		return 0.5 + uniform
-	case uniform < 0.5: // all tasks run for so long: half of what is left lies here
+	case uniform < 0.5: // every task runs for at least 0.5, so the remaining time is uniform up to there
 		return uniform
 	}
 	return 1.5 - math.Sqrt(2*(1-uniform))
 }
 
-// fetchDescription gets a job's description from its user.
+// fetchDescription gets a job's description from the region's world process. It returns nil if that fails.
 func (h *hollowWorkers) fetchDescription(name string) []byte {
 	world := h.worldAddr.Load()
 	if world == nil {
@@ -122,7 +124,7 @@
 	return b
 }
 
-// recordStart counts a task that has come onto a machine. It is called under the depot's lock.
+// recordStart counts a task start on a machine. The registry calls it with its lock held.
 func (h *hollowWorkers) recordStart(j *standin.Job, at time.Time) {
 	waits := h.otherWait
 	if strings.EqualFold(j.Rank, urgentRank) {
@@ -140,16 +142,17 @@
 	h.peakStarts = max(h.peakStarts, h.currentStarts)
 }
 
-// maxListed is how many broken rules a report names; all are counted.
+// maxListed is the maximum number of violations and of lost jobs that a report lists; all are counted.
 const maxListed = 20
 
+// stats returns the counts since the start of the process. reset restarts the quantiles and the peak.
 func (h *hollowWorkers) stats(reset bool) WorkersStats {
 	meter := &h.group.Meter
 	broken := h.registry.Broken()
 	s := WorkersStats{
 		Up: h.group.Size(), Running: h.registry.OnMachines(),
-		Starts: meter.Starts.Load(), Reports: meter.Reports.Load(), Commands: meter.Commands.Load(), Redirected: meter.Redirected.Load(),
-		Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(), Expired: meter.Expired.Load(),
+		Starts: meter.Starts.Load(), Reports: meter.Reports.Load(), Commands: meter.Commands.Load(),
+		Redirected: meter.Redirected.Load(), Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(), Expired: meter.Expired.Load(),
 		BytesIn: meter.BytesIn.Load(), BytesOut: meter.BytesOut.Load(),
 		UrgentWait: h.urgentWait.snapshot(reset), OtherWait: h.otherWait.snapshot(reset),
 		Broken: broken[:min(len(broken), maxListed)], BrokenCount: len(broken),
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Role of a process of a run.
+// Role is the role of a child process in a run.
 type Role string
 
-// Roles.
+// The roles of child processes.
 const (
 	RoleController Role = "controller"
 	RoleHollow     Role = "hollow workers"
 	RoleWorld      Role = "users, state service and cloud"
 )
 
-// process is a child that this run has started. It is ended by its id, and by nothing else.
+// process is a child process that this run has started. It is signalled only through its own process ID.
 type process struct {
 	role    Role
 	region  int
@@ -33,23 +33,25 @@
 	cmd     *exec.Cmd
 	stdin   io.Closer
 	stdout  io.ReadCloser
-	exited  chan struct{} // closed once it has been waited for
-	exitErr error         // how it ended
+	exited  chan struct{} // closed after the process has been waited for
+	exitErr error         // result of the wait; valid once exited is closed
 
 	mu            sync.Mutex
-	stopRequested bool // it was told to end
+	stopRequested bool // kill or stop was called
 	lastLines     []string
 }
 
-// keptLogLines of a child's log are told if it ends by itself.
+// keptLogLines is the number of last log lines of a child that the error for an unexpected exit contains.
 const keptLogLines = 15
 
-// starter starts children from one thread, for which they are killed should this process
-// end without ending them: the kernel ties that to the thread that started them.
+// starter starts all child processes from one locked OS thread. The children have a parent death signal, so they are
+// killed if this process dies without stopping them. The kernel sends that signal when the thread that started the
+// child exits, so the thread must live as long as this process.
 type starter struct {
 	calls chan func()
 }
 
+// newStarter starts the thread. It ends when calls is closed.
 func newStarter() *starter {
 	s := &starter{calls: make(chan func())}
 	go func() {
@@ -61,13 +63,14 @@
 	return s
 }
 
+// callOnThread runs a function on the starter's thread and returns its error.
 func (s *starter) callOnThread(call func() error) error {
 	done := make(chan error)
 	s.calls <- func() { done <- call() }
 	return <-done
 }
 
-// start runs a command; its standard output is the caller's to read.
+// start starts a command as a child process. The caller must read its standard output.
 func (s *starter) start(role Role, region int, name, binary string, args, env []string) (*process, error) {
 	p := &process{role: role, region: region, name: name, args: args, exited: make(chan struct{})}
 	p.cmd = exec.Command(binary, args...)
@@ -92,7 +95,7 @@
 	return p, nil
 }
 
-// collectLog keeps the last lines of a child's log, and waits for its end.
+// collectLog keeps the last lines of a child's log and waits for the child to exit.
 func (p *process) collectLog(stderr io.Reader) {
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(make([]byte, 4<<10), 1<<20)
@@ -102,23 +105,25 @@
 		p.lastLines = p.lastLines[max(0, len(p.lastLines)-keptLogLines):]
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, stderr) // after a line that was too long
+	_, _ = io.Copy(io.Discard, stderr) // the scanner stops at a line that is too long; read on so the child does not block
 	p.exitErr = p.cmd.Wait()
 	close(p.exited)
 }
 
+// pid is the child's process ID.
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the process to exit.
 func (p *process) kill() {
 	p.mu.Lock()
 	p.stopRequested = true
 	p.mu.Unlock()
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails if the process has already exited
 	<-p.exited
 }
 
-// stop has a child that follows its standard input end, and kills it if it does not.
+// stop closes the child's standard input, at which hollow and world processes exit, and kills the child if it is
+// still running after stopTimeout.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.stopRequested = true
@@ -131,10 +136,10 @@
 	}
 }
 
-// stopTimeout is how long a child may take to end.
+// stopTimeout is the time that a child has to exit before it is killed.
 const stopTimeout = 5 * time.Second
 
-// unexpectedExit tells how the process ended, if it was not told to.
+// unexpectedExit returns an error if the process has exited without a call of kill or stop, else nil.
 func (p *process) unexpectedExit() error {
 	select {
 	case <-p.exited:
@@ -146,11 +151,14 @@
 	if p.stopRequested {
 		return nil
 	}
-	return fmt.Errorf("%s ended by itself: %w; its last lines:\n%s", p.name, exitReason(p.exitErr), strings.Join(p.lastLines, "\n"))
+	return fmt.Errorf("%s exited unexpectedly: %w; last log lines:\n%s", p.name, exitReason(p.exitErr),
+		strings.Join(p.lastLines, "\n"))
 }
 
+// errExitZero stands for an exit without an error.
 var errExitZero = errors.New("exit status 0")
 
+// exitReason returns err, or errExitZero if there is none.
 func exitReason(err error) error {
 	if err == nil {
 		return errExitZero
@@ -158,7 +166,7 @@
 	return err
 }
 
-// awaitReady waits for a child's announcement.
+// awaitReady waits for the Ready message on the child's standard output.
 func (p *process) awaitReady() (Ready, error) {
 	type announcement struct {
 		ready Ready
@@ -174,13 +182,13 @@
 	case a := <-announced:
 		if a.err != nil {
 			<-p.exited
-			return Ready{}, errors.Join(fmt.Errorf("%s did not begin: %w", p.name, a.err), p.unexpectedExit())
+			return Ready{}, errors.Join(fmt.Errorf("%s failed to start: %w", p.name, a.err), p.unexpectedExit())
 		}
 		return a.ready, nil
 	case <-time.After(readyTimeout):
-		return Ready{}, fmt.Errorf("%s does not serve after %v", p.name, readyTimeout)
+		return Ready{}, fmt.Errorf("%s is not ready after %v", p.name, readyTimeout)
 	}
 }
 
-// readyTimeout is how long a child may take to serve.
+// readyTimeout is the time that a child has to become ready.
 const readyTimeout = 30 * time.Second
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -16,25 +16,26 @@
 	"github.com/prometheus/procfs"
 )
 
-// Environment of a run.
+// Environment is what a run needs from its caller.
 type Environment struct {
-	Binary  string // of honeylock
+	Binary  string // path of the honeylock program, which runs all child processes
 	Version string
 	Commit  string
 	Log     *slog.Logger
-	// Progress gets a line every few seconds.
+	// Progress receives a status line every few seconds.
 	Progress io.Writer
 }
 
-// UsageError is a mistake in what was asked for: nothing was started.
+// UsageError reports invalid options. No process was started.
 type UsageError struct{ Err error }
 
+// Error returns the text of the underlying error.
 func (e *UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the mistakes.
+// Unwrap returns the underlying error.
 func (e *UsageError) Unwrap() error { return e.Err }
 
-// runningRegion is a region that runs.
+// runningRegion is a region with its processes.
 type runningRegion struct {
 	spec            RegionSpec
 	hollow          *process
@@ -43,10 +44,10 @@
 	worldAddr       string
 	controllers     []*process
 	files           []controllerFiles
-	permanentlyLost map[int]bool // controllers that ended for good
+	permanentlyLost map[int]bool // indexes of controllers that are not restarted in this run
 }
 
-// run is a run under way.
+// run is the state of one call of Run.
 type run struct {
 	options   Options
 	env       Environment
@@ -58,29 +59,30 @@
 	regions   []*runningRegion
 	report    *Report
 
-	pendingRestarts sync.WaitGroup // controllers that are to be started again
-	background      sync.WaitGroup // what goes on beside the measuring until the run's context ends
+	pendingRestarts sync.WaitGroup // controllers that are waiting to be restarted
+	background      sync.WaitGroup // goroutines that run until the run's context ends
 
-	progressMu sync.Mutex // of Progress, which need not be safe for several goroutines
+	progressMu sync.Mutex // serializes writes to Progress, which may not be safe for concurrent use
 
-	mu     sync.Mutex // of regions' processes and of meters: sampling goes on beside the rest
+	// mu guards the processes of the regions and the meters, which the sampling goroutine reads.
+	mu     sync.Mutex
 	meters map[string]*meter
 }
 
-// steadyWindow is the window without a fault.
+// steadyWindow is the name of the window without a fault.
 const steadyWindow = "steady"
 
 const (
 	sampleInterval   = time.Second
 	progressInterval = 5 * time.Second
-	startTimeout     = time.Minute // for a leader, and for all machines to be up
+	startTimeout     = time.Minute // limit until a region has a leader and all its controllers are healthy
 )
 
-// Run plays a fleet and measures it. All that it starts has ended when it returns.
+// Run starts a fleet, puts load on it and measures it. All processes that it starts have ended when it returns.
 func Run(ctx context.Context, options Options, env Environment) (*Report, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
-		return nil, fmt.Errorf("figures of processes: %w", err)
+		return nil, fmt.Errorf("open the proc file system: %w", err)
 	}
 	machine, err := readMachine(fs)
 	if err != nil {
@@ -94,13 +96,13 @@
 	}
 	dir, err := os.MkdirTemp("", "honeylock-scale-")
 	if err != nil {
-		return nil, fmt.Errorf("settings of controllers: %w", err)
+		return nil, fmt.Errorf("create the configuration directory: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{options: options, env: env, procFS: fs, machine: machine, starter: newStarter(), configDir: dir, meters: map[string]*meter{},
-		rng: rand.New(rand.NewPCG(options.Seed, 21)),
-		report: &Report{Schema: SchemaVersion, Commit: env.Commit, Version: env.Version, At: time.Now().UTC(), Options: options,
-			Machine: MachineFacts{CPUs: runtime.NumCPU(), MemoryMB: machine.memoryMB}}}
+	r := &run{options: options, env: env, procFS: fs, machine: machine, starter: newStarter(), configDir: dir,
+		meters: map[string]*meter{}, rng: rand.New(rand.NewPCG(options.Seed, 21)),
+		report: &Report{Schema: SchemaVersion, Commit: env.Commit, Version: env.Version, At: time.Now().UTC(),
+			Options: options, Machine: MachineFacts{CPUs: runtime.NumCPU(), MemoryMB: machine.memoryMB}}}
 	defer close(r.starter.calls)
 	defer r.stopAll()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -120,7 +122,7 @@
 	return r.report, nil
 }
 
-// execute brings the fleet up, loads it, and measures window after window.
+// execute starts the fleet and its load, then measures the steady window and one window for each fault.
 func (r *run) execute(ctx context.Context, cancel context.CancelCauseFunc) error {
 	for _, spec := range r.options.regionSpecs() {
 		if err := r.startRegion(ctx, spec); err != nil {
@@ -144,7 +146,7 @@
 		return err
 	}
 	r.background.Go(func() { r.replaceWorkers(ctx) })
-	r.printProgress("%d workers are up, users begin", r.options.Workers)
+	r.printProgress("%d workers are up; users start to submit jobs", r.options.Workers)
 	if err := sleepContext(ctx, r.options.Ramp); err != nil {
 		return err
 	}
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// forEachRegion does something in all regions at once.
+// forEachRegion calls f for all regions concurrently and returns their errors joined.
 func (r *run) forEachRegion(f func(*runningRegion) error) error {
 	errs := make([]error, len(r.regions))
 	var wg sync.WaitGroup
@@ -170,15 +172,15 @@
 	return errors.Join(errs...)
 }
 
-// printProgress writes a line of progress.
+// printProgress writes a line to the progress output.
 func (r *run) printProgress(format string, args ...any) {
 	r.progressMu.Lock()
 	defer r.progressMu.Unlock()
 	fmt.Fprintf(r.env.Progress, format+"\n", args...)
 }
 
-// monitor samples all processes, and stops the run if one ends by itself or if they take
-// more than half of the machine's memory.
+// monitor samples all processes and prints the progress. It cancels the run if a process exits unexpectedly or if
+// the processes use more than half of the machine's memory.
 func (r *run) monitor(ctx context.Context, cancel context.CancelCauseFunc) {
 	sampleTicker, progressTicker := time.NewTicker(sampleInterval), time.NewTicker(progressInterval)
 	defer sampleTicker.Stop()
@@ -199,7 +201,8 @@
 	}
 }
 
-// sampleProcesses reads all processes' figures.
+// sampleProcesses records the resource usage of all processes in their meters. It fails if a process has exited
+// unexpectedly or if the processes use more than half of the machine's memory.
 func (r *run) sampleProcesses() error {
 	totalMB := 0.0
 	for _, p := range r.processes() {
@@ -208,7 +211,7 @@
 		}
 		s, err := readSample(r.procFS, p.pid())
 		if err != nil {
-			continue // it ended just now: told the next time, unless it was to
+			continue // the process has just exited: the next call returns the error unless it was stopped on purpose
 		}
 		totalMB += float64(s.rss) / (1 << 20)
 		r.mu.Lock()
@@ -216,12 +219,13 @@
 		r.mu.Unlock()
 	}
 	if half := r.machine.memoryMB / 2; totalMB > half {
-		return fmt.Errorf("the processes take %.0f MB, more than half of this machine's memory (%.0f MB): stopped",
+		return fmt.Errorf("the processes use %.0f MB, more than half of this machine's memory (%.0f MB): run stopped",
 			totalMB, half)
 	}
 	return nil
 }
 
+// reportProgress prints the fleet's current size, number of tasks and memory.
 func (r *run) reportProgress(ctx context.Context, elapsed time.Duration) {
 	up, running, starts, mb := 0, 0, int64(0), 0.0
 	for _, region := range r.regions {
@@ -235,10 +239,11 @@
 		mb += float64(m.last.rss) / (1 << 20)
 	}
 	r.mu.Unlock()
-	r.printProgress("%4.0f s  %d workers up, %d tasks running, %d started, %.0f MB", elapsed.Seconds(), up, running, starts, mb)
+	r.printProgress("%4.0f s  %d workers up, %d tasks running, %d started, %.0f MB", elapsed.Seconds(), up, running,
+		starts, mb)
 }
 
-// replaceWorkers has workers stop as often as in life, or more often by the factor.
+// replaceWorkers stops random workers at the rate of ReplacedPerDay times ReplacedFaster until the context ends.
 func (r *run) replaceWorkers(ctx context.Context) {
 	perSecond := r.options.ReplacedPerDay * r.options.ReplacedFaster / (24 * time.Hour).Seconds()
 	if perSecond <= 0 {
@@ -250,11 +255,12 @@
 		}
 		region := r.regions[r.rng.IntN(len(r.regions))]
 		if err := callControl(ctx, http.MethodPost, region.worldAddr, pathLose, LoseRequest{Count: 1}, nil); err != nil {
-			r.env.Log.Warn("no worker was lost", "region", region.spec.Name, "err", err)
+			r.env.Log.Warn("failed to stop a worker", "region", region.spec.Name, "err", err)
 		}
 	}
 }
 
+// sleepContext waits for d. It returns the context's cause if the context ends first.
 func sleepContext(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -61,7 +61,8 @@
 	workersPerControllerVariable = Variable{"workers of a controller", func(r *observation) float64 {
 		return float64(r.workers().Up) / r.controllers()
 	}}
-	startsVariable              = Variable{"starts a second", func(r *observation) float64 { return r.perSecond(r.workers().Starts) }}
+	startsVariable = Variable{"starts a second",
+		func(r *observation) float64 { return r.perSecond(r.workers().Starts) }}
 	startsPerControllerVariable = Variable{"starts a second of a controller", func(r *observation) float64 {
 		return r.perSecond(r.workers().Starts) / r.controllers()
 	}}
@@ -92,11 +93,20 @@
 		w := r.workers()
 		return r.perSecond(w.BytesIn+w.BytesOut) / float64(w.Up)
 	}, []Variable{reportsPerWorkerVariable}},
-	{"hollow workers, all of a region", "MB", func(r *observation) float64 { return r.meanUsage(RoleHollow, false, residentMBOf) },
+	{"hollow workers, all of a region", "MB", func(r *observation) float64 {
+		return r.meanUsage(RoleHollow, false,
+			residentMBOf)
+	},
 		[]Variable{workersVariable}},
-	{"controller that does not lead", "cores", func(r *observation) float64 { return r.meanUsage(RoleController, false, coresOf) },
+	{"controller that does not lead", "cores", func(r *observation) float64 {
+		return r.meanUsage(RoleController, false,
+			coresOf)
+	},
 		[]Variable{workersPerControllerVariable, startsPerControllerVariable}},
-	{"controller that does not lead", "MB", func(r *observation) float64 { return r.meanUsage(RoleController, false, residentMBOf) },
+	{"controller that does not lead", "MB", func(r *observation) float64 {
+		return r.meanUsage(RoleController, false,
+			residentMBOf)
+	},
 		[]Variable{workersPerControllerVariable}},
 	{"leader of a region", "cores", func(r *observation) float64 { return r.meanUsage(RoleController, true, coresOf) },
 		[]Variable{workersVariable, startsVariable, openJobsVariable}},
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -21,7 +21,8 @@
 	"honeylock/internal/dev"
 )
 
-// startRegion starts a region's processes.
+// startRegion starts the processes of a region: hollow workers first, then the world, then the controllers. Each
+// needs addresses of the ones before it.
 func (r *run) startRegion(ctx context.Context, spec RegionSpec) error {
 	region := &runningRegion{spec: spec, permanentlyLost: map[int]bool{}}
 	r.mu.Lock()
@@ -61,7 +62,7 @@
 	return ctx.Err()
 }
 
-// startChild starts a process of hollow workers or of a region's world.
+// startChild starts the hollow or world process of a region (subcommand verb) and waits until it is ready.
 func (r *run) startChild(role Role, region *runningRegion, verb string) (*process, Ready, error) {
 	path := filepath.Join(r.configDir, region.spec.Name+"-"+verb+".json")
 	encoded, err := json.Marshal(region.spec)
@@ -81,20 +82,21 @@
 	return child, ready, err
 }
 
-// controllerFiles configure a controller.
+// controllerFiles holds the paths of a controller's configuration files.
 type controllerFiles struct {
-	platform string // what the platform tells it
-	settings string // its operators' settings
+	platform string // configuration that the platform provides
+	settings string // operators' settings
 }
 
-// writeConfig writes a controller's files.
+// writeConfig writes the configuration files of the region's controller i.
 func (r *run) writeConfig(region *runningRegion, i int, world *Ready) (controllerFiles, error) {
 	spec, options := &region.spec, &r.options
 	host := spec.Hosts[i]
 	platform := config.Platform{HostName: host.Name, Zone: host.Zone, Bind: host.Bind, PeerListen: host.Peer}
 	for j, other := range spec.Hosts {
 		if j != i {
-			platform.Siblings = append(platform.Siblings, config.Sibling{HostName: other.Name, Zone: other.Zone, Address: other.Peer})
+			platform.Siblings = append(platform.Siblings,
+				config.Sibling{HostName: other.Name, Zone: other.Zone, Address: other.Peer})
 		}
 	}
 	platform.Services.Cloud, platform.Services.State = world.Cloud, world.State[i]
@@ -103,13 +105,13 @@
 	for _, team := range spec.Teams {
 		cluster.Teams = append(cluster.Teams, config.Team{Name: team.Name, CPUs: team.CPUs, CPUsMax: team.CPUsMax})
 	}
-	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = options.Timing.Report.Seconds(), options.Timing.Lease.Seconds(),
-		options.Timing.Cancel.Seconds()
-	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = options.Limits.StateRPS, options.Limits.StateWriteRPS,
-		options.Limits.StateValueKB, options.Limits.StateTxnOps
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = options.Timing.Report.Seconds(),
+		options.Timing.Lease.Seconds(), options.Timing.Cancel.Seconds()
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = options.Limits.StateRPS,
+		options.Limits.StateWriteRPS, options.Limits.StateValueKB, options.Limits.StateTxnOps
 	cluster.Cloud.RPS, cluster.Cloud.ListLagS = options.Limits.CloudRPS, options.Limits.CloudListLag.Seconds()
-	cluster.Resources.CPU, cluster.Resources.MemMB, cluster.Resources.FDLimit = options.ControllerLimit.CPU, options.ControllerLimit.MemMB,
-		options.ControllerLimit.FDs
+	cluster.Resources.CPU, cluster.Resources.MemMB, cluster.Resources.FDLimit = options.ControllerLimit.CPU,
+		options.ControllerLimit.MemMB, options.ControllerLimit.FDs
 	encoded, err := toml.Marshal(platform)
 	if err != nil {
 		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
@@ -119,19 +121,23 @@
 	if err != nil {
 		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
 	}
-	paths := controllerFiles{platform: filepath.Join(r.configDir, host.Name+".toml"), settings: filepath.Join(r.configDir, host.Name+".textproto")}
-	if err := errors.Join(os.WriteFile(paths.platform, encoded, 0o600), os.WriteFile(paths.settings, settings, 0o600)); err != nil {
+	paths := controllerFiles{platform: filepath.Join(r.configDir, host.Name+".toml"),
+		settings: filepath.Join(r.configDir, host.Name+".textproto")}
+	if err := errors.Join(os.WriteFile(paths.platform, encoded, 0o600),
+		os.WriteFile(paths.settings, settings, 0o600)); err != nil {
 		return controllerFiles{}, fmt.Errorf("settings of %s: %w", host.Name, err)
 	}
 	return paths, nil
 }
 
+// tokenHash returns the hex form of the SHA-256 hash of an operator token, as the settings file has it.
 func tokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// startController starts a controller as it is deployed, or starts it again.
+// startController starts the region's controller i with the same command as in production. It also restarts a
+// controller that was killed.
 func (r *run) startController(region *runningRegion, i int) error {
 	p, err := r.starter.start(RoleController, region.spec.Index, region.spec.Hosts[i].Name, r.env.Binary,
 		[]string{"serve", "--config", region.files[i].platform, "--settings", region.files[i].settings}, os.Environ())
@@ -149,6 +155,7 @@
 	return nil
 }
 
+// ensureMeter adds a meter for the process unless an earlier start under the same name has added one.
 func (r *run) ensureMeter(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +164,7 @@
 	}
 }
 
-// processes are all that run.
+// processes returns the processes of all regions, including those that have exited.
 func (r *run) processes() []*process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,9 +179,9 @@
 	return out
 }
 
-// stopAll ends all processes that were started. The run's context has ended.
+// stopAll stops all child processes. It is called after the run's context has ended.
 func (r *run) stopAll() {
-	r.background.Wait() // nothing is told or asked once the run has returned
+	r.background.Wait() // no progress line or request may follow once Run has returned
 	r.pendingRestarts.Wait()
 	var wg sync.WaitGroup
 	for _, p := range r.processes() {
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -35,7 +35,8 @@
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	return sample{at: time.Now(), cpu: stat.CPUTime(), rss: stat.ResidentMemory(), sockets: files, readBytes: ioCounters.RChar,
+	return sample{at: time.Now(), cpu: stat.CPUTime(), rss: stat.ResidentMemory(), sockets: files,
+		readBytes:    ioCounters.RChar,
 		writtenBytes: ioCounters.WChar}, nil
 }
 
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -19,28 +19,28 @@
 	"honeylock/internal/wire"
 )
 
-// Ranks of the load.
+// Ranks of the submitted jobs.
 const (
 	urgentRank   = "urgent"
 	standardRank = "standard"
 )
 
-// What users do, by their protocol.
+// Behavior of the simulated users.
 const (
-	urgentShare         = 0.2 // of all jobs; an urgent job is smaller
-	urgentSizeDivisor   = 20  // ... by so many times
-	teamsPerService     = 8   // of so many teams one runs a service
-	serviceReplicas     = 2   // of a service
+	urgentShare         = 0.2 // fraction of all jobs that are urgent
+	urgentSizeDivisor   = 20  // an urgent job has fewer tasks by this factor
+	teamsPerService     = 8   // one in so many teams runs a service
+	serviceReplicas     = 2   // number of tasks of a service
 	pollInterval        = 5 * time.Second
 	pollTimeout         = 2 * time.Second
 	requestTimeout      = 5 * time.Second
 	minRetryDelay       = time.Second
 	maxRetryDelay       = 30 * time.Second
 	retryPeriod         = time.Minute
-	maxControllersTried = 3 // controllers that the load balancer tries for one connection
+	maxControllersTried = 3 // number of controllers that the load balancer tries for one request
 )
 
-// users submit a region's jobs and poll them.
+// users simulates the users of a region: they submit jobs, poll them until they end, and cancel some.
 type users struct {
 	spec          RegionSpec
 	client        *http.Client
@@ -54,8 +54,8 @@
 	mu                sync.Mutex
 	rng               *rand.Rand
 	lastJob           int
-	nextController    int               // controller
-	descriptions      map[string][]byte // described, by name
+	nextController    int               // counter that selects the next controller
+	descriptions      map[string][]byte // encoded job descriptions by job name
 	lastAnswered      map[string]time.Time
 	counts            WorldStats
 	longestUnanswered time.Duration
@@ -63,7 +63,8 @@
 
 func newUsers(spec RegionSpec) *users {
 	u := &users{
-		spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 11)), descriptions: map[string][]byte{}, lastAnswered: map[string]time.Time{},
+		spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 11)),
+		descriptions: map[string][]byte{}, lastAnswered: map[string]time.Time{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
 			IdleConnTimeout: 30 * time.Second}},
 		submitLatency: newHistogram(), pollLatency: newHistogram(), finishLatency: newHistogram(),
@@ -72,8 +73,8 @@
 	return u
 }
 
-// run submits jobs until the context ends: as many tasks at once as are to run on average,
-// then as many as end.
+// run submits jobs until the context ends. It first submits the services and as many tasks as run on average, then
+// new jobs at the rate at which tasks end.
 func (u *users) run(ctx context.Context) {
 	for i := 0; i < len(u.spec.Teams); i += teamsPerService {
 		u.startJob(ctx, u.newJob(i, "daemon", standardRank, serviceReplicas, false))
@@ -94,39 +95,43 @@
 	}
 }
 
+// randomExponential returns an exponentially distributed number with mean 1.
 func (u *users) randomExponential() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.ExpFloat64()
 }
 
+// randomBool returns true with probability p.
 func (u *users) randomBool(p float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.Float64() < p
 }
 
+// randomTeam returns the index of a random team.
 func (u *users) randomTeam() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.rng.IntN(len(u.spec.Teams))
 }
 
-// randomArraySize is an array's number of tasks: half to one and a half times the mean.
+// randomArraySize returns a number of tasks for an array job: 0.5 to 1.5 times the mean.
 func (u *users) randomArraySize() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return max(1, int(float64(u.spec.TasksPerJob)*(0.5+u.rng.Float64())))
 }
 
-// job is one job with what its user does about it.
+// job is a submitted job.
 type job struct {
 	name, rank, shape string
 	body              []byte
 	submittedAt       time.Time
 }
 
-// newJob describes a job. The tasks of a residual one are taken to have run for a while.
+// newJob creates a job with its description. The tasks of a residual job count as already running for a while, so
+// they have only their remaining run time; see runTimeFactor.
 func (u *users) newJob(team int, shape, rank string, tasks int, residual bool) *job {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -143,7 +148,7 @@
 		"AskedMs": j.submittedAt.UnixMilli(), "Residual": residual,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("encode a job: %v", err)) // plain values always encode
+		panic(fmt.Sprintf("encode a job: %v", err)) // encoding plain values can't fail
 	}
 	j.body = body
 	u.descriptions[j.name] = body
@@ -151,16 +156,17 @@
 	return j
 }
 
-// description is a job's description, nil if there is none of that name.
+// description returns the description of a job, or nil if there is no job of that name.
 func (u *users) description(name string) []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.descriptions[name]
 }
 
+// startJob starts the goroutine of a job's user.
 func (u *users) startJob(ctx context.Context, j *job) { go u.runJob(ctx, j) }
 
-// runJob is a user's life with one job.
+// runJob submits a job and polls it until it ends, is lost, or the context ends. Some jobs are cancelled.
 func (u *users) runJob(ctx context.Context, j *job) {
 	if !u.submitJob(ctx, j) {
 		return
@@ -178,7 +184,7 @@
 		case status == http.StatusNotFound:
 			u.withLock(func() {
 				u.counts.Lost++
-				u.counts.Losses = append(u.counts.Losses, j.name+" was accepted, then answered with 404")
+				u.counts.Losses = append(u.counts.Losses, j.name+" was accepted, but a later poll returned status 404")
 				delete(u.lastAnswered, j.name)
 			})
 			return
@@ -201,20 +207,22 @@
 	}
 }
 
+// withLock calls f with the lock held.
 func (u *users) withLock(f func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f()
 }
 
-// withJitter is a duration plus or minus a tenth.
+// withJitter returns a duration changed at random by up to 10 % either way.
 func (u *users) withJitter(d time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return time.Duration(float64(d) * (0.9 + 0.2*u.rng.Float64()))
 }
 
-// submitJob submits a job until it is accepted, for up to a minute.
+// submitJob submits a job and retries until it is accepted or refused, for up to retryPeriod. It reports whether the
+// job was accepted.
 func (u *users) submitJob(ctx context.Context, j *job) bool {
 	status := u.retryCall(ctx, j.submittedAt, "/v1/jobs", j.body, http.StatusOK, http.StatusCreated, http.StatusBadRequest,
 		http.StatusUnprocessableEntity)
@@ -229,8 +237,8 @@
 	return false
 }
 
-// retryCall repeats a call until it is answered with one of the final statuses, and returns that;
-// 0 if it was not for a minute since the first try, or the context has ended.
+// retryCall repeats a POST request until its status is one of the final ones, which it returns. It returns 0 if that
+// does not happen within retryPeriod of started, or if the context ends.
 func (u *users) retryCall(ctx context.Context, started time.Time, path string, body []byte, final ...int) int {
 	for time.Since(started) < retryPeriod {
 		status, retryAfter, _ := u.callOnce(ctx, requestTimeout, http.MethodPost, path, body)
@@ -244,7 +252,7 @@
 	return 0
 }
 
-// pollJob polls a job once.
+// pollJob requests the state of a job once. The status is 0 if there was no usable answer.
 func (u *users) pollJob(ctx context.Context, name string) (state wire.JobState, status int) {
 	u.polls.Add(1)
 	started := time.Now()
@@ -260,7 +268,8 @@
 	return state, status
 }
 
-// callOnce makes one request by way of a load balancer; again is when to try once more.
+// callOnce makes one request through the simulated load balancer. The status is 0 if there was no answer; retryAfter
+// is the delay before the next attempt.
 func (u *users) callOnce(ctx context.Context, timeout time.Duration, method, path string, body []byte) (status int,
 	retryAfter time.Duration, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -281,8 +290,8 @@
 	return response.StatusCode, retryAfter, answer
 }
 
-// doBalanced makes a request at the next controller in turn; one that refuses the connection is
-// passed over for the next, for up to maxTurns in all.
+// doBalanced sends a request to the controllers in round-robin order. If a controller refuses the connection, the
+// request goes to the next one, up to maxControllersTried in total.
 func (u *users) doBalanced(ctx context.Context, method, path string, body []byte) (response *http.Response, err error) {
 	for range maxControllersTried {
 		u.mu.Lock()
@@ -300,6 +309,7 @@
 	return nil, err
 }
 
+// stats returns the counts since the start of the process. reset restarts the quantiles and longestUnanswered.
 func (u *users) stats(reset bool) WorldStats {
 	u.mu.Lock()
 	stats := u.counts
@@ -315,6 +325,7 @@
 	stats.LongestUnanswered = longest.Seconds()
 	stats.Polls, stats.PollsUnanswered = u.polls.Load(), u.unansweredPolls.Load()
 	stats.Cancels = u.canceller.snapshot(reset)
-	stats.Submit, stats.Poll, stats.Finish = u.submitLatency.snapshot(reset), u.pollLatency.snapshot(reset), u.finishLatency.snapshot(reset)
+	stats.Submit, stats.Poll, stats.Finish = u.submitLatency.snapshot(reset), u.pollLatency.snapshot(reset),
+		u.finishLatency.snapshot(reset)
 	return stats
 }
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -81,7 +81,8 @@
 	region := r.regions[0]
 	switch kind {
 	case RackGone:
-		return callControl(ctx, http.MethodPost, region.worldAddr, pathLose, LoseRequest{Count: rackSize, Zone: region.spec.Zones[0]}, nil)
+		return callControl(ctx, http.MethodPost, region.worldAddr, pathLose,
+			LoseRequest{Count: rackSize, Zone: region.spec.Zones[0]}, nil)
 	case ZoneLost:
 		return r.loseZone(ctx, region)
 	case AllControllersKilled:
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -11,7 +11,7 @@
 	"honeylock/internal/standin"
 )
 
-// world plays a region's users, state service and cloud.
+// world is the world process of a region: it simulates the users, the state service and the cloud.
 type world struct {
 	spec           RegionSpec
 	store          *standin.Store
@@ -25,31 +25,31 @@
 	rng *rand.Rand
 }
 
-// remoteMachines brings machines up in the region's hollow process.
+// remoteMachines starts and stops the cloud's machines in the region's hollow process.
 type remoteMachines struct {
 	ctx  context.Context
 	addr string
 }
 
-// Boot brings a machine up and returns its worker's address.
+// Boot starts a machine and returns the address of its worker.
 func (r remoteMachines) Boot(m standin.MachineSpec) (string, error) {
 	var reply BootReply
 	err := callControl(r.ctx, http.MethodPost, r.addr, pathBoot, m, &reply)
 	return reply.Addr, err
 }
 
-// End ends a machine.
+// End stops a machine.
 func (r remoteMachines) End(name string) {
-	// A hollow process that does not answer has ended, and its machines with it.
+	// The error is ignored: a hollow process that does not answer has exited, and its machines with it.
 	_ = callControl(r.ctx, http.MethodPost, r.addr, pathEnd, NameRequest{name}, nil)
 }
 
-// spareMachines is how many more machines of each zone can be had than are up at the start:
-// a twentieth, and a few.
+// spareMachines is the number of machines that the cloud can add in a zone with so many machines: 5 %, plus 4 for
+// small zones.
 func spareMachines(machines int) int { return machines/20 + 4 }
 
-// ServeWorld plays a region's users, state service and cloud until the context or the
-// parent ends.
+// ServeWorld simulates the users, state service and cloud of a region until the context ends or the parent process
+// exits.
 func ServeWorld(ctx context.Context, spec RegionSpec, in io.Reader, out io.Writer) error {
 	w := &world{spec: spec, users: newUsers(spec), rng: rand.New(rand.NewPCG(spec.Seed, 12))}
 	w.users.canceller.runningTasks = func(ctx context.Context, job string) (int, error) {
@@ -62,8 +62,8 @@
 		return err
 	}
 	limits := spec.Limits
-	w.store = standin.NewStore(standin.StoreLimits{RPS: limits.StateRPS, WriteRPS: limits.StateWriteRPS, ValueKB: limits.StateValueKB,
-		TxnOps: limits.StateTxnOps})
+	w.store = standin.NewStore(standin.StoreLimits{RPS: limits.StateRPS, WriteRPS: limits.StateWriteRPS,
+		ValueKB: limits.StateValueKB, TxnOps: limits.StateTxnOps})
 	defer w.store.Close()
 	ready := Ready{}
 	for range spec.Hosts {
@@ -95,12 +95,14 @@
 	if ready.Control, err = serveControl(ctx, w.handler(ctx)); err != nil {
 		return err
 	}
-	if err := callControl(ctx, http.MethodPost, spec.HollowAddr, pathAttach, AttachRequest{ready.Control}, nil); err != nil {
+	if err := callControl(ctx, http.MethodPost, spec.HollowAddr, pathAttach,
+		AttachRequest{ready.Control}, nil); err != nil {
 		return err
 	}
 	return announceReady(ctx, in, out, ready)
 }
 
+// handler serves the control requests of the world process.
 func (w *world) handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathJob+"{name}", func(rw http.ResponseWriter, r *http.Request) {
@@ -109,9 +111,10 @@
 			http.NotFound(rw, r)
 			return
 		}
-		_, _ = rw.Write(description) // a worker that is gone needs none
+		_, _ = rw.Write(description) // the error is ignored: a worker that has disconnected needs no answer
 	})
-	mux.HandleFunc("POST "+pathSeed, controlHandler(func(struct{}) (struct{}, error) { return struct{}{}, w.seedMachines() }))
+	mux.HandleFunc("POST "+pathSeed,
+		controlHandler(func(struct{}) (struct{}, error) { return struct{}{}, w.seedMachines() }))
 	var once sync.Once
 	mux.HandleFunc("POST "+pathLoad, controlHandler(func(struct{}) (struct{}, error) {
 		once.Do(func() {
@@ -128,17 +131,17 @@
 	return mux
 }
 
-// seedMachines brings up the machines that are there from the beginning.
+// seedMachines starts the initial machines, distributed evenly over the zones.
 func (w *world) seedMachines() error {
 	for i, zone := range w.spec.Zones {
 		if err := w.cloud.Seed(0, zone, false, evenShare(w.spec.Workers, len(w.spec.Zones), i)); err != nil {
-			return fmt.Errorf("machines of %s: %w", zone, err)
+			return fmt.Errorf("start the machines of %s: %w", zone, err)
 		}
 	}
 	return nil
 }
 
-// loseMachines has machines stop with all that is on them.
+// loseMachines stops random machines abruptly, with their tasks, and returns their names.
 func (w *world) loseMachines(request LoseRequest) (names []string, err error) {
 	machines := w.cloud.InZone(request.Zone)
 	w.mu.Lock()
@@ -154,6 +157,7 @@
 	return names, nil
 }
 
+// stats returns the counts since the start of the process. reset restarts the quantiles.
 func (w *world) stats(reset bool) WorldStats {
 	s := w.users.stats(reset)
 	s.LimitChanges = w.limitChanger.stats(reset)
