--- a/internal/scale/cancellations.go
+++ b/internal/scale/cancellations.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// canceller has users cancel some of their jobs, and finds out whether the tasks are gone
-// in time.
+// canceller cancels jobs for their users and checks that their tasks are gone from the machines in time.
 type canceller struct {
 	users         *users
-	answerLatency *histogram // from the first call to the answer
-	// runningTasks counts a job's tasks on machines, by the workers' word.
+	answerLatency *histogram // from the first request to the answer
+	// runningTasks returns the number of the job's tasks on machines, as the workers report it.
 	runningTasks func(ctx context.Context, job string) (int, error)
 
 	mu    sync.Mutex
 	stats CancelStats
 }
 
-// CancelStats count cancellations.
+// CancelStats counts the cancellations of jobs.
 type CancelStats struct {
 	Answered   int
-	Unanswered int // within a minute
-	Checked    int // cancel_s after the answer
-	StillRun   int // of those checked, jobs with tasks on machines: a rule is broken
+	Unanswered int // not answered within retryPeriod
+	Checked    int // checked for remaining tasks cancel_s after the answer
+	StillRun   int // checked jobs that still had tasks on machines: a broken rule
 	Answer     Quantiles
 }
 
+// minus returns the counts less those of an earlier snapshot.
 func (s CancelStats) minus(before CancelStats) CancelStats {
 	s.Answered -= before.Answered
 	s.Unanswered -= before.Unanswered
@@ -36,6 +36,7 @@
 	return s
 }
 
+// snapshot returns the counts since the start of the process. reset restarts the quantiles.
 func (c *canceller) snapshot(reset bool) CancelStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,13 +45,14 @@
 	return stats
 }
 
+// updateStats calls f with the lock held.
 func (c *canceller) updateStats(f func(*CancelStats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.stats)
 }
 
-// cancelAndCheck cancels a job after a while, and looks for its tasks cancel_s after the answer.
+// cancelAndCheck cancels a job after a delay and checks for remaining tasks cancel_s after the answer.
 func (c *canceller) cancelAndCheck(ctx context.Context, name string, delay time.Duration) {
 	if sleepContext(ctx, delay) != nil {
 		return
@@ -63,7 +65,7 @@
 	}
 	remaining, err := c.runningTasks(ctx, name)
 	if err != nil {
-		return // the workers' process has ended, and the run with it
+		return // the hollow process has exited, which ends the run
 	}
 	c.updateStats(func(s *CancelStats) {
 		s.Checked++
@@ -73,7 +75,7 @@
 	})
 }
 
-// cancelJob cancels a job until that is answered, for up to a minute.
+// cancelJob cancels a job and retries for up to retryPeriod. It reports whether the request was answered.
 func (c *canceller) cancelJob(ctx context.Context, name string) bool {
 	started := time.Now()
 	switch {
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -9,29 +9,29 @@
 	"github.com/prometheus/procfs"
 )
 
-// What processes take, from this run's own slopes (docs/capacity), in MB. They are rounded
-// up: the guard refuses rather than that a run is stopped half way.
+// Estimated memory of each process in MB, from the fits of this package's reports (docs/capacity). They are rounded up
+// because it is better to refuse a run at the start than to stop it half way.
 const (
 	controllerMB       = 60.0
-	controllerWorkerMB = 0.15 // for each worker that reports to it
+	controllerWorkerMB = 0.15 // for each worker that reports to the controller
 	hollowMB           = 60.0
 	hollowWorkerMB     = 0.20
 	worldMB            = 80.0
-	worldTaskMB        = 0.0005 // for each task that runs
+	worldTaskMB        = 0.0005 // for each running task
 	parentMB           = 40.0
 )
 
-// maxProcesses is how many processes a run may have.
+// maxProcesses is the maximum number of processes of a run.
 const maxProcesses = 300
 
-// estimateMemoryMB is what the whole run will take.
+// estimateMemoryMB is the estimated memory of all processes of the run.
 func (o *Options) estimateMemoryMB() float64 {
 	workers := float64(o.Workers)
 	return parentMB + float64(o.Controllers)*controllerMB + workers*controllerWorkerMB +
 		float64(o.Regions)*(hollowMB+worldMB) + workers*(hollowWorkerMB+float64(o.TasksPerWorker)*worldTaskMB)
 }
 
-// maxWorkers is how many workers fit into so many MB with all else as it is.
+// maxWorkers is the largest number of workers that fits into so many MB if all other options stay the same.
 func (o *Options) maxWorkers(mb float64) int {
 	noWorkers, oneWorker := *o, *o
 	noWorkers.Workers, oneWorker.Workers = 0, 1
@@ -39,41 +39,44 @@
 	return max(0, int((mb-noWorkers.estimateMemoryMB())/perWorker))
 }
 
-// machine is what this machine offers.
+// machine holds the capacity of the machine that the run uses.
 type machine struct {
-	memoryMB     float64 // in all
-	maxOpenFiles uint64  // that a process may open
+	memoryMB     float64 // total memory
+	maxOpenFiles uint64  // limit for a process
 }
 
+// readMachine reads the capacity of this machine.
 func readMachine(fs procfs.FS) (m machine, err error) {
 	mem, err := fs.Meminfo()
 	if err != nil || mem.MemTotal == nil {
-		return m, fmt.Errorf("memory of this machine: %w", errors.Join(err, errNotReported))
+		return m, fmt.Errorf("read the memory size of this machine: %w", errors.Join(err, errNotReported))
 	}
 	m.memoryMB = float64(*mem.MemTotal) / 1024
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return m, fmt.Errorf("limit of open files: %w", err)
+		return m, fmt.Errorf("read the limit of open files: %w", err)
 	}
 	m.maxOpenFiles = limit.Cur
 	return m, nil
 }
 
-var errNotReported = errors.New("not told")
+// errNotReported is returned when the kernel does not report the memory size.
+var errNotReported = errors.New("MemTotal is not reported")
 
-// checkCapacity refuses what this machine can't carry.
+// checkCapacity returns an error if the run does not fit on the machine.
 func (o *Options) checkCapacity(machine machine) error {
 	if needed, half := o.estimateMemoryMB(), machine.memoryMB/2; needed > half {
-		return fmt.Errorf("--workers = %d: takes about %.0f MB, more than half of this machine's memory (%.0f MB); "+
-			"the most that fits is %d", o.Workers, needed, half, o.maxWorkers(half))
+		return fmt.Errorf("--workers = %d: needs about %.0f MB, more than half of this machine's memory (%.0f MB); "+
+			"at most %d workers fit", o.Workers, needed, half, o.maxWorkers(half))
 	}
 	if processes := 1 + o.Controllers + 2*o.Regions; processes > maxProcesses {
-		return fmt.Errorf("--controllers = %d: %d processes, more than %d", o.Controllers, processes, maxProcesses)
+		return fmt.Errorf("--controllers = %d: the run would have %d processes, more than %d", o.Controllers, processes,
+			maxProcesses)
 	}
 	perRegion := (o.Workers + o.Regions - 1) / o.Regions
 	if needed := uint64(2*perRegion + extraFiles); needed > machine.maxOpenFiles {
 		return fmt.Errorf("--workers = %d: a process of hollow workers opens up to %d files, more than its limit of %d; "+
-			"raise it or take more --regions", o.Workers, needed, machine.maxOpenFiles)
+			"raise the limit or use more --regions", o.Workers, needed, machine.maxOpenFiles)
 	}
 	if needed := uint64(o.ControllerLimit.FDs); needed > machine.maxOpenFiles {
 		return fmt.Errorf("a controller may open %d files, more than this machine's limit of %d", needed,
@@ -82,10 +85,10 @@
 	return o.checkAddresses()
 }
 
-// extraFiles are what a process of hollow workers opens besides two for each worker.
+// extraFiles is the number of files that a hollow process opens besides two for each worker.
 const extraFiles = 500
 
-// checkAddresses tells whether the loopback addresses of all regions can be used.
+// checkAddresses returns an error unless the loopback addresses of all regions' workers can be used.
 func (o *Options) checkAddresses() error {
 	for i := range o.Regions {
 		addr := fmt.Sprintf("127.%d.0.1:0", firstNetworkOctet+i)
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -11,49 +11,50 @@
 	"time"
 )
 
-// Paths of the control servers of a run's own processes.
+// Paths of the control servers of the hollow and world processes.
 const (
-	pathAttach  = "/attach"  // hollow: where users' jobs are described
-	pathBoot    = "/boot"    // hollow: a machine comes up
-	pathEnd     = "/end"     // hollow: a machine ends
-	pathRunning = "/running" // hollow: how many tasks of a job are on machines
-	pathStats   = "/stats"   // both; ?reset=1 begins the quantiles anew
-	pathJob     = "/job/"    // world: a job's description
-	pathSeed    = "/seed"    // world: the machines that are up from the beginning
-	pathLoad    = "/load"    // world: users begin
-	pathLose    = "/lose"    // world: machines stop
+	pathAttach  = "/attach"  // hollow: sets the address that serves job descriptions
+	pathBoot    = "/boot"    // hollow: starts a machine
+	pathEnd     = "/end"     // hollow: stops a machine
+	pathRunning = "/running" // hollow: number of a job's tasks on machines
+	pathStats   = "/stats"   // both: counts and quantiles; ?reset=1 restarts the quantiles
+	pathJob     = "/job/"    // world: description of a job
+	pathSeed    = "/seed"    // world: starts the initial machines
+	pathLoad    = "/load"    // world: starts the users
+	pathLose    = "/lose"    // world: stops machines abruptly
 )
 
-// Ready is what a child says on its standard output once it serves.
+// Ready is the message that a child process writes to its standard output once it is ready.
 type Ready struct {
-	Control string
-	State   []string // world: the state service's address for each controller
-	Cloud   string   // world
+	Control string   // address of the control server
+	State   []string // world: address of the state service for each controller
+	Cloud   string   // world: address of the cloud
 }
 
-// AttachRequest tells a hollow process where jobs are described.
+// AttachRequest gives a hollow process the control address of its region's world process.
 type AttachRequest struct{ World string }
 
-// NameRequest is a machine's name.
+// NameRequest names a machine or a job.
 type NameRequest struct{ Name string }
 
-// LoseRequest has machines stop: Count of a zone, or of all zones. For good: the zone has no others.
+// LoseRequest stops Count machines of a zone, or of all zones if Zone is empty. With ForGood the cloud offers no more
+// machines in the zone.
 type LoseRequest struct {
 	Count   int
 	Zone    string
 	ForGood bool
 }
 
-// RunningReply is how many tasks of a job are on machines.
+// RunningReply holds the number of a job's tasks on machines.
 type RunningReply struct{ Tasks int }
 
-// BootReply is a machine's address.
+// BootReply holds the address of a started machine's worker.
 type BootReply struct{ Addr string }
 
-// maxControlBytes is the largest message between a run's own processes.
+// maxControlBytes is the size limit of requests and answers of the control servers.
 const maxControlBytes = 64 << 20
 
-// serveControl serves a child's control requests on loopback and returns its address.
+// serveControl starts a control server on the loopback interface and returns its address. It stops with the context.
 func serveControl(ctx context.Context, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,11 +62,11 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	go func() { _ = server.Serve(listener) }() // it ends with Close
+	go func() { _ = server.Serve(listener) }() // returns after Close
 	return listener.Addr().String(), nil
 }
 
-// controlHandler serves a control request: In is read from its body, what f returns is answered.
+// controlHandler returns a handler that decodes the request body as In, calls f and encodes its result as the answer.
 func controlHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -83,14 +84,15 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs no answer
+		_ = json.NewEncoder(w).Encode(out) // the error is ignored: a caller that has disconnected needs no answer
 	}
 }
 
-// controlClient is for calls between a run's own processes.
+// controlClient is the HTTP client for control requests.
 var controlClient = &http.Client{Timeout: 2 * time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// callControl calls a child's control server.
+// callControl sends a request to a child's control server. in is the body unless nil; out receives the answer unless
+// nil.
 func callControl(ctx context.Context, method, addr, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -125,16 +127,16 @@
 	return nil
 }
 
-// announceReady tells the parent that this child serves, and waits until the parent is gone or
-// the context ends.
+// announceReady writes the Ready message for the parent, then waits until the parent closes the child's standard input
+// or exits, or the context ends.
 func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready Ready) error {
 	if err := json.NewEncoder(out).Encode(ready); err != nil {
-		return fmt.Errorf("announce: %w", err)
+		return fmt.Errorf("write the ready message: %w", err)
 	}
 	parentGone := make(chan struct{})
 	go func() {
 		defer close(parentGone)
-		_, _ = io.Copy(io.Discard, in) // until the parent closes it, or ends
+		_, _ = io.Copy(io.Discard, in) // until the parent closes it or exits
 	}()
 	select {
 	case <-ctx.Done():
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -15,7 +15,7 @@
 	LeaderKilled         FaultKind = "leader-ends"         // the leader is killed and restarted
 	ControllerKilled     FaultKind = "controller-restarts" // a controller that does not lead is killed and restarted
 	RackGone             FaultKind = "rack-gone"           // rackSize workers of one zone stop at the same time
-	ZoneLost             FaultKind = "zone-lost"           // all workers and controllers of a zone stop and do not come back
+	ZoneLost             FaultKind = "zone-lost"           // a zone's workers and controllers stop for good
 	AllControllersKilled FaultKind = "all-controllers-end" // all controllers are killed at the same time and restarted
 )
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -152,7 +152,8 @@
 	s := WorkersStats{
 		Up: h.group.Size(), Running: h.registry.OnMachines(),
 		Starts: meter.Starts.Load(), Reports: meter.Reports.Load(), Commands: meter.Commands.Load(),
-		Redirected: meter.Redirected.Load(), Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(), Expired: meter.Expired.Load(),
+		Redirected: meter.Redirected.Load(), Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(),
+		Expired: meter.Expired.Load(),
 		BytesIn: meter.BytesIn.Load(), BytesOut: meter.BytesOut.Load(),
 		UrgentWait: h.urgentWait.snapshot(reset), OtherWait: h.otherWait.snapshot(reset),
 		Broken: broken[:min(len(broken), maxListed)], BrokenCount: len(broken),
--- a/internal/scale/limit_changes.go
+++ b/internal/scale/limit_changes.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// minLimitFraction is the smallest part of its platform limit that a team's limit is changed to.
+	// minLimitFraction is the lower bound of a changed limit, as a fraction of the team's limit in the configuration.
 	minLimitFraction = 0.8
-	// changeTimeout is how long a change may take, repeated calls included.
+	// changeTimeout is the time limit for a change and its check, including retries.
 	changeTimeout = time.Minute
 )
 
-// limitChanger changes teams' limits through the operators' API, as often as is wanted.
+// limitChanger changes teams' limits through the operators' API at a given rate and checks the result.
 type limitChanger struct {
 	spec         RegionSpec
-	changeClient *client.Operators // by way of one controller after the other
-	checkClient  *client.Operators // ... beginning with another
+	changeClient *client.Operators // tries the controllers in order
+	checkClient  *client.Operators // starts with a different controller
 	rng          *rand.Rand
-	latency      *histogram // from the first call to the answer: stored, and in force
+	latency      *histogram // from the first request to the answer, which means that the change is stored and in force
 
 	mu                  sync.Mutex
 	made, failed, stale int
 }
 
+// newLimitChanger creates a limitChanger for the region's teams.
 func newLimitChanger(spec RegionSpec) (*limitChanger, error) {
 	addrs := make([]string, len(spec.Hosts))
 	for i, h := range spec.Hosts {
@@ -51,7 +52,7 @@
 		latency: newHistogram()}, nil
 }
 
-// run makes changes until the context ends.
+// run makes changes at random intervals until the context ends.
 func (l *limitChanger) run(ctx context.Context) {
 	perSecond := l.spec.LimitChangesPerDay / (24 * time.Hour).Seconds()
 	if perSecond <= 0 {
@@ -64,13 +65,13 @@
 	}
 }
 
-// changeLimit changes a team's limit, and asks another controller for it once that is answered.
+// changeLimit changes a team's limit and then reads it from another controller, which must already have the new value.
 func (l *limitChanger) changeLimit(ctx context.Context, team string, limit float64) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	body, err := prototext.Marshal(&settingspb.TeamChange{LimitCpus: &limit})
 	if err != nil {
-		panic(fmt.Sprintf("encode a change: %v", err)) // plain values always encode
+		panic(fmt.Sprintf("encode a change: %v", err)) // encoding plain values can't fail
 	}
 	started := time.Now()
 	err = l.changeClient.Change(ctx, "teams/"+team, body, nil, nil)
@@ -92,20 +93,22 @@
 	}
 }
 
+// stats returns the counts since the start of the process. reset restarts the quantiles.
 func (l *limitChanger) stats(reset bool) LimitChangeStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return LimitChangeStats{Made: l.made, Failed: l.failed, Stale: l.stale, Took: l.latency.snapshot(reset)}
 }
 
-// LimitChangeStats count changes of teams' limits.
+// LimitChangeStats counts the changes of teams' limits.
 type LimitChangeStats struct {
-	Made   int // answered, and told by another controller afterwards
-	Failed int // not answered within a minute
-	Stale  int // answered, but another controller told an older limit afterwards
+	Made   int // answered, and another controller then returned the new limit
+	Failed int // the change or its check failed, or took longer than changeTimeout
+	Stale  int // answered, but another controller then returned an older limit
 	Took   Quantiles
 }
 
+// minus returns the counts less those of an earlier snapshot.
 func (s LimitChangeStats) minus(before LimitChangeStats) LimitChangeStats {
 	s.Made -= before.Made
 	s.Failed -= before.Failed
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -1,7 +1,8 @@
-// Package scale plays a fleet on one machine: real controllers, one process each as they
-// are deployed, beside hollow workers that share processes and keep to the whole protocol
-// but for running anything. It measures what each role costs. What the workers and users
-// count is counted on their side, never taken from a controller's word.
+// Package scale runs a large fleet on one machine and measures the resources that each role uses. The controllers are
+// real, one process each as in production. The workers are hollow: many share a process and speak the full worker
+// protocol, but run no tasks. Users, state service and cloud are simulated in a process per region, called the world.
+//
+// Task starts, delays and violations are counted by the workers and users, never taken from a controller's own reports.
 package scale
 
 import (
@@ -10,13 +11,13 @@
 	"time"
 )
 
-// Profile is how fast tasks come and go.
+// Profile selects the mean run time of tasks, and with it the rate of task starts.
 type Profile string
 
-// Profiles.
+// The profiles.
 const (
 	Peak     Profile = "peak"     // tasks run for 45 s
-	Ordinary Profile = "ordinary" // as many run, each for three times as long
+	Ordinary Profile = "ordinary" // as many tasks run at a time, each for three times as long
 )
 
 // Mean run times of a task.
@@ -25,7 +26,7 @@
 	ordinaryTaskTime = 3 * peakTaskTime
 )
 
-// Limits of a region's state service and cloud.
+// Limits holds the limits of a region's state service and cloud.
 type Limits struct {
 	StateRPS, StateWriteRPS float64
 	StateValueKB            float64
@@ -35,40 +36,40 @@
 	CloudListLag            time.Duration
 }
 
-// WorkerTiming is the workers' protocol settings.
+// WorkerTiming holds the time settings of the worker protocol.
 type WorkerTiming struct{ Report, Lease, Cancel time.Duration }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Workers, Controllers, Regions, Zones, Teams int
 
 	Profile        Profile
-	TasksPerWorker int           // that run on a worker, on average
-	TaskTime       time.Duration // mean run time; 0: the profile's
-	TasksPerJob    int           // mean of an array
-	ReplacedPerDay float64       // workers lost and replaced
-	ReplacedFaster float64       // than in life
-	CancelledShare float64       // of arrays
-	// LimitChangesPerDay are changes of teams' limits, all of which each region applies.
+	TasksPerWorker int           // mean number of tasks that run on a worker
+	TaskTime       time.Duration // mean run time of a task; 0 for the profile's
+	TasksPerJob    int           // mean number of tasks of an array job
+	ReplacedPerDay float64       // workers of the fleet that stop and are replaced in a day
+	ReplacedFaster float64       // factor on ReplacedPerDay
+	CancelledShare float64       // fraction of array jobs that users cancel
+	// LimitChangesPerDay is the number of changes of teams' limits in a day. Every region makes this many.
 	LimitChangesPerDay float64
-	Ramp, Duration     time.Duration // before anything is measured, and while it is
+	Ramp, Duration     time.Duration // time under load before the first window, and length of the steady window
 	Faults             []Fault
 	Limits             Limits
 	Timing             WorkerTiming
 	Seed               uint64
-	Report             string // file; "" none
+	Report             string // path of the report file; no report if empty
 	ControllerLimit    ControllerLimit
 }
 
-// ControllerLimit is what a controller is told that it may use.
+// ControllerLimit holds the resource limits in a controller's configuration.
 type ControllerLimit struct {
-	CPU   float64 // of a core
+	CPU   float64 // cores
 	MemMB float64
-	FDs   int
+	FDs   int // open files
 }
 
-// Defaults are the target's peak in one region of an eighth of its size. The limits are
-// restated from a large deployment of the users' bench, as figures of this run's own.
+// Defaults returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
+// are those of a large deployment in the users' bench, repeated here so that the package does not depend on it.
 func Defaults() Options {
 	return Options{
 		Workers: 392, Controllers: 7, Regions: 1, Zones: 2, Teams: 170,
@@ -94,12 +95,12 @@
 	return peakTaskTime
 }
 
-// StartsPerSecond is how many tasks have to start so that as many run as are wanted.
+// StartsPerSecond is the rate of task starts that keeps TasksPerWorker tasks running on each worker.
 func (o *Options) StartsPerSecond() float64 {
 	return float64(o.Workers*o.TasksPerWorker) / o.MeanTask().Seconds()
 }
 
-// Check returns all mistakes, each naming its flag.
+// Check returns all invalid options as one error. Each part names the flag.
 func (o *Options) Check() error {
 	var errs []error
 	checkInt := func(flag string, v, lowest, highest int) {
--- a/internal/scale/probe.go
+++ b/internal/scale/probe.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// awaitHealthy waits until a region has a leader and all its controllers are healthy.
+// awaitHealthy waits until a region has a leader and all its controllers are healthy, for up to startTimeout.
 func (r *run) awaitHealthy(ctx context.Context, region *runningRegion) error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
@@ -27,17 +27,19 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%s: not all controllers are healthy with a leader after %v", region.spec.Name, startTimeout)
+	return fmt.Errorf("%s: after %v there is no leader or not all controllers are healthy", region.spec.Name, startTimeout)
 }
 
+// probeClient is the HTTP client for requests to controllers.
 var probeClient = &http.Client{Timeout: 2 * time.Second}
 
-// checkPage reads a page of a controller.
+// checkPage returns an error unless a controller serves the page with a 2xx status.
 func checkPage(ctx context.Context, addr, path string) error {
 	_, err := fetchPage(ctx, addr, path)
 	return err
 }
 
+// fetchPage returns the content of a controller's page.
 func fetchPage(ctx context.Context, addr, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -58,7 +60,8 @@
 	return b, nil
 }
 
-// readMetric reads a number from a controller's metrics page; ok is false if it is not there.
+// readMetric reads a metric without labels from a controller's metrics page. ok is false if the page or the metric is
+// missing.
 func readMetric(ctx context.Context, addr, name string) (v float64, ok bool) {
 	b, err := fetchPage(ctx, addr, "/metrics")
 	if err != nil {
@@ -73,7 +76,7 @@
 	return 0, false
 }
 
-// leaderIndex is the index of a region's leader, -1 if there is none.
+// leaderIndex returns the index of the region's leader among its controllers, or -1 if there is none.
 func (r *run) leaderIndex(ctx context.Context, region *runningRegion) int {
 	for i, h := range region.spec.Hosts {
 		if v, ok := readMetric(ctx, h.Bind, "honeylock_leading"); ok && v == 1 {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// SchemaVersion of a report. It grows when a field changes its meaning.
+// SchemaVersion is the version of the report format. It increases when a field changes its meaning.
 const SchemaVersion = 1
 
-// Report is what a run measured.
+// Report is the result of a run.
 type Report struct {
 	Schema   int
-	Commit   string // of the sources that were built, "+" behind it if they were changed
+	Commit   string // commit that the program was built from; ends in "+" if there were uncommitted changes
 	Version  string
 	At       time.Time
 	Machine  MachineFacts
 	Options  Options
 	Windows  []Window
-	Verdicts []string // what went wrong: a rule broken, a stand-in at its own bound; none: nil
+	Verdicts []string // problems of the run: broken rules, stand-ins at their capacity; nil if none
 }
 
-// MachineFacts are this machine's.
+// MachineFacts describes the machine of the run.
 type MachineFacts struct {
 	CPUs     int
 	MemoryMB float64
 }
 
-// Window is a part of a run.
+// Window is the measurement of a part of a run.
 type Window struct {
-	Name      string // steady, or the fault it begins with
+	Name      string // "steady", or the kind of the fault that it begins with
 	Seconds   float64
 	Processes []Usage
 	Regions   []RegionWindow
-	// AccountedS is how long after a fault the region's leader had accounted for all
-	// machines, by its own word; 0: not told.
+	// AccountedS is the time in seconds from a fault until the region's leader reported that all machines are
+	// accounted for; 0 if unknown.
 	AccountedS float64 `json:",omitempty"`
 }
 
-// RegionWindow is what a region's workers and users counted in a window. Counts are of the
-// window, but for what is told as a state: Up, Running, Open, keys and bytes.
+// RegionWindow is what a region's workers and users counted in a window. Counts cover the window, except for those
+// that are a current state: Up, Running, Open, keys and bytes.
 type RegionWindow struct {
 	Workers WorkersStats
 	World   WorldStats
 }
 
-// minus takes what was counted before off the counts.
+// minus returns the counts less those of an earlier snapshot.
 func (w WorkersStats) minus(before WorkersStats) WorkersStats {
 	w.Starts -= before.Starts
 	w.Reports -= before.Reports
@@ -61,6 +61,7 @@
 	return w
 }
 
+// minus returns the counts less those of an earlier snapshot.
 func (w WorldStats) minus(before WorldStats) WorldStats {
 	w.Submitted -= before.Submitted
 	w.Accepted -= before.Accepted
@@ -86,8 +87,8 @@
 	return w
 }
 
-// StateRequests are all controllers' requests to the state service, and those of them that
-// it refused for its rate.
+// StateRequests returns the number of requests that all controllers made to the state service, and how many of them
+// its rate limit refused.
 func (w *WorldStats) StateRequests() (all, refused int) {
 	for _, f := range w.State {
 		all += f.Requests
@@ -96,15 +97,17 @@
 	return all, refused
 }
 
-// maxStandInCores is the part of a core at which a stand-in may hold up what it is asked for.
+// maxStandInCores is the processor use, in cores, above which a stand-in may delay its answers and so distort the
+// figures.
 const maxStandInCores = 0.9
 
-// addVerdict notes what went wrong.
+// addVerdict adds a problem to the report.
 func (r *Report) addVerdict(format string, args ...any) {
 	r.Verdicts = append(r.Verdicts, fmt.Sprintf(format, args...))
 }
 
-// addVerdicts tells what went wrong.
+// addVerdicts adds all problems of the run: broken rules, lost jobs, late cancellations, stale limits and overloaded
+// stand-ins.
 func (r *Report) addVerdicts() {
 	for _, window := range r.Windows {
 		for i, region := range window.Regions {
@@ -115,21 +118,21 @@
 				r.addVerdict("%s, region %d: %d jobs lost: %v", window.Name, i, region.World.Lost, region.World.Losses)
 			}
 			if n := region.World.Cancels.StillRun; n > 0 {
-				r.addVerdict("%s, region %d: %d cancelled jobs have tasks on machines after cancel_s", window.Name, i, n)
+				r.addVerdict("%s, region %d: %d cancelled jobs still had tasks on machines after cancel_s", window.Name, i, n)
 			}
 			if n := region.World.LimitChanges.Stale; n > 0 {
-				r.addVerdict("%s, region %d: %d limits were told that had been changed before", window.Name, i, n)
+				r.addVerdict("%s, region %d: %d changed limits were stale when read from another controller", window.Name, i, n)
 			}
 		}
 		for _, usage := range window.Processes {
 			if usage.Role == RoleWorld && usage.Cores > maxStandInCores {
-				r.addVerdict("%s: %s uses %.2f cores: its own bound may show in the figures", window.Name, usage.Name, usage.Cores)
+				r.addVerdict("%s: %s uses %.2f cores: its own capacity may limit the figures", window.Name, usage.Name, usage.Cores)
 			}
 		}
 	}
 }
 
-// writeFile stores the report.
+// writeFile writes the report as JSON.
 func (r *Report) writeFile(path string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// ReadReport reads a report.
+// ReadReport reads a report file. It fails if the file has another schema version.
 func ReadReport(path string) (*Report, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Progress is told by several goroutines to a writer that need not be safe for them.
+// TestProgressLinesNotInterleaved checks that lines from several goroutines reach the progress writer whole, although
+// the writer is not safe for concurrent use.
 func TestProgressLinesNotInterleaved(t *testing.T) {
 	const writers, lines = 4, 100
 	var out bytes.Buffer
@@ -21,6 +22,6 @@
 	}
 	wg.Wait()
 	if wanted := bytes.Repeat([]byte("100 workers\n"), writers*lines); !bytes.Equal(out.Bytes(), wanted) {
-		t.Errorf("%d bytes of progress, %d wanted", out.Len(), len(wanted))
+		t.Errorf("%d bytes of progress, want %d", out.Len(), len(wanted))
 	}
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -11,7 +11,8 @@
 	"honeylock/internal/scale/scalepb"
 )
 
-// LoadSettings changes the options by a settings file. What the file leaves out stays.
+// LoadSettings applies a settings file in protobuf text format to the options. Options that the file does not set keep
+// their values.
 func (o *Options) LoadSettings(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -27,24 +28,28 @@
 	return nil
 }
 
+// setIfPresent sets target to the value unless it is nil.
 func setIfPresent[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
+// setInt sets target to the value unless it is nil.
 func setInt(target *int, value *int32) {
 	if value != nil {
 		*target = int(*value)
 	}
 }
 
+// setSeconds sets target to the value in seconds unless it is nil.
 func setSeconds(target *time.Duration, value *float64) {
 	if value != nil {
 		*target = config.Seconds(*value)
 	}
 }
 
+// applySettings applies decoded settings to the options.
 func (o *Options) applySettings(settings *scalepb.Settings) error {
 	if s := settings.GetSize(); s != nil {
 		setInt(&o.Workers, s.Workers)
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// observation is one region in one window: what was varied, and what it cost.
+// observation is one region in one window: a data point of the fits.
 type observation struct {
 	report *Report
 	window *Window
@@ -19,9 +19,11 @@
 func (r *observation) workers() WorkersStats { return r.window.Regions[r.region].Workers }
 func (r *observation) world() WorldStats     { return r.window.Regions[r.region].World }
 
+// perSecond is a count of the window as a rate.
 func (r *observation) perSecond(n int64) float64 { return float64(n) / r.window.Seconds }
 
-// meanUsage is the mean of a figure of the region's processes of a role.
+// meanUsage is the mean of a usage value over the region's processes of a role. For controllers, leader selects
+// either the leader or the others. It returns NaN if there is no such process.
 func (r *observation) meanUsage(role Role, leader bool, value func(Usage) float64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range r.window.Processes {
@@ -36,6 +38,7 @@
 	return sum / float64(n)
 }
 
+// controllers is the number of controllers of the region.
 func (r *observation) controllers() float64 {
 	n := 0
 	for _, p := range r.window.Processes {
@@ -46,13 +49,13 @@
 	return float64(n)
 }
 
-// Variable is what a figure may grow with.
+// Variable is an independent variable of the fits.
 type Variable struct {
 	Name  string
 	value func(*observation) float64
 }
 
-// Variables of a region.
+// The variables of an observation.
 var (
 	workersVariable          = Variable{"workers", func(r *observation) float64 { return float64(r.workers().Up) }}
 	reportsPerWorkerVariable = Variable{"reports a second of a worker", func(r *observation) float64 {
@@ -61,8 +64,9 @@
 	workersPerControllerVariable = Variable{"workers of a controller", func(r *observation) float64 {
 		return float64(r.workers().Up) / r.controllers()
 	}}
-	startsVariable = Variable{"starts a second",
-		func(r *observation) float64 { return r.perSecond(r.workers().Starts) }}
+	startsVariable = Variable{"starts a second", func(r *observation) float64 {
+		return r.perSecond(r.workers().Starts)
+	}}
 	startsPerControllerVariable = Variable{"starts a second of a controller", func(r *observation) float64 {
 		return r.perSecond(r.workers().Starts) / r.controllers()
 	}}
@@ -74,7 +78,7 @@
 	}}
 )
 
-// figure is what a role costs.
+// figure is a resource that a role uses, with the variables on which it depends.
 type figure struct {
 	role, unit string
 	value      func(*observation) float64
@@ -84,7 +88,7 @@
 func coresOf(u Usage) float64      { return u.Cores }
 func residentMBOf(u Usage) float64 { return u.ResidentMB }
 
-// figures are those of the capacity page, in its order.
+// figures lists the figures of the capacity page in the page's order.
 var figures = []figure{
 	{"worker, control part", "ms of processor a second", func(r *observation) float64 {
 		return 1000 * r.meanUsage(RoleHollow, false, coresOf) / float64(r.workers().Up)
@@ -94,20 +98,14 @@
 		return r.perSecond(w.BytesIn+w.BytesOut) / float64(w.Up)
 	}, []Variable{reportsPerWorkerVariable}},
 	{"hollow workers, all of a region", "MB", func(r *observation) float64 {
-		return r.meanUsage(RoleHollow, false,
-			residentMBOf)
-	},
-		[]Variable{workersVariable}},
+		return r.meanUsage(RoleHollow, false, residentMBOf)
+	}, []Variable{workersVariable}},
 	{"controller that does not lead", "cores", func(r *observation) float64 {
-		return r.meanUsage(RoleController, false,
-			coresOf)
-	},
-		[]Variable{workersPerControllerVariable, startsPerControllerVariable}},
+		return r.meanUsage(RoleController, false, coresOf)
+	}, []Variable{workersPerControllerVariable, startsPerControllerVariable}},
 	{"controller that does not lead", "MB", func(r *observation) float64 {
-		return r.meanUsage(RoleController, false,
-			residentMBOf)
-	},
-		[]Variable{workersPerControllerVariable}},
+		return r.meanUsage(RoleController, false, residentMBOf)
+	}, []Variable{workersPerControllerVariable}},
 	{"leader of a region", "cores", func(r *observation) float64 { return r.meanUsage(RoleController, true, coresOf) },
 		[]Variable{workersVariable, startsVariable, openJobsVariable}},
 	{"leader of a region", "MB", func(r *observation) float64 { return r.meanUsage(RoleController, true, residentMBOf) },
@@ -122,21 +120,21 @@
 	}, []Variable{jobsVariable, startsVariable}},
 }
 
-// Slope is a figure as a linear function of what it grows with, by least squares.
+// Slope is a figure as a linear function of its variables, fitted by least squares.
 type Slope struct {
 	Role, Unit string
-	Base       float64   // with all variables 0
-	By         []string  // variables
-	Each       []float64 // for one more of each
-	RMS, Worst float64   // residuals: root of the mean square, and the largest
+	Base       float64   // intercept: the figure when all variables are 0
+	By         []string  // names of the variables
+	Each       []float64 // coefficient of each variable
+	RMS, Worst float64   // root mean square and largest absolute residual
 	R2         float64
 	Rows       int
 }
 
-// errTooFewWindows tells that a slope can't be told.
-var errTooFewWindows = errors.New("too few windows: two more than a figure has variables are needed")
+// errTooFewWindows is returned when there are too few observations for a fit.
+var errTooFewWindows = errors.New("too few windows: a fit needs at least two more than the figure has variables")
 
-// Slopes fits all figures to the steady windows of some reports.
+// Slopes fits all figures to the steady windows of the reports.
 func Slopes(reports []*Report) ([]Slope, error) {
 	observations := steadyObservations(reports)
 	out := make([]Slope, 0, len(figures))
@@ -150,6 +148,7 @@
 	return out, nil
 }
 
+// steadyObservations returns an observation for each region in each steady window.
 func steadyObservations(reports []*Report) (observations []*observation) {
 	for _, report := range reports {
 		for w := range report.Windows {
@@ -164,6 +163,7 @@
 	return observations
 }
 
+// fit fits the figure to the observations.
 func (f *figure) fit(observations []*observation) (Slope, error) {
 	slope := Slope{Role: f.role, Unit: f.unit, Rows: len(observations)}
 	n, k := len(observations), 1+len(f.variables)
@@ -179,7 +179,7 @@
 		y.SetVec(i, f.value(r))
 	}
 	var beta mat.VecDense
-	if err := beta.SolveVec(x, y); err != nil { // QR: least squares
+	if err := beta.SolveVec(x, y); err != nil { // least squares by QR decomposition
 		return slope, fmt.Errorf("least squares: %w", err)
 	}
 	slope.Base = beta.AtVec(0)
@@ -200,14 +200,14 @@
 	return slope, nil
 }
 
-// Prediction of a figure of a run that the slopes do not rest on.
+// Prediction compares the predicted and the measured value of a figure, for a run that was not used in the fit.
 type Prediction struct {
 	Role, Unit          string
 	Predicted, Measured float64
 }
 
-// Predict tells what slopes say of a run's steady window, region by region on average,
-// beside what was measured.
+// Predict returns the predicted and measured figures of a run's steady window, as means over its regions. The slopes
+// must come from Slopes.
 func Predict(slopes []Slope, run *Report) ([]Prediction, error) {
 	observations := steadyObservations([]*Report{run})
 	if len(observations) == 0 {
--- a/internal/scale/slopes_test.go
+++ b/internal/scale/slopes_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// linearReport is a report of a region of so many workers whose costs are known linear functions.
+// linearReport returns a report of one region whose usage is a known linear function of its size.
 func linearReport(workers, controllers int, starts float64) *Report {
 	const seconds = 10
 	w := Window{Name: steadyWindow, Seconds: seconds}
@@ -31,8 +31,8 @@
 	return &Report{Schema: SchemaVersion, Windows: []Window{w}}
 }
 
-// Costs that are linear are found as such, and a size that the slopes do not rest on is
-// predicted; too few runs are told.
+// TestSlopesFitLinearCosts checks that the fit finds known linear functions and predicts a run of another size, and
+// that too few reports are an error.
 func TestSlopesFitLinearCosts(t *testing.T) {
 	var reports []*Report
 	for i, workers := range []int{100, 217, 450, 800, 1300, 1900} {
@@ -54,7 +54,7 @@
 		}
 	}
 	if !found {
-		t.Error("no slope of the controllers")
+		t.Error("no slope for the cores of controllers that do not lead")
 	}
 	predictions, err := Predict(slopes, linearReport(9400, 20, 3300))
 	if err != nil {
@@ -66,6 +66,6 @@
 		}
 	}
 	if _, err := Slopes(reports[:2]); !errors.Is(err, errTooFewWindows) {
-		t.Errorf("%v of two runs", err)
+		t.Errorf("fit of two reports: %v, want errTooFewWindows", err)
 	}
 }
--- a/internal/scale/stats.go
+++ b/internal/scale/stats.go
@@ -7,19 +7,20 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles sum up a histogram of durations, in milliseconds.
+// Quantiles summarizes a histogram of durations, in milliseconds.
 type Quantiles struct {
 	Count                    int64
 	P50, P90, P99, P999, Max int64
 	Mean                     float64
 }
 
-// histogram of durations up to an hour, safe for many goroutines.
+// histogram is a histogram of durations of up to an hour, safe for concurrent use.
 type histogram struct {
 	mu sync.Mutex
 	h  *hdr.Histogram
 }
 
+// Range and precision of a histogram.
 const (
 	maxMillis         = int64(time.Hour / time.Millisecond)
 	significantDigits = 3
@@ -27,13 +28,14 @@
 
 func newHistogram() *histogram { return &histogram{h: hdr.New(1, maxMillis, significantDigits)} }
 
+// record adds a duration.
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(max(d.Milliseconds(), 0), maxMillis)) // within its range
+	_ = h.h.RecordValue(min(max(d.Milliseconds(), 0), maxMillis)) // can't fail: the value is within the range
 }
 
-// snapshot sums up, and begins anew if that is wanted.
+// snapshot returns the summary. reset clears the histogram afterwards.
 func (h *histogram) snapshot(reset bool) Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,25 +47,25 @@
 	return q
 }
 
-// WorkersStats are what a region's workers counted. Counts are from the beginning on;
-// quantiles since they were last reset.
+// WorkersStats is what a region's workers counted. Counts are since the start of the process, quantiles and PeakStarts
+// since their last reset.
 type WorkersStats struct {
 	Up, Running                              int
 	Starts, Reports, Commands                int64
 	Redirected, Unanswered, Dropped, Expired int64
 	BytesIn, BytesOut                        int64
-	PeakStarts                               int64 // in one second
+	PeakStarts                               int64 // most starts in one second
 	UrgentWait, OtherWait                    Quantiles
-	Broken                                   []string // a task on two machines, a team over its limit
+	Broken                                   []string // violations: a task on two machines, a team over its limit
 	BrokenCount                              int
 }
 
-// WorldStats are what a region's users, state service and cloud counted.
+// WorldStats is what a region's users, state service and cloud counted.
 type WorldStats struct {
 	Submitted, Accepted, Refused, Done, Open, Lost int
 	Polls, PollsUnanswered                         int64
 	Submit, Poll, Finish                           Quantiles
-	LongestUnanswered                              float64 // seconds, of any open job
+	LongestUnanswered                              float64 // longest time without an answer for an open job, in s
 	State                                          []FrontStats
 	StateKeys, StateBytes                          int
 	StateChanges, StateChangesRefused              int
@@ -73,7 +75,7 @@
 	LimitChanges                                   LimitChangeStats
 }
 
-// FrontStats are one controller's requests to the state service.
+// FrontStats counts the requests of one controller to the state service.
 type FrontStats struct {
 	Host                       string
 	Requests, Refused, Watches int
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -7,17 +7,17 @@
 	"github.com/prometheus/procfs"
 )
 
-// sample is what a process has used so far, as the kernel tells.
+// sample is the resource usage of a process since its start, as reported by the kernel.
 type sample struct {
 	at           time.Time
 	cpu          float64 // seconds
 	rss          int     // bytes
-	sockets      int     // open files, which are sockets but for a few
-	readBytes    uint64  // bytes, of sockets for the most part
-	writtenBytes uint64
+	sockets      int     // open files, nearly all of which are sockets
+	readBytes    uint64  // bytes read, mostly from sockets
+	writtenBytes uint64  // bytes written, mostly to sockets
 }
 
-// readSample reads a process's figures.
+// readSample reads the resource usage of a process.
 func readSample(fs procfs.FS, pid int) (sample, error) {
 	p, err := fs.Proc(pid)
 	if err != nil {
@@ -36,55 +36,55 @@
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
 	return sample{at: time.Now(), cpu: stat.CPUTime(), rss: stat.ResidentMemory(), sockets: files,
-		readBytes:    ioCounters.RChar,
-		writtenBytes: ioCounters.WChar}, nil
+		readBytes: ioCounters.RChar, writtenBytes: ioCounters.WChar}, nil
 }
 
-// Usage of a process in a window.
+// Usage is the resource usage of a process in a window.
 type Usage struct {
 	Role          Role
 	Region        int
 	Name          string
-	Leader        bool    // of its region, at the window's end
-	Cores         float64 // processor time a second, mean
-	PeakCores     float64 // in any second
-	ResidentMB    float64 // at the most
-	Sockets       int     // at the most
+	Leader        bool    // leads its region at the end of the window
+	Cores         float64 // mean processor time per second
+	PeakCores     float64 // maximum of the samples
+	ResidentMB    float64 // maximum of the samples
+	Sockets       int     // maximum of the samples
 	ReadKBPerS    float64
 	WrittenKBPerS float64
 	Restarts      int
 }
 
-// meter follows a process through its restarts.
+// meter adds up the usage of a process in a window, across restarts.
 type meter struct {
-	last           sample // since its last start; its time is zero before the first
+	last           sample // latest sample since the last start; zero before the first
 	usage          Usage
 	base           sample
-	earlierCPU     float64 // of earlier lives in this window
+	earlierCPU     float64 // usage of earlier runs of the process in this window
 	earlierRead    uint64
 	earlierWritten uint64
 	windowStart    time.Time
 }
 
-// beginWindow begins a window.
+// beginWindow starts a window.
 func (m *meter) beginWindow(now time.Time) {
 	*m = meter{last: m.last, base: m.last, windowStart: now}
 }
 
-// recordRestart begins another life.
+// recordRestart starts counting for a new run of the process.
 func (m *meter) recordRestart() {
 	m.addCurrentRun()
 	m.last, m.base = sample{}, sample{}
 	m.usage.Restarts++
 }
 
-// addCurrentRun adds what the present life has used in this window.
+// addCurrentRun adds the usage of the current run in this window to that of earlier runs.
 func (m *meter) addCurrentRun() {
 	m.earlierCPU += m.last.cpu - m.base.cpu
 	m.earlierRead += m.last.readBytes - m.base.readBytes
 	m.earlierWritten += m.last.writtenBytes - m.base.writtenBytes
 }
 
+// addSample records a sample and updates the maxima.
 func (m *meter) addSample(s sample) {
 	if elapsed := s.at.Sub(m.last.at).Seconds(); elapsed > 0 && !m.last.at.IsZero() {
 		m.usage.PeakCores = max(m.usage.PeakCores, (s.cpu-m.last.cpu)/elapsed)
@@ -94,7 +94,7 @@
 	m.usage.Sockets = max(m.usage.Sockets, s.sockets)
 }
 
-// endWindow ends a window.
+// endWindow ends a window and returns the usage in it.
 func (m *meter) endWindow(now time.Time) Usage {
 	m.addCurrentRun()
 	usage := m.usage
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// snapshot is what all regions have counted so far.
+// snapshot holds the counts of all regions at one moment.
 type snapshot struct {
 	workers []WorkersStats
 	worlds  []WorldStats
 }
 
-// snapshot asks all regions; their quantiles begin anew.
+// snapshot reads the counts of all regions and resets their quantiles.
 func (r *run) snapshot(ctx context.Context) (snapshot, error) {
 	s := snapshot{make([]WorkersStats, len(r.regions)), make([]WorldStats, len(r.regions))}
 	err := r.forEachRegion(func(region *runningRegion) error {
@@ -26,9 +26,10 @@
 	return s, err
 }
 
-// measureWindow measures for a while, after a fault if there is one.
+// measureWindow measures a window of the given length and adds it to the report. The fault, if any, is injected at the
+// start of the window.
 func (r *run) measureWindow(ctx context.Context, name string, duration time.Duration, fault *Fault) error {
-	r.printProgress("measuring: %s, for %v", name, duration)
+	r.printProgress("measuring window %s for %v", name, duration)
 	before, err := r.snapshot(ctx)
 	if err != nil {
 		return err
@@ -55,6 +56,7 @@
 	return nil
 }
 
+// buildWindow ends the window in all meters and returns it with the difference of the snapshots.
 func (r *run) buildWindow(ctx context.Context, name string, began time.Time, before, after snapshot) Window {
 	now := time.Now()
 	window := Window{Name: name, Seconds: now.Sub(began).Seconds()}
@@ -76,7 +78,7 @@
 	return window
 }
 
-// injectFault carries a fault out in the first region.
+// injectFault injects a fault into the first region.
 func (r *run) injectFault(ctx context.Context, kind FaultKind) error {
 	region := r.regions[0]
 	switch kind {
@@ -104,8 +106,8 @@
 	return nil
 }
 
-// loseZone ends all that is in a region's first zone: its workers, for which the cloud has no
-// others there, and its controllers, which don't come back within the run.
+// loseZone kills all workers and controllers of a region's first zone. The cloud offers no more machines there, and
+// the controllers are not restarted in this run.
 func (r *run) loseZone(ctx context.Context, region *runningRegion) error {
 	zone := region.spec.Zones[0]
 	for i, h := range region.spec.Hosts {
@@ -118,7 +120,7 @@
 	return callControl(ctx, http.MethodPost, region.worldAddr, pathLose, request, nil)
 }
 
-// nextController is the next controller that has not ended for good; the same one if there is no other.
+// nextController returns the index of the next controller that is not permanently lost, or i if there is no other.
 func (region *runningRegion) nextController(i int) int {
 	for range region.controllers {
 		i = (i + 1) % len(region.controllers)
@@ -129,7 +131,7 @@
 	return i
 }
 
-// killController kills a controller.
+// killController kills the region's controller i and returns its process.
 func (r *run) killController(region *runningRegion, i int) *process {
 	r.mu.Lock()
 	p := region.controllers[i]
@@ -138,7 +140,7 @@
 	return p
 }
 
-// killAndRestartController kills a controller, and starts it again after a while.
+// killAndRestartController kills the region's controller i and restarts it after restartDelay.
 func (r *run) killAndRestartController(ctx context.Context, region *runningRegion, i int) {
 	p := r.killController(region, i)
 	r.pendingRestarts.Go(func() {
@@ -146,7 +148,7 @@
 			return
 		}
 		if err := r.startController(region, i); err != nil {
-			r.env.Log.Error("a controller was not started again", "host", p.name, "err", err)
+			r.env.Log.Error("failed to restart a controller", "host", p.name, "err", err)
 		}
 	})
 }
