--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -32,11 +32,11 @@
 }
 
 // maxWorkers is the largest number of workers that fits into so many MB if all other options stay the same.
-func (o *Options) maxWorkers(mb float64) int {
+func (o *Options) maxWorkers(memoryMB float64) int {
 	noWorkers, oneWorker := *o, *o
 	noWorkers.Workers, oneWorker.Workers = 0, 1
 	perWorker := oneWorker.estimateMemoryMB() - noWorkers.estimateMemoryMB()
-	return max(0, int((mb-noWorkers.estimateMemoryMB())/perWorker))
+	return max(0, int((memoryMB-noWorkers.estimateMemoryMB())/perWorker))
 }
 
 // machine holds the capacity of the machine that the run uses.
@@ -46,18 +46,18 @@
 }
 
 // readMachine reads the capacity of this machine.
-func readMachine(fs procfs.FS) (m machine, err error) {
-	mem, err := fs.Meminfo()
-	if err != nil || mem.MemTotal == nil {
-		return m, fmt.Errorf("read the memory size of this machine: %w", errors.Join(err, errNotReported))
+func readMachine(fs procfs.FS) (machine machine, err error) {
+	meminfo, err := fs.Meminfo()
+	if err != nil || meminfo.MemTotal == nil {
+		return machine, fmt.Errorf("read the memory size of this machine: %w", errors.Join(err, errNotReported))
 	}
-	m.memoryMB = float64(*mem.MemTotal) / 1024
-	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return m, fmt.Errorf("read the limit of open files: %w", err)
+	machine.memoryMB = float64(*meminfo.MemTotal) / 1024
+	var fileLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fileLimit); err != nil {
+		return machine, fmt.Errorf("read the limit of open files: %w", err)
 	}
-	m.maxOpenFiles = limit.Cur
-	return m, nil
+	machine.maxOpenFiles = fileLimit.Cur
+	return machine, nil
 }
 
 // errNotReported is returned when the kernel does not report the memory size.
@@ -92,11 +92,11 @@
 func (o *Options) checkAddresses() error {
 	for i := range o.Regions {
 		addr := fmt.Sprintf("127.%d.0.1:0", firstNetworkOctet+i)
-		l, err := net.Listen("tcp4", addr)
+		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
 			return fmt.Errorf("loopback address of region %d: %w", i, err)
 		}
-		l.Close()
+		listener.Close()
 	}
 	return nil
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -24,8 +24,8 @@
 	pathLose    = "/lose"    // world: stops machines abruptly
 )
 
-// Ready is the message that a child process writes to its standard output once it is ready.
-type Ready struct {
+// ReadyMessage is the message that a child process writes to its standard output once it is ready.
+type ReadyMessage struct {
 	Control string   // address of the control server
 	State   []string // world: address of the state service for each controller
 	Cloud   string   // world: address of the cloud
@@ -129,7 +129,7 @@
 
 // announceReady writes the Ready message for the parent, then waits until the parent closes the child's standard input
 // or exits, or the context ends.
-func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready Ready) error {
+func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready ReadyMessage) error {
 	if err := json.NewEncoder(out).Encode(ready); err != nil {
 		return fmt.Errorf("write the ready message: %w", err)
 	}
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -32,13 +32,13 @@
 type Fault struct{ Kind FaultKind }
 
 // ParseFault returns the fault of the given name.
-func ParseFault(s string) (Fault, error) {
-	if k := FaultKind(s); slices.Contains(FaultKinds, k) {
-		return Fault{k}, nil
+func ParseFault(name string) (Fault, error) {
+	if kind := FaultKind(name); slices.Contains(FaultKinds, kind) {
+		return Fault{kind}, nil
 	}
 	var names []string
-	for _, k := range FaultKinds {
-		names = append(names, string(k))
+	for _, kind := range FaultKinds {
+		names = append(names, string(kind))
 	}
-	return Fault{}, fmt.Errorf("unknown fault %q: must be one of %s", s, strings.Join(names, ", "))
+	return Fault{}, fmt.Errorf("unknown fault %q: must be one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -39,7 +39,7 @@
 	h := &hollowWorkers{spec: spec, registry: standin.NewDepot(), urgentWait: newHistogram(), otherWait: newHistogram()}
 	h.registry.Brief = true
 	h.registry.Look = h.fetchDescription
-	h.registry.Factor = func(j *standin.Job, task string) float64 { return runTimeFactor(spec.Seed, j, task) }
+	h.registry.Factor = func(job *standin.Job, task string) float64 { return runTimeFactor(spec.Seed, job, task) }
 	h.registry.Started = h.recordStart
 	h.registry.LimitCPUs = map[string]float64{}
 	for _, team := range spec.Teams {
@@ -56,16 +56,16 @@
 	}
 	defer h.group.Close()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathAttach, controlHandler(func(a AttachRequest) (struct{}, error) {
-		h.worldAddr.Store(&a.World)
+	mux.HandleFunc("POST "+pathAttach, controlHandler(func(request AttachRequest) (struct{}, error) {
+		h.worldAddr.Store(&request.World)
 		return struct{}{}, nil
 	}))
-	mux.HandleFunc("POST "+pathBoot, controlHandler(func(m standin.MachineSpec) (BootReply, error) {
-		addr, err := h.group.Boot(m)
+	mux.HandleFunc("POST "+pathBoot, controlHandler(func(machine standin.MachineSpec) (BootReply, error) {
+		addr, err := h.group.Boot(machine)
 		return BootReply{addr}, err
 	}))
-	mux.HandleFunc("POST "+pathEnd, controlHandler(func(n NameRequest) (struct{}, error) {
-		h.group.End(n.Name)
+	mux.HandleFunc("POST "+pathEnd, controlHandler(func(machine NameRequest) (struct{}, error) {
+		h.group.End(machine.Name)
 		return struct{}{}, nil
 	}))
 	mux.HandleFunc("POST "+pathRunning, controlHandler(func(job NameRequest) (RunningReply, error) {
@@ -79,20 +79,20 @@
 	if err != nil {
 		return err
 	}
-	return announceReady(ctx, in, out, Ready{Control: addr})
+	return announceReady(ctx, in, out, ReadyMessage{Control: addr})
 }
 
 // runTimeFactor is the ratio of a task's run time to the mean. It is uniform between 0.5 and 1.5 and depends only on
 // the seed and the task, so it is the same for every attempt. The tasks of a residual job count as already running:
 // their factor has the distribution of the remaining run time at a random moment, so the run starts in its steady
 // state.
-func runTimeFactor(seed uint64, j *standin.Job, task string) float64 {
+func runTimeFactor(seed uint64, job *standin.Job, task string) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s", seed, task)
 	const steps = 1 << 20
 	uniform := float64(hash.Sum64()%steps) / steps
 	switch {
-	case !j.Residual:
+	case !job.Residual:
 		return 0.5 + uniform
 	case uniform < 0.5: // every task runs for at least 0.5, so the remaining time is uniform up to there
 		return uniform
@@ -108,30 +108,30 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+*world+pathJob+name, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+*world+pathJob+name, nil)
 	if err != nil {
 		return nil
 	}
-	res, err := controlClient.Do(req)
+	response, err := controlClient.Do(request)
 	if err != nil {
 		return nil
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
-	if err != nil || res.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	description, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK {
 		return nil
 	}
-	return b
+	return description
 }
 
 // recordStart counts a task start on a machine. The registry calls it with its lock held.
-func (h *hollowWorkers) recordStart(j *standin.Job, at time.Time) {
+func (h *hollowWorkers) recordStart(job *standin.Job, at time.Time) {
 	waits := h.otherWait
-	if strings.EqualFold(j.Rank, urgentRank) {
+	if strings.EqualFold(job.Rank, urgentRank) {
 		waits = h.urgentWait
 	}
-	if j.AskedMs > 0 && j.Shape == "batch" {
-		waits.record(at.Sub(time.UnixMilli(j.AskedMs)))
+	if job.AskedMs > 0 && job.Shape == "batch" {
+		waits.record(at.Sub(time.UnixMilli(job.AskedMs)))
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,7 +149,7 @@
 func (h *hollowWorkers) stats(reset bool) WorkersStats {
 	meter := &h.group.Meter
 	broken := h.registry.Broken()
-	s := WorkersStats{
+	stats := WorkersStats{
 		Up: h.group.Size(), Running: h.registry.OnMachines(),
 		Starts: meter.Starts.Load(), Reports: meter.Reports.Load(), Commands: meter.Commands.Load(),
 		Redirected: meter.Redirected.Load(), Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(),
@@ -160,9 +160,9 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s.PeakStarts = h.peakStarts
+	stats.PeakStarts = h.peakStarts
 	if reset {
 		h.peakStarts = 0
 	}
-	return s
+	return stats
 }
--- a/internal/scale/limit_changes.go
+++ b/internal/scale/limit_changes.go
@@ -27,7 +27,7 @@
 	spec         RegionSpec
 	changeClient *client.Operators // tries the controllers in order
 	checkClient  *client.Operators // starts with a different controller
-	rng          *rand.Rand
+	random       *rand.Rand
 	latency      *histogram // from the first request to the answer, which means that the change is stored and in force
 
 	mu                  sync.Mutex
@@ -37,8 +37,8 @@
 // newLimitChanger creates a limitChanger for the region's teams.
 func newLimitChanger(spec RegionSpec) (*limitChanger, error) {
 	addrs := make([]string, len(spec.Hosts))
-	for i, h := range spec.Hosts {
-		addrs[i] = h.Operators
+	for i, host := range spec.Hosts {
+		addrs[i] = host.Operators
 	}
 	change, err := client.NewOperators(addrs, spec.OperatorToken, "")
 	if err != nil {
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("changes of limits: %w", err)
 	}
-	return &limitChanger{spec: spec, changeClient: change, checkClient: check, rng: rand.New(rand.NewPCG(spec.Seed, 14)),
-		latency: newHistogram()}, nil
+	return &limitChanger{spec: spec, changeClient: change, checkClient: check,
+		random: rand.New(rand.NewPCG(spec.Seed, 14)), latency: newHistogram()}, nil
 }
 
 // run makes changes at random intervals until the context ends.
@@ -58,9 +58,9 @@
 	if perSecond <= 0 {
 		return
 	}
-	for sleepContext(ctx, time.Duration(l.rng.ExpFloat64()/perSecond*float64(time.Second))) == nil {
-		team := l.spec.Teams[l.rng.IntN(len(l.spec.Teams))]
-		limit := math.Round(team.CPUsMax * (minLimitFraction + (1-minLimitFraction)*l.rng.Float64()))
+	for sleepContext(ctx, time.Duration(l.random.ExpFloat64()/perSecond*float64(time.Second))) == nil {
+		team := l.spec.Teams[l.random.IntN(len(l.spec.Teams))]
+		limit := math.Round(team.CPUsMax * (minLimitFraction + (1-minLimitFraction)*l.random.Float64()))
 		l.changeLimit(ctx, team.Name, limit)
 	}
 }
--- a/internal/scale/probe.go
+++ b/internal/scale/probe.go
@@ -15,8 +15,8 @@
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
 		healthy := 0
-		for _, h := range region.spec.Hosts {
-			if checkPage(ctx, h.Bind, "/healthz") == nil {
+		for _, host := range region.spec.Hosts {
+			if checkPage(ctx, host.Bind, "/healthz") == nil {
 				healthy++
 			}
 		}
@@ -62,15 +62,15 @@
 
 // readMetric reads a metric without labels from a controller's metrics page. ok is false if the page or the metric is
 // missing.
-func readMetric(ctx context.Context, addr, name string) (v float64, ok bool) {
+func readMetric(ctx context.Context, addr, name string) (value float64, ok bool) {
 	b, err := fetchPage(ctx, addr, "/metrics")
 	if err != nil {
 		return 0, false
 	}
 	for line := range bytes.Lines(b) {
 		if rest, found := bytes.CutPrefix(line, []byte(name+" ")); found {
-			v, err := strconv.ParseFloat(string(bytes.TrimSpace(rest)), 64)
-			return v, err == nil
+			value, err := strconv.ParseFloat(string(bytes.TrimSpace(rest)), 64)
+			return value, err == nil
 		}
 	}
 	return 0, false
@@ -78,8 +78,8 @@
 
 // leaderIndex returns the index of the region's leader among its controllers, or -1 if there is none.
 func (r *run) leaderIndex(ctx context.Context, region *runningRegion) int {
-	for i, h := range region.spec.Hosts {
-		if v, ok := readMetric(ctx, h.Bind, "honeylock_leading"); ok && v == 1 {
+	for i, host := range region.spec.Hosts {
+		if value, ok := readMetric(ctx, host.Bind, "honeylock_leading"); ok && value == 1 {
 			return i
 		}
 	}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -167,9 +167,9 @@
 }
 
 // awaitReady waits for the Ready message on the child's standard output.
-func (p *process) awaitReady() (Ready, error) {
+func (p *process) awaitReady() (ReadyMessage, error) {
 	type announcement struct {
-		ready Ready
+		ready ReadyMessage
 		err   error
 	}
 	announced := make(chan announcement, 1)
@@ -182,11 +182,11 @@
 	case a := <-announced:
 		if a.err != nil {
 			<-p.exited
-			return Ready{}, errors.Join(fmt.Errorf("%s failed to start: %w", p.name, a.err), p.unexpectedExit())
+			return ReadyMessage{}, errors.Join(fmt.Errorf("%s failed to start: %w", p.name, a.err), p.unexpectedExit())
 		}
 		return a.ready, nil
 	case <-time.After(readyTimeout):
-		return Ready{}, fmt.Errorf("%s is not ready after %v", p.name, readyTimeout)
+		return ReadyMessage{}, fmt.Errorf("%s is not ready after %v", p.name, readyTimeout)
 	}
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -76,7 +76,7 @@
 	w.CloudRefused -= before.CloudRefused
 	w.Cancels = w.Cancels.minus(before.Cancels)
 	w.LimitChanges = w.LimitChanges.minus(before.LimitChanges)
-	w.State = append([]FrontStats(nil), w.State...)
+	w.State = append([]StateRequestStats(nil), w.State...)
 	for i := range w.State {
 		if i < len(before.State) {
 			w.State[i].Requests -= before.State[i].Requests
@@ -89,12 +89,12 @@
 
 // StateRequests returns the number of requests that all controllers made to the state service, and how many of them
 // its rate limit refused.
-func (w *WorldStats) StateRequests() (all, refused int) {
+func (w *WorldStats) StateRequests() (requests, refused int) {
 	for _, f := range w.State {
-		all += f.Requests
+		requests += f.Requests
 		refused += f.Refused
 	}
-	return all, refused
+	return requests, refused
 }
 
 // maxStandInCores is the processor use, in cores, above which a stand-in may delay its answers and so distort the
@@ -134,11 +134,11 @@
 
 // writeFile writes the report as JSON.
 func (r *Report) writeFile(path string) error {
-	b, err := json.MarshalIndent(r, "", " ")
+	encoded, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := os.WriteFile(path, append(b, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(path, append(encoded, '\n'), 0o644); err != nil {
 		return fmt.Errorf("--report: %w", err)
 	}
 	return nil
@@ -146,16 +146,16 @@
 
 // ReadReport reads a report file. It fails if the file has another schema version.
 func ReadReport(path string) (*Report, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	var r Report
-	if err := json.Unmarshal(b, &r); err != nil {
+	var report Report
+	if err := json.Unmarshal(content, &report); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Schema != SchemaVersion {
-		return nil, fmt.Errorf("%s: schema %d, this program reads %d", path, r.Schema, SchemaVersion)
+	if report.Schema != SchemaVersion {
+		return nil, fmt.Errorf("%s: schema %d, this program reads %d", path, report.Schema, SchemaVersion)
 	}
-	return &r, nil
+	return &report, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -49,15 +49,15 @@
 
 // run is the state of one call of Run.
 type run struct {
-	options   Options
-	env       Environment
-	procFS    procfs.FS
-	machine   machine
-	starter   *starter
-	configDir string
-	rng       *rand.Rand
-	regions   []*runningRegion
-	report    *Report
+	options     Options
+	environment Environment
+	procFS      procfs.FS
+	machine     machine
+	starter     *starter
+	configDir   string
+	random      *rand.Rand
+	regions     []*runningRegion
+	report      *Report
 
 	pendingRestarts sync.WaitGroup // controllers that are waiting to be restarted
 	background      sync.WaitGroup // goroutines that run until the run's context ends
@@ -80,11 +80,11 @@
 
 // Run starts a fleet, puts load on it and measures it. All processes that it starts have ended when it returns.
 func Run(ctx context.Context, options Options, env Environment) (*Report, error) {
-	fs, err := procfs.NewDefaultFS()
+	procFS, err := procfs.NewDefaultFS()
 	if err != nil {
 		return nil, fmt.Errorf("open the proc file system: %w", err)
 	}
-	machine, err := readMachine(fs)
+	machine, err := readMachine(procFS)
 	if err != nil {
 		return nil, err
 	}
@@ -94,13 +94,13 @@
 	if err := options.checkCapacity(machine); err != nil {
 		return nil, &UsageError{err}
 	}
-	dir, err := os.MkdirTemp("", "honeylock-scale-")
+	configDir, err := os.MkdirTemp("", "honeylock-scale-")
 	if err != nil {
 		return nil, fmt.Errorf("create the configuration directory: %w", err)
 	}
-	defer os.RemoveAll(dir)
-	r := &run{options: options, env: env, procFS: fs, machine: machine, starter: newStarter(), configDir: dir,
-		meters: map[string]*meter{}, rng: rand.New(rand.NewPCG(options.Seed, 21)),
+	defer os.RemoveAll(configDir)
+	r := &run{options: options, environment: env, procFS: procFS, machine: machine, starter: newStarter(),
+		configDir: configDir, meters: map[string]*meter{}, random: rand.New(rand.NewPCG(options.Seed, 21)),
 		report: &Report{Schema: SchemaVersion, Commit: env.Commit, Version: env.Version, At: time.Now().UTC(),
 			Options: options, Machine: MachineFacts{CPUs: runtime.NumCPU(), MemoryMB: machine.memoryMB}}}
 	defer close(r.starter.calls)
@@ -176,7 +176,7 @@
 func (r *run) printProgress(format string, args ...any) {
 	r.progressMu.Lock()
 	defer r.progressMu.Unlock()
-	fmt.Fprintf(r.env.Progress, format+"\n", args...)
+	fmt.Fprintf(r.environment.Progress, format+"\n", args...)
 }
 
 // monitor samples all processes and prints the progress. It cancels the run if a process exits unexpectedly or if
@@ -209,13 +209,13 @@
 		if err := p.unexpectedExit(); err != nil {
 			return err
 		}
-		s, err := readSample(r.procFS, p.pid())
+		usage, err := readSample(r.procFS, p.pid())
 		if err != nil {
 			continue // the process has just exited: the next call returns the error unless it was stopped on purpose
 		}
-		totalMB += float64(s.rss) / (1 << 20)
+		totalMB += float64(usage.rss) / (1 << 20)
 		r.mu.Lock()
-		r.meters[p.name].addSample(s)
+		r.meters[p.name].addSample(usage)
 		r.mu.Unlock()
 	}
 	if half := r.machine.memoryMB / 2; totalMB > half {
@@ -235,8 +235,8 @@
 		}
 	}
 	r.mu.Lock()
-	for _, m := range r.meters {
-		mb += float64(m.last.rss) / (1 << 20)
+	for _, meter := range r.meters {
+		mb += float64(meter.last.rss) / (1 << 20)
 	}
 	r.mu.Unlock()
 	r.printProgress("%4.0f s  %d workers up, %d tasks running, %d started, %.0f MB", elapsed.Seconds(), up, running,
@@ -250,24 +250,24 @@
 		return
 	}
 	for {
-		if sleepContext(ctx, time.Duration(r.rng.ExpFloat64()/perSecond*float64(time.Second))) != nil {
+		if sleepContext(ctx, time.Duration(r.random.ExpFloat64()/perSecond*float64(time.Second))) != nil {
 			return
 		}
-		region := r.regions[r.rng.IntN(len(r.regions))]
+		region := r.regions[r.random.IntN(len(r.regions))]
 		if err := callControl(ctx, http.MethodPost, region.worldAddr, pathLose, LoseRequest{Count: 1}, nil); err != nil {
-			r.env.Log.Warn("failed to stop a worker", "region", region.spec.Name, "err", err)
+			r.environment.Log.Warn("failed to stop a worker", "region", region.spec.Name, "err", err)
 		}
 	}
 }
 
 // sleepContext waits for d. It returns the context's cause if the context ends first.
-func sleepContext(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func sleepContext(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return context.Cause(ctx)
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	}
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -11,7 +11,7 @@
 func TestProgressLinesNotInterleaved(t *testing.T) {
 	const writers, lines = 4, 100
 	var out bytes.Buffer
-	r := &run{env: Environment{Progress: &out}}
+	r := &run{environment: Environment{Progress: &out}}
 	var wg sync.WaitGroup
 	for range writers {
 		wg.Go(func() {
@@ -21,7 +21,7 @@
 		})
 	}
 	wg.Wait()
-	if wanted := bytes.Repeat([]byte("100 workers\n"), writers*lines); !bytes.Equal(out.Bytes(), wanted) {
-		t.Errorf("%d bytes of progress, want %d", out.Len(), len(wanted))
+	if want := bytes.Repeat([]byte("100 workers\n"), writers*lines); !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("%d bytes of progress, want %d", out.Len(), len(want))
 	}
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -14,15 +14,15 @@
 // LoadSettings applies a settings file in protobuf text format to the options. Options that the file does not set keep
 // their values.
 func (o *Options) LoadSettings(path string) error {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("--settings: %w", err)
 	}
-	var p scalepb.Settings
-	if err := prototext.Unmarshal(b, &p); err != nil {
+	var settings scalepb.Settings
+	if err := prototext.Unmarshal(content, &settings); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if err := o.applySettings(&p); err != nil {
+	if err := o.applySettings(&settings); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
@@ -51,43 +51,43 @@
 
 // applySettings applies decoded settings to the options.
 func (o *Options) applySettings(settings *scalepb.Settings) error {
-	if s := settings.GetSize(); s != nil {
-		setInt(&o.Workers, s.Workers)
-		setInt(&o.Controllers, s.Controllers)
-		setInt(&o.Regions, s.Regions)
-		setInt(&o.Zones, s.Zones)
-		setInt(&o.Teams, s.Teams)
+	if size := settings.GetSize(); size != nil {
+		setInt(&o.Workers, size.Workers)
+		setInt(&o.Controllers, size.Controllers)
+		setInt(&o.Regions, size.Regions)
+		setInt(&o.Zones, size.Zones)
+		setInt(&o.Teams, size.Teams)
 	}
-	if l := settings.GetLoad(); l != nil {
-		if l.Profile != nil {
-			o.Profile = Profile(*l.Profile)
+	if load := settings.GetLoad(); load != nil {
+		if load.Profile != nil {
+			o.Profile = Profile(*load.Profile)
 		}
-		setInt(&o.TasksPerWorker, l.TasksPerWorker)
-		setSeconds(&o.TaskTime, l.TaskS)
-		setInt(&o.TasksPerJob, l.TasksPerJob)
-		setIfPresent(&o.ReplacedPerDay, l.ReplacedPerDay)
-		setIfPresent(&o.ReplacedFaster, l.ReplacedFaster)
-		setIfPresent(&o.CancelledShare, l.CancelledShare)
-		setIfPresent(&o.LimitChangesPerDay, l.LimitChangesPerDay)
+		setInt(&o.TasksPerWorker, load.TasksPerWorker)
+		setSeconds(&o.TaskTime, load.TaskS)
+		setInt(&o.TasksPerJob, load.TasksPerJob)
+		setIfPresent(&o.ReplacedPerDay, load.ReplacedPerDay)
+		setIfPresent(&o.ReplacedFaster, load.ReplacedFaster)
+		setIfPresent(&o.CancelledShare, load.CancelledShare)
+		setIfPresent(&o.LimitChangesPerDay, load.LimitChangesPerDay)
 	}
-	if l := settings.GetLimits(); l != nil {
-		setIfPresent(&o.Limits.StateRPS, l.StateRps)
-		setIfPresent(&o.Limits.StateWriteRPS, l.StateWriteRps)
-		setIfPresent(&o.Limits.StateValueKB, l.StateValueKb)
-		setInt(&o.Limits.StateTxnOps, l.StateTxnOps)
-		if l.StateLatencyMs != nil {
-			o.Limits.StateLatency = time.Duration(*l.StateLatencyMs * float64(time.Millisecond))
+	if load := settings.GetLimits(); load != nil {
+		setIfPresent(&o.Limits.StateRPS, load.StateRps)
+		setIfPresent(&o.Limits.StateWriteRPS, load.StateWriteRps)
+		setIfPresent(&o.Limits.StateValueKB, load.StateValueKb)
+		setInt(&o.Limits.StateTxnOps, load.StateTxnOps)
+		if load.StateLatencyMs != nil {
+			o.Limits.StateLatency = time.Duration(*load.StateLatencyMs * float64(time.Millisecond))
 		}
-		setIfPresent(&o.Limits.CloudRPS, l.CloudRps)
-		setSeconds(&o.Limits.CloudListLag, l.CloudListLagS)
+		setIfPresent(&o.Limits.CloudRPS, load.CloudRps)
+		setSeconds(&o.Limits.CloudListLag, load.CloudListLagS)
 	}
-	if w := settings.GetWorkers(); w != nil {
-		setSeconds(&o.Timing.Report, w.ReportS)
-		setSeconds(&o.Timing.Lease, w.LeaseS)
-		setSeconds(&o.Timing.Cancel, w.CancelS)
+	if workers := settings.GetWorkers(); workers != nil {
+		setSeconds(&o.Timing.Report, workers.ReportS)
+		setSeconds(&o.Timing.Lease, workers.LeaseS)
+		setSeconds(&o.Timing.Cancel, workers.CancelS)
 	}
-	for i, s := range settings.GetFaults() {
-		f, err := ParseFault(s)
+	for i, size := range settings.GetFaults() {
+		f, err := ParseFault(size)
 		if err != nil {
 			return fmt.Errorf("faults[%d]: %w", i, err)
 		}
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -151,12 +151,12 @@
 // steadyObservations returns an observation for each region in each steady window.
 func steadyObservations(reports []*Report) (observations []*observation) {
 	for _, report := range reports {
-		for w := range report.Windows {
-			if report.Windows[w].Name != steadyWindow {
+		for index := range report.Windows {
+			if report.Windows[index].Name != steadyWindow {
 				continue
 			}
-			for i := range report.Windows[w].Regions {
-				observations = append(observations, &observation{report, &report.Windows[w], i})
+			for i := range report.Windows[index].Regions {
+				observations = append(observations, &observation{report, &report.Windows[index], i})
 			}
 		}
 	}
@@ -166,37 +166,37 @@
 // fit fits the figure to the observations.
 func (f *figure) fit(observations []*observation) (Slope, error) {
 	slope := Slope{Role: f.role, Unit: f.unit, Rows: len(observations)}
-	n, k := len(observations), 1+len(f.variables)
-	if n < k+1 {
+	rows, columns := len(observations), 1+len(f.variables)
+	if rows < columns+1 {
 		return slope, errTooFewWindows
 	}
-	x, y := mat.NewDense(n, k, nil), mat.NewVecDense(n, nil)
+	inputs, outputs := mat.NewDense(rows, columns, nil), mat.NewVecDense(rows, nil)
 	for i, r := range observations {
-		x.Set(i, 0, 1)
-		for j, v := range f.variables {
-			x.Set(i, j+1, v.value(r))
+		inputs.Set(i, 0, 1)
+		for j, variable := range f.variables {
+			inputs.Set(i, j+1, variable.value(r))
 		}
-		y.SetVec(i, f.value(r))
+		outputs.SetVec(i, f.value(r))
 	}
-	var beta mat.VecDense
-	if err := beta.SolveVec(x, y); err != nil { // least squares by QR decomposition
+	var coefficients mat.VecDense
+	if err := coefficients.SolveVec(inputs, outputs); err != nil { // least squares by QR decomposition
 		return slope, fmt.Errorf("least squares: %w", err)
 	}
-	slope.Base = beta.AtVec(0)
-	for j, v := range f.variables {
-		slope.By = append(slope.By, v.Name)
-		slope.Each = append(slope.Each, beta.AtVec(j+1))
+	slope.Base = coefficients.AtVec(0)
+	for j, variable := range f.variables {
+		slope.By = append(slope.By, variable.Name)
+		slope.Each = append(slope.Each, coefficients.AtVec(j+1))
 	}
 	var predicted mat.VecDense
-	predicted.MulVec(x, &beta)
-	sum := 0.0
-	for i := range n {
-		residual := math.Abs(y.AtVec(i) - predicted.AtVec(i))
-		sum += residual * residual
+	predicted.MulVec(inputs, &coefficients)
+	sumOfSquares := 0.0
+	for i := range rows {
+		residual := math.Abs(outputs.AtVec(i) - predicted.AtVec(i))
+		sumOfSquares += residual * residual
 		slope.Worst = max(slope.Worst, residual)
 	}
-	slope.RMS = math.Sqrt(sum / float64(n))
-	slope.R2 = stat.RSquaredFrom(predicted.RawVector().Data, y.RawVector().Data, nil)
+	slope.RMS = math.Sqrt(sumOfSquares / float64(rows))
+	slope.R2 = stat.RSquaredFrom(predicted.RawVector().Data, outputs.RawVector().Data, nil)
 	return slope, nil
 }
 
@@ -215,17 +215,17 @@
 	}
 	out := make([]Prediction, 0, len(figures))
 	for i := range figures {
-		f, s := &figures[i], &slopes[i]
-		p := Prediction{Role: f.role, Unit: f.unit}
+		figure, slope := &figures[i], &slopes[i]
+		prediction := Prediction{Role: figure.role, Unit: figure.unit}
 		for _, r := range observations {
-			predicted := s.Base
-			for j, v := range f.variables {
-				predicted += s.Each[j] * v.value(r)
+			predicted := slope.Base
+			for j, variable := range figure.variables {
+				predicted += slope.Each[j] * variable.value(r)
 			}
-			p.Predicted += predicted / float64(len(observations))
-			p.Measured += f.value(r) / float64(len(observations))
+			prediction.Predicted += predicted / float64(len(observations))
+			prediction.Measured += figure.value(r) / float64(len(observations))
 		}
-		out = append(out, p)
+		out = append(out, prediction)
 	}
 	return out, nil
 }
--- a/internal/scale/slopes_test.go
+++ b/internal/scale/slopes_test.go
@@ -9,26 +9,28 @@
 // linearReport returns a report of one region whose usage is a known linear function of its size.
 func linearReport(workers, controllers int, starts float64) *Report {
 	const seconds = 10
-	w := Window{Name: steadyWindow, Seconds: seconds}
-	own := float64(workers) / float64(controllers)
+	window := Window{Name: steadyWindow, Seconds: seconds}
+	workersPerController := float64(workers) / float64(controllers)
 	for i := range controllers {
-		u := Usage{Role: RoleController, Leader: i == 0, Cores: 0.01 + 0.0001*own + 0.0002*starts/float64(controllers),
-			ResidentMB: 30 + 0.1*own}
-		if u.Leader {
-			u.Cores, u.ResidentMB = 0.02+0.00005*float64(workers)+0.0001*starts, 40+0.02*float64(workers)+0.1*own
+		usage := Usage{Role: RoleController, Leader: i == 0,
+			Cores:      0.01 + 0.0001*workersPerController + 0.0002*starts/float64(controllers),
+			ResidentMB: 30 + 0.1*workersPerController}
+		if usage.Leader {
+			usage.Cores, usage.ResidentMB = 0.02+0.00005*float64(workers)+0.0001*starts,
+				40+0.02*float64(workers)+0.1*workersPerController
 		}
-		w.Processes = append(w.Processes, u)
+		window.Processes = append(window.Processes, usage)
 	}
-	w.Processes = append(w.Processes, Usage{Role: RoleHollow, Cores: 0.0001 * float64(workers),
+	window.Processes = append(window.Processes, Usage{Role: RoleHollow, Cores: 0.0001 * float64(workers),
 		ResidentMB: 20 + 0.2*float64(workers)})
-	w.Regions = []RegionWindow{{
+	window.Regions = []RegionWindow{{
 		Workers: WorkersStats{Up: workers, Running: 16 * workers, Starts: int64(starts * seconds),
 			Reports: int64(3*workers) + int64(starts),
 			BytesIn: int64(workers) * 100, BytesOut: int64(workers) * 900},
 		World: WorldStats{Open: 10 + workers/7, Accepted: 5 + workers%13, Done: 5 + controllers,
-			State: []FrontStats{{Requests: (20 + controllers) * seconds}}, StateChanges: 10 * seconds},
+			State: []StateRequestStats{{Requests: (20 + controllers) * seconds}}, StateChanges: 10 * seconds},
 	}}
-	return &Report{Schema: SchemaVersion, Windows: []Window{w}}
+	return &Report{Schema: SchemaVersion, Windows: []Window{window}}
 }
 
 // TestSlopesFitLinearCosts checks that the fit finds known linear functions and predicts a run of another size, and
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -39,7 +39,7 @@
 	}
 	region.spec.OperatorToken = rand.Text()
 	var err error
-	var ready Ready
+	var ready ReadyMessage
 	if region.hollow, ready, err = r.startChild(RoleHollow, region, "hollow"); err != nil {
 		return err
 	}
@@ -63,19 +63,19 @@
 }
 
 // startChild starts the hollow or world process of a region (subcommand verb) and waits until it is ready.
-func (r *run) startChild(role Role, region *runningRegion, verb string) (*process, Ready, error) {
+func (r *run) startChild(role Role, region *runningRegion, verb string) (*process, ReadyMessage, error) {
 	path := filepath.Join(r.configDir, region.spec.Name+"-"+verb+".json")
 	encoded, err := json.Marshal(region.spec)
 	if err != nil {
-		return nil, Ready{}, fmt.Errorf("%s: %w", path, err)
+		return nil, ReadyMessage{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := os.WriteFile(path, encoded, 0o600); err != nil {
-		return nil, Ready{}, fmt.Errorf("%s: %w", path, err)
+		return nil, ReadyMessage{}, fmt.Errorf("%s: %w", path, err)
 	}
-	child, err := r.starter.start(role, region.spec.Index, region.spec.Name+"-"+verb, r.env.Binary,
+	child, err := r.starter.start(role, region.spec.Index, region.spec.Name+"-"+verb, r.environment.Binary,
 		[]string{"scale", verb, "--spec", path}, os.Environ())
 	if err != nil {
-		return nil, Ready{}, err
+		return nil, ReadyMessage{}, err
 	}
 	r.ensureMeter(child)
 	ready, err := child.awaitReady()
@@ -89,7 +89,7 @@
 }
 
 // writeConfig writes the configuration files of the region's controller i.
-func (r *run) writeConfig(region *runningRegion, i int, world *Ready) (controllerFiles, error) {
+func (r *run) writeConfig(region *runningRegion, i int, world *ReadyMessage) (controllerFiles, error) {
 	spec, options := &region.spec, &r.options
 	host := spec.Hosts[i]
 	platform := config.Platform{HostName: host.Name, Zone: host.Zone, Bind: host.Bind, PeerListen: host.Peer}
@@ -132,14 +132,14 @@
 
 // tokenHash returns the hex form of the SHA-256 hash of an operator token, as the settings file has it.
 func tokenHash(token string) string {
-	sum := sha256.Sum256([]byte(token))
-	return hex.EncodeToString(sum[:])
+	hash := sha256.Sum256([]byte(token))
+	return hex.EncodeToString(hash[:])
 }
 
 // startController starts the region's controller i with the same command as in production. It also restarts a
 // controller that was killed.
 func (r *run) startController(region *runningRegion, i int) error {
-	p, err := r.starter.start(RoleController, region.spec.Index, region.spec.Hosts[i].Name, r.env.Binary,
+	p, err := r.starter.start(RoleController, region.spec.Index, region.spec.Hosts[i].Name, r.environment.Binary,
 		[]string{"serve", "--config", region.files[i].platform, "--settings", region.files[i].settings}, os.Environ())
 	if err != nil {
 		return err
--- a/internal/scale/stats.go
+++ b/internal/scale/stats.go
@@ -16,8 +16,8 @@
 
 // histogram is a histogram of durations of up to an hour, safe for concurrent use.
 type histogram struct {
-	mu sync.Mutex
-	h  *hdr.Histogram
+	mu     sync.Mutex
+	values *hdr.Histogram
 }
 
 // Range and precision of a histogram.
@@ -26,25 +26,25 @@
 	significantDigits = 3
 )
 
-func newHistogram() *histogram { return &histogram{h: hdr.New(1, maxMillis, significantDigits)} }
+func newHistogram() *histogram { return &histogram{values: hdr.New(1, maxMillis, significantDigits)} }
 
 // record adds a duration.
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(max(d.Milliseconds(), 0), maxMillis)) // can't fail: the value is within the range
+	_ = h.values.RecordValue(min(max(d.Milliseconds(), 0), maxMillis)) // can't fail: the value is within the range
 }
 
 // snapshot returns the summary. reset clears the histogram afterwards.
 func (h *histogram) snapshot(reset bool) Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	q := Quantiles{Count: h.h.TotalCount(), P50: h.h.ValueAtQuantile(50), P90: h.h.ValueAtQuantile(90),
-		P99: h.h.ValueAtQuantile(99), P999: h.h.ValueAtQuantile(99.9), Max: h.h.Max(), Mean: h.h.Mean()}
+	quantiles := Quantiles{Count: h.values.TotalCount(), P50: h.values.ValueAtQuantile(50), P90: h.values.ValueAtQuantile(90),
+		P99: h.values.ValueAtQuantile(99), P999: h.values.ValueAtQuantile(99.9), Max: h.values.Max(), Mean: h.values.Mean()}
 	if reset {
-		h.h.Reset()
+		h.values.Reset()
 	}
-	return q
+	return quantiles
 }
 
 // WorkersStats is what a region's workers counted. Counts are since the start of the process, quantiles and PeakStarts
@@ -66,7 +66,7 @@
 	Polls, PollsUnanswered                         int64
 	Submit, Poll, Finish                           Quantiles
 	LongestUnanswered                              float64 // longest time without an answer for an open job, in s
-	State                                          []FrontStats
+	State                                          []StateRequestStats
 	StateKeys, StateBytes                          int
 	StateChanges, StateChangesRefused              int
 	CloudCalls, CloudRefused                       int
@@ -75,8 +75,8 @@
 	LimitChanges                                   LimitChangeStats
 }
 
-// FrontStats counts the requests of one controller to the state service.
-type FrontStats struct {
+// StateRequestStats counts the requests of one controller to the state service.
+type StateRequestStats struct {
 	Host                       string
 	Requests, Refused, Watches int
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -19,19 +19,19 @@
 
 // readSample reads the resource usage of a process.
 func readSample(fs procfs.FS, pid int) (sample, error) {
-	p, err := fs.Proc(pid)
+	proc, err := fs.Proc(pid)
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	stat, err := p.Stat()
+	stat, err := proc.Stat()
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	ioCounters, err := p.IO()
+	ioCounters, err := proc.IO()
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	files, err := p.FileDescriptorsLen()
+	files, err := proc.FileDescriptorsLen()
 	if err != nil {
 		return sample{}, fmt.Errorf("process %d: %w", pid, err)
 	}
@@ -85,13 +85,13 @@
 }
 
 // addSample records a sample and updates the maxima.
-func (m *meter) addSample(s sample) {
-	if elapsed := s.at.Sub(m.last.at).Seconds(); elapsed > 0 && !m.last.at.IsZero() {
-		m.usage.PeakCores = max(m.usage.PeakCores, (s.cpu-m.last.cpu)/elapsed)
+func (m *meter) addSample(latest sample) {
+	if elapsed := latest.at.Sub(m.last.at).Seconds(); elapsed > 0 && !m.last.at.IsZero() {
+		m.usage.PeakCores = max(m.usage.PeakCores, (latest.cpu-m.last.cpu)/elapsed)
 	}
-	m.last = s
-	m.usage.ResidentMB = max(m.usage.ResidentMB, float64(s.rss)/(1<<20))
-	m.usage.Sockets = max(m.usage.Sockets, s.sockets)
+	m.last = latest
+	m.usage.ResidentMB = max(m.usage.ResidentMB, float64(latest.rss)/(1<<20))
+	m.usage.Sockets = max(m.usage.Sockets, latest.sockets)
 }
 
 // endWindow ends a window and returns the usage in it.
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -52,18 +52,18 @@
 	canceller              *canceller
 
 	mu                sync.Mutex
-	rng               *rand.Rand
+	random            *rand.Rand
 	lastJob           int
 	nextController    int               // counter that selects the next controller
 	descriptions      map[string][]byte // encoded job descriptions by job name
 	lastAnswered      map[string]time.Time
-	counts            WorldStats
+	totals            WorldStats
 	longestUnanswered time.Duration
 }
 
 func newUsers(spec RegionSpec) *users {
 	u := &users{
-		spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 11)),
+		spec: spec, random: rand.New(rand.NewPCG(spec.Seed, 11)),
 		descriptions: map[string][]byte{}, lastAnswered: map[string]time.Time{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true,
 			IdleConnTimeout: 30 * time.Second}},
@@ -99,28 +99,28 @@
 func (u *users) randomExponential() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.rng.ExpFloat64()
+	return u.random.ExpFloat64()
 }
 
 // randomBool returns true with probability p.
 func (u *users) randomBool(p float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.rng.Float64() < p
+	return u.random.Float64() < p
 }
 
 // randomTeam returns the index of a random team.
 func (u *users) randomTeam() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.rng.IntN(len(u.spec.Teams))
+	return u.random.IntN(len(u.spec.Teams))
 }
 
 // randomArraySize returns a number of tasks for an array job: 0.5 to 1.5 times the mean.
 func (u *users) randomArraySize() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return max(1, int(float64(u.spec.TasksPerJob)*(0.5+u.rng.Float64())))
+	return max(1, int(float64(u.spec.TasksPerJob)*(0.5+u.random.Float64())))
 }
 
 // job is a submitted job.
@@ -152,7 +152,7 @@
 	}
 	j.body = body
 	u.descriptions[j.name] = body
-	u.counts.Submitted++
+	u.totals.Submitted++
 	return j
 }
 
@@ -183,8 +183,8 @@
 			return
 		case status == http.StatusNotFound:
 			u.withLock(func() {
-				u.counts.Lost++
-				u.counts.Losses = append(u.counts.Losses, j.name+" was accepted, but a later poll returned status 404")
+				u.totals.Lost++
+				u.totals.Losses = append(u.totals.Losses, j.name+" was accepted, but a later poll returned status 404")
 				delete(u.lastAnswered, j.name)
 			})
 			return
@@ -199,7 +199,7 @@
 		if state.Stage == "done" || state.Stage == "aborted" {
 			u.finishLatency.record(now.Sub(j.submittedAt))
 			u.withLock(func() {
-				u.counts.Done++
+				u.totals.Done++
 				delete(u.lastAnswered, j.name)
 			})
 			return
@@ -218,7 +218,7 @@
 func (u *users) withJitter(d time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return time.Duration(float64(d) * (0.9 + 0.2*u.rng.Float64()))
+	return time.Duration(float64(d) * (0.9 + 0.2*u.random.Float64()))
 }
 
 // submitJob submits a job and retries until it is accepted or refused, for up to retryPeriod. It reports whether the
@@ -229,10 +229,10 @@
 	switch {
 	case status == http.StatusOK || status == http.StatusCreated:
 		u.submitLatency.record(time.Since(j.submittedAt))
-		u.withLock(func() { u.counts.Accepted++ })
+		u.withLock(func() { u.totals.Accepted++ })
 		return true
 	case ctx.Err() == nil:
-		u.withLock(func() { u.counts.Refused++ })
+		u.withLock(func() { u.totals.Refused++ })
 	}
 	return false
 }
@@ -284,8 +284,8 @@
 		return 0, minRetryDelay, nil
 	}
 	retryAfter = minRetryDelay
-	if s, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
-		retryAfter = min(max(retryAfter, time.Duration(s)*time.Second), maxRetryDelay)
+	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil {
+		retryAfter = min(max(retryAfter, time.Duration(seconds)*time.Second), maxRetryDelay)
 	}
 	return response.StatusCode, retryAfter, answer
 }
@@ -298,11 +298,11 @@
 		u.nextController++
 		addr := u.spec.Hosts[u.nextController%len(u.spec.Hosts)].Bind
 		u.mu.Unlock()
-		var req *http.Request
-		if req, err = http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body)); err != nil {
+		var request *http.Request
+		if request, err = http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body)); err != nil {
 			return nil, err
 		}
-		if response, err = u.client.Do(req); !errors.Is(err, syscall.ECONNREFUSED) {
+		if response, err = u.client.Do(request); !errors.Is(err, syscall.ECONNREFUSED) {
 			return response, err
 		}
 	}
@@ -312,7 +312,7 @@
 // stats returns the counts since the start of the process. reset restarts the quantiles and longestUnanswered.
 func (u *users) stats(reset bool) WorldStats {
 	u.mu.Lock()
-	stats := u.counts
+	stats := u.totals
 	stats.Open = len(u.lastAnswered)
 	longest := u.longestUnanswered
 	for _, answeredAt := range u.lastAnswered {
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -15,15 +15,16 @@
 
 // snapshot reads the counts of all regions and resets their quantiles.
 func (r *run) snapshot(ctx context.Context) (snapshot, error) {
-	s := snapshot{make([]WorkersStats, len(r.regions)), make([]WorldStats, len(r.regions))}
+	result := snapshot{make([]WorkersStats, len(r.regions)), make([]WorldStats, len(r.regions))}
 	err := r.forEachRegion(func(region *runningRegion) error {
 		i := region.spec.Index
-		if err := callControl(ctx, http.MethodGet, region.hollowAddr, pathStats+"?reset=1", nil, &s.workers[i]); err != nil {
+		if err := callControl(ctx, http.MethodGet, region.hollowAddr, pathStats+"?reset=1", nil,
+			&result.workers[i]); err != nil {
 			return err
 		}
-		return callControl(ctx, http.MethodGet, region.worldAddr, pathStats+"?reset=1", nil, &s.worlds[i])
+		return callControl(ctx, http.MethodGet, region.worldAddr, pathStats+"?reset=1", nil, &result.worlds[i])
 	})
-	return s, err
+	return result, err
 }
 
 // measureWindow measures a window of the given length and adds it to the report. The fault, if any, is injected at the
@@ -34,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	started := time.Now()
 	r.mu.Lock()
 	for _, m := range r.meters {
-		m.beginWindow(began)
+		m.beginWindow(started)
 	}
 	r.mu.Unlock()
 	if fault != nil {
@@ -45,27 +46,27 @@
 			return err
 		}
 	}
-	if err := sleepContext(ctx, duration-time.Since(began)); err != nil {
+	if err := sleepContext(ctx, duration-time.Since(started)); err != nil {
 		return err
 	}
 	after, err := r.snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	r.report.Windows = append(r.report.Windows, r.buildWindow(ctx, name, began, before, after))
+	r.report.Windows = append(r.report.Windows, r.buildWindow(ctx, name, started, before, after))
 	return nil
 }
 
 // buildWindow ends the window in all meters and returns it with the difference of the snapshots.
-func (r *run) buildWindow(ctx context.Context, name string, began time.Time, before, after snapshot) Window {
+func (r *run) buildWindow(ctx context.Context, name string, started time.Time, before, after snapshot) Window {
 	now := time.Now()
-	window := Window{Name: name, Seconds: now.Sub(began).Seconds()}
+	window := Window{Name: name, Seconds: now.Sub(started).Seconds()}
 	leaders := map[string]bool{}
 	for i, region := range r.regions {
 		window.Regions = append(window.Regions, RegionWindow{Workers: after.workers[i].minus(before.workers[i]),
 			World: after.worlds[i].minus(before.worlds[i])})
-		if l := r.leaderIndex(ctx, region); l >= 0 {
-			leaders[region.spec.Hosts[l].Name] = true
+		if leader := r.leaderIndex(ctx, region); leader >= 0 {
+			leaders[region.spec.Hosts[leader].Name] = true
 		}
 	}
 	for _, p := range r.processes() {
@@ -110,8 +111,8 @@
 // the controllers are not restarted in this run.
 func (r *run) loseZone(ctx context.Context, region *runningRegion) error {
 	zone := region.spec.Zones[0]
-	for i, h := range region.spec.Hosts {
-		if h.Zone == zone {
+	for i, host := range region.spec.Hosts {
+		if host.Zone == zone {
 			region.permanentlyLost[i] = true
 			r.killController(region, i)
 		}
@@ -148,7 +149,7 @@
 			return
 		}
 		if err := r.startController(region, i); err != nil {
-			r.env.Log.Error("failed to restart a controller", "host", p.name, "err", err)
+			r.environment.Log.Error("failed to restart a controller", "host", p.name, "err", err)
 		}
 	})
 }
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -21,8 +21,8 @@
 	limitChanger   *limitChanger
 	machineType    standin.Kind
 
-	mu  sync.Mutex
-	rng *rand.Rand
+	mu     sync.Mutex
+	random *rand.Rand
 }
 
 // remoteMachines starts and stops the cloud's machines in the region's hollow process.
@@ -51,7 +51,7 @@
 // ServeWorld simulates the users, state service and cloud of a region until the context ends or the parent process
 // exits.
 func ServeWorld(ctx context.Context, spec RegionSpec, in io.Reader, out io.Writer) error {
-	w := &world{spec: spec, users: newUsers(spec), rng: rand.New(rand.NewPCG(spec.Seed, 12))}
+	w := &world{spec: spec, users: newUsers(spec), random: rand.New(rand.NewPCG(spec.Seed, 12))}
 	w.users.canceller.runningTasks = func(ctx context.Context, job string) (int, error) {
 		var reply RunningReply
 		err := callControl(ctx, http.MethodPost, spec.HollowAddr, pathRunning, NameRequest{job}, &reply)
@@ -65,7 +65,7 @@
 	w.store = standin.NewStore(standin.StoreLimits{RPS: limits.StateRPS, WriteRPS: limits.StateWriteRPS,
 		ValueKB: limits.StateValueKB, TxnOps: limits.StateTxnOps})
 	defer w.store.Close()
-	ready := Ready{}
+	ready := ReadyMessage{}
 	for range spec.Hosts {
 		endpoint, err := w.store.Front()
 		if err != nil {
@@ -111,7 +111,7 @@
 			http.NotFound(rw, r)
 			return
 		}
-		_, _ = rw.Write(description) // the error is ignored: a worker that has disconnected needs no answer
+		_, _ = rw.Write(description) // the error is ignored: a caller that has disconnected needs no answer
 	})
 	mux.HandleFunc("POST "+pathSeed,
 		controlHandler(func(struct{}) (struct{}, error) { return struct{}{}, w.seedMachines() }))
@@ -145,7 +145,7 @@
 func (w *world) loseMachines(request LoseRequest) (names []string, err error) {
 	machines := w.cloud.InZone(request.Zone)
 	w.mu.Lock()
-	w.rng.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	w.random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	w.mu.Unlock()
 	names = machines[:min(request.Count, len(machines))]
 	if request.ForGood {
@@ -159,16 +159,17 @@
 
 // stats returns the counts since the start of the process. reset restarts the quantiles.
 func (w *world) stats(reset bool) WorldStats {
-	s := w.users.stats(reset)
-	s.LimitChanges = w.limitChanger.stats(reset)
+	stats := w.users.stats(reset)
+	stats.LimitChanges = w.limitChanger.stats(reset)
 	for i, endpoint := range w.storeEndpoints {
-		c := endpoint.Counts()
-		s.State = append(s.State, FrontStats{Host: w.spec.Hosts[i].Name, Requests: c.Requests, Refused: c.Refused,
-			Watches: c.Watches})
+		counts := endpoint.Counts()
+		stats.State = append(stats.State, StateRequestStats{Host: w.spec.Hosts[i].Name, Requests: counts.Requests,
+			Refused: counts.Refused, Watches: counts.Watches})
 	}
-	c := w.store.Counts()
-	s.StateKeys, s.StateBytes, s.StateChanges, s.StateChangesRefused = c.Keys, c.Bytes, c.Changes, c.RefusedChanges
-	s.CloudCalls, s.CloudRefused = w.cloud.Calls()
-	s.Losses = s.Losses[:min(len(s.Losses), maxListed)]
-	return s
+	counts := w.store.Counts()
+	stats.StateKeys, stats.StateBytes, stats.StateChanges, stats.StateChangesRefused = counts.Keys, counts.Bytes, counts.Changes,
+		counts.RefusedChanges
+	stats.CloudCalls, stats.CloudRefused = w.cloud.Calls()
+	stats.Losses = stats.Losses[:min(len(stats.Losses), maxListed)]
+	return stats
 }
