--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -39,14 +39,14 @@
 	return max(0, int((memoryMB-noWorkers.estimateMemoryMB())/perWorker))
 }
 
-// machine holds the capacity of the machine that the run uses.
-type machine struct {
+// machineCapacity is the capacity of the machine that the run uses.
+type machineCapacity struct {
 	memoryMB     float64 // total memory
 	maxOpenFiles uint64  // limit for a process
 }
 
 // readMachine reads the capacity of this machine.
-func readMachine(fs procfs.FS) (machine machine, err error) {
+func readMachine(fs procfs.FS) (machine machineCapacity, err error) {
 	meminfo, err := fs.Meminfo()
 	if err != nil || meminfo.MemTotal == nil {
 		return machine, fmt.Errorf("read the memory size of this machine: %w", errors.Join(err, errNotReported))
@@ -64,7 +64,7 @@
 var errNotReported = errors.New("MemTotal is not reported")
 
 // checkCapacity returns an error if the run does not fit on the machine.
-func (o *Options) checkCapacity(machine machine) error {
+func (o *Options) checkCapacity(machine machineCapacity) error {
 	if needed, half := o.estimateMemoryMB(), machine.memoryMB/2; needed > half {
 		return fmt.Errorf("--workers = %d: needs about %.0f MB, more than half of this machine's memory (%.0f MB); "+
 			"at most %d workers fit", o.Workers, needed, half, o.maxWorkers(half))
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -69,22 +69,22 @@
 // controlHandler returns a handler that decodes the request body as In, calls f and encodes its result as the answer.
 func controlHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var in In
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
-		if err == nil && len(b) > 0 {
-			err = json.Unmarshal(b, &in)
+		var input In
+		encoded, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
+		if err == nil && len(encoded) > 0 {
+			err = json.Unmarshal(encoded, &input)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		out, err := f(in)
+		output, err := f(input)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(out) // the error is ignored: a caller that has disconnected needs no answer
+		_ = json.NewEncoder(w).Encode(output) // the error is ignored: a caller that has disconnected needs no answer
 	}
 }
 
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// announceReady writes the Ready message for the parent, then waits until the parent closes the child's standard input
+// announceReady writes the ReadyMessage for the parent, then waits until the parent closes the child's standard input
 // or exits, or the context ends.
 func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready ReadyMessage) error {
 	if err := json.NewEncoder(out).Encode(ready); err != nil {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -166,7 +166,7 @@
 	return err
 }
 
-// awaitReady waits for the Ready message on the child's standard output.
+// awaitReady waits for the ReadyMessage on the child's standard output.
 func (p *process) awaitReady() (ReadyMessage, error) {
 	type announcement struct {
 		ready ReadyMessage
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -52,7 +52,7 @@
 	options     Options
 	environment Environment
 	procFS      procfs.FS
-	machine     machine
+	machine     machineCapacity
 	starter     *starter
 	configDir   string
 	random      *rand.Rand
@@ -260,7 +260,7 @@
 	}
 }
 
-// sleepContext waits for d. It returns the context's cause if the context ends first.
+// sleepContext waits for the duration. It returns the context's cause if the context ends first.
 func sleepContext(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/scale/stats.go
+++ b/internal/scale/stats.go
@@ -39,8 +39,9 @@
 func (h *histogram) snapshot(reset bool) Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	quantiles := Quantiles{Count: h.values.TotalCount(), P50: h.values.ValueAtQuantile(50), P90: h.values.ValueAtQuantile(90),
-		P99: h.values.ValueAtQuantile(99), P999: h.values.ValueAtQuantile(99.9), Max: h.values.Max(), Mean: h.values.Mean()}
+	quantiles := Quantiles{Count: h.values.TotalCount(), P50: h.values.ValueAtQuantile(50),
+		P90: h.values.ValueAtQuantile(90), P99: h.values.ValueAtQuantile(99), P999: h.values.ValueAtQuantile(99.9),
+		Max: h.values.Max(), Mean: h.values.Mean()}
 	if reset {
 		h.values.Reset()
 	}
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -167,8 +167,8 @@
 			Refused: counts.Refused, Watches: counts.Watches})
 	}
 	counts := w.store.Counts()
-	stats.StateKeys, stats.StateBytes, stats.StateChanges, stats.StateChangesRefused = counts.Keys, counts.Bytes, counts.Changes,
-		counts.RefusedChanges
+	stats.StateKeys, stats.StateBytes, stats.StateChanges, stats.StateChangesRefused = counts.Keys, counts.Bytes,
+		counts.Changes, counts.RefusedChanges
 	stats.CloudCalls, stats.CloudRefused = w.cloud.Calls()
 	stats.Losses = stats.Losses[:min(len(stats.Losses), maxListed)]
 	return stats
