--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -11,134 +11,136 @@
 	"time"
 )
 
-// Paths of the control servers of a run's own processes.
+// Paths of the control servers of the hollow and world processes.
 const (
-	pathAttach  = "/attach"  // hollow: where users' jobs are described
-	pathBoot    = "/boot"    // hollow: a machine comes up
-	pathEnd     = "/end"     // hollow: a machine ends
-	pathRunning = "/running" // hollow: how many tasks of a job are on machines
-	pathStats   = "/stats"   // both; ?reset=1 begins the quantiles anew
-	pathJob     = "/job/"    // world: a job's description
-	pathSeed    = "/seed"    // world: the machines that are up from the beginning
-	pathLoad    = "/load"    // world: users begin
-	pathLose    = "/lose"    // world: machines stop
+	pathAttach  = "/attach"  // hollow: sets the address that serves job descriptions
+	pathBoot    = "/boot"    // hollow: starts a machine
+	pathEnd     = "/end"     // hollow: stops a machine
+	pathRunning = "/running" // hollow: number of a job's tasks on machines
+	pathStats   = "/stats"   // both: counts and quantiles; ?reset=1 restarts the quantiles
+	pathJob     = "/job/"    // world: description of a job
+	pathSeed    = "/seed"    // world: starts the initial machines
+	pathLoad    = "/load"    // world: starts the users
+	pathLose    = "/lose"    // world: stops machines abruptly
 )
 
-// Ready is what a child says on its standard output once it serves.
-type Ready struct {
-	Control string
-	State   []string // world: the state service's address for each controller
-	Cloud   string   // world
+// ReadyMessage is the message that a child process writes to its standard output once it is ready.
+type ReadyMessage struct {
+	Control string   // address of the control server
+	State   []string // world: address of the state service for each controller
+	Cloud   string   // world: address of the cloud
 }
 
-// Attach tells a hollow process where jobs are described.
-type Attach struct{ World string }
+// AttachRequest gives a hollow process the control address of its region's world process.
+type AttachRequest struct{ World string }
 
-// Named is a machine's name.
-type Named struct{ Name string }
+// NameRequest names a machine or a job.
+type NameRequest struct{ Name string }
 
-// Lose has machines stop: Count of a zone, or of all zones. For good: the zone has no others.
-type Lose struct {
+// LoseRequest stops Count machines of a zone, or of all zones if Zone is empty. With ForGood the cloud offers no more
+// machines in the zone.
+type LoseRequest struct {
 	Count   int
 	Zone    string
 	ForGood bool
 }
 
-// Running is how many tasks of a job are on machines.
-type Running struct{ Tasks int }
+// RunningReply holds the number of a job's tasks on machines.
+type RunningReply struct{ Tasks int }
 
-// Booted is a machine's address.
-type Booted struct{ Addr string }
+// BootReply holds the address of a started machine's worker.
+type BootReply struct{ Addr string }
 
-// maxControl is the largest message between a run's own processes.
-const maxControl = 64 << 20
+// maxControlBytes is the size limit of requests and answers of the control servers.
+const maxControlBytes = 64 << 20
 
-// serveControl serves a child's control requests on loopback and returns its address.
-func serveControl(ctx context.Context, h http.Handler) (string, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// serveControl starts a control server on the loopback interface and returns its address. It stops with the context.
+func serveControl(ctx context.Context, handler http.Handler) (string, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("control server: %w", err)
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	context.AfterFunc(ctx, func() { _ = srv.Close() })
-	go func() { _ = srv.Serve(l) }() // it ends with Close
-	return l.Addr().String(), nil
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	go func() { _ = server.Serve(listener) }() // returns after Close
+	return listener.Addr().String(), nil
 }
 
-// handle serves a control request: In is read from its body, what f returns is answered.
-func handle[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
+// controlHandler returns a handler that decodes the request body as In, calls f and encodes its result as the answer.
+func controlHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var in In
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControl))
-		if err == nil && len(b) > 0 {
-			err = json.Unmarshal(b, &in)
+		var input In
+		encoded, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
+		if err == nil && len(encoded) > 0 {
+			err = json.Unmarshal(encoded, &input)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		out, err := f(in)
+		output, err := f(input)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs no answer
+		_ = json.NewEncoder(w).Encode(output) // the error is ignored: a caller that has disconnected needs no answer
 	}
 }
 
-// controlClient is for calls between a run's own processes.
+// controlClient is the HTTP client for control requests.
 var controlClient = &http.Client{Timeout: 2 * time.Minute, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// control calls a child's control server.
-func control(ctx context.Context, method, addr, path string, in, out any) error {
+// callControl sends a request to a child's control server. in is the body unless nil; out receives the answer unless
+// nil.
+func callControl(ctx context.Context, method, addr, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
-		b, err := json.Marshal(in)
+		encoded, err := json.Marshal(in)
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		body = bytes.NewReader(b)
+		body = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	res, err := controlClient.Do(req)
+	response, err := controlClient.Do(request)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxControl))
+	defer response.Body.Close()
+	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxControlBytes))
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: status %d: %.200s", path, res.StatusCode, b)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: status %d: %.200s", path, response.StatusCode, encoded)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(b, out); err != nil {
+	if err := json.Unmarshal(encoded, out); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-// announce tells the parent that this child serves, and waits until the parent is gone or
-// the context ends.
-func announce(ctx context.Context, in io.Reader, out io.Writer, r Ready) error {
-	if err := json.NewEncoder(out).Encode(r); err != nil {
-		return fmt.Errorf("announce: %w", err)
+// announceReady writes the ReadyMessage for the parent, then waits until the parent closes the child's standard input
+// or exits, or the context ends.
+func announceReady(ctx context.Context, in io.Reader, out io.Writer, ready ReadyMessage) error {
+	if err := json.NewEncoder(out).Encode(ready); err != nil {
+		return fmt.Errorf("write the ready message: %w", err)
 	}
-	gone := make(chan struct{})
+	parentGone := make(chan struct{})
 	go func() {
-		defer close(gone)
-		_, _ = io.Copy(io.Discard, in) // until the parent closes it, or ends
+		defer close(parentGone)
+		_, _ = io.Copy(io.Discard, in) // until the parent closes it or exits
 	}()
 	select {
 	case <-ctx.Done():
-	case <-gone:
+	case <-parentGone:
 	}
 	return nil
 }
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault that a run can inject.
 type FaultKind string
 
-// Kinds of faults.
+// The kinds of faults.
 const (
-	LeaderEnds        FaultKind = "leader-ends"         // a region's leader is killed, and started again
-	ControllerRestart FaultKind = "controller-restarts" // another controller is killed, and started again
-	RackGone          FaultKind = "rack-gone"           // some workers of one zone stop at once
-	ZoneLost          FaultKind = "zone-lost"           // a zone's workers and controllers end at once, for good
-	AllEnd            FaultKind = "all-controllers-end" // all controllers of a region are killed at once
+	LeaderKilled         FaultKind = "leader-ends"         // the leader is killed and restarted
+	ControllerKilled     FaultKind = "controller-restarts" // a controller that does not lead is killed and restarted
+	RackGone             FaultKind = "rack-gone"           // rackSize workers of one zone stop at the same time
+	ZoneLost             FaultKind = "zone-lost"           // a zone's workers and controllers stop for good
+	AllControllersKilled FaultKind = "all-controllers-end" // all controllers are killed at the same time and restarted
 )
 
-// FaultKinds are all kinds.
-var FaultKinds = []FaultKind{LeaderEnds, ControllerRestart, RackGone, ZoneLost, AllEnd}
+// FaultKinds lists all kinds of faults.
+var FaultKinds = []FaultKind{LeaderKilled, ControllerKilled, RackGone, ZoneLost, AllControllersKilled}
 
 const (
-	restartAfter = 3 * time.Second // a killed controller is started again
-	rackSize     = 40              // workers behind one switch
-	afterFault   = 30 * time.Second
+	restartDelay = 3 * time.Second  // from the kill of a controller to its restart
+	rackSize     = 40               // workers behind one switch
+	faultWindow  = 30 * time.Second // length of the window that begins with a fault
 )
 
-// Fault of a run. It strikes the first region.
+// Fault is a fault that is injected into the first region.
 type Fault struct{ Kind FaultKind }
 
-// ParseFault reads a fault's name.
-func ParseFault(s string) (Fault, error) {
-	if k := FaultKind(s); slices.Contains(FaultKinds, k) {
-		return Fault{k}, nil
+// ParseFault returns the fault of the given name.
+func ParseFault(name string) (Fault, error) {
+	if kind := FaultKind(name); slices.Contains(FaultKinds, kind) {
+		return Fault{kind}, nil
 	}
 	var names []string
-	for _, k := range FaultKinds {
-		names = append(names, string(k))
+	for _, kind := range FaultKinds {
+		names = append(names, string(kind))
 	}
-	return Fault{}, fmt.Errorf("%q is no fault: must be one of %s", s, strings.Join(names, ", "))
+	return Fault{}, fmt.Errorf("unknown fault %q: must be one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -1,7 +1,8 @@
-// Package scale plays a fleet on one machine: real controllers, one process each as they
-// are deployed, beside hollow workers that share processes and keep to the whole protocol
-// but for running anything. It measures what each role costs. What the workers and users
-// count is counted on their side, never taken from a controller's word.
+// Package scale runs a large fleet on one machine and measures the resources that each role uses. The controllers are
+// real, one process each as in production. The workers are hollow: many share a process and speak the full worker
+// protocol, but run no tasks. Users, state service and cloud are simulated in a process per region, called the world.
+//
+// Task starts, delays and violations are counted by the workers and users, never taken from a controller's own reports.
 package scale
 
 import (
@@ -10,22 +11,22 @@
 	"time"
 )
 
-// Profile is how fast tasks come and go.
+// Profile selects the mean run time of tasks, and with it the rate of task starts.
 type Profile string
 
-// Profiles.
+// The profiles.
 const (
 	Peak     Profile = "peak"     // tasks run for 45 s
-	Ordinary Profile = "ordinary" // as many run, each for three times as long
+	Ordinary Profile = "ordinary" // as many tasks run at a time, each for three times as long
 )
 
 // Mean run times of a task.
 const (
-	peakTask     = 45 * time.Second
-	ordinaryTask = 3 * peakTask
+	peakTaskTime     = 45 * time.Second
+	ordinaryTaskTime = 3 * peakTaskTime
 )
 
-// Limits of a region's state service and cloud.
+// Limits holds the limits of a region's state service and cloud.
 type Limits struct {
 	StateRPS, StateWriteRPS float64
 	StateValueKB            float64
@@ -35,40 +36,40 @@
 	CloudListLag            time.Duration
 }
 
-// WorkerTiming is the workers' protocol settings.
+// WorkerTiming holds the time settings of the worker protocol.
 type WorkerTiming struct{ Report, Lease, Cancel time.Duration }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Workers, Controllers, Regions, Zones, Teams int
 
 	Profile        Profile
-	TasksPerWorker int           // that run on a worker, on average
-	TaskTime       time.Duration // mean run time; 0: the profile's
-	TasksPerJob    int           // mean of an array
-	ReplacedPerDay float64       // workers lost and replaced
-	ReplacedFaster float64       // than in life
-	CancelledShare float64       // of arrays
-	// LimitChangesPerDay are changes of teams' limits, all of which each region applies.
+	TasksPerWorker int           // mean number of tasks that run on a worker
+	TaskTime       time.Duration // mean run time of a task; 0 for the profile's
+	TasksPerJob    int           // mean number of tasks of an array job
+	ReplacedPerDay float64       // workers of the fleet that stop and are replaced in a day
+	ReplacedFaster float64       // factor on ReplacedPerDay
+	CancelledShare float64       // fraction of array jobs that users cancel
+	// LimitChangesPerDay is the number of changes of teams' limits in a day. Every region makes this many.
 	LimitChangesPerDay float64
-	Ramp, Duration     time.Duration // before anything is measured, and while it is
+	Ramp, Duration     time.Duration // time under load before the first window, and length of the steady window
 	Faults             []Fault
 	Limits             Limits
 	Timing             WorkerTiming
 	Seed               uint64
-	Report             string // file; "" none
+	Report             string // path of the report file; no report if empty
 	ControllerLimit    ControllerLimit
 }
 
-// ControllerLimit is what a controller is told that it may use.
+// ControllerLimit holds the resource limits in a controller's configuration.
 type ControllerLimit struct {
-	CPU   float64 // of a core
+	CPU   float64 // cores
 	MemMB float64
-	FDs   int
+	FDs   int // open files
 }
 
-// Defaults are the target's peak in one region of an eighth of its size. The limits are
-// restated from a large deployment of the users' bench, as figures of this run's own.
+// Defaults returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
+// are those of a large deployment in the users' bench, repeated here so that the package does not depend on it.
 func Defaults() Options {
 	return Options{
 		Workers: 392, Controllers: 7, Regions: 1, Zones: 2, Teams: 170,
@@ -89,62 +90,62 @@
 	case o.TaskTime > 0:
 		return o.TaskTime
 	case o.Profile == Ordinary:
-		return ordinaryTask
+		return ordinaryTaskTime
 	}
-	return peakTask
+	return peakTaskTime
 }
 
-// StartsPerSecond is how many tasks have to start so that as many run as are wanted.
+// StartsPerSecond is the rate of task starts that keeps TasksPerWorker tasks running on each worker.
 func (o *Options) StartsPerSecond() float64 {
 	return float64(o.Workers*o.TasksPerWorker) / o.MeanTask().Seconds()
 }
 
-// Check returns all mistakes, each naming its flag.
+// Check returns all invalid options as one error. Each part names the flag.
 func (o *Options) Check() error {
 	var errs []error
-	whole := func(flag string, v, least, most int) {
-		if v < least || v > most {
-			errs = append(errs, fmt.Errorf("--%s = %d: must be from %d to %d", flag, v, least, most))
+	checkInt := func(flag string, v, lowest, highest int) {
+		if v < lowest || v > highest {
+			errs = append(errs, fmt.Errorf("--%s = %d: must be from %d to %d", flag, v, lowest, highest))
 		}
 	}
-	amount := func(flag string, v, least, most float64) {
-		if !(v >= least && v <= most) {
-			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, least, most))
+	checkFloat := func(flag string, v, lowest, highest float64) {
+		if !(v >= lowest && v <= highest) {
+			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, lowest, highest))
 		}
 	}
-	span := func(flag string, v, least, most time.Duration) {
-		if v < least || v > most {
-			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, least, most))
+	checkDuration := func(flag string, v, lowest, highest time.Duration) {
+		if v < lowest || v > highest {
+			errs = append(errs, fmt.Errorf("--%s = %v: must be from %v to %v", flag, v, lowest, highest))
 		}
 	}
-	whole("regions", o.Regions, 1, 9)
-	whole("workers", o.Workers, max(1, o.Regions), 60_000)
-	whole("controllers", o.Controllers, max(1, o.Regions), 100)
-	whole("zones", o.Zones, max(1, o.Regions), 50)
-	whole("teams", o.Teams, 1, 1000)
-	whole("tasks-per-worker", o.TasksPerWorker, 1, 64)
-	whole("tasks-per-job", o.TasksPerJob, 1, 20_000)
+	checkInt("regions", o.Regions, 1, 9)
+	checkInt("workers", o.Workers, max(1, o.Regions), 60_000)
+	checkInt("controllers", o.Controllers, max(1, o.Regions), 100)
+	checkInt("zones", o.Zones, max(1, o.Regions), 50)
+	checkInt("teams", o.Teams, 1, 1000)
+	checkInt("tasks-per-worker", o.TasksPerWorker, 1, 64)
+	checkInt("tasks-per-job", o.TasksPerJob, 1, 20_000)
 	if o.Profile != Peak && o.Profile != Ordinary {
 		errs = append(errs, fmt.Errorf("--profile = %q: must be %s or %s", o.Profile, Peak, Ordinary))
 	}
 	if o.TaskTime != 0 {
-		span("task-time", o.TaskTime, time.Second, time.Hour)
+		checkDuration("task-time", o.TaskTime, time.Second, time.Hour)
 	}
-	amount("replaced-per-day", o.ReplacedPerDay, 0, 1e6)
-	amount("replaced-faster", o.ReplacedFaster, 0, 1000)
-	amount("cancelled-share", o.CancelledShare, 0, 1)
-	amount("limit-changes-per-day", o.LimitChangesPerDay, 0, 1e6)
-	span("ramp", o.Ramp, time.Second, time.Hour)
-	span("for", o.Duration, time.Second, 24*time.Hour)
-	amount("limits.state_rps", o.Limits.StateRPS, 1, 1e6)
-	amount("limits.state_write_rps", o.Limits.StateWriteRPS, 1, 1e6)
-	amount("limits.state_value_kb", o.Limits.StateValueKB, 1, 1024)
-	whole("limits.state_txn_ops", o.Limits.StateTxnOps, 4, 1000)
-	span("limits.state_latency_ms", o.Limits.StateLatency, 0, time.Second)
-	amount("limits.cloud_rps", o.Limits.CloudRPS, 1, 1e4)
-	span("limits.cloud_list_lag_s", o.Limits.CloudListLag, 0, 5*time.Minute)
-	span("workers.report_s", o.Timing.Report, 500*time.Millisecond, 5*time.Minute)
-	span("workers.lease_s", o.Timing.Lease, 2*time.Second, 10*time.Minute)
-	span("workers.cancel_s", o.Timing.Cancel, o.Timing.Lease+2*time.Second, 20*time.Minute)
+	checkFloat("replaced-per-day", o.ReplacedPerDay, 0, 1e6)
+	checkFloat("replaced-faster", o.ReplacedFaster, 0, 1000)
+	checkFloat("cancelled-share", o.CancelledShare, 0, 1)
+	checkFloat("limit-changes-per-day", o.LimitChangesPerDay, 0, 1e6)
+	checkDuration("ramp", o.Ramp, time.Second, time.Hour)
+	checkDuration("for", o.Duration, time.Second, 24*time.Hour)
+	checkFloat("limits.state_rps", o.Limits.StateRPS, 1, 1e6)
+	checkFloat("limits.state_write_rps", o.Limits.StateWriteRPS, 1, 1e6)
+	checkFloat("limits.state_value_kb", o.Limits.StateValueKB, 1, 1024)
+	checkInt("limits.state_txn_ops", o.Limits.StateTxnOps, 4, 1000)
+	checkDuration("limits.state_latency_ms", o.Limits.StateLatency, 0, time.Second)
+	checkFloat("limits.cloud_rps", o.Limits.CloudRPS, 1, 1e4)
+	checkDuration("limits.cloud_list_lag_s", o.Limits.CloudListLag, 0, 5*time.Minute)
+	checkDuration("workers.report_s", o.Timing.Report, 500*time.Millisecond, 5*time.Minute)
+	checkDuration("workers.lease_s", o.Timing.Lease, 2*time.Second, 10*time.Minute)
+	checkDuration("workers.cancel_s", o.Timing.Cancel, o.Timing.Lease+2*time.Second, 20*time.Minute)
 	return errors.Join(errs...)
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// SchemaVersion of a report. It grows when a field changes its meaning.
+// SchemaVersion is the version of the report format. It increases when a field changes its meaning.
 const SchemaVersion = 1
 
-// Report is what a run measured.
+// Report is the result of a run.
 type Report struct {
 	Schema   int
-	Commit   string // of the sources that were built, "+" behind it if they were changed
+	Commit   string // commit that the program was built from; ends in "+" if there were uncommitted changes
 	Version  string
 	At       time.Time
 	Machine  MachineFacts
 	Options  Options
 	Windows  []Window
-	Verdicts []string // what went wrong: a rule broken, a stand-in at its own bound; none: nil
+	Verdicts []string // problems of the run: broken rules, stand-ins at their capacity; nil if none
 }
 
-// MachineFacts are this machine's.
+// MachineFacts describes the machine of the run.
 type MachineFacts struct {
 	CPUs     int
 	MemoryMB float64
 }
 
-// Window is a part of a run.
+// Window is the measurement of a part of a run.
 type Window struct {
-	Name      string // steady, or the fault it begins with
+	Name      string // "steady", or the kind of the fault that it begins with
 	Seconds   float64
 	Processes []Usage
 	Regions   []RegionWindow
-	// AccountedS is how long after a fault the region's leader had accounted for all
-	// machines, by its own word; 0: not told.
+	// AccountedS is the time in seconds from a fault until the region's leader reported that all machines are
+	// accounted for; 0 if unknown.
 	AccountedS float64 `json:",omitempty"`
 }
 
-// RegionWindow is what a region's workers and users counted in a window. Counts are of the
-// window, but for what is told as a state: Up, Running, Open, keys and bytes.
+// RegionWindow is what a region's workers and users counted in a window. Counts cover the window, except for those
+// that are a current state: Up, Running, Open, keys and bytes.
 type RegionWindow struct {
 	Workers WorkersStats
 	World   WorldStats
 }
 
-// since takes what was counted before off the counts.
-func (w WorkersStats) since(before WorkersStats) WorkersStats {
+// minus returns the counts less those of an earlier snapshot.
+func (w WorkersStats) minus(before WorkersStats) WorkersStats {
 	w.Starts -= before.Starts
 	w.Reports -= before.Reports
 	w.Commands -= before.Commands
@@ -61,7 +61,8 @@
 	return w
 }
 
-func (w WorldStats) since(before WorldStats) WorldStats {
+// minus returns the counts less those of an earlier snapshot.
+func (w WorldStats) minus(before WorldStats) WorldStats {
 	w.Submitted -= before.Submitted
 	w.Accepted -= before.Accepted
 	w.Refused -= before.Refused
@@ -73,9 +74,9 @@
 	w.StateChangesRefused -= before.StateChangesRefused
 	w.CloudCalls -= before.CloudCalls
 	w.CloudRefused -= before.CloudRefused
-	w.Cancels = w.Cancels.since(before.Cancels)
-	w.LimitChanges = w.LimitChanges.since(before.LimitChanges)
-	w.State = append([]FrontStats(nil), w.State...)
+	w.Cancels = w.Cancels.minus(before.Cancels)
+	w.LimitChanges = w.LimitChanges.minus(before.LimitChanges)
+	w.State = append([]StateRequestStats(nil), w.State...)
 	for i := range w.State {
 		if i < len(before.State) {
 			w.State[i].Requests -= before.State[i].Requests
@@ -86,73 +87,75 @@
 	return w
 }
 
-// StateRequests are all controllers' requests to the state service, and those of them that
-// it refused for its rate.
-func (w *WorldStats) StateRequests() (all, refused int) {
+// StateRequests returns the number of requests that all controllers made to the state service, and how many of them
+// its rate limit refused.
+func (w *WorldStats) StateRequests() (requests, refused int) {
 	for _, f := range w.State {
-		all += f.Requests
+		requests += f.Requests
 		refused += f.Refused
 	}
-	return all, refused
+	return requests, refused
 }
 
-// standInBound is the part of a core at which a stand-in may hold up what it is asked for.
-const standInBound = 0.9
+// maxStandInCores is the processor use, in cores, above which a stand-in may delay its answers and so distort the
+// figures.
+const maxStandInCores = 0.9
 
-// verdict notes what went wrong.
-func (r *Report) verdict(format string, args ...any) {
+// addVerdict adds a problem to the report.
+func (r *Report) addVerdict(format string, args ...any) {
 	r.Verdicts = append(r.Verdicts, fmt.Sprintf(format, args...))
 }
 
-// judge tells what went wrong.
-func (r *Report) judge() {
-	for _, w := range r.Windows {
-		for i, reg := range w.Regions {
-			if n := reg.Workers.BrokenCount; n > 0 {
-				r.verdict("%s, region %d: %d rules broken: %v", w.Name, i, n, reg.Workers.Broken)
+// addVerdicts adds all problems of the run: broken rules, lost jobs, late cancellations, stale limits and overloaded
+// stand-ins.
+func (r *Report) addVerdicts() {
+	for _, window := range r.Windows {
+		for i, region := range window.Regions {
+			if n := region.Workers.BrokenCount; n > 0 {
+				r.addVerdict("%s, region %d: %d rules broken: %v", window.Name, i, n, region.Workers.Broken)
 			}
-			if reg.World.Lost > 0 {
-				r.verdict("%s, region %d: %d jobs lost: %v", w.Name, i, reg.World.Lost, reg.World.Losses)
+			if region.World.Lost > 0 {
+				r.addVerdict("%s, region %d: %d jobs lost: %v", window.Name, i, region.World.Lost, region.World.Losses)
 			}
-			if n := reg.World.Cancels.StillRun; n > 0 {
-				r.verdict("%s, region %d: %d cancelled jobs have tasks on machines after cancel_s", w.Name, i, n)
+			if n := region.World.Cancels.StillRun; n > 0 {
+				r.addVerdict("%s, region %d: %d cancelled jobs still had tasks on machines after cancel_s", window.Name, i, n)
 			}
-			if n := reg.World.LimitChanges.Stale; n > 0 {
-				r.verdict("%s, region %d: %d limits were told that had been changed before", w.Name, i, n)
+			if n := region.World.LimitChanges.Stale; n > 0 {
+				r.addVerdict("%s, region %d: %d changed limits were stale when read from another controller", window.Name, i, n)
 			}
 		}
-		for _, u := range w.Processes {
-			if u.Role == RoleWorld && u.Cores > standInBound {
-				r.verdict("%s: %s uses %.2f cores: its own bound may show in the figures", w.Name, u.Name, u.Cores)
+		for _, usage := range window.Processes {
+			if usage.Role == RoleWorld && usage.Cores > maxStandInCores {
+				r.addVerdict("%s: %s uses %.2f cores: its own capacity may limit the figures", window.Name, usage.Name, usage.Cores)
 			}
 		}
 	}
 }
 
-// write stores the report.
-func (r *Report) write(path string) error {
-	b, err := json.MarshalIndent(r, "", " ")
+// writeFile writes the report as JSON.
+func (r *Report) writeFile(path string) error {
+	encoded, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := os.WriteFile(path, append(b, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(path, append(encoded, '\n'), 0o644); err != nil {
 		return fmt.Errorf("--report: %w", err)
 	}
 	return nil
 }
 
-// ReadReport reads a report.
+// ReadReport reads a report file. It fails if the file has another schema version.
 func ReadReport(path string) (*Report, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	var r Report
-	if err := json.Unmarshal(b, &r); err != nil {
+	var report Report
+	if err := json.Unmarshal(content, &report); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Schema != SchemaVersion {
-		return nil, fmt.Errorf("%s: schema %d, this program reads %d", path, r.Schema, SchemaVersion)
+	if report.Schema != SchemaVersion {
+		return nil, fmt.Errorf("%s: schema %d, this program reads %d", path, report.Schema, SchemaVersion)
 	}
-	return &r, nil
+	return &report, nil
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -6,21 +6,22 @@
 	"testing"
 )
 
-// Progress is told by several goroutines to a writer that need not be safe for them.
-func TestProgressLinesAreWhole(t *testing.T) {
-	const tellers, lines = 4, 100
+// TestProgressLinesNotInterleaved checks that lines from several goroutines reach the progress writer whole, although
+// the writer is not safe for concurrent use.
+func TestProgressLinesNotInterleaved(t *testing.T) {
+	const writers, lines = 4, 100
 	var out bytes.Buffer
-	r := &run{env: Environment{Progress: &out}}
-	var all sync.WaitGroup
-	for range tellers {
-		all.Go(func() {
+	r := &run{environment: Environment{Progress: &out}}
+	var wg sync.WaitGroup
+	for range writers {
+		wg.Go(func() {
 			for range lines {
-				r.say("%d workers", lines)
+				r.printProgress("%d workers", lines)
 			}
 		})
 	}
-	all.Wait()
-	if wanted := bytes.Repeat([]byte("100 workers\n"), tellers*lines); !bytes.Equal(out.Bytes(), wanted) {
-		t.Errorf("%d bytes of progress, %d wanted", out.Len(), len(wanted))
+	wg.Wait()
+	if want := bytes.Repeat([]byte("100 workers\n"), writers*lines); !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("%d bytes of progress, want %d", out.Len(), len(want))
 	}
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -11,78 +11,83 @@
 	"honeylock/internal/scale/scalepb"
 )
 
-// LoadSettings changes the options by a settings file. What the file leaves out stays.
+// LoadSettings applies a settings file in protobuf text format to the options. Options that the file does not set keep
+// their values.
 func (o *Options) LoadSettings(path string) error {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("--settings: %w", err)
 	}
-	var p scalepb.Settings
-	if err := prototext.Unmarshal(b, &p); err != nil {
+	var settings scalepb.Settings
+	if err := prototext.Unmarshal(content, &settings); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if err := o.apply(&p); err != nil {
+	if err := o.applySettings(&settings); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-func set[T any](to *T, v *T) {
-	if v != nil {
-		*to = *v
+// setIfPresent sets target to the value unless it is nil.
+func setIfPresent[T any](target *T, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
-func setWhole(to *int, v *int32) {
-	if v != nil {
-		*to = int(*v)
+// setInt sets target to the value unless it is nil.
+func setInt(target *int, value *int32) {
+	if value != nil {
+		*target = int(*value)
 	}
 }
 
-func setSeconds(to *time.Duration, v *float64) {
-	if v != nil {
-		*to = config.Seconds(*v)
+// setSeconds sets target to the value in seconds unless it is nil.
+func setSeconds(target *time.Duration, value *float64) {
+	if value != nil {
+		*target = config.Seconds(*value)
 	}
 }
 
-func (o *Options) apply(p *scalepb.Settings) error {
-	if s := p.GetSize(); s != nil {
-		setWhole(&o.Workers, s.Workers)
-		setWhole(&o.Controllers, s.Controllers)
-		setWhole(&o.Regions, s.Regions)
-		setWhole(&o.Zones, s.Zones)
-		setWhole(&o.Teams, s.Teams)
+// applySettings applies decoded settings to the options.
+func (o *Options) applySettings(settings *scalepb.Settings) error {
+	if size := settings.GetSize(); size != nil {
+		setInt(&o.Workers, size.Workers)
+		setInt(&o.Controllers, size.Controllers)
+		setInt(&o.Regions, size.Regions)
+		setInt(&o.Zones, size.Zones)
+		setInt(&o.Teams, size.Teams)
 	}
-	if l := p.GetLoad(); l != nil {
-		if l.Profile != nil {
-			o.Profile = Profile(*l.Profile)
+	if load := settings.GetLoad(); load != nil {
+		if load.Profile != nil {
+			o.Profile = Profile(*load.Profile)
 		}
-		setWhole(&o.TasksPerWorker, l.TasksPerWorker)
-		setSeconds(&o.TaskTime, l.TaskS)
-		setWhole(&o.TasksPerJob, l.TasksPerJob)
-		set(&o.ReplacedPerDay, l.ReplacedPerDay)
-		set(&o.ReplacedFaster, l.ReplacedFaster)
-		set(&o.CancelledShare, l.CancelledShare)
-		set(&o.LimitChangesPerDay, l.LimitChangesPerDay)
+		setInt(&o.TasksPerWorker, load.TasksPerWorker)
+		setSeconds(&o.TaskTime, load.TaskS)
+		setInt(&o.TasksPerJob, load.TasksPerJob)
+		setIfPresent(&o.ReplacedPerDay, load.ReplacedPerDay)
+		setIfPresent(&o.ReplacedFaster, load.ReplacedFaster)
+		setIfPresent(&o.CancelledShare, load.CancelledShare)
+		setIfPresent(&o.LimitChangesPerDay, load.LimitChangesPerDay)
 	}
-	if l := p.GetLimits(); l != nil {
-		set(&o.Limits.StateRPS, l.StateRps)
-		set(&o.Limits.StateWriteRPS, l.StateWriteRps)
-		set(&o.Limits.StateValueKB, l.StateValueKb)
-		setWhole(&o.Limits.StateTxnOps, l.StateTxnOps)
-		if l.StateLatencyMs != nil {
-			o.Limits.StateLatency = time.Duration(*l.StateLatencyMs * float64(time.Millisecond))
+	if load := settings.GetLimits(); load != nil {
+		setIfPresent(&o.Limits.StateRPS, load.StateRps)
+		setIfPresent(&o.Limits.StateWriteRPS, load.StateWriteRps)
+		setIfPresent(&o.Limits.StateValueKB, load.StateValueKb)
+		setInt(&o.Limits.StateTxnOps, load.StateTxnOps)
+		if load.StateLatencyMs != nil {
+			o.Limits.StateLatency = time.Duration(*load.StateLatencyMs * float64(time.Millisecond))
 		}
-		set(&o.Limits.CloudRPS, l.CloudRps)
-		setSeconds(&o.Limits.CloudListLag, l.CloudListLagS)
+		setIfPresent(&o.Limits.CloudRPS, load.CloudRps)
+		setSeconds(&o.Limits.CloudListLag, load.CloudListLagS)
 	}
-	if w := p.GetWorkers(); w != nil {
-		setSeconds(&o.Timing.Report, w.ReportS)
-		setSeconds(&o.Timing.Lease, w.LeaseS)
-		setSeconds(&o.Timing.Cancel, w.CancelS)
+	if workers := settings.GetWorkers(); workers != nil {
+		setSeconds(&o.Timing.Report, workers.ReportS)
+		setSeconds(&o.Timing.Lease, workers.LeaseS)
+		setSeconds(&o.Timing.Cancel, workers.CancelS)
 	}
-	for i, s := range p.GetFaults() {
-		f, err := ParseFault(s)
+	for i, size := range settings.GetFaults() {
+		f, err := ParseFault(size)
 		if err != nil {
 			return fmt.Errorf("faults[%d]: %w", i, err)
 		}
