--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -11,8 +11,8 @@
 	"honeylock/internal/core/model"
 )
 
-func (l *lead) newBook() *disruption.Tracker {
-	n := l.c.w.p.budget
+func (l *leadership) newTracker() *disruption.Tracker {
+	n := l.c.w.params.disruptionBudget
 	if n == 0 {
 		return nil
 	}
@@ -20,70 +20,71 @@
 		{Team: 1, Class: model.None, MaxTasks: n}})
 }
 
-// disrupt and hear wire the book as the node does.
-func (x *drains) disrupt(now time.Duration) func(drain.MoveRequest) string {
-	if !x.book.Enabled() {
+// moveRequester and hear wire the book as the node does.
+func (x *drainManager) moveRequester(now time.Duration) func(drain.MoveRequest) string {
+	if !x.tracker.Enabled() {
 		return nil
 	}
 	l := x.l
-	for _, t := range l.d.TakeFreedTasks() {
-		if sp := l.d.Spec(t.Job); sp != nil {
-			x.book.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
+	for _, t := range l.dispatcher.TakeFreedTasks() {
+		if sp := l.dispatcher.Spec(t.Job); sp != nil {
+			x.tracker.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
 	}
-	x.book.Prune(func(id model.JobID) bool { return l.d.Spec(id) != nil })
-	x.book.Recovered = l.d.Recovered() || l.c.w.p.forgetDraws
-	x.book.TeamState = func(team, class model.Name) (p disruption.TeamState) {
-		p.Running, p.Orphaned, p.Unknown, p.CPU = l.d.WorkCounts(team, class)
-		if l.c.w.p.forgetDraws {
+	x.tracker.Prune(func(id model.JobID) bool { return l.dispatcher.Spec(id) != nil })
+	x.tracker.Recovered = l.dispatcher.Recovered() || l.c.w.params.assumeRunning
+	x.tracker.TeamState = func(team, class model.Name) (p disruption.TeamState) {
+		p.Running, p.Orphaned, p.Unknown, p.CPU = l.dispatcher.WorkCounts(team, class)
+		if l.c.w.params.assumeRunning {
 			p.Unknown, p.Orphaned, p.CPU = 0, 0, 0
 		}
 		return p
 	}
 	return func(m drain.MoveRequest) string {
-		return x.book.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran, Remaining: m.Remaining})
+		return x.tracker.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran,
+			Remaining: m.Remaining})
 	}
 }
 
-func (x *drains) hear(now time.Duration, e *model.Event) {
-	sp := x.l.d.Spec(e.Task.Job)
-	if !x.book.Enabled() || sp == nil {
+func (x *drainManager) handleEvent(now time.Duration, e *model.Event) {
+	sp := x.l.dispatcher.Spec(e.Task.Job)
+	if !x.tracker.Enabled() || sp == nil {
 		return
 	}
-	x.book.HandleEvent(now, e, sp)
-	if e.Kind == model.TaskInterrupted && x.l.c.w.p.unpaid {
-		x.book.TaskDone(e.Task)
+	x.tracker.HandleEvent(now, e, sp)
+	if e.Kind == model.TaskInterrupted && x.l.c.w.params.stoppedCountsAsBack {
+		x.tracker.TaskDone(e.Task)
 	}
 }
 
-// observe counts from outside what plans have out of work, by what the workers do: a
+// checkBudget counts from outside what plans have out of work, by what the workers do: a
 // task that ran where it was told to leave, until some worker starts it again or it is
 // done or its job is over.
-func (w *world) observe(a drain.Action) {
-	if w.p.budget == 0 {
+func (w *world) checkBudget(a drain.Action) {
+	if w.params.disruptionBudget == 0 {
 		return
 	}
-	for k, at := range w.workers[a.Machine].cells {
-		if k.t == a.Task && at.on && at.Stage == model.Running {
-			w.moved[a.Task] = true
+	for k, at := range w.workers[a.Machine].attempts {
+		if k.task == a.Task && at.active && at.Stage == model.Running {
+			w.interrupted[a.Task] = true
 		}
 	}
-	out := map[model.Name]int{}
-	for t := range w.moved {
-		if u := w.users[t.Job]; u.ended == "" && !u.wants {
-			out[u.spec.Team]++
+	interrupted := map[model.Name]int{}
+	for t := range w.interrupted {
+		if u := w.users[t.Job]; u.finalStage == "" && !u.cancelRequested {
+			interrupted[u.spec.Team]++
 		}
 	}
-	for team, n := range out {
-		if n > w.p.budget {
-			w.fail("budget", "%d tasks of team %d are out of work, %d may be", n, team, w.p.budget)
+	for team, n := range interrupted {
+		if n > w.params.disruptionBudget {
+			w.fail("budget", "%d tasks of team %d are out of work, %d may be", n, team, w.params.disruptionBudget)
 		}
 	}
 }
 
-func budgeted(p params) params {
-	p = drained(p)
-	p.budget = 2
+func withBudget(p params) params {
+	p = withDrains(p)
+	p.disruptionBudget = 2
 	return p
 }
 
@@ -97,11 +98,11 @@
 			t.Errorf("%d tasks moved: these days test nothing", moved.Load())
 		}
 	})
-	for name, p := range map[string]params{"short lease": budgeted(almatyLike()), "long lease": budgeted(longLease())} {
+	for name, p := range map[string]params{"short lease": withBudget(shortLeaseParams()), "long lease": withBudget(longLeaseParams())} {
 		for seed := range uint64(15) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				moved.Add(int64(play(t, seed+500, p).recalled))
+				moved.Add(int64(runSimulation(t, seed+500, p).recalledTasks))
 			})
 		}
 	}
@@ -111,15 +112,15 @@
 func TestChecksCatchBrokenBudgets(t *testing.T) {
 	t.Parallel()
 	for name, breakIt := range map[string]func(*params){
-		"a task that was stopped counts as back":      func(p *params) { p.unpaid = true },
-		"a new leader takes what was out for at work": func(p *params) { p.forgetDraws = true },
+		"a stopped task counts as running again":             func(p *params) { p.stoppedCountsAsBack = true },
+		"a new leader assumes interrupted tasks are running": func(p *params) { p.assumeRunning = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := budgeted(almatyLike())
-			p.budget = 1
+			p := withBudget(shortLeaseParams())
+			p.disruptionBudget = 1
 			breakIt(&p)
-			breaks(t, 80, 500, p)
+			expectViolation(t, 80, 500, p)
 		})
 	}
 }
--- /dev/null
+++ b/internal/core/sim/dependencies_test.go
@@ -0,0 +1,373 @@
+package sim
+
+import (
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"honeylock/internal/core/dispatcher"
+	"honeylock/internal/core/jobs"
+	"honeylock/internal/core/model"
+	"honeylock/internal/core/pipeline"
+)
+
+// dependencyTracker wires the graph as the node does.
+type dependencyTracker struct {
+	l                *leadership
+	graph            *pipeline.Graph
+	inDoubt          pipeline.InDoubtJobs
+	lastCancellation time.Duration // the last cancellation was written
+}
+
+func (p *dependencyTracker) add(o *openJob) {
+	since := -time.Hour
+	if p.l.loaded {
+		since = p.l.readAt
+	}
+	if p.graph.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, HasObjective: !o.spec.BestEffort,
+		DependsOn: o.dependsOn}, since) {
+		p.l.dispatcher.HoldJob(o.spec.ID)
+	}
+}
+
+func (p *dependencyTracker) jobEnded(id model.JobID, e pipeline.FinalState) {
+	if e == pipeline.Unknown && p.l.c.w.params.missingCountsAsDone {
+		e = pipeline.Done
+	}
+	p.graph.JobEnded(id, e, p.l.readAt)
+	p.applyChanges()
+}
+
+func (p *dependencyTracker) applyChanges() {
+	for _, released := range p.graph.TakeReleased() {
+		p.l.dispatcher.ReleaseJob(released.ID, p.l.c.now(), released.NeverStarted)
+	}
+	for _, inherited := range p.graph.TakeInherited() {
+		p.l.dispatcher.InheritRank(inherited.ID, inherited.Rank, inherited.HasObjective)
+	}
+}
+
+func (p *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
+	return min(p.l.readAt, p.graph.PropagatedUntil(now))
+}
+
+func (p *dependencyTracker) tick(now time.Duration) {
+	l, c := p.l, p.l.c
+	if c.w.params.resizeBlocksAt > 0 && c.w.now > c.w.params.resizeBlocksAt && l.dispatcher.Layout() == 0 {
+		l.dispatcher.SetLayout(smallBlock)
+	}
+	for _, id := range p.graph.NextLookups(now, 4) {
+		c.storeCall(func() any { c.w.store.expireLeases(); return c.w.store.finalState(id) }, func(v any) {
+			if end, ok := v.(pipeline.FinalState); ok && c.leadership == l {
+				p.graph.LookupDone(c.now(), id, end, 0)
+				p.applyChanges()
+			} else {
+				p.graph.LookupDone(c.now(), id, pipeline.Unknown, 0)
+			}
+		})
+	}
+	limit := 2
+	if c.w.params.cancellationInterval > 0 { // hardly any changes are left for them
+		if limit = 0; now-p.lastCancellation >= c.w.params.cancellationInterval {
+			limit, p.lastCancellation = 1, now
+		}
+	}
+	for _, id := range p.graph.NextCancellations(now, limit) {
+		version := l.dispatcher.JobVersion(id)
+		c.storeTxn(func() any { return c.w.store.cancelDependent(l.leaderVersion, id, version) }, func(v any) {
+			r, _ := v.(writeResult)
+			switch {
+			case r.ok:
+				l.dispatcher.JobRemoved(id)
+				p.jobEnded(id, pipeline.Cancelled)
+			case r.conflict:
+				l.dispatcher.JobRemoved(id)
+				p.jobEnded(id, pipeline.Unknown)
+			default:
+				p.graph.CancellationFailed(c.now(), id)
+			}
+		})
+	}
+}
+
+func (s *store) finalState(id model.JobID) pipeline.FinalState {
+	switch s.finalStages[id] {
+	case jobs.Done:
+		return pipeline.Done
+	case jobs.Cancelled:
+		return pipeline.Cancelled
+	}
+	return pipeline.Absent
+}
+
+// cancelDependent ends a job that was never let begin, guarded as the leader's writes are.
+func (s *store) cancelDependent(guard uint64, id model.JobID, version uint64) any {
+	s.expireLeases()
+	if !s.leader.Present || s.leader.Version != guard {
+		return writeResult{}
+	}
+	if o, ok := s.openJobs[id]; !ok || o.version != version {
+		return writeResult{conflict: !ok}
+	}
+	s.revision++
+	delete(s.openJobs, id)
+	s.finalStages[id] = jobs.Cancelled
+	return writeResult{revision: s.revision, ok: true}
+}
+
+// loadRecords takes the stored blocks, those of the layout last written first.
+func (l *leadership) loadRecords(records map[dispatcher.BlockID]record) {
+	ids := slices.SortedFunc(maps.Keys(records), func(a, b dispatcher.BlockID) int {
+		if (a.Size == 0) != (b.Size == 0) {
+			return int(b.Size) - int(a.Size)
+		}
+		return int(a.Index) - int(b.Index)
+	})
+	for _, id := range ids {
+		l.dispatcher.AddStoredBlock(id, records[id].version, records[id].machines)
+	}
+	if len(ids) > 0 && ids[0].Size != 0 {
+		l.dispatcher.SetLayout(smallBlock)
+	}
+}
+
+// smallBlock is the size that blocks get when limits are to fall.
+const smallBlock = 3
+
+// addDependencies has a job await some that were accepted, in whatever state they are now.
+func (w *world) addDependencies(u *user) {
+	if w.rng.IntN(4) == 0 {
+		return
+	}
+	var known []model.JobID
+	for id := range w.params.jobs {
+		if o := w.users[model.JobID(id)]; o != nil && o.accepted && !o.alwaysFails && !o.spec.Daemon {
+			known = append(known, o.spec.ID)
+		}
+	}
+	for range min(len(known), 1+w.rng.IntN(3)) {
+		id := known[len(known)-1-w.rng.IntN(min(len(known), 8))]
+		if !slices.Contains(u.dependsOn, id) {
+			u.dependsOn = append(u.dependsOn, id)
+		}
+	}
+	if w.rng.IntN(3) == 0 {
+		u.spec.Rank = model.Urgent
+	}
+}
+
+// newRequest begins a request as a controller does.
+func (c *controller) newRequest(u *user, k jobs.Kind) (*jobs.Request, jobs.Op) {
+	if k == jobs.Submit && len(u.dependsOn) > 0 {
+		open := map[model.JobID]uint64{}
+		for _, id := range u.dependsOn { // what it happens to have seen
+			if v := c.w.users[id].openVersion; v != 0 && c.w.rng.IntN(2) == 0 {
+				open[id] = v
+			}
+		}
+		return jobs.NewWithDependencies(u.spec.ID, u.dependsOn, open, 18)
+	}
+	if k != jobs.Submit && c.now()/time.Second%4 == 0 { // rightly or wrongly
+		return jobs.NewEnded(k, u.spec.ID)
+	}
+	return jobs.New(k, u.spec.ID, u.openVersion)
+}
+
+// maxStatusAge is how long ago the last news of cancellations may be, as the node's settings
+// have it.
+func (p *params) maxStatusAge() time.Duration { return p.cancelBound*9/10 - 3*time.Second }
+
+// inDoubtByJob is, for each open job, whether it is in doubt.
+func (p *dependencyTracker) inDoubtByJob(now time.Duration) map[model.JobID]bool {
+	jobsInDoubt := p.inDoubt.Update(now, p.graph)
+	out := map[model.JobID]bool{}
+	p.l.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) {
+		out[id] = jobsInDoubt[id]
+	})
+	return out
+}
+
+// checkFreshness turns an answer that nobody may vouch for into a refusal, or into what is certain.
+func (c *controller) checkFreshness(u *user, a *jobs.Answer) *jobs.Answer {
+	if a.Stage != jobs.Queued || a.Created || len(u.dependsOn) == 0 || c.w.params.alwaysReportQueued {
+		return a
+	}
+	now, id := c.now(), u.spec.ID
+	if l := c.leadership; l != nil && l.loaded && !c.oldRelease {
+		c.inDoubt = l.dependencies.inDoubtByJob(now)
+		c.freshness.SetPropagated(l.dependencies.propagatedUntil(now))
+		c.freshness.SetInDoubtKnown(l.readAt)
+		if c.w.params.reportCancelledEarly && l.dependencies.graph.CancelPending(id) {
+			return &jobs.Answer{Status: http.StatusOK, Stage: jobs.Cancelled}
+		}
+	}
+	if l := c.leadership; l != nil && l.loaded && c.oldRelease {
+		c.freshness.SetPropagated(l.dependencies.propagatedUntil(now))
+	}
+	inDoubt, known := c.inDoubt[id]
+	if c.freshness.MayReportQueued(now, known && (!inDoubt || c.w.params.reportInDoubtAsQueued) &&
+		!c.w.params.globalFreshness) {
+		return a
+	}
+	for _, o := range c.w.controllers { // passed on, as the node does
+		if l := o.leadership; l != nil && o.running && l.loaded && !o.oldRelease && (o == c || inDoubt) && !o.paused() &&
+			!c.w.params.globalFreshness &&
+			l.dependencies.inDoubt.CertainlyCancelled(o.now(), c.freshness.MaxAge, l.dependencies.graph, id) {
+			return &jobs.Answer{Status: http.StatusOK, Stage: jobs.Cancelled}
+		}
+	}
+	return &jobs.Answer{Status: http.StatusServiceUnavailable}
+}
+
+// dependsOnCancelled tells whether a job needs one, directly or through others, whose user
+// asked to cancel it.
+func (w *world) dependsOnCancelled(u *user) bool {
+	return slices.ContainsFunc(u.dependsOn, func(id model.JobID) bool {
+		return w.users[id].cancelRequested || w.dependsOnCancelled(w.users[id])
+	})
+}
+
+// checkDependentCancelled: a job is called queued or running too long after a user was told that one
+// that it needs is cancelled.
+func (w *world) checkDependentCancelled(u *user, asked time.Duration, st jobs.Stage) {
+	if st.Ended() {
+		return
+	}
+	for _, id := range u.dependsOn {
+		if o := w.users[id]; o.finalStage == jobs.Cancelled && asked > max(o.endedAt, u.acceptedAt)+w.params.cancelBound {
+			w.fail("dependent_not_cancelled", "job %d is %s, %d was cancelled at %v", u.spec.ID, st, id, o.endedAt)
+		}
+	}
+}
+
+// checkDependenciesDone: a task starts before all that its job needs is done.
+func (w *world) checkDependenciesDone(u *user, t model.Task) {
+	for _, id := range u.dependsOn {
+		if o := w.users[id]; len(o.doneTasks) < int(o.spec.Tasks) {
+			w.fail("too_early", "task %v starts, job %d has %d of %d tasks done", t, id, len(o.doneTasks), o.spec.Tasks)
+		}
+	}
+}
+
+// longOutages are longer than a cancellation may take: whoever leads afterwards must not let
+// it be told that what waits is queued before it has looked.
+func (w *world) longOutages() {
+	w.after(w.params.cancelBound+15*time.Second, func() {
+		if w.now > w.params.duration {
+			return
+		}
+		w.logf("fault: the store is out for long")
+		w.extendFaults(w.params.cancelBound + 15*time.Second)
+		w.store.down = true
+		w.after(w.params.cancelBound+5*time.Second, func() { w.store.restore() })
+		w.longOutages()
+	})
+}
+
+func dependencyParams() params {
+	p := shortLeaseParams()
+	p.dependencies, p.jobs, p.controllers, p.resizeBlocksAt = true, 120, 5, 2*time.Minute
+	return p
+}
+
+// TestRulesHoldWithDependencies plays random days of jobs that await each other, with every kind
+// of failure, while the blocks of machines' records change their size half way.
+func TestRulesHoldWithDependencies(t *testing.T) {
+	t.Parallel()
+	long := longLeaseParams()
+	long.dependencies, long.jobs, long.resizeBlocksAt = true, 120, 3*time.Minute
+	for name, p := range map[string]params{"short lease": dependencyParams(), "long lease": long} {
+		for seed := range uint64(20) {
+			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
+				t.Parallel()
+				runSimulation(t, seed, p)
+			})
+		}
+	}
+}
+
+// TestDependentJobsComplete: without failures every chain ends, done or cancelled.
+func TestDependentJobsComplete(t *testing.T) {
+	t.Parallel()
+	p := dependencyParams()
+	p.faults = false
+	p.quietPeriod = 3 * time.Minute
+	w := newWorld(1, p)
+	w.run()
+	if len(w.violations) > 0 {
+		t.Fatal(strings.Join(w.violations, "\n"))
+	}
+	finalStages := map[jobs.Stage]int{}
+	for id, u := range w.users {
+		if u.accepted && u.finalStage == "" {
+			t.Errorf("job %d (%+v, awaits %v) has not ended", id, u.spec, u.dependsOn)
+		}
+		if len(u.dependsOn) > 0 {
+			finalStages[u.finalStage]++
+		}
+	}
+	if finalStages[jobs.Done] == 0 || finalStages[jobs.Cancelled] == 0 {
+		t.Errorf("jobs that awaited others ended %v: one way never happened", finalStages)
+	}
+	for id := range w.store.records {
+		if id.Size != smallBlock {
+			t.Errorf("block %v is still there", id)
+		}
+	}
+}
+
+// TestChecksCatchBrokenDependencies proves the checks.
+func TestChecksCatchBrokenDependencies(t *testing.T) {
+	t.Parallel()
+	for name, breakIt := range map[string]func(*params){
+		"a missing job counts as done": func(p *params) { p.missingCountsAsDone = true },
+		// Leaders that are refused alone give up at once here as they do in the node, so only
+		// records that end slowly leave time for it.
+		"waiting jobs are always reported as queued": func(p *params) {
+			p.alwaysReportQueued, p.cancellationInterval = true,
+				6*time.Second
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			p := dependencyParams()
+			breakIt(&p)
+			expectViolation(t, 60, 0, p)
+		})
+	}
+}
+
+// slowCancellationParams has trees of jobs that are cancelled faster than their records can be ended.
+func slowCancellationParams() params {
+	p := dependencyParams()
+	p.cancellationInterval, p.quietPeriod = 6*time.Second, 10*time.Minute // outages take most of such a day
+	return p
+}
+
+// TestDelayedCancellationsDoNotBlockOtherJobs: one cancelled tree whose records could not be ended in
+// time had every poll of a waiting job answered with 503, for longer than 75 s.
+func TestDelayedCancellationsDoNotBlockOtherJobs(t *testing.T) {
+	t.Parallel()
+	for seed := range seedCount(8) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			runSimulation(t, seed, slowCancellationParams())
+		})
+	}
+	for name, breakIt := range map[string]func(*params){
+		"one delayed cancellation blocks all waiting jobs":     func(p *params) { p.globalFreshness = true },
+		"jobs in doubt are reported as queued":                 func(p *params) { p.reportInDoubtAsQueued = true },
+		"cancelled is reported while others may report queued": func(p *params) { p.reportCancelledEarly = true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			p := slowCancellationParams()
+			breakIt(&p)
+			expectViolation(t, 60, 0, p)
+		})
+	}
+}
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -14,142 +14,144 @@
 	"honeylock/internal/wire"
 )
 
-// drains is the leader's engine of drain plans, wired as the node wires it.
-type drains struct {
-	l    *lead
-	e    *drain.Engine
-	book *disruption.Tracker
+// drainManager is the leader's engine of drain plans, wired as the node wires it.
+type drainManager struct {
+	l       *leadership
+	engine  *drain.Engine
+	tracker *disruption.Tracker
 }
 
-// plans are the specs of a day's plans by name: what a plan's source would say.
-type plans map[string]*drain.Spec
+// planSpecs are the specs of a day's plans by name: what a plan's source would say.
+type planSpecs map[string]*drain.Spec
 
-func (l *lead) newDrains() *drains {
-	return &drains{l, drain.New(drain.Params{Term: l.term, ReportInterval: l.c.w.p.report, RetryInterval: time.Second, MaxMachines: 200}),
-		l.newBook()}
+func (l *leadership) newDrains() *drainManager {
+	return &drainManager{l, drain.New(drain.Params{Term: l.term, ReportInterval: l.c.w.params.reportInterval,
+		RetryInterval: time.Second, MaxMachines: 200}),
+		l.newTracker()}
 }
 
-func (x *drains) load(now time.Duration, stored map[string]drain.StoredPlan) {
+func (x *drainManager) load(now time.Duration, stored map[string]drain.StoredPlan) {
 	for _, s := range stored {
-		x.e.Load(now, s, func([]byte) (*drain.Spec, error) {
-			c := *x.l.c.w.plans[s.Name]
-			c.Machines = nil
-			return &c, nil
+		x.engine.Load(now, s, func([]byte) (*drain.Spec, error) {
+			spec := *x.l.c.w.plans[s.Name]
+			spec.Machines = nil
+			return &spec, nil
 		})
 	}
-	for _, a := range x.e.Cordons() {
-		x.do(a)
+	for _, a := range x.engine.Cordons() {
+		x.execute(a)
 	}
 }
 
-func (x *drains) tick(now time.Duration) {
-	draw := x.disrupt(now)
-	if x.e.Idle() {
+func (x *drainManager) tick(now time.Duration) {
+	requestMove := x.moveRequester(now)
+	if x.engine.Idle() {
 		return
 	}
 	w := x.l.c.w
 	v := &drain.View{Now: now, Wall: time.Unix(0, 0).Add(w.now), Machines: map[model.MachineID]drain.Machine{},
-		Recovered: x.l.d.Recovered(), RequestMove: draw,
+		Recovered: x.l.dispatcher.Recovered(), RequestMove: requestMove,
 		RunTimeFactor: func(_ model.Name, p float64) float64 {
 			return 0.5 +
 				p
 		}, BootTime: func(model.Name) time.Duration { return time.Second }, JobName: wire.JobName}
 	for _, m := range w.workers {
-		if !m.dead {
+		if !m.returned {
 			v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m.Machine}}
 		}
 	}
-	x.l.d.ForEachMachine(func(st model.MachineStatus, told bool) {
-		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Reported: told}
+	x.l.dispatcher.ForEachMachine(func(st model.MachineStatus, reported bool) {
+		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Reported: reported}
 	})
-	for _, n := range x.l.d.Demand() {
-		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, UnfinishedTasks: int(n.Unfinished), RunningTasks: x.l.d.TaskCounts(n.Spec.ID).Running})
+	for _, n := range x.l.dispatcher.Demand() {
+		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, UnfinishedTasks: int(n.Unfinished),
+			RunningTasks: x.l.dispatcher.TaskCounts(n.Spec.ID).Running})
 	}
-	for _, a := range x.e.Tick(v) {
-		x.do(a)
+	for _, a := range x.engine.Tick(v) {
+		x.execute(a)
 	}
-	for _, wr := range x.e.Writes(4) {
-		x.l.c.storeTxn(func() any { return w.store.writePlan(x.l.guard, wr) }, func(r any) {
-			o, answered := r.(written)
-			x.e.WriteDone(wr, o.rev, o.ok, answered && o.lost, o.rev)
+	for _, wr := range x.engine.Writes(4) {
+		x.l.c.storeTxn(func() any { return w.store.writePlan(x.l.leaderVersion, wr) }, func(r any) {
+			o, answered := r.(writeResult)
+			x.engine.WriteDone(wr, o.revision, o.ok, answered && o.conflict, o.revision)
 		})
 	}
 }
 
 // writePlan applies a plan's write, guarded by the leader key's version and the
 // record's own.
-func (s *store) writePlan(guard uint64, w drain.Write) written {
-	s.expire()
+func (s *store) writePlan(guard uint64, w drain.Write) writeResult {
+	s.expireLeases()
 	if !s.leader.Present || s.leader.Version != guard {
-		return written{}
+		return writeResult{}
 	}
 	if v := s.plans[w.Name].Version; v != w.Version {
-		return written{rev: v, lost: true}
+		return writeResult{revision: v, conflict: true}
 	}
-	s.rev++
-	s.plans[w.Name] = drain.StoredPlan{Name: w.Name, Value: w.Value, Version: s.rev}
-	return written{rev: s.rev, ok: true}
+	s.revision++
+	s.plans[w.Name] = drain.StoredPlan{Name: w.Name, Value: w.Value, Version: s.revision}
+	return writeResult{revision: s.revision, ok: true}
 }
 
-func (x *drains) do(a drain.Action) {
+func (x *drainManager) execute(a drain.Action) {
 	l := x.l
 	w := l.c.w
 	switch a.Kind {
 	case drain.Cordon, drain.Uncordon:
-		l.d.SetCordoned(a.Machine, a.Kind == drain.Cordon)
+		l.dispatcher.SetCordoned(a.Machine, a.Kind == drain.Cordon)
 	case drain.ListTasks:
-		l.d.InspectMachine(a.Machine, a.Seq)
+		l.dispatcher.InspectMachine(a.Machine, a.Seq)
 	case drain.Recall:
-		w.recalled++
-		w.observe(a)
-		l.d.RecallFrom(a.Machine, a.Task)
+		w.recalledTasks++
+		w.checkBudget(a)
+		l.dispatcher.RecallFrom(a.Machine, a.Task)
 	case drain.Rent: // nothing to be had: plans of these days rent nothing
-		x.e.MachineRented(l.c.now(), a, nil, true)
+		x.engine.MachineRented(l.c.now(), a, nil, true)
 	case drain.ReturnMachine:
-		l.c.storeCall(func() any { w.giveBack(a.Machine); return true }, func(r any) {
+		l.c.storeCall(func() any { w.returnMachine(a.Machine); return true }, func(r any) {
 			ok, _ := r.(bool)
-			if l.c.lead == l && ok {
-				l.d.MachineGone(a.Machine)
+			if l.c.leadership == l && ok {
+				l.dispatcher.MachineGone(a.Machine)
 			}
-			x.e.MachineReturned(l.c.now(), a.Machine, ok)
+			x.engine.MachineReturned(l.c.now(), a.Machine, ok)
 		})
 	}
 }
 
-// giveBack ends a machine for good.
-func (w *world) giveBack(id model.MachineID) {
+// returnMachine ends a machine for good.
+func (w *world) returnMachine(id model.MachineID) {
 	m := w.workers[id]
-	if m.dead {
+	if m.returned {
 		return
 	}
-	for k, at := range m.cells {
-		if at.Stage != model.Exited && !w.p.faults {
-			w.fail("drain", "%s is given back with %v on it", m.host, k.t)
+	for k, at := range m.attempts {
+		if at.Stage != model.Exited && !w.params.faults {
+			w.fail("drain", "%s is given back with %v on it", m.host, k.task)
 		}
 	}
-	m.dead, m.cells = true, map[key]*attempt{}
-	w.given++
+	m.returned, m.attempts = true, map[attemptKey]*attempt{}
+	w.returnedMachines++
 }
 
-// operator applies plans at random, pauses, cancels and patches.
-func (w *world) operator(n int) {
-	over := w.now > w.p.length*2/3
-	w.after(w.between(time.Second, 12*time.Second), func() { w.operator(n + 1) })
-	for _, c := range w.ctls {
-		if c.up && !c.halted() && c.lead != nil && c.lead.loaded {
-			if e := c.lead.drains.e; over {
+// runOperator applies plans at random, pauses, cancels and patches.
+func (w *world) runOperator(n int) {
+	ending := w.now > w.params.duration*2/3
+	w.after(w.randomDuration(time.Second, 12*time.Second), func() { w.runOperator(n + 1) })
+	for _, c := range w.controllers {
+		if c.running && !c.paused() && c.leadership != nil && c.leadership.loaded {
+			if e := c.leadership.drains.engine; ending {
 				for name := range w.plans {
 					_ = e.Cancel(c.now(), name)
 				}
 			} else {
-				w.operate(e, c.now(), n)
+				w.operatorAction(e, c.now(), n)
 			}
 			return
 		}
 	}
 }
 
-func (w *world) operate(e *drain.Engine, now time.Duration, n int) {
+func (w *world) operatorAction(e *drain.Engine, now time.Duration, n int) {
 	names := make([]string, 0, len(w.plans))
 	for name := range w.plans {
 		names = append(names, name)
@@ -174,22 +176,22 @@
 	s := &drain.Spec{Name: fmt.Sprintf("p%d", n), MaxConcurrent: 1 + w.rng.IntN(3), Default: drain.How(w.rng.IntN(3)),
 		After: drain.Patch}
 	for _, m := range w.workers {
-		if !m.dead && w.rng.IntN(3) == 0 {
+		if !m.returned && w.rng.IntN(3) == 0 {
 			s.Machines = append(s.Machines, m.ID)
 		}
 	}
-	if w.rng.IntN(4) == 0 && w.given < len(w.workers)/4 {
+	if w.rng.IntN(4) == 0 && w.returnedMachines < len(w.workers)/4 {
 		s.After = drain.Return
 		s.Machines = s.Machines[:min(1, len(s.Machines))]
 	}
 	if e.Check(s, nil, func(id model.MachineID) string { return fmt.Sprint(id) }) == nil {
 		w.plans[s.Name] = s
 		e.Apply(now, time.Unix(0, 0).Add(w.now), s, nil, "op")
-		w.note("plan %s: machines %v, %d at once, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
+		w.logf("plan %s: machines %v, %d at once, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
 	}
 }
 
-func drained(p params) params {
+func withDrains(p params) params {
 	p.drains = true
 	return p
 }
@@ -204,37 +206,37 @@
 			t.Errorf("%d tasks moved, %d machines given back: these days test nothing", moved.Load(), given.Load())
 		}
 	})
-	for name, p := range map[string]params{"short lease": drained(almatyLike()), "long lease": drained(longLease())} {
+	for name, p := range map[string]params{"short lease": withDrains(shortLeaseParams()), "long lease": withDrains(longLeaseParams())} {
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				w := newWorld(seed+500, p)
 				w.run()
-				moved.Add(int64(w.recalled))
-				given.Add(int64(w.given))
-				if len(w.broken) > 0 {
-					t.Fatalf("%s\n%s", strings.Join(w.broken, "\n"), strings.Join(w.log, "\n"))
+				moved.Add(int64(w.recalledTasks))
+				given.Add(int64(w.returnedMachines))
+				if len(w.violations) > 0 {
+					t.Fatalf("%s\n%s", strings.Join(w.violations, "\n"), strings.Join(w.log, "\n"))
 				}
 			})
 		}
 	}
 }
 
-// TestQuietDrainsLoseNothing: without failures no task is on a machine that is
+// TestDrainsWithoutFaultsLoseNothing: without failures no task is on a machine that is
 // given back, all plans settle, and all jobs end.
-func TestQuietDrainsLoseNothing(t *testing.T) {
+func TestDrainsWithoutFaultsLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
-		p := drained(almatyLike())
+		p := withDrains(shortLeaseParams())
 		p.faults = false
-		p.rest = time.Minute // the last tasks may have begun late
+		p.quietPeriod = time.Minute // the last tasks may have begun late
 		w := newWorld(seed+900, p)
 		w.run()
-		if len(w.broken) > 0 {
-			t.Fatal(strings.Join(w.broken, "\n"))
+		if len(w.violations) > 0 {
+			t.Fatal(strings.Join(w.violations, "\n"))
 		}
 		for id, u := range w.users {
-			if u.accepted && u.ended == "" {
+			if u.accepted && u.finalStage == "" {
 				t.Errorf("seed %d: job %d has not ended", seed, id)
 			}
 		}
--- a/internal/core/sim/join_test.go
+++ b/internal/core/sim/join_test.go
@@ -8,67 +8,67 @@
 )
 
 // join opens a link to whoever leads; the shard of before acts no more.
-func (c *ctl) join() {
-	host := c.el.Holder()
+func (c *controller) join() {
+	host := c.election.Holder()
 	if host == "" || host == c.host || c.w.rng.IntN(4) > 0 {
 		return
 	}
-	life := c.life
-	if o := c.w.ctl(host); o != nil {
+	run := c.run
+	if leader := c.w.controllerByHost(host); leader != nil {
 		c.w.send(c.host, host, true, func() {
-			l := o.lead
-			if l == nil || !l.loaded || !o.up {
+			l := leader.leadership
+			if l == nil || !l.loaded || !leader.running {
 				return
 			}
 			c.w.send(host, c.host, true, func() { // taken: Hello, Welcome
-				if !c.up || c.life != life || c.lead != nil || c.seat != nil && c.seat.l != nil {
+				if !c.running || c.run != run || c.leadership != nil || c.local != nil && c.local.l != nil {
 					return
 				}
-				k := &link{host: c.host}
-				st := &seat{c: c, l: l, lk: k, heard: c.now()}
-				if c.seat != nil {
-					c.kept = slices.Sorted(maps.Keys(c.seat.s.Images()))
+				link := &memberLink{host: c.host}
+				local := &localShard{c: c, l: l, link: link, lastReceived: c.now()}
+				if c.local != nil {
+					c.previousMachines = slices.Sorted(maps.Keys(c.local.shard.Images()))
 				}
-				c.seat = nil
+				c.local = nil
 				c.w.send(c.host, host, true, func() {
-					if o.lead != l || !o.up {
+					if leader.leadership != l || !leader.running {
 						return
 					}
-					for id := model.ShardID(1); id <= l.newest; id++ {
-						if x := l.links[id]; x != nil && x.host == c.host {
-							x.dead = true
+					for id := model.ShardID(1); id <= l.newestShard; id++ {
+						if previous := l.links[id]; previous != nil && previous.host == c.host {
+							previous.closed = true
 							delete(l.links, id)
-							l.lose(id, o.now())
+							l.memberLost(id, leader.now())
 						}
 					}
-					id := l.d.AddShard(o.now(), c.host)
-					l.newest = id
-					k.heard = o.now()
-					l.hosts[c.host] = true
-					if len(l.hosts) == c.w.p.controllers-1 {
-						l.d.AllControllersJoined(o.now())
+					id := l.dispatcher.AddShard(leader.now(), c.host)
+					l.newestShard = id
+					link.lastReceived = leader.now()
+					l.joinedHosts[c.host] = true
+					if len(l.joinedHosts) == c.w.params.controllers-1 {
+						l.dispatcher.AllControllersJoined(leader.now())
 					}
-					attempts, picture := l.d.FirstAttempt(id), l.open()
+					attempts, openJobs := l.dispatcher.FirstAttempt(id), l.openJobs()
 					c.w.send(host, c.host, true, func() {
-						if !c.up || c.life != life || c.lead != nil || c.seat != nil {
+						if !c.running || c.run != run || c.leadership != nil || c.local != nil {
 							return
 						}
-						n := c.newSeat(attempts)
-						st.s, st.id, st.joined, st.heard = n.s, id, true, c.now()
-						if !c.w.p.unvetted {
-							st.s.SetOpenJobs(picture)
+						created := c.newLocalShard(attempts)
+						local.shard, local.id, local.joined, local.lastReceived = created.shard, id, true, c.now()
+						if !c.w.params.skipOpenJobs {
+							local.shard.SetOpenJobs(openJobs)
 						}
-						c.w.changed = c.w.now
-						c.seat = st
-						for _, mid := range c.kept {
-							st.up(func(l *lead, _ *link) {
-								l.d.HandleEvent(l.c.now(), id, model.Event{Kind: model.MachineRemembered, Machine: mid})
-								l.exchange()
+						c.w.lastHandover = c.w.now
+						c.local = local
+						for _, mid := range c.previousMachines {
+							local.sendToLeader(func(l *leadership, _ *memberLink) {
+								l.dispatcher.HandleEvent(l.c.now(), id, model.Event{Kind: model.MachineRemembered, Machine: mid})
+								l.exchangeMessages()
 							})
 						}
 					})
-					k.peer = st
-					l.links[id] = k
+					link.member = local
+					l.links[id] = link
 				})
 			})
 		})
--- a/internal/core/sim/machine_test.go
+++ b/internal/core/sim/machine_test.go
@@ -12,12 +12,12 @@
 type attempt struct {
 	model.AttemptStatus
 	readyAt, endAt time.Duration
-	on             bool // it has its image: it counts for the rules
+	active         bool // it has its image: it counts for the rules
 }
 
-type key struct {
-	t model.Task
-	a uint64
+type attemptKey struct {
+	task    model.Task
+	attempt uint64
 }
 
 // machine is a worker that keeps to the protocol to the letter.
@@ -26,248 +26,251 @@
 	host string
 	model.Machine
 	session, seq, token uint64
-	cells               map[key]*attempt
-	leaseFrom           time.Duration
+	attempts            map[attemptKey]*attempt
+	leaseStart          time.Duration
 	target              int
-	nextAt              time.Duration
-	awaiting            uint64 // number of the report in flight
-	sentAt              time.Duration
-	reports             uint64
+	nextReportAt        time.Duration
+	pendingReport       uint64 // number of the report in flight
+	reportSentAt        time.Duration
+	reportsSent         uint64
 	hungUntil           time.Duration
-	results             map[model.Task]bool
-	dead                bool          // given back
-	unheard             time.Duration // its reports get lost until then, its answers to commands don't
-	upAt                time.Duration // when it came up
+	doneTasks           map[model.Task]bool
+	returned            bool          // given back
+	reportsLostUntil    time.Duration // its reports get lost until then, its answers to commands don't
+	addedAt             time.Duration // when it came up
 }
 
 func newMachine(w *world, id model.MachineID, zone int) *machine {
-	return &machine{w: w, host: fmt.Sprintf("m%d", id), session: 1, cells: map[key]*attempt{}, target: int(id) % w.p.controllers,
-		Machine: model.Machine{ID: id, Addr: fmt.Sprintf("m%d", id), Type: 0, Zone: model.Name(zone), Spot: id%4 == 3}, results: map[model.Task]bool{}}
+	return &machine{w: w, host: fmt.Sprintf("m%d", id), session: 1, attempts: map[attemptKey]*attempt{},
+		target:    int(id) % w.params.controllers,
+		Machine:   model.Machine{ID: id, Addr: fmt.Sprintf("m%d", id), Type: 0, Zone: model.Name(zone), Spot: id%4 == 3},
+		doneTasks: map[model.Task]bool{}}
 }
 
 // restart: the worker loses everything and comes up anew with its next session.
 func (m *machine) restart() { m.nextSession() }
 
-// left notes that a task is on the machine no more.
-func (m *machine) left(k key) {
-	u := m.w.users[k.t.Job]
-	u.movedAt = m.w.now
-	if u.ended == jobs.Cancelled {
-		m.w.longest = max(m.w.longest, m.w.now-u.endedAt)
+// noteAttemptGone notes that a task is on the machine no more.
+func (m *machine) noteAttemptGone(k attemptKey) {
+	u := m.w.users[k.task.Job]
+	u.lastChangeAt = m.w.now
+	if u.finalStage == jobs.Cancelled {
+		m.w.maxCancelDelay = max(m.w.maxCancelDelay, m.w.now-u.endedAt)
 	}
 }
 
 func (m *machine) nextSession() {
-	for k, a := range m.cells {
-		if a.on {
-			m.left(k)
+	for k, a := range m.attempts {
+		if a.active {
+			m.noteAttemptGone(k)
 		}
 	}
-	m.cells = map[key]*attempt{}
+	m.attempts = map[attemptKey]*attempt{}
 	m.session++
-	m.leaseFrom = m.w.now
-	m.awaiting = 0
+	m.leaseStart = m.w.now
+	m.pendingReport = 0
 }
 
 func (m *machine) tick() {
 	w := m.w
-	if m.dead {
+	if m.returned {
 		return
 	}
 	w.after(50*time.Millisecond, m.tick)
 	if w.now < m.hungUntil {
 		return
 	}
-	if w.now-m.leaseFrom > w.p.lease {
+	if w.now-m.leaseStart > w.params.lease {
 		m.nextSession()
 	}
-	for _, k := range m.sorted() {
-		a := m.cells[k]
-		w.checkGone(m, k, a)
+	for _, k := range m.sortedAttempts() {
+		a := m.attempts[k]
+		w.checkCancelledGone(m, k, a)
 		switch {
 		case a.Stage == model.Fetching && w.now >= a.readyAt:
-			if m.results[k.t] {
+			if m.doneTasks[k.task] {
 				m.exit(a, model.CauseDone)
 				continue
 			}
-			a.Stage, a.on = model.Running, true
-			m.w.starts(m, k.t)
-		case a.Stage == model.Running && w.now >= a.endAt && w.users[k.t.Job].fails:
+			a.Stage, a.active = model.Running, true
+			m.w.checkStart(m, k.task)
+		case a.Stage == model.Running && w.now >= a.endAt && w.users[k.task.Job].alwaysFails:
 			m.exit(a, model.CauseError)
 		case a.Stage == model.Running && w.now >= a.endAt:
-			m.results[k.t] = true
+			m.doneTasks[k.task] = true
 			for _, o := range w.workers {
-				o.results[k.t] = true
+				o.doneTasks[k.task] = true
 			}
-			w.completed(k.t)
+			w.taskCompleted(k.task)
 			m.exit(a, model.CauseDone)
 		case a.Stage == model.Saving && w.now >= a.endAt:
 			a.Saved = true
 			m.exit(a, model.CauseStopped)
 		}
 	}
-	if m.awaiting != 0 && w.now-m.sentAt > 4*time.Second {
-		m.awaiting = 0
-		m.target = (m.target + 1) % w.p.controllers
-		m.nextAt = w.now + time.Second
+	if m.pendingReport != 0 && w.now-m.reportSentAt > 4*time.Second {
+		m.pendingReport = 0
+		m.target = (m.target + 1) % w.params.controllers
+		m.nextReportAt = w.now + time.Second
 	}
-	if m.awaiting == 0 && w.now >= m.nextAt {
+	if m.pendingReport == 0 && w.now >= m.nextReportAt {
 		m.sendReport()
 	}
 }
 
 func (m *machine) exit(a *attempt, c model.Cause) {
-	if a.on {
-		m.left(key{a.Task, a.Attempt})
+	if a.active {
+		m.noteAttemptGone(attemptKey{a.Task, a.Attempt})
 	}
-	a.Stage, a.Cause, a.on = model.Exited, c, false
-	if m.awaiting == 0 {
-		m.nextAt = min(m.nextAt, max(m.w.now, m.sentAt+500*time.Millisecond))
+	a.Stage, a.Cause, a.active = model.Exited, c, false
+	if m.pendingReport == 0 {
+		m.nextReportAt = min(m.nextReportAt, max(m.w.now, m.reportSentAt+500*time.Millisecond))
 	}
 }
 
-func (m *machine) sorted() []key {
-	ks := make([]key, 0, len(m.cells))
-	for k := range m.cells {
+func (m *machine) sortedAttempts() []attemptKey {
+	ks := make([]attemptKey, 0, len(m.attempts))
+	for k := range m.attempts {
 		ks = append(ks, k)
 	}
-	slices.SortFunc(ks, func(a, b key) int {
-		if a.t.Job != b.t.Job {
-			return int(a.t.Job) - int(b.t.Job)
+	slices.SortFunc(ks, func(a, b attemptKey) int {
+		if a.task.Job != b.task.Job {
+			return int(a.task.Job) - int(b.task.Job)
 		}
-		if a.t.Index != b.t.Index {
-			return int(a.t.Index - b.t.Index)
+		if a.task.Index != b.task.Index {
+			return int(a.task.Index - b.task.Index)
 		}
-		return int(int64(a.a) - int64(b.a))
+		return int(int64(a.attempt) - int64(b.attempt))
 	})
 	return ks
 }
 
-func (m *machine) report() *model.Report {
+func (m *machine) newReport() *model.Report {
 	m.seq++
 	r := &model.Report{Machine: m.Machine, Session: m.session, Seq: m.seq, Token: m.token, PreemptionNotice: -1}
-	for _, k := range m.sorted() {
-		r.Attempts = append(r.Attempts, m.cells[k].AttemptStatus)
+	for _, k := range m.sortedAttempts() {
+		r.Attempts = append(r.Attempts, m.attempts[k].AttemptStatus)
 	}
 	return r
 }
 
 func (m *machine) sendReport() {
 	w := m.w
-	r := m.report()
-	m.reports++
-	no, sent, c := m.reports, w.now, w.ctls[m.target]
-	m.awaiting, m.sentAt = no, sent
-	if w.p.copies {
-		w.copyOf(func(c *ctl) { m.sendCopy(c, r) })
+	r := m.newReport()
+	m.reportsSent++
+	number, sent, c := m.reportsSent, w.now, w.controllers[m.target]
+	m.pendingReport, m.reportSentAt = number, sent
+	if w.params.duplicateReports {
+		w.duplicateLater(func(c *controller) { m.deliverCopy(c, r) })
 	}
-	w.keep(m, r)
-	if w.now < m.unheard {
+	w.captureReport(m, r)
+	if w.now < m.reportsLostUntil {
 		return
 	}
 	w.send(m.host, c.host, false, func() {
-		c.onReport(r, func(ok bool, token uint64, cmds []model.Command, keeper string) {
-			w.send(c.host, m.host, false, func() { m.answered(no, sent, r.Session, ok, token, cmds, keeper) })
+		c.handleReport(r, func(ok bool, token uint64, cmds []model.Command, redirectTo string) {
+			w.send(c.host, m.host, false, func() { m.handleAnswer(number, sent, r.Session, ok, token, cmds, redirectTo) })
 		})
 	})
 }
 
-// sendCopy has a copy of a report arrive; nobody hears what is answered.
-func (m *machine) sendCopy(c *ctl, r *model.Report) {
+// deliverCopy has a copy of a report arrive; nobody hears what is answered.
+func (m *machine) deliverCopy(c *controller, r *model.Report) {
 	copied := *r
 	if r.Session < m.session {
-		m.w.saw("a copy of an earlier session")
+		m.w.observe("a duplicate report of an earlier session")
 	}
 	if r.Seq < m.seq {
-		m.w.saw("a copy after a newer report")
+		m.w.observe("a duplicate report after a newer one")
 	}
-	if m.w.p.believed {
+	if m.w.params.acceptDuplicates {
 		m.seq++
 		copied.Session, copied.Seq, copied.Token = m.session, m.seq, m.token
 	}
-	c.onReport(&copied, func(bool, uint64, []model.Command, string) {})
+	c.handleReport(&copied, func(bool, uint64, []model.Command, string) {})
 }
 
-func (m *machine) answered(no uint64, sent time.Duration, session uint64, ok bool, token uint64, cmds []model.Command, keeper string) {
-	if m.dead {
+func (m *machine) handleAnswer(number uint64, sent time.Duration, session uint64, ok bool, token uint64,
+	cmds []model.Command, redirectTo string) {
+	if m.returned {
 		return
 	}
 	w := m.w
-	if m.awaiting != no || w.now-sent > 4*time.Second || session != m.session {
+	if m.pendingReport != number || w.now-sent > 4*time.Second || session != m.session {
 		return
 	}
 	if w.now < m.hungUntil {
-		w.after(m.hungUntil-w.now, func() { m.answered(no, sent, session, ok, token, cmds, keeper) })
+		w.after(m.hungUntil-w.now, func() { m.handleAnswer(number, sent, session, ok, token, cmds, redirectTo) })
 		return
 	}
-	if w.now-m.leaseFrom > w.p.lease { // it woke up too late
+	if w.now-m.leaseStart > w.params.lease { // it woke up too late
 		m.nextSession()
 		return
 	}
-	m.awaiting = 0
+	m.pendingReport = 0
 	if !ok {
-		m.target = (m.target + 1) % w.p.controllers
-		m.nextAt = w.now + time.Second
-		for i, c := range w.ctls {
-			if c.host == keeper {
+		m.target = (m.target + 1) % w.params.controllers
+		m.nextReportAt = w.now + time.Second
+		for i, c := range w.controllers {
+			if c.host == redirectTo {
 				m.target = i
-				m.nextAt = w.now + w.between(0, 500*time.Millisecond)
+				m.nextReportAt = w.now + w.randomDuration(0, 500*time.Millisecond)
 			}
 		}
 		return
 	}
-	m.nextAt = w.now + w.between(w.p.report*3/4, w.p.report*5/4)
+	m.nextReportAt = w.now + w.randomDuration(w.params.reportInterval*3/4, w.params.reportInterval*5/4)
 	if token < m.token {
 		return
 	}
 	changed := token > m.token
 	m.token = token
-	m.leaseFrom = sent
+	m.leaseStart = sent
 	if m.execute(cmds) || changed {
-		m.nextAt = w.now + 500*time.Millisecond
+		m.nextReportAt = w.now + 500*time.Millisecond
 	}
 }
 
-// direct takes a command sent straight to the worker.
-func (m *machine) direct(token, session uint64, cmds []model.Command, answer func(*model.Report, bool)) {
-	if m.dead {
+// handleDirectCommands takes a command sent straight to the worker.
+func (m *machine) handleDirectCommands(token, session uint64, cmds []model.Command, answer func(*model.Report, bool)) {
+	if m.returned {
 		return // nobody answers
 	}
 	w := m.w
 	if w.now < m.hungUntil {
-		w.after(m.hungUntil-w.now, func() { m.direct(token, session, cmds, answer) })
+		w.after(m.hungUntil-w.now, func() { m.handleDirectCommands(token, session, cmds, answer) })
 		return
 	}
-	if w.now-m.leaseFrom > w.p.lease {
+	if w.now-m.leaseStart > w.params.lease {
 		m.nextSession()
 	}
-	if token < m.token && !w.p.anyToken || session != m.session {
-		answer(m.report(), false)
+	if token < m.token && !w.params.acceptOldTokens || session != m.session {
+		answer(m.newReport(), false)
 		return
 	}
 	m.token = max(m.token, token)
-	if w.now < m.unheard && len(cmds) > 0 {
-		w.saw("a command reaches a machine whose reports don't")
+	if w.now < m.reportsLostUntil && len(cmds) > 0 {
+		w.observe("a command reaches a machine whose reports are lost")
 	}
 	m.execute(cmds)
-	answer(m.report(), true)
+	answer(m.newReport(), true)
 }
 
-func (m *machine) free() model.Resources {
-	room := theType.Cap
-	for k, a := range m.cells {
+func (m *machine) freeCapacity() model.Resources {
+	free := machineType.Cap
+	for k, a := range m.attempts {
 		if a.Stage != model.Exited {
-			room = room.Sub(m.w.users[k.t.Job].spec.PerTask)
+			free = free.Sub(m.w.users[k.task.Job].spec.PerTask)
 		}
 	}
-	return room
+	return free
 }
 
 func (m *machine) execute(cmds []model.Command) bool {
 	w := m.w
 	for _, c := range cmds {
-		k := key{c.Task, c.Attempt}
-		a := m.cells[k]
+		k := attemptKey{c.Task, c.Attempt}
+		a := m.attempts[k]
 		switch c.Verb {
 		case model.Launch:
 			if a != nil {
@@ -276,26 +279,26 @@
 			a = &attempt{AttemptStatus: model.AttemptStatus{Task: c.Task, Attempt: c.Attempt}}
 			u := w.users[c.Task.Job]
 			cause := model.CauseOther
-			for o, x := range m.cells {
-				if o.t == c.Task && x.Stage != model.Exited {
+			for o, x := range m.attempts {
+				if o.task == c.Task && x.Stage != model.Exited {
 					cause = model.CauseBusy
 				}
 			}
 			switch {
 			case u == nil:
 				cause = model.CauseUnknown
-			case cause == model.CauseOther && !u.spec.PerTask.Fits(m.free()):
+			case cause == model.CauseOther && !u.spec.PerTask.Fits(m.freeCapacity()):
 				cause = model.CauseNoCapacity
 			}
-			m.cells[k] = a
+			m.attempts[k] = a
 			if cause != model.CauseOther {
 				a.Stage, a.Cause = model.Exited, cause
 				continue
 			}
-			a.readyAt = w.now + w.between(0, 2*time.Second)
-			a.endAt = a.readyAt + w.between(time.Second, 2*u.spec.Estimate)
-			if w.p.apart {
-				a.endAt = a.readyAt + w.runsFor(u, c.Task.Index)
+			a.readyAt = w.now + w.randomDuration(0, 2*time.Second)
+			a.endAt = a.readyAt + w.randomDuration(time.Second, 2*u.spec.Estimate)
+			if w.params.staggeredTasks {
+				a.endAt = a.readyAt + w.staggeredRunTime(u, c.Task.Index)
 			}
 		case model.Kill:
 			if a == nil || a.Stage == model.Exited {
@@ -309,7 +312,7 @@
 			}
 		case model.Clear:
 			if a != nil && a.Stage == model.Exited {
-				delete(m.cells, k)
+				delete(m.attempts, k)
 			}
 		}
 	}
--- a/internal/core/sim/store_test.go
+++ b/internal/core/sim/store_test.go
@@ -11,9 +11,9 @@
 )
 
 type openJob struct {
-	spec    *model.Spec
-	awaits  []model.JobID
-	version uint64
+	spec      *model.Spec
+	dependsOn []model.JobID
+	version   uint64
 }
 
 type record struct {
@@ -32,54 +32,55 @@
 
 // store is the state service, as far as the cores use it.
 type store struct {
-	w       *world
-	out     bool
-	rev     uint64
-	leases  map[uint64]time.Duration // end
-	leader  election.LeaderRecord
-	term    uint64
-	termRev uint64
-	open    map[model.JobID]openJob
-	done    map[model.JobID]map[int32]chunk
-	final   map[model.JobID]jobs.Stage
-	records map[dispatcher.BlockID]record
-	plans   map[string]drain.StoredPlan
-	refuses map[string]time.Duration // controllers that it alone refuses, until then
-	late    time.Duration            // until when a part of the transactions is carried out late
-	mute    time.Duration            // until when a part of them is carried out at once, and gets no answer
-	unread  map[model.JobID]string   // jobs that such a transaction has changed, and whose it was
-	touched *model.JobID             // the job that the last operation changed
+	w                *world
+	down             bool
+	revision         uint64
+	leases           map[uint64]time.Duration // end
+	leader           election.LeaderRecord
+	term             uint64
+	termRevision     uint64
+	openJobs         map[model.JobID]openJob
+	doneChunks       map[model.JobID]map[int32]chunk
+	finalStages      map[model.JobID]jobs.Stage
+	records          map[dispatcher.BlockID]record
+	plans            map[string]drain.StoredPlan
+	refusedUntil     map[string]time.Duration // controllers that it alone refuses, until then
+	lateUntil        time.Duration            // until when a part of the transactions is carried out late
+	answersLostUntil time.Duration            // until when a part of them is carried out at once, and gets no answer
+	unreadChanges    map[model.JobID]string   // jobs that such a transaction has changed, and whose it was
+	changedJob       *model.JobID             // the job that the last operation changed
 }
 
 func newStore(w *world) *store {
-	return &store{w: w, rev: 1, leases: map[uint64]time.Duration{}, open: map[model.JobID]openJob{},
-		done: map[model.JobID]map[int32]chunk{}, final: map[model.JobID]jobs.Stage{},
-		records: map[dispatcher.BlockID]record{}, plans: map[string]drain.StoredPlan{}, refuses: map[string]time.Duration{},
-		unread: map[model.JobID]string{}}
+	return &store{w: w, revision: 1, leases: map[uint64]time.Duration{}, openJobs: map[model.JobID]openJob{},
+		doneChunks: map[model.JobID]map[int32]chunk{}, finalStages: map[model.JobID]jobs.Stage{},
+		records: map[dispatcher.BlockID]record{}, plans: map[string]drain.StoredPlan{},
+		refusedUntil:  map[string]time.Duration{},
+		unreadChanges: map[model.JobID]string{}}
 }
 
-// back ends an outage: every lease has its full time again.
-func (s *store) back() {
-	s.out = false
+// restore ends an outage: every lease has its full time again.
+func (s *store) restore() {
+	s.down = false
 	for id := range s.leases {
-		s.leases[id] = s.w.now + s.w.p.ttl
+		s.leases[id] = s.w.now + s.w.params.leaderTTL
 	}
 }
 
 // serves tells whether a controller's request is carried out.
-func (s *store) serves(host string) bool { return !s.out && s.w.now >= s.refuses[host] }
+func (s *store) serves(host string) bool { return !s.down && s.w.now >= s.refusedUntil[host] }
 
-// lateShare is the part of transactions that get no answer and are carried out late.
-const lateShare = 0.3
+// faultyTransactionShare is the part of transactions that get no answer and are carried out late.
+const faultyTransactionShare = 0.3
 
-// putsOff has a transaction carried out late, after newer ones, without an answer.
-func (s *store) putsOff(op func() any) bool {
-	if s.w.now >= s.late || s.w.rng.Float64() >= lateShare {
+// delayTransaction has a transaction carried out late, after newer ones, without an answer.
+func (s *store) delayTransaction(op func() any) bool {
+	if s.w.now >= s.lateUntil || s.w.rng.Float64() >= faultyTransactionShare {
 		return false
 	}
-	s.w.after(s.w.between(2*time.Second, 12*time.Second), func() {
-		if !s.out {
-			s.w.saw("a transaction is carried out late")
+	s.w.after(s.w.randomDuration(2*time.Second, 12*time.Second), func() {
+		if !s.down {
+			s.w.observe("a transaction is carried out late")
 			op()
 		}
 	})
@@ -87,22 +88,24 @@
 }
 
 // losesAnswer tells whether a transaction's answer is lost.
-func (s *store) losesAnswer() bool { return s.w.now < s.mute && s.w.rng.Float64() < lateShare }
+func (s *store) losesAnswer() bool {
+	return s.w.now < s.answersLostUntil && s.w.rng.Float64() < faultyTransactionShare
+}
 
-// reads notes that a controller reads what another one's transaction did without an answer.
-func (s *store) reads(host string, op jobs.Op) {
-	whose, ok := s.unread[op.Job]
+// noteRead notes that a controller reads what another one's transaction did without an answer.
+func (s *store) noteRead(host string, op jobs.Op) {
+	whose, ok := s.unreadChanges[op.Job]
 	if !ok || op.Kind == jobs.Create || op.Kind == jobs.Cancel {
 		return
 	}
 	if whose != host {
-		s.w.saw("others read what was done without an answer")
+		s.w.observe("another controller reads the result of an unanswered transaction")
 	}
-	delete(s.unread, op.Job)
+	delete(s.unreadChanges, op.Job)
 }
 
-func (s *store) expire() {
-	if s.out {
+func (s *store) expireLeases() {
+	if s.down {
 		return
 	}
 	for id, end := range s.leases {
@@ -115,31 +118,31 @@
 func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
 	if s.leader.Present && s.leader.Lease == id {
-		s.rev++
+		s.revision++
 		s.leader = election.LeaderRecord{}
 	}
 }
 
 func (s *store) election(host string, op election.Op) any {
-	s.expire()
+	s.expireLeases()
 	res := election.Result{Op: op}
 	switch op.Verb {
 	case election.Read:
-		res.OK, res.Leader, res.Term, res.TermVersion = true, s.leader, s.term, s.termRev
+		res.OK, res.Leader, res.Term, res.TermVersion = true, s.leader, s.term, s.termRevision
 	case election.Grant:
-		s.rev++
-		s.leases[s.rev] = s.w.now + s.w.p.ttl
-		res.Lease, res.OK = s.rev, true
+		s.revision++
+		s.leases[s.revision] = s.w.now + s.w.params.leaderTTL
+		res.Lease, res.OK = s.revision, true
 	case election.Acquire:
-		if _, ok := s.leases[op.Lease]; ok && !s.leader.Present && s.termRev == op.TermVersion {
-			s.rev++
-			s.leader = election.LeaderRecord{Present: true, Host: host, Term: op.Term, Lease: op.Lease, Version: s.rev}
-			s.term, s.termRev = op.Term, s.rev
-			res.Version, res.OK = s.rev, true
+		if _, ok := s.leases[op.Lease]; ok && !s.leader.Present && s.termRevision == op.TermVersion {
+			s.revision++
+			s.leader = election.LeaderRecord{Present: true, Host: host, Term: op.Term, Lease: op.Lease, Version: s.revision}
+			s.term, s.termRevision = op.Term, s.revision
+			res.Version, res.OK = s.revision, true
 		}
 	case election.Renew:
 		if _, ok := s.leases[op.Lease]; ok {
-			s.leases[op.Lease] = s.w.now + s.w.p.ttl
+			s.leases[op.Lease] = s.w.now + s.w.params.leaderTTL
 			res.OK = true
 		} else {
 			res.NotExecuted = true
@@ -151,12 +154,12 @@
 	return res
 }
 
-func (s *store) job(host string, u *user, op jobs.Op) any {
-	s.expire()
+func (s *store) handleJobOp(host string, u *user, op jobs.Op) any {
+	s.expireLeases()
 	id := op.Job
-	s.reads(host, op)
-	o, open := s.open[id]
-	st, final := s.final[id]
+	s.noteRead(host, op)
+	o, open := s.openJobs[id]
+	st, final := s.finalStages[id]
 	switch op.Kind {
 	case jobs.CompareOpen:
 		if !open || o.version != op.Version {
@@ -174,84 +177,84 @@
 		}
 		return jobs.Result{Stage: st}
 	case jobs.Create:
-		if (open || final) && !s.w.p.unguarded {
+		if (open || final) && !s.w.params.unguardedWrites {
 			return jobs.Result{Outcome: jobs.Conflict}
 		}
 		for _, g := range op.Guards {
-			if s.open[g.Job].version != g.Version {
+			if s.openJobs[g.Job].version != g.Version {
 				return jobs.Result{Outcome: jobs.Conflict}
 			}
 		}
-		s.rev++
+		s.revision++
 		if op.Stage != "" {
-			s.final[id] = op.Stage
+			s.finalStages[id] = op.Stage
 		} else {
-			s.open[id] = openJob{u.spec, u.awaits, s.rev}
+			s.openJobs[id] = openJob{u.spec, u.dependsOn, s.revision}
 		}
-		s.touched = &id
+		s.changedJob = &id
 		return jobs.Result{}
 	case jobs.Cancel:
-		if (!open || o.version != op.Version) && !s.w.p.unguarded {
+		if (!open || o.version != op.Version) && !s.w.params.unguardedWrites {
 			return jobs.Result{Outcome: jobs.Conflict}
 		}
-		s.rev++
-		delete(s.open, id)
-		s.final[id] = jobs.Cancelled
-		s.touched = &id
+		s.revision++
+		delete(s.openJobs, id)
+		s.finalStages[id] = jobs.Cancelled
+		s.changedJob = &id
 		return jobs.Result{}
 	}
 	return nil
 }
 
-type written struct {
-	rev      uint64
-	ok, lost bool
+type writeResult struct {
+	revision     uint64
+	ok, conflict bool
 }
 
 // write applies a leader's write, guarded by the leader key's version.
 func (s *store) write(guard uint64, wr dispatcher.Write) any {
-	s.expire()
-	if (!s.leader.Present || s.leader.Version != guard) && !s.w.p.unguarded {
-		return written{}
+	s.expireLeases()
+	if (!s.leader.Present || s.leader.Version != guard) && !s.w.params.unguardedWrites {
+		return writeResult{}
 	}
-	s.rev++
+	s.revision++
 	switch wr.Kind {
 	case dispatcher.PutBlock:
-		if v := s.records[wr.Block].version; v != wr.Version && !s.w.p.unguarded {
-			return written{rev: v, lost: true}
+		if v := s.records[wr.Block].version; v != wr.Version && !s.w.params.unguardedWrites {
+			return writeResult{revision: v, conflict: true}
 		}
-		s.records[wr.Block] = record{wr.Machines, s.rev}
+		s.records[wr.Block] = record{wr.Machines, s.revision}
 	case dispatcher.DropBlock:
 		if v := s.records[wr.Block].version; v != wr.Version {
-			return written{rev: v, lost: true}
+			return writeResult{revision: v, conflict: true}
 		}
 		delete(s.records, wr.Block)
 	case dispatcher.PutChunk:
-		if s.done[wr.Job] == nil {
-			s.done[wr.Job] = map[int32]chunk{}
+		if s.doneChunks[wr.Job] == nil {
+			s.doneChunks[wr.Job] = map[int32]chunk{}
 		}
-		v := s.done[wr.Job][wr.Chunk.Index].version
-		if (v != wr.Version || s.open[wr.Job].version != wr.JobVersion) && !s.w.p.unguarded {
-			return written{rev: v, lost: true}
+		v := s.doneChunks[wr.Job][wr.Chunk.Index].version
+		if (v != wr.Version || s.openJobs[wr.Job].version != wr.JobVersion) && !s.w.params.unguardedWrites {
+			return writeResult{revision: v, conflict: true}
 		}
-		s.checkUndone(wr)
-		s.done[wr.Job][wr.Chunk.Index] = chunk{wr.Bits, s.rev}
+		s.checkProgressKept(wr)
+		s.doneChunks[wr.Job][wr.Chunk.Index] = chunk{wr.Bits, s.revision}
 	case dispatcher.FinishJob:
-		if o, ok := s.open[wr.Job]; !ok || o.version != wr.Version {
-			return written{lost: true}
+		if o, ok := s.openJobs[wr.Job]; !ok || o.version != wr.Version {
+			return writeResult{conflict: true}
 		}
-		delete(s.open, wr.Job)
-		delete(s.done, wr.Job)
-		s.final[wr.Job] = jobs.Done
+		delete(s.openJobs, wr.Job)
+		delete(s.doneChunks, wr.Job)
+		s.finalStages[wr.Job] = jobs.Done
 	}
-	return written{rev: s.rev, ok: true}
+	return writeResult{revision: s.revision, ok: true}
 }
 
-// checkUndone: a chunk that is written after a newer one takes back what is stored as done.
-func (s *store) checkUndone(wr dispatcher.Write) {
-	for i, b := range s.done[wr.Job][wr.Chunk.Index].bits {
+// checkProgressKept: a chunk that is written after a newer one takes back what is stored as done.
+func (s *store) checkProgressKept(wr dispatcher.Write) {
+	for i, b := range s.doneChunks[wr.Job][wr.Chunk.Index].bits {
 		if i >= len(wr.Bits) || b&^wr.Bits[i] != 0 {
-			s.w.fail("undone", "job %d: %08b over %08b", wr.Job, wr.Bits, s.done[wr.Job][wr.Chunk.Index].bits)
+			s.w.fail("progress_lost", "job %d: %08b over %08b", wr.Job, wr.Bits, s.doneChunks[wr.Job][wr.Chunk.Index].bits)
 			return
 		}
 	}
