--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -11,6 +11,7 @@
 	"honeylock/internal/core/model"
 )
 
+// newTracker returns the tracker of the teams' disruption budgets; nil without budgets.
 func (l *leadership) newTracker() *disruption.Tracker {
 	n := l.c.w.params.disruptionBudget
 	if n == 0 {
@@ -20,7 +21,8 @@
 		{Team: 1, Class: model.None, MaxTasks: n}})
 }
 
-// moveRequester and hear wire the book as the node does.
+// moveRequester updates the tracker and returns the function that drain plans ask for permission to
+// move a task. It and handleEvent connect the tracker as internal/node does.
 func (x *drainManager) moveRequester(now time.Duration) func(drain.MoveRequest) string {
 	if !x.tracker.Enabled() {
 		return nil
@@ -46,6 +48,7 @@
 	}
 }
 
+// handleEvent passes an event of a task to the tracker.
 func (x *drainManager) handleEvent(now time.Duration, e *model.Event) {
 	sp := x.l.dispatcher.Spec(e.Task.Job)
 	if !x.tracker.Enabled() || sp == nil {
@@ -57,9 +60,9 @@
 	}
 }
 
-// checkBudget counts from outside what plans have out of work, by what the workers do: a
-// task that ran where it was told to leave, until some worker starts it again or it is
-// done or its job is over.
+// checkBudget checks that drain plans interrupt no more of a team's tasks than its budget allows. It
+// counts what the workers do: a task that ran when it was recalled is interrupted until a worker
+// starts it again, it is done, or its job is over.
 func (w *world) checkBudget(a drain.Action) {
 	if w.params.disruptionBudget == 0 {
 		return
@@ -77,25 +80,26 @@
 	}
 	for team, n := range interrupted {
 		if n > w.params.disruptionBudget {
-			w.fail("budget", "%d tasks of team %d are out of work, %d may be", n, team, w.params.disruptionBudget)
+			w.fail("budget", "%d tasks of team %d are interrupted, %d may be", n, team, w.params.disruptionBudget)
 		}
 	}
 }
 
+// withBudget adds drain plans and a budget of two tasks per team.
 func withBudget(p params) params {
 	p = withDrains(p)
 	p.disruptionBudget = 2
 	return p
 }
 
-// TestBudgetsHold plays random days of drain plans with every kind of failure: plans never
-// have more of a team's tasks out of work than its budget, across changes of leader too.
+// TestBudgetsHold runs random simulations with drain plans and faults: plans never interrupt more of a
+// team's tasks than its budget allows, also across changes of leader.
 func TestBudgetsHold(t *testing.T) {
 	t.Parallel()
 	var moved atomic.Int64
 	t.Cleanup(func() {
 		if !t.Failed() && moved.Load() < 60 {
-			t.Errorf("%d tasks moved: these days test nothing", moved.Load())
+			t.Errorf("only %d tasks were moved: these runs test nothing", moved.Load())
 		}
 	})
 	for name, p := range map[string]params{"short lease": withBudget(shortLeaseParams()), "long lease": withBudget(longLeaseParams())} {
@@ -108,7 +112,7 @@
 	}
 }
 
-// TestChecksCatchBrokenBudgets proves the observer.
+// TestChecksCatchBrokenBudgets checks that a broken guard of the budgets is noticed.
 func TestChecksCatchBrokenBudgets(t *testing.T) {
 	t.Parallel()
 	for name, breakIt := range map[string]func(*params){
--- a/internal/core/sim/controller_test.go
+++ b/internal/core/sim/controller_test.go
@@ -15,58 +15,75 @@
 	"honeylock/internal/core/storehealth"
 )
 
-// controller is a controller: the cores wired as the node wires them.
+// controller is a simulated controller process. It connects the core packages as internal/node does.
 type controller struct {
-	w                *world
-	host             string
-	running          bool
-	run              int
-	clockRate        float64 // of its steady clock
-	startedAt        time.Duration
-	election         *election.Election
-	leadership       *leadership
-	lastTermLed      uint64
-	local            *localShard
-	previousMachines []model.MachineID // of the seat before
+	w    *world
+	host string
+	// Process state: run counts starts, so that callbacks of an earlier process are ignored.
+	running bool
+	run     int
+	// Speed and start of its monotonic clock.
+	clockRate float64
+	startedAt time.Duration
+	election  *election.Election
+	// State as leader; nil on a member.
+	leadership *leadership
+	// Last term that it led; it resigns a term that it would lead a second time.
+	lastTermLed uint64
+	// Its shard; nil while it has none.
+	local *localShard
+	// Machines of its previous shard, which it reports to a new leader.
+	previousMachines []model.MachineID
 	pause            pause
-	oldRelease       bool // says and hears only what release 0.5 does
-	freshness        *pipeline.StatusFreshness
-	inDoubt          map[model.JobID]bool // told by the leader: waiting jobs, and whether they are in doubt
-	storeHealth      storehealth.Health   // with the state service
-	cancelLog        *cancellog.Log
-	answerCache      map[model.JobID]cachedAnswer // with the guard broken: what was asked lately
+	// Sends and understands only what release 0.5 does.
+	oldRelease bool
+	// What it may answer about waiting jobs. inDoubt comes from the leader: the waiting jobs, and
+	// whether each is in doubt.
+	freshness *pipeline.StatusFreshness
+	inDoubt   map[model.JobID]bool
+	// Whether the state service serves this controller.
+	storeHealth storehealth.Health
+	// Cancellations that it told users of.
+	cancelLog *cancellog.Log
+	// Recent answers, for the broken guard cacheAnswers.
+	answerCache map[model.JobID]cachedAnswer
 }
 
-// pause is a process that stands still while its clocks run on: what is sent to
-// it waits in its sockets, its timers are late, and it may have decided to send
-// something, yet not sent it.
+// pause is a time in which a process does not run while its clocks go on. Messages to it wait in its
+// sockets, its timers fire late, and it may have decided to send something without having sent it.
 type pause struct {
-	until     time.Duration // of the present or last halt
-	duration  time.Duration // of a halt that is due: it begins in the midst of sending
-	sendsLeft int           // ... after so many messages more
+	// End of the current or last pause.
+	until time.Duration
+	// Length of a pause that is due; it begins between two messages that the controller sends.
+	duration time.Duration
+	// Messages that it sends before the pause begins.
+	sendsLeft int
 }
 
+// paused reports whether the process is in a pause.
 func (c *controller) paused() bool { return c.running && c.w.now < c.pause.until }
 
-// pauseAfter makes the controller stand still for d, once it has sent some more.
+// pauseAfter pauses the controller for d when it has sent the given number of messages, or after 200
+// ms if it sends fewer.
 func (c *controller) pauseAfter(sends int, d time.Duration) {
 	c.pause.duration, c.pause.sendsLeft = d, sends
 	run := c.run
-	c.w.after(200*time.Millisecond, func() { // it sends little: then here
+	c.w.after(200*time.Millisecond, func() {
 		if c.running && c.run == run {
 			c.beginPause()
 		}
 	})
 }
 
+// beginPause begins the pause that is due, if any.
 func (c *controller) beginPause() {
 	if c.pause.duration > 0 {
-		c.w.logf("%s stands still for %v", c.host, c.pause.duration)
+		c.w.logf("%s pauses for %v", c.host, c.pause.duration)
 		c.pause.until, c.pause.duration = c.w.now+c.pause.duration, 0
 	}
 }
 
-// whenRunning runs f as the controller: at once, or when it moves again.
+// whenRunning runs f now, or at the end of the current pause.
 func (c *controller) whenRunning(f func()) {
 	if c.paused() {
 		c.w.after(c.pause.until-c.w.now, func() { c.whenRunning(f) })
@@ -75,10 +92,10 @@
 	f()
 }
 
-// timer runs f later, as the controller.
+// timer runs f in d, or some milliseconds after a pause that covers this time.
 func (c *controller) timer(d time.Duration, f func()) {
 	c.w.after(d, func() {
-		if c.paused() { // timers and sockets come in any order afterwards
+		if c.paused() { // after a pause, timers and sockets are served in any order
 			c.w.after(c.pause.until-c.w.now+c.w.randomDuration(0, 20*time.Millisecond), func() { c.whenRunning(f) })
 			return
 		}
@@ -86,46 +103,61 @@
 	})
 }
 
+// promiseDuration is how long a member promises not to elect another leader.
 const promiseDuration = 2500 * time.Millisecond
 
+// memberLink is the leader's side of a connection to a member.
 type memberLink struct {
-	promisedUntil        time.Duration
-	host                 string
-	member               *localShard
-	grantedUntil         time.Duration
-	lastReceived         time.Duration
-	lastServed           time.Duration // the state service last served the member
+	// By the leader's clock: end of the member's promise to this leader.
+	promisedUntil time.Duration
+	host          string
+	member        *localShard
+	// End of the last grant that was sent to the member.
+	grantedUntil time.Duration
+	lastReceived time.Duration
+	// When the member sent its last request that the state service served.
+	lastServed time.Duration
+	// For what time the member has reported the cancellations that it told users of.
 	coverage             cancellog.Coverage
 	reportsCancellations bool
 	closed               bool
 }
 
+// localShard is a controller's shard with its connection to the leader.
 type localShard struct {
-	shard             *shard.Shard
-	c                 *controller
-	l                 *leadership // nil once the link is lost; the leader's own seat too
-	link              *memberLink
-	id                model.ShardID
-	lastReceived      time.Duration
-	lastStatus        time.Duration
-	joined            bool
-	grants            []time.Duration // sent, by the leader's clock, of those received
+	shard *shard.Shard
+	c     *controller
+	// Leader that it is connected to; nil if the connection is lost, and for the leader's own shard.
+	l    *leadership
+	link *memberLink
+	id   model.ShardID
+	// When the last message of the leader arrived and the last status was sent.
+	lastReceived time.Duration
+	lastStatus   time.Duration
+	joined       bool
+	// Send times (leader's clock) of the grants received, which the shard returns as its promise.
+	grants []time.Duration
+	// Position in the cancellation log up to which entries were sent.
 	cancelLogPosition int
 }
 
+// cachedAnswer is a result of the state service with the time of its arrival.
 type cachedAnswer struct {
 	result jobs.Result
 	at     time.Duration
 }
 
+// newController returns a stopped controller whose clock deviates by up to 0.05%.
 func newController(w *world, i int) *controller {
 	return &controller{w: w, host: fmt.Sprintf("c%d", i), clockRate: 1 + (w.rng.Float64()-0.5)*0.001}
 }
 
+// now is the controller's monotonic clock, which starts with the process.
 func (c *controller) now() time.Duration {
 	return time.Duration(float64(c.w.now-c.startedAt) * c.clockRate)
 }
 
+// start begins a new process without any state of the previous one.
 func (c *controller) start() {
 	c.running = true
 	c.w.controllerStarted()
@@ -140,6 +172,7 @@
 	c.tick(c.run)
 }
 
+// crash ends the process; it restarts after d.
 func (c *controller) crash(d time.Duration) {
 	if !c.running {
 		return
@@ -151,14 +184,15 @@
 	c.w.after(d, c.start)
 }
 
-// storeCall runs op at the store; done gets its result, or nil where there is
-// no answer. Now and then the answer is lost, or the request is late.
+// storeCall runs op at the store. done gets the result, or nil if there is no answer within 1.5 s.
+// Requests and answers are sometimes late or lost.
 func (c *controller) storeCall(op func() any, done func(any)) { c.call(false, op, done) }
 
-// storeTxn is the same for a transaction, or for a lease's begin or end, which may be carried
-// out late.
+// storeTxn is storeCall for a transaction and for the grant or revocation of a lease, which the store
+// may carry out late.
 func (c *controller) storeTxn(op func() any, done func(any)) { c.call(true, op, done) }
 
+// call implements storeCall and storeTxn and records the outcome for storeHealth.
 func (c *controller) call(txn bool, op func() any, done func(any)) {
 	run, answered, sent := c.run, false, c.now()
 	finish := func(v any, o storehealth.Outcome) {
@@ -192,6 +226,7 @@
 	c.timer(1500*time.Millisecond, func() { finish(nil, storehealth.NoAnswer) })
 }
 
+// runElection sends the election's requests to the store and feeds their results back.
 func (c *controller) runElection(ops []election.Op) {
 	for _, op := range ops {
 		call := c.storeCall
@@ -209,6 +244,7 @@
 	}
 }
 
+// newLocalShard returns an empty shard whose attempts are numbered from attempts on.
 func (c *controller) newLocalShard(attempts uint64) *localShard {
 	local := &localShard{c: c, lastReceived: c.now(), shard: shard.New(shard.Params{MaxLease: c.maxLease(),
 		ReportInterval: c.w.params.reportInterval,
@@ -218,6 +254,7 @@
 	return local
 }
 
+// maxLease is the upper bound of a worker's lease, with allowance for clock drift and delays.
 func (c *controller) maxLease() time.Duration {
 	if c.w.params.shortMaxLease {
 		return c.w.params.lease / 2
@@ -225,11 +262,12 @@
 	return c.w.params.lease*1002/1000 + 250*time.Millisecond
 }
 
+// followElection ends or begins the leadership as the election says.
 func (c *controller) followElection() {
 	now := c.now()
 	leading := c.election.Leading(now)
 	if c.leadership != nil && (!leading || c.leadership.term != c.election.Term()) {
-		c.w.logf("%s no longer leads term %d", c.host, c.leadership.term)
+		c.w.logf("%s is no longer leader of term %d", c.host, c.leadership.term)
 		c.leadership, c.local = nil, nil
 	}
 	if !leading || c.leadership != nil {
@@ -244,7 +282,7 @@
 		links:       map[model.ShardID]*memberLink{},
 		joinedHosts: map[string]bool{}, knownJobs: map[model.JobID]bool{}, readAt: now, startedAt: now}
 	c.leadership = lead
-	c.w.logf("%s leads term %d", c.host, lead.term)
+	c.w.logf("%s is leader of term %d", c.host, lead.term)
 	c.w.leaderStarted(c)
 	end := now + c.w.params.leaderTTL + time.Second
 	if c.w.params.ignoreOldGrants {
@@ -263,6 +301,7 @@
 	lead.load()
 }
 
+// tick runs the timer-driven work of the process about every 100 ms.
 func (c *controller) tick(run int) {
 	if !c.running || c.run != run {
 		return
@@ -278,6 +317,7 @@
 	}
 }
 
+// runCycle places tasks and sends the resulting commands and events.
 func (c *controller) runCycle() {
 	if c.leadership != nil {
 		if c.leadership.loaded {
@@ -293,6 +333,8 @@
 	c.sendEvents()
 }
 
+// sendCommands sends the shard's direct commands to workers and reports each outcome to the shard; no
+// answer within 2 s counts as not executed.
 func (c *controller) sendCommands() {
 	local := c.local
 	local.shard.Flush(c.now(), 8)
@@ -325,6 +367,7 @@
 	}
 }
 
+// sendToLeader runs deliver on the leader, if the connection still exists when the message arrives.
 func (s *localShard) sendToLeader(deliver func(l *leadership, k *memberLink)) {
 	l, k := s.l, s.link
 	s.c.w.send(s.c.host, l.c.host, true, func() {
@@ -335,6 +378,8 @@
 	})
 }
 
+// sendEvents sends the shard's events to the leader, without the fields that release 0.5 lacks if
+// either side is of that release.
 func (c *controller) sendEvents() {
 	local := c.local
 	for _, e := range local.shard.TakeEvents() {
@@ -351,6 +396,9 @@
 	}
 }
 
+// tickMember advances a member's shard and reports its status to the leader, which answers with a new
+// grant. Each status also carries the cancellations told to users and the promise for the last grant.
+// A member without connection tries to join.
 func (c *controller) tickMember() {
 	now := c.now()
 	if local := c.local; local != nil {
@@ -415,6 +463,8 @@
 	c.join()
 }
 
+// handleReport handles a worker's report. If the shard cannot answer it yet, it tries again after 300
+// ms and then refuses it, with the owner's host if that is known.
 func (c *controller) handleReport(r *model.Report, answer func(bool, uint64, []model.Command, string)) {
 	if !c.running {
 		return
--- a/internal/core/sim/fault_pairs_test.go
+++ b/internal/core/sim/fault_pairs_test.go
@@ -6,55 +6,66 @@
 	"time"
 )
 
+// A schedule search: the second of two faults begins at every boundary after the first one, not only
+// at random times. Boundaries are the moments before and after each message of a controller, and each
+// of its ticks.
 // A schedule search: of two troubles that meet the second begins at every boundary of the
 // first, before and after each message of a controller's and at each of its ticks, not at a
 // drawn time only.
 
-// passBoundary counts one; at the one that is searched the second trouble begins.
+// passBoundary counts a boundary; at the last one the second fault begins.
 func (w *world) passBoundary() {
 	w.controllerActed = true
 	if w.boundariesLeft == 0 {
 		return
 	}
 	if w.boundariesLeft--; w.boundariesLeft == 0 {
-		w.after(0, w.secondFault) // a process does not end within its own step
+		w.after(0, w.secondFault) // a process does not crash within its own step
 	}
 }
 
-// faultPair is a meeting: what happens first, and what at a boundary after it.
+// faultPair is a first fault and a second one that begins at a boundary after it.
 type faultPair struct {
 	first, second func(w *world)
-	boundaries    int           // within which the second may begin
-	adjust        func(*params) // what else such a day has
+	// Number of boundaries that are tried.
+	boundaries int
+	// Further settings of such runs; nil means none.
+	adjust func(*params)
 }
 
+// storeDownFor takes the store down for extra longer than a cancellation may take.
 func storeDownFor(extra time.Duration) func(w *world) {
 	return func(w *world) {
-		w.logf("the store is out")
+		w.logf("the store is down")
 		w.store.down = true
 		w.after(w.params.cancelBound+extra, w.store.restore)
 	}
 }
 
+// leaderCrashes crashes the leader, which restarts at once.
 func leaderCrashes(w *world) {
-	w.logf("the leader ends")
+	w.logf("the leader crashes")
 	w.currentLeader().crash(300 * time.Millisecond)
 }
 
+// allCrash crashes all controllers; the first restarts at once, the others 4 s apart.
 func allCrash(w *world) {
-	w.logf("all end, one is back at once")
+	w.logf("all controllers crash, one restarts at once")
 	for i, c := range w.controllers {
 		c.crash(300*time.Millisecond + time.Duration(i)*4*time.Second)
 	}
 }
 
+// leaderRefusedAlone has the store refuse only the leader, while jobs are cancelled.
 func leaderRefusedAlone(w *world) {
 	c := w.currentLeader()
-	w.logf("%s is refused alone", c.host)
+	w.logf("the store refuses only %s", c.host)
 	w.store.refusedUntil[c.host] = w.now + 14*time.Second
 	w.cancelJobs(4, time.Second)
 }
 
+// leaderCutOffWithWorkers cuts the leader off from the store and the other controllers, but not from
+// its workers, while jobs are cancelled.
 func leaderCutOffWithWorkers(w *world) {
 	c := w.currentLeader()
 	w.logf("%s loses all but its workers", c.host)
@@ -62,60 +73,71 @@
 	w.cancelJobs(4, 4*time.Second)
 }
 
+// lateTransactions has the store carry some transactions out late, while jobs are cancelled.
 func lateTransactions(w *world) {
-	w.logf("transactions are late")
+	w.logf("transactions are carried out late")
 	w.store.lateUntil = w.now + 20*time.Second
 	w.cancelJobs(4, 4*time.Second)
 }
 
+// lostAnswers has the store carry some transactions out without an answer, while jobs are cancelled.
 func lostAnswers(w *world) {
 	w.logf("answers to transactions are lost")
 	w.store.answersLostUntil = w.now + 20*time.Second
 	w.cancelJobs(4, 4*time.Second)
 }
 
+// memberLosesLinks cuts a member off from all other controllers, so that its shard's machines change
+// their owner.
 func memberLosesLinks(w *world) {
 	for _, c := range w.controllers {
 		if c.leadership == nil && c.running {
-			w.logf("%s loses the others", c.host)
+			w.logf("%s loses its links to the other controllers", c.host)
 			w.cutFromSiblings(c, 5*time.Second)
 			return
 		}
 	}
 }
 
+// cancelAtOnce cancels six jobs.
 func cancelAtOnce(w *world) { w.cancelJobs(6, 0) }
 
+// machinesAdded adds two machines while the store is slow.
 func machinesAdded(w *world) {
 	addMachines(w, 2)
 	w.storeSlowUntil = w.now + 8*time.Second
 }
 
-// refusedThenOutage is the gap with cancellations, and an outage longer than they may take.
+// refusedThenOutage has the store refuse only the leader while other controllers acknowledge
+// cancellations, then takes the store down for longer than a cancellation may take.
 func refusedThenOutage(w *world) {
 	leaderRefusedAlone(w)
 	w.after(1500*time.Millisecond, func() { storeDownFor(20 * time.Second)(w) })
 }
 
-// acknowledgerCrashes: whoever last told a user ends, and is back at once with a clock that begins anew.
+// acknowledgerCrashes crashes the controller that last told a user of a cancellation. It restarts at
+// once, with a clock that starts again.
 func acknowledgerCrashes(w *world) {
 	if w.lastAcknowledger != nil {
-		w.logf("%s ends, which told a user last", w.lastAcknowledger.host)
+		w.logf("%s crashes, which last told a user of a cancellation", w.lastAcknowledger.host)
 		w.lastAcknowledger.crash(300 * time.Millisecond)
 	}
 }
 
+// leaderPauses pauses the leader for 8 s.
 func leaderPauses(w *world) { w.currentLeader().pauseAfter(0, 8*time.Second) }
 
+// leaderLinksBreak cuts the leader off from all other controllers for 4 s.
 func leaderLinksBreak(w *world) {
 	w.logf("the links to the leader break")
 	w.cutFromSiblings(w.currentLeader(), 4*time.Second)
 }
 
+// fiveControllers makes it a deployment of five controllers.
 func fiveControllers(p *params) { p.controllers = 5 }
 
-// The boundaries reach from the first trouble over the change of leader that follows it, with
-// the new leader's reading of the store, to some seconds after it.
+// faultPairs are the pairs that are tried. The boundaries reach from the first fault over the change
+// of leader that follows it, including the new leader's read of the store, to some seconds later.
 var faultPairs = map[string]faultPair{
 	"store refuses leader, then store down": {leaderRefusedAlone,
 		storeDownFor(20 * time.Second), 1500, nil},
@@ -142,6 +164,7 @@
 		func(p *params) { p.mixedReleases = true }},
 }
 
+// faultPairParams are short runs on few machines, for many boundaries to be tried.
 func faultPairParams() params {
 	p := shortLeaseParams()
 	p.machines, p.jobs, p.duration, p.quietPeriod = 5, 14, time.Minute, 5*time.Minute
@@ -149,6 +172,7 @@
 	return p
 }
 
+// runFaultPair runs a pair whose second fault begins at the given boundary; no rule may be violated.
 func runFaultPair(t *testing.T, s faultPair, seed uint64, p params, boundary int) {
 	t.Helper()
 	w := newWorld(seed, p)
@@ -164,8 +188,7 @@
 	}
 }
 
-// TestSecondFaultAtEachBoundary plays every so manieth boundary in CI; outside it, with
-// HONEYLOCK_SEEDS set, each.
+// TestSecondFaultAtEachBoundary tries every 97th boundary, and each one if HONEYLOCK_SEEDS is set.
 func TestSecondFaultAtEachBoundary(t *testing.T) {
 	t.Parallel()
 	step := 97
@@ -186,7 +209,8 @@
 	}
 }
 
-// boundedParams are a deployment's times, with the staleness bound that the settings give it.
+// boundedParams are the times of a deployment, with the maximum staleness and the leader's lease that
+// its settings give.
 func boundedParams(report, lease, cancel time.Duration) params {
 	p := withScenario(shortLeaseParams(), refusedThenDown)
 	p.reportInterval, p.lease, p.cancelBound = report, lease, cancel
@@ -196,10 +220,11 @@
 	return p
 }
 
-// TestCancelledTasksEndInTime: in the gap, the longest time from when a user was told of a
-// cancellation until its last task was gone stays below cancel_s, for both deployments' times
-// and for a cancel_s barely above the lease; with a leader of the release before as well,
-// which knows nothing of what members told.
+// TestCancelledTasksEndInTime checks that the longest time from when a user knew of a cancellation
+// until its last task was gone stays below cancelBound. The state service first refuses only the
+// leader, then fails for all. It covers the times of both deployments and a bound barely above the
+// lease, also with a leader of an earlier release that knows nothing of the cancellations that members
+// acknowledged.
 func TestCancelledTasksEndInTime(t *testing.T) {
 	t.Parallel()
 	for name, p := range map[string]params{
@@ -210,7 +235,7 @@
 		for _, mixed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/mixed=%v", name, mixed), func(t *testing.T) {
 				t.Parallel()
-				p := p // the two run at once
+				p := p
 				p.mixedReleases = mixed
 				var longest time.Duration
 				for seed := range seedCount(3) {
--- a/internal/core/sim/leadership_test.go
+++ b/internal/core/sim/leadership_test.go
@@ -12,25 +12,33 @@
 	"honeylock/internal/core/pipeline"
 )
 
+// leadership is a controller's state as leader of one term.
 type leadership struct {
-	c             *controller
-	term          uint64
+	c    *controller
+	term uint64
+	// Version of the leader record, which guards all writes.
 	leaderVersion uint64
 	dispatcher    *dispatcher.Dispatcher
-	localID       model.ShardID
-	links         map[model.ShardID]*memberLink
-	joinedHosts   map[string]bool
-	knownJobs     map[model.JobID]bool
-	newestShard   model.ShardID
-	loaded        bool
-	readAt        time.Duration
-	startedAt     time.Duration
-	openJobsView  cancellog.OpenJobsView
-	reading       bool
-	drains        *drainManager
-	dependencies  *dependencyTracker
+	// ID of the leader's own shard.
+	localID model.ShardID
+	links   map[model.ShardID]*memberLink
+	// Hosts of the members that have joined in this term.
+	joinedHosts map[string]bool
+	knownJobs   map[model.JobID]bool
+	// ID of the last shard that was added.
+	newestShard model.ShardID
+	// The store has been read once. readAt is when the last read was sent.
+	loaded       bool
+	readAt       time.Duration
+	startedAt    time.Duration
+	openJobsView cancellog.OpenJobsView
+	// A read of the store is in progress.
+	reading      bool
+	drains       *drainManager
+	dependencies *dependencyTracker
 }
 
+// snapshot is a copy of the stored data.
 type snapshot struct {
 	open     map[model.JobID]openJob
 	done     map[model.JobID]map[int32]chunk
@@ -39,6 +47,7 @@
 	revision uint64
 }
 
+// snapshot returns a copy of the stored data.
 func (s *store) snapshot() any {
 	s.expireLeases()
 	v := snapshot{open: map[model.JobID]openJob{}, done: map[model.JobID]map[int32]chunk{},
@@ -58,7 +67,8 @@
 	return v
 }
 
-// load reads the store, and goes on reading it in place of a watch.
+// load reads the store. The leader repeats this in place of a watch. The first read also takes over
+// machine records, drain plans and the cancellations that this controller told users of.
 func (l *leadership) load() {
 	c := l.c
 	readAt := c.now()
@@ -117,18 +127,21 @@
 	})
 }
 
-// openJobs is the set of open jobs as the leader sees them.
+// openJobs returns the jobs that are open as far as the leader knows.
 func (l *leadership) openJobs() map[model.JobID]bool {
 	open := map[model.JobID]bool{}
 	l.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
 	return open
 }
 
+// grantDeadline is until when shards may act for this leader: while its authority and its view of the
+// open jobs last.
 func (l *leadership) grantDeadline() time.Duration {
 	return min(l.c.election.Deadline(), l.openJobsView.ValidUntil(l.c.w.params.maxStaleness))
 }
 
-// applyCancellation takes a controller's word that it told a user of a cancellation.
+// applyCancellation handles a cancellation that a controller told a user of: the job is removed before
+// the store has been read again.
 func (l *leadership) applyCancellation(now time.Duration, id model.JobID) {
 	if l.openJobsView.AddCancelled(now, id) && l.dispatcher.JobVersion(id) != 0 {
 		l.dispatcher.JobRemoved(id)
@@ -136,7 +149,7 @@
 	}
 }
 
-// applyCoverage brings the picture up to what all controllers have told.
+// applyCoverage extends the view of the open jobs by the cancellations that all members have reported.
 func (l *leadership) applyCoverage(now time.Duration) {
 	coverage := map[string]cancellog.Coverage{}
 	for _, k := range l.links {
@@ -151,6 +164,8 @@
 	l.openJobsView.ApplyCoverage(now, slices.Collect(maps.Values(coverage)))
 }
 
+// extendAuthority extends the leader's authority to the earliest end of the promises of all other
+// controllers.
 func (l *leadership) extendAuthority() {
 	promised := map[string]time.Duration{}
 	for _, k := range l.links {
@@ -165,6 +180,8 @@
 	l.c.election.ExtendAuthority(earliest)
 }
 
+// tick advances the leader: it resigns if its view of the open jobs is too old or if only it is
+// refused by the state service, removes members that stopped reporting, and writes to the store.
 func (l *leadership) tick() {
 	c := l.c
 	now := c.now()
@@ -175,7 +192,7 @@
 		return
 	}
 	if yes, ask := c.storeHealth.YieldNow(now, l.siblingLastServed()); yes {
-		c.w.logf("%s is refused alone", c.host)
+		c.w.logf("only %s is refused by the store", c.host)
 		c.election.Resign(now, 4*time.Second)
 		c.followElection()
 		return
@@ -222,7 +239,8 @@
 	}
 }
 
-// confirmServed has the member that was served last ask the store.
+// confirmServed asks the member that the state service served last to send it a request, to learn
+// whether the service refuses only this controller.
 func (l *leadership) confirmServed() {
 	var best *memberLink
 	for id := model.ShardID(1); id <= l.newestShard; id++ {
@@ -248,8 +266,7 @@
 	})
 }
 
-// siblingLastServed is when the newest request of a member's was sent that the state service
-// has served.
+// siblingLastServed returns when a member sent the newest request that the state service served.
 func (l *leadership) siblingLastServed() (newest time.Duration) {
 	for _, k := range l.links {
 		newest = max(newest, k.lastServed)
@@ -257,6 +274,7 @@
 	return newest
 }
 
+// memberLost handles the loss of a member's shard whose grant ends at end.
 func (l *leadership) memberLost(id model.ShardID, end time.Duration) {
 	if l.c.w.params.freeMachinesOnLoss {
 		end = l.c.now() - time.Hour
@@ -266,6 +284,7 @@
 	l.runCycle()
 }
 
+// dispatch updates the status of the leader's own shard and assigns waiting tasks.
 func (l *leadership) dispatch() {
 	s := l.c.local.shard
 	now := l.c.now()
@@ -276,6 +295,8 @@
 	l.runCycle()
 }
 
+// exchangeMessages delivers orders to the shards and events of the leader's own shard until there are
+// none left. Members of release 0.5 get orders without the fields that they lack.
 func (l *leadership) exchangeMessages() {
 	now := l.c.now()
 	s := l.c.local.shard
@@ -300,6 +321,7 @@
 	}
 }
 
+// handleEvent passes a shard's event to the drain plans and the dispatcher.
 func (l *leadership) handleEvent(now time.Duration, from model.ShardID, e model.Event) {
 	l.drains.handleEvent(now, &e)
 	if e.Kind == model.MachineInspected {
@@ -308,12 +330,13 @@
 	l.dispatcher.HandleEvent(now, from, e)
 }
 
-// adjustClock brings a deal's times into the receiver's clock.
+// adjustClock converts an assignment's time from the leader's to the receiver's clock.
 func adjustClock(o model.Order, from, to time.Duration) model.Order {
 	o.Assignment.WaitingSince += to - from
 	return o
 }
 
+// sendToMember runs deliver on a member, if the connection still exists when the message arrives.
 func (l *leadership) sendToMember(k *memberLink, deliver func(*localShard)) {
 	member := k.member
 	l.c.w.send(l.c.host, k.host, true, func() {
@@ -325,6 +348,7 @@
 	})
 }
 
+// runCycle places tasks on the leader's own shard and sends the resulting orders and commands.
 func (l *leadership) runCycle() {
 	l.exchangeMessages()
 	l.c.local.shard.Place(l.c.now())
--- a/internal/core/sim/machine_test.go
+++ b/internal/core/sim/machine_test.go
@@ -9,37 +9,49 @@
 	"honeylock/internal/core/model"
 )
 
+// attempt is an attempt to run a task on a machine.
 type attempt struct {
 	model.AttemptStatus
+	// When its image is there, and when it ends.
 	readyAt, endAt time.Duration
-	active         bool // it has its image: it counts for the rules
+	// It has its image and has not ended: the rules count it as running.
+	active bool
 }
 
+// attemptKey identifies an attempt.
 type attemptKey struct {
 	task    model.Task
 	attempt uint64
 }
 
-// machine is a worker that keeps to the protocol to the letter.
+// machine is a worker that follows the protocol exactly.
 type machine struct {
 	w    *world
 	host string
 	model.Machine
 	session, seq, token uint64
 	attempts            map[attemptKey]*attempt
-	leaseStart          time.Duration
-	target              int
-	nextReportAt        time.Duration
-	pendingReport       uint64 // number of the report in flight
-	reportSentAt        time.Duration
-	reportsSent         uint64
-	hungUntil           time.Duration
-	doneTasks           map[model.Task]bool
-	returned            bool          // given back
-	reportsLostUntil    time.Duration // its reports get lost until then, its answers to commands don't
-	addedAt             time.Duration // when it came up
+	// The lease begins when the last successful report was sent.
+	leaseStart time.Duration
+	// Index of the controller that it reports to.
+	target       int
+	nextReportAt time.Duration
+	// Number of the report that waits for its answer; 0 means none.
+	pendingReport uint64
+	reportSentAt  time.Duration
+	reportsSent   uint64
+	hungUntil     time.Duration
+	// Tasks whose results exist; all machines see them.
+	doneTasks map[model.Task]bool
+	// Returned to the cloud.
+	returned bool
+	// Until then its reports are lost; its answers to commands are not.
+	reportsLostUntil time.Duration
+	// When it was added; 0 if it was there from the start.
+	addedAt time.Duration
 }
 
+// newMachine returns a machine in its first session; a quarter of the machines are spot machines.
 func newMachine(w *world, id model.MachineID, zone int) *machine {
 	return &machine{w: w, host: fmt.Sprintf("m%d", id), session: 1, attempts: map[attemptKey]*attempt{},
 		target:    int(id) % w.params.controllers,
@@ -47,10 +59,11 @@
 		doneTasks: map[model.Task]bool{}}
 }
 
-// restart: the worker loses everything and comes up anew with its next session.
+// restart ends the worker, which loses all attempts and starts with its next session.
 func (m *machine) restart() { m.nextSession() }
 
-// noteAttemptGone notes that a task is on the machine no more.
+// noteAttemptGone records that a task no longer runs on the machine, and how long after the user knew
+// of a cancellation.
 func (m *machine) noteAttemptGone(k attemptKey) {
 	u := m.w.users[k.task.Job]
 	u.lastChangeAt = m.w.now
@@ -59,6 +72,7 @@
 	}
 }
 
+// nextSession drops all attempts and begins a new session with a new lease.
 func (m *machine) nextSession() {
 	for k, a := range m.attempts {
 		if a.active {
@@ -71,6 +85,8 @@
 	m.pendingReport = 0
 }
 
+// tick advances the attempts, checks the lease and sends due reports, every 50 ms unless the machine
+// hangs.
 func (m *machine) tick() {
 	w := m.w
 	if m.returned {
@@ -118,6 +134,7 @@
 	}
 }
 
+// exit ends an attempt; the next report is due at once, at most two per second.
 func (m *machine) exit(a *attempt, c model.Cause) {
 	if a.active {
 		m.noteAttemptGone(attemptKey{a.Task, a.Attempt})
@@ -128,6 +145,7 @@
 	}
 }
 
+// sortedAttempts returns the keys of all attempts in a fixed order, for runs to be reproducible.
 func (m *machine) sortedAttempts() []attemptKey {
 	ks := make([]attemptKey, 0, len(m.attempts))
 	for k := range m.attempts {
@@ -145,6 +163,7 @@
 	return ks
 }
 
+// newReport returns the next report of the machine's attempts.
 func (m *machine) newReport() *model.Report {
 	m.seq++
 	r := &model.Report{Machine: m.Machine, Session: m.session, Seq: m.seq, Token: m.token, PreemptionNotice: -1}
@@ -154,6 +173,7 @@
 	return r
 }
 
+// sendReport sends a report to the controller that the machine reports to.
 func (m *machine) sendReport() {
 	w := m.w
 	r := m.newReport()
@@ -174,7 +194,8 @@
 	})
 }
 
-// deliverCopy has a copy of a report arrive; nobody hears what is answered.
+// deliverCopy delivers a copy of a report; its answer is dropped. With acceptDuplicates the copy gets
+// a new sequence number.
 func (m *machine) deliverCopy(c *controller, r *model.Report) {
 	copied := *r
 	if r.Session < m.session {
@@ -190,6 +211,9 @@
 	c.handleReport(&copied, func(bool, uint64, []model.Command, string) {})
 }
 
+// handleAnswer handles the answer to a report. A refusal sends the machine to the controller named as
+// redirect target, or to the next one. An answer that arrives after the lease, because the machine
+// hung, starts a new session.
 func (m *machine) handleAnswer(number uint64, sent time.Duration, session uint64, ok bool, token uint64,
 	cmds []model.Command, redirectTo string) {
 	if m.returned {
@@ -203,7 +227,7 @@
 		w.after(m.hungUntil-w.now, func() { m.handleAnswer(number, sent, session, ok, token, cmds, redirectTo) })
 		return
 	}
-	if w.now-m.leaseStart > w.params.lease { // it woke up too late
+	if w.now-m.leaseStart > w.params.lease {
 		m.nextSession()
 		return
 	}
@@ -231,10 +255,11 @@
 	}
 }
 
-// handleDirectCommands takes a command sent straight to the worker.
+// handleDirectCommands handles commands that a controller sends straight to the worker. Those under an
+// old token or for another session are refused.
 func (m *machine) handleDirectCommands(token, session uint64, cmds []model.Command, answer func(*model.Report, bool)) {
 	if m.returned {
-		return // nobody answers
+		return
 	}
 	w := m.w
 	if w.now < m.hungUntil {
@@ -256,6 +281,7 @@
 	answer(m.newReport(), true)
 }
 
+// freeCapacity returns what the attempts leave of the machine's resources.
 func (m *machine) freeCapacity() model.Resources {
 	free := machineType.Cap
 	for k, a := range m.attempts {
@@ -266,6 +292,8 @@
 	return free
 }
 
+// execute carries out commands and reports whether there were any. Launch fails if the job is unknown,
+// the task already runs here or capacity is missing.
 func (m *machine) execute(cmds []model.Command) bool {
 	w := m.w
 	for _, c := range cmds {
--- a/internal/core/sim/rules_test.go
+++ b/internal/core/sim/rules_test.go
@@ -8,29 +8,41 @@
 	"honeylock/internal/core/model"
 )
 
+// machineType is the only type of machine.
 var machineType = model.MachineType{Name: 0, Cap: model.Capacity(16, 0, 64), FetchRate: 1}
 
+// teamLimit is the limit of each of the two teams.
 var teamLimit = model.Capacity(48, 0, 0)
 
-// user is one job's user, with what it was told.
+// user is the user of one job, with the answers that the user got and what the job's tasks did.
 type user struct {
-	spec            *model.Spec
-	submitted       bool
-	accepted        bool
-	openVersion     uint64 // of its open record, once a controller has seen it
-	cancelRequested bool   // has asked to cancel
-	finalStage      jobs.Stage
-	endedAt         time.Duration
-	doneTasks       map[int32]bool
-	alwaysFails     bool // submitted with a mistake: its tasks fail everywhere
-	dependsOn       []model.JobID
+	spec      *model.Spec
+	submitted bool
+	accepted  bool
+	// Version of the open record, once a controller has read it.
+	openVersion uint64
+	// The user has asked to cancel the job.
+	cancelRequested bool
+	// Final state that the user was told, and when.
+	finalStage jobs.Stage
+	endedAt    time.Duration
+	// Tasks that have ended successfully on some machine.
+	doneTasks map[int32]bool
+	// The job's tasks fail on every machine until the user cancels it.
+	alwaysFails bool
+	dependsOn   []model.JobID
 
-	acceptedAt     time.Duration
-	lastAnsweredAt time.Duration // the last time that a question was
-	started        bool          // a task of it has started
-	lastChangeAt   time.Duration // when a task of it last started, ended or left a machine
+	acceptedAt time.Duration
+	// When a request about the job was last answered.
+	lastAnsweredAt time.Duration
+	// A task of the job has started.
+	started bool
+	// When a task of the job last started, ended or left a machine.
+	lastChangeAt time.Duration
 }
 
+// submit creates a job with random properties and has its user submit it, poll it, and perhaps cancel
+// it.
 func (w *world) submit(id model.JobID) {
 	r := w.rng
 	sp := &model.Spec{ID: id, Team: model.Name(r.IntN(2)), Rank: model.Rank(r.IntN(3)), Tasks: int32(1 + r.IntN(12)),
@@ -53,10 +65,10 @@
 	}
 	if w.params.bulkJobs {
 		switch {
-		case id%20 == 0: // one array of many small tasks
+		case id%20 == 0:
 			sp.Tasks, sp.PerTask, sp.Rank, sp.BestEffort = 400, model.Request(0.25, 0, 0.25), model.Idle, true
 			sp.Estimate, sp.SameZone, sp.Spread, sp.Zone = w.randomDuration(time.Second, 3*time.Second), false, false, model.None
-		case id%3 == 0: // a swarm of single small ones
+		case id%3 == 0:
 			sp.Tasks, sp.PerTask, sp.BestEffort = 1, model.Request(0.25, 0, 0.25), true
 		}
 		u.alwaysFails = r.IntN(8) == 0
@@ -76,17 +88,20 @@
 	w.after(5*time.Second, func() { w.poll(u) })
 }
 
+// poll asks for the job's state every few seconds.
 func (w *world) poll(u *user) {
 	w.sendRequest(u, jobs.Poll)
 	w.after(w.randomDuration(2*time.Second, 8*time.Second), func() { w.poll(u) })
 }
 
-// sendRequest sends a request through a random controller, again and again until it
-// has an answer.
+// sendRequest sends a request to a random controller and repeats it until it is answered. Polls are
+// not repeated.
 func (w *world) sendRequest(u *user, k jobs.Kind) {
 	w.sendRequestTo(w.controllers[w.rng.IntN(len(w.controllers))], u, k)
 }
 
+// sendRequestTo sends a request to a given controller, which reads or changes the job's records in the
+// store as internal/node does.
 func (w *world) sendRequestTo(c *controller, u *user, k jobs.Kind) {
 	before, asked := *u, w.now
 	answered := false
@@ -137,7 +152,8 @@
 	})
 }
 
-// checkAnswer checks an answer against what the user had been told before asking.
+// checkAnswer checks an answer against what the user knew before the request was sent, and repeats a
+// request that was refused for now.
 func (w *world) checkAnswer(u *user, k jobs.Kind, asked time.Duration, before *user, a *jobs.Answer) {
 	switch a.Status {
 	case http.StatusServiceUnavailable:
@@ -147,7 +163,7 @@
 		return
 	case http.StatusNotFound:
 		if before.accepted {
-			w.fail("unanswered", "job %d", u.spec.ID)
+			w.fail("job_unknown", "job %d was accepted and is reported as unknown", u.spec.ID)
 		}
 		if k == jobs.Withdraw {
 			w.after(time.Second, func() { w.sendRequest(u, k) })
@@ -155,7 +171,7 @@
 		return
 	}
 	if before.accepted && a.Created {
-		w.fail("state_regressed", "job %d was accepted, and is taken as new", u.spec.ID)
+		w.fail("state_regressed", "job %d was accepted before and is created again", u.spec.ID)
 	}
 	w.checkAnswerDelay(u)
 	u.lastAnsweredAt = w.now
@@ -165,16 +181,16 @@
 	}
 	w.checkDependentCancelled(u, asked, a.Stage)
 	if before.finalStage != "" && a.Stage != before.finalStage {
-		w.fail("state_regressed", "job %d was %s and is %s", u.spec.ID, before.finalStage, a.Stage)
+		w.fail("state_regressed", "job %d was reported as %s and now as %s", u.spec.ID, before.finalStage, a.Stage)
 	}
 	switch a.Stage {
 	case jobs.Done:
 		if len(u.doneTasks) < int(u.spec.Tasks) {
-			w.fail("not_done", "job %d has %d of %d tasks", u.spec.ID, len(u.doneTasks), u.spec.Tasks)
+			w.fail("not_done", "job %d is reported as done with %d of %d tasks done", u.spec.ID, len(u.doneTasks), u.spec.Tasks)
 		}
 	case jobs.Cancelled:
 		if !u.cancelRequested && !w.dependsOnCancelled(u) {
-			w.fail("state_regressed", "job %d was never cancelled by its user", u.spec.ID)
+			w.fail("state_regressed", "job %d is reported as cancelled, which its user never asked for", u.spec.ID)
 		}
 	}
 	if a.Stage.Ended() && u.finalStage == "" {
@@ -185,7 +201,7 @@
 				for _, m := range w.workers {
 					for k, at := range m.attempts {
 						if k.task.Job == u.spec.ID && at.active && w.now >= m.hungUntil && w.now-m.leaseStart <= w.params.lease {
-							w.fail("ran_cancelled", "task %v on %s", k.task, m.host)
+							w.fail("ran_cancelled", "task %v still runs on %s", k.task, m.host)
 						}
 					}
 				}
@@ -194,6 +210,7 @@
 	}
 }
 
+// taskCompleted records that a task has ended successfully.
 func (w *world) taskCompleted(t model.Task) {
 	u := w.users[t.Job]
 	u.doneTasks[t.Index], u.lastChangeAt = true, w.now
@@ -203,7 +220,8 @@
 	}
 }
 
-// checkStart checks a task that has just started on a machine.
+// checkStart checks a task that has just started: it runs nowhere else, its job may run here and was
+// not cancelled too long ago, its dependencies are done, and its team is within its limit.
 func (w *world) checkStart(m *machine, t model.Task) {
 	w.startedTasks++
 	delete(w.interrupted, t)
@@ -222,7 +240,7 @@
 	zones := map[model.Name]int{}
 	for _, o := range w.workers {
 		if w.now-o.leaseStart > w.params.lease {
-			continue // it hangs, and will find its lease over
+			continue // its lease is over, which it finds out when it runs again
 		}
 		for k, a := range o.attempts {
 			if !a.active {
--- a/internal/core/sim/sim_test.go
+++ b/internal/core/sim/sim_test.go
@@ -7,12 +7,14 @@
 	"time"
 )
 
+// shortLeaseParams is a small deployment with short leases and random faults.
 func shortLeaseParams() params {
 	return params{controllers: 3, machines: 9, jobs: 60, reportInterval: time.Second, lease: 10 * time.Second,
 		cancelBound: 40 * time.Second,
 		leaderTTL:   4 * time.Second, maxStaleness: 25 * time.Second, duration: 4 * time.Minute, faults: true}
 }
 
+// longLeaseParams is shortLeaseParams with long leases and rare reports.
 func longLeaseParams() params {
 	p := shortLeaseParams()
 	p.reportInterval, p.lease, p.cancelBound = 3*time.Second, 42*time.Second, 67*time.Second
@@ -20,23 +22,22 @@
 	return p
 }
 
-// largeClusterParams has many machines behind few controllers, with workers that report
-// seldom.
+// largeClusterParams has many machines per controller, which report rarely.
 func largeClusterParams() params {
 	p := longLeaseParams()
 	p.controllers, p.machines, p.jobs, p.reportInterval, p.duration = 5, 120, 400, 8*time.Second, 4*time.Minute
 	return p
 }
 
-// bulkJobsParams has guests: arrays of many small tasks, swarms of single ones, and jobs
-// that fail on every machine until their users cancel them.
+// bulkJobsParams adds jobs of many small tasks, many single-task jobs, and jobs that fail on every
+// machine until their users cancel them.
 func bulkJobsParams() params {
 	p := shortLeaseParams()
 	p.bulkJobs, p.jobs, p.controllers = true, 80, 5
 	return p
 }
 
-// runSimulation plays a day on which no rule may break.
+// runSimulation runs a simulation in which no rule may be violated.
 func runSimulation(t *testing.T, seed uint64, p params) *world {
 	t.Helper()
 	w := newWorld(seed, p)
@@ -51,7 +52,7 @@
 	return w
 }
 
-// expectViolation plays days until one breaks a rule, as one must with a guard broken.
+// expectViolation runs simulations until one violates a rule. One must, because a guard is broken.
 func expectViolation(t *testing.T, runs uint64, first uint64, p params) {
 	t.Helper()
 	for seed := range runs {
@@ -62,10 +63,10 @@
 			return
 		}
 	}
-	t.Fatal("no day broke a rule: the checks see nothing")
+	t.Fatal("no run violated a rule: the checks do not notice the broken guard")
 }
 
-// TestRulesHold plays random days with every kind of failure; no rule may break.
+// TestRulesHold runs random simulations with every kind of random fault; no rule may be violated.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
 	for name, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams(), "large cluster": largeClusterParams(), "bulk jobs": bulkJobsParams()} {
@@ -82,15 +83,14 @@
 	}
 }
 
-// TestJobsCompleteWithoutFaults: without failures all jobs end, each task is started
-// hardly more than once, and nobody waits for ever.
+// TestJobsCompleteWithoutFaults checks that without faults every accepted job ends.
 func TestJobsCompleteWithoutFaults(t *testing.T) {
 	t.Parallel()
 	for name, p := range map[string]params{"short lease": shortLeaseParams(), "bulk jobs": bulkJobsParams()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p.faults = false
-			p.quietPeriod = time.Minute // the last tasks may have begun late
+			p.quietPeriod = time.Minute // the last tasks may have started late
 			w := newWorld(1, p)
 			w.run()
 			if len(w.violations) > 0 {
@@ -105,8 +105,7 @@
 	}
 }
 
-// TestChecksCatchBrokenGuards proves the checks: with a guard broken, some day
-// must break a rule.
+// TestChecksCatchBrokenGuards checks the checks: with a guard broken, some run must violate a rule.
 func TestChecksCatchBrokenGuards(t *testing.T) {
 	t.Parallel()
 	for name, breakIt := range map[string]func(*params){
--- a/internal/core/sim/store_test.go
+++ b/internal/core/sim/store_test.go
@@ -10,47 +10,57 @@
 	"honeylock/internal/core/model"
 )
 
+// openJob is the stored record of an open job.
 type openJob struct {
 	spec      *model.Spec
 	dependsOn []model.JobID
 	version   uint64
 }
 
+// record is a stored block of machine records.
 type record struct {
 	machines []model.Machine
 	version  uint64
 }
 
+// chunk is a stored part of a job's bitmap of done tasks.
 type chunk struct {
 	bits    []byte
 	version uint64
 }
 
-// blockSize is the number of machines in a stored block: small, so that there
-// are several.
+// blockSize is the number of machines in a stored block, small so that there are several blocks.
 const blockSize = 4
 
-// store is the state service, as far as the cores use it.
+// store is the state service as far as the core packages use it.
 type store struct {
-	w                *world
-	down             bool
-	revision         uint64
-	leases           map[uint64]time.Duration // end
-	leader           election.LeaderRecord
-	term             uint64
-	termRevision     uint64
-	openJobs         map[model.JobID]openJob
-	doneChunks       map[model.JobID]map[int32]chunk
-	finalStages      map[model.JobID]jobs.Stage
-	records          map[dispatcher.BlockID]record
-	plans            map[string]drain.StoredPlan
-	refusedUntil     map[string]time.Duration // controllers that it alone refuses, until then
-	lateUntil        time.Duration            // until when a part of the transactions is carried out late
-	answersLostUntil time.Duration            // until when a part of them is carried out at once, and gets no answer
-	unreadChanges    map[model.JobID]string   // jobs that such a transaction has changed, and whose it was
-	changedJob       *model.JobID             // the job that the last operation changed
+	w        *world
+	down     bool
+	revision uint64
+	// End of each lease.
+	leases       map[uint64]time.Duration
+	leader       election.LeaderRecord
+	term         uint64
+	termRevision uint64
+	openJobs     map[model.JobID]openJob
+	doneChunks   map[model.JobID]map[int32]chunk
+	finalStages  map[model.JobID]jobs.Stage
+	records      map[dispatcher.BlockID]record
+	plans        map[string]drain.StoredPlan
+	// Controllers that the store refuses until then while it serves all others.
+	refusedUntil map[string]time.Duration
+	// Until then some transactions are carried out late.
+	lateUntil time.Duration
+	// Until then some transactions are carried out, but not answered.
+	answersLostUntil time.Duration
+	// Jobs that an unanswered transaction changed and no controller has read since, with the
+	// controller that sent it.
+	unreadChanges map[model.JobID]string
+	// Job that the last operation changed.
+	changedJob *model.JobID
 }
 
+// newStore returns an empty store.
 func newStore(w *world) *store {
 	return &store{w: w, revision: 1, leases: map[uint64]time.Duration{}, openJobs: map[model.JobID]openJob{},
 		doneChunks: map[model.JobID]map[int32]chunk{}, finalStages: map[model.JobID]jobs.Stage{},
@@ -59,7 +69,7 @@
 		unreadChanges: map[model.JobID]string{}}
 }
 
-// restore ends an outage: every lease has its full time again.
+// restore ends an outage; every lease gets its full time again.
 func (s *store) restore() {
 	s.down = false
 	for id := range s.leases {
@@ -67,13 +77,15 @@
 	}
 }
 
-// serves tells whether a controller's request is carried out.
+// serves reports whether the store carries out a controller's requests.
 func (s *store) serves(host string) bool { return !s.down && s.w.now >= s.refusedUntil[host] }
 
-// faultyTransactionShare is the part of transactions that get no answer and are carried out late.
+// faultyTransactionShare is the share of transactions that are carried out late or not answered while
+// such a fault lasts.
 const faultyTransactionShare = 0.3
 
-// delayTransaction has a transaction carried out late, after newer ones, without an answer.
+// delayTransaction reports whether a transaction is delayed. If so, it gets no answer and is carried
+// out after newer ones.
 func (s *store) delayTransaction(op func() any) bool {
 	if s.w.now >= s.lateUntil || s.w.rng.Float64() >= faultyTransactionShare {
 		return false
@@ -87,12 +99,12 @@
 	return true
 }
 
-// losesAnswer tells whether a transaction's answer is lost.
+// losesAnswer reports whether a transaction's answer is lost.
 func (s *store) losesAnswer() bool {
 	return s.w.now < s.answersLostUntil && s.w.rng.Float64() < faultyTransactionShare
 }
 
-// noteRead notes that a controller reads what another one's transaction did without an answer.
+// noteRead observes that another controller reads the result of an unanswered transaction.
 func (s *store) noteRead(host string, op jobs.Op) {
 	whose, ok := s.unreadChanges[op.Job]
 	if !ok || op.Kind == jobs.Create || op.Kind == jobs.Cancel {
@@ -104,6 +116,7 @@
 	delete(s.unreadChanges, op.Job)
 }
 
+// expireLeases ends the leases that are over; none ends during an outage.
 func (s *store) expireLeases() {
 	if s.down {
 		return
@@ -115,6 +128,7 @@
 	}
 }
 
+// endLease ends a lease, and with it the leader record that belongs to it.
 func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
 	if s.leader.Present && s.leader.Lease == id {
@@ -123,6 +137,7 @@
 	}
 }
 
+// election carries out a request of an election.
 func (s *store) election(host string, op election.Op) any {
 	s.expireLeases()
 	res := election.Result{Op: op}
@@ -154,6 +169,7 @@
 	return res
 }
 
+// handleJobOp carries out a request about a job on behalf of its user.
 func (s *store) handleJobOp(host string, u *user, op jobs.Op) any {
 	s.expireLeases()
 	id := op.Job
@@ -206,12 +222,14 @@
 	return nil
 }
 
+// writeResult is the outcome of a leader's write: ok if it was applied, conflict if the record has
+// another version, neither if the writer no longer leads.
 type writeResult struct {
 	revision     uint64
 	ok, conflict bool
 }
 
-// write applies a leader's write, guarded by the leader key's version.
+// write applies a leader's write if the writer still leads and the record has the expected version.
 func (s *store) write(guard uint64, wr dispatcher.Write) any {
 	s.expireLeases()
 	if (!s.leader.Present || s.leader.Version != guard) && !s.w.params.unguardedWrites {
@@ -250,7 +268,7 @@
 	return writeResult{revision: s.revision, ok: true}
 }
 
-// checkProgressKept: a chunk that is written after a newer one takes back what is stored as done.
+// checkProgressKept checks that a chunk marks all tasks as done that the stored chunk does.
 func (s *store) checkProgressKept(wr dispatcher.Write) {
 	for i, b := range s.doneChunks[wr.Job][wr.Chunk.Index].bits {
 		if i >= len(wr.Bits) || b&^wr.Bits[i] != 0 {
--- a/internal/core/sim/waiting_test.go
+++ b/internal/core/sim/waiting_test.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	maxWaitBesideCapacity = 90 * time.Second // that a job may wait beside room, troubles over
-	maxStartDelay         = 4 * time.Minute  // in which each job has to begin
-	maxLateStart          = 3 * time.Second  // that a start may come after a confirmed cancellation, without troubles
+	// How long a job may wait beside free capacity after the last fault.
+	maxWaitBesideCapacity = 90 * time.Second
+	// Time within which each job has to start.
+	maxStartDelay = 4 * time.Minute
+	// How long after a confirmed cancellation a start may come, without faults.
+	maxLateStart = 3 * time.Second
 )
 
-// checkWaitingJobs looks, once troubles are over, for jobs that wait while a machine that fits has
-// room and their team is under its limit; and always for jobs that don't begin.
+// checkWaitingJobs checks every 2 s that no job takes too long to start. After the last fault it also
+// checks that no job waits while a suitable machine has free capacity and its team is below its limit.
 func (w *world) checkWaitingJobs() {
 	w.after(2*time.Second, w.checkWaitingJobs)
 	for id, u := range w.users {
@@ -39,6 +42,8 @@
 	}
 }
 
+// waitsBesideCapacity reports whether a job has a task that could run now on some machine within its
+// team's limit.
 func (w *world) waitsBesideCapacity(u *user) bool {
 	active, zones := 0, map[model.Name]int{}
 	for _, m := range w.workers {
@@ -65,22 +70,22 @@
 	return false
 }
 
-// checkCancelledGone: from cancel_s after the user was told no task is on a machine, one that hung and
-// goes on included.
+// checkCancelledGone checks that no task is on a machine later than cancelBound after the user knew of
+// the cancellation. This includes machines that hung and run again.
 func (w *world) checkCancelledGone(m *machine, k attemptKey, a *attempt) {
 	if u := w.users[k.task.Job]; a.active && u.finalStage == jobs.Cancelled && w.now > u.endedAt+w.params.cancelBound {
-		w.fail("ran_cancelled", "task %v goes on on %s, %v after", k.task, m.host, w.now-u.endedAt)
+		w.fail("ran_cancelled", "task %v still runs on %s, %v after the cancellation", k.task, m.host, w.now-u.endedAt)
 	}
 }
 
-// checkLateStart: without troubles a start comes at most as long after a confirmed
-// cancellation as orders take that were under way.
+// checkLateStart checks, without faults, that a task starts only so long after a confirmed
+// cancellation as commands need that were already on their way.
 func (w *world) checkLateStart(u *user, t model.Task, m *machine) {
 	if u.finalStage != jobs.Cancelled {
 		return
 	}
 	w.observe("a start after a confirmed cancellation")
 	if w.params.checkWaiting && w.now > w.faultsOverAt && w.now > u.endedAt+maxLateStart && u.endedAt > w.faultsOverAt {
-		w.fail("started_after_cancel", "task %v starts on %s, %v after", t, m.host, w.now-u.endedAt)
+		w.fail("started_after_cancel", "task %v starts on %s, %v after the cancellation", t, m.host, w.now-u.endedAt)
 	}
 }
--- a/internal/core/sim/world_test.go
+++ b/internal/core/sim/world_test.go
@@ -9,61 +9,110 @@
 	"honeylock/internal/core/model"
 )
 
-// params of a simulated deployment.
+// params are the settings of one run.
 type params struct {
-	controllers, machines, jobs                   int
+	// Numbers of hosts and jobs.
+	controllers, machines, jobs int
+	// Interval of workers' reports, lease of a worker, time within which a cancelled job's tasks must
+	// have ended, and lease of the leader in the state service.
 	reportInterval, lease, cancelBound, leaderTTL time.Duration
-	maxStaleness                                  time.Duration // how old a picture of the open jobs may be acted on
-	duration, quietPeriod                         time.Duration // rest: played on for so long, with nothing new
-	faults                                        bool
-	drains                                        bool          // operators' drain plans
-	dependencies                                  bool          // jobs that await others
-	missingCountsAsDone                           bool          // a broken guard: a job that is gone counts as done
-	alwaysReportQueued                            bool          // a broken guard: what waits is called queued whatever is known
-	resizeBlocksAt                                time.Duration // when leaders begin to write smaller blocks; 0: never
-	bulkJobs                                      bool          // swarms of small tasks, and jobs that always fail
-	disruptionBudget                              int           // tasks of a team that plans may have out of work at once; 0: no bound
-	assumeRunning                                 bool          // a broken guard: a new leader takes what it does not know for at work
-	stoppedCountsAsBack                           bool          // a broken guard: a task that was stopped counts as back
-	ignoreRecords                                 bool          // a broken guard: a new leader ignores the machines' records
-	ignoreOldGrants                               bool          // a broken guard: old grants are taken for over at once
-	oneWayCuts                                    bool          // machines that send, and that nothing reaches
-	duplicateReports                              bool          // copies of reports come late
-	cancellationInterval                          time.Duration // between cancellations of jobs that need a cancelled one; 0: as ever
-	globalFreshness                               bool          // as 0.5.0: one tree that is behind leaves all waiting jobs unanswered
-	reportInDoubtAsQueued                         bool          // a broken guard: jobs in doubt are called queued
-	reportCancelledEarly                          bool          // a broken guard: cancelled is said while others may say queued
-	shortMaxLease                                 bool          // a broken guard: leases are taken for over too early
-	acceptDuplicates                              bool          // a broken guard: copies are taken for new
-	mixedReleases                                 bool          // some controllers are of release 0.5 as far as others can tell
-	quickRestarts                                 bool          // controllers are back within a fraction of a second
-	freeMachinesOnLoss                            bool          // a broken guard: a lost shard's machines count as accounted for
-	scenario                                      scenario      // troubles that meet, again and again; nil: none
-	dropCancellationLog                           bool          // a broken guard: nobody says of which cancellations users were told
-	unguardedWrites                               bool          // a broken guard: writes bear no versions
-	acceptOldTokens                               bool          // a broken guard: machines take commands under old tokens
-	staggeredTasks                                bool          // jobs of few tasks that end far apart, and long ones to cancel
-	overcommitted                                 bool          // jobs that together ask for more than their teams' limits
-	zoneBoundJobs                                 bool          // jobs bound to one zone, or whose tasks stay together
-	singleTaskJobs                                bool          // one-task jobs, four a second, a quarter of them cancelled
-	concurrentRequests                            bool          // all controllers are asked right after any answer that settles something
-	requestsAtEnd                                 bool          // jobs are cancelled, asked about and submitted as they end
-	extraLatency                                  time.Duration // that messages take longer; 0: as ever
-	checkWaiting                                  bool          // no job may wait beside room, or for long to begin
-	spareMachines                                 int           // machines that come up during the day
-	cacheAnswers                                  bool          // a broken guard: answers of before a question are given to it
-	skipOpenJobs                                  bool          // a broken guard: shards don't know which jobs are open
-	noExpediting                                  bool          // a broken guard: no job is sure to begin
-	jobsAtLimits                                  bool          // teams at their limits, jobs bound to zones
-	checkEachStep                                 bool          // what shards hold and what runs is compared with what is charged
+	// How old the leader's view of the open jobs may be for it to act on it.
+	maxStaleness time.Duration
+	// Jobs are submitted and faults begin before duration. The run then goes on for quietPeriod.
+	duration, quietPeriod time.Duration
+	// Random faults, see injectFaults.
+	faults bool
+	// Operators apply drain plans.
+	drains bool
+	// Jobs that depend on other jobs.
+	dependencies bool
+	// Broken guard: a job that no longer exists counts as done for its dependents.
+	missingCountsAsDone bool
+	// Broken guard: waiting jobs are reported as queued however old the known state is.
+	alwaysReportQueued bool
+	// When leaders begin to write smaller blocks of machine records; 0 means never.
+	resizeBlocksAt time.Duration
+	// Jobs of many small tasks, many single-task jobs, and jobs whose tasks always fail.
+	bulkJobs bool
+	// Maximum tasks of a team that drain plans may interrupt at once; 0 means no limit.
+	disruptionBudget int
+	// Broken guard: a new leader assumes that tasks in an unknown state are running.
+	assumeRunning bool
+	// Broken guard: a task that was stopped counts as running again.
+	stoppedCountsAsBack bool
+	// Broken guard: a new leader ignores the stored machine records.
+	ignoreRecords bool
+	// Broken guard: a new leader considers earlier terms' grants over at once.
+	ignoreOldGrants bool
+	// Machines whose messages arrive while nothing reaches them.
+	oneWayCuts bool
+	// Copies of reports and commands arrive late.
+	duplicateReports bool
+	// Time between cancellations of jobs that depend on a cancelled one; 0 means two per tick.
+	cancellationInterval time.Duration
+	// As release 0.5.0: one delayed cancellation leaves polls of all waiting jobs unanswered.
+	globalFreshness bool
+	// Broken guard: jobs in doubt are reported as queued.
+	reportInDoubtAsQueued bool
+	// Broken guard: a job is reported as cancelled while other controllers may report it as queued.
+	reportCancelledEarly bool
+	// Broken guard: workers' leases are considered over too early.
+	shortMaxLease bool
+	// Broken guard: duplicates of reports are taken for new reports.
+	acceptDuplicates bool
+	// Some controllers exchange only what release 0.5 knows.
+	mixedReleases bool
+	// Controllers and machines restart within a second, and controllers lose all but their workers.
+	quickRestarts bool
+	// Broken guard: a lost shard's machines count as accounted for at once.
+	freeMachinesOnLoss bool
+	// Fault scenario that is run repeatedly; nil means none.
+	scenario scenario
+	// Broken guard: controllers do not tell the leader which cancellations users know of.
+	dropCancellationLog bool
+	// Broken guard: the state service does not compare versions.
+	unguardedWrites bool
+	// Broken guard: machines execute commands that carry an old token.
+	acceptOldTokens bool
+	// Jobs of few tasks that end far apart, and jobs that run for longer than cancelBound.
+	staggeredTasks bool
+	// Jobs that together exceed their teams' limits.
+	overcommitted bool
+	// Jobs that are bound to a zone or keep their tasks in one zone.
+	zoneBoundJobs bool
+	// Four single-task jobs per second, a quarter of which are cancelled.
+	singleTaskJobs bool
+	// Every controller is asked right after an answer that changed what a user knows.
+	concurrentRequests bool
+	// Users cancel, poll and resubmit a job around its end.
+	requestsAtEnd bool
+	// Added to the latency of each message.
+	extraLatency time.Duration
+	// Checks that no job waits beside free capacity or takes too long to start.
+	checkWaiting bool
+	// Number of machines that are added during the run.
+	spareMachines int
+	// Broken guard: a request gets an answer that was read before the request.
+	cacheAnswers bool
+	// Broken guard: shards do not know which jobs are open.
+	skipOpenJobs bool
+	// Broken guard: starving jobs are not expedited.
+	noExpediting bool
+	// Teams at their limits with jobs bound to zones.
+	jobsAtLimits bool
+	// Compares shards and running tasks with the leader's charges after each step, not only every
+	// accountingEvery.
+	checkEachStep bool
 }
 
+// event is a function that runs at a time of the simulated clock.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
+// events is a heap of events ordered by time, then by creation.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -79,51 +128,75 @@
 	return e
 }
 
+// hostPair is a direction between two hosts.
 type hostPair struct{ from, to string }
 
+// heldMessage is a message that a cut holds back until it heals.
 type heldMessage struct {
 	from, to string
 	deliver  func()
 }
 
+// world is one run: the simulated clock, network, hosts and users, and what was observed.
 type world struct {
-	params              params
-	rng                 *rand.Rand
-	now                 time.Duration
-	seq                 uint64
-	queue               events
-	cuts                map[hostPair]bool // true: holds messages; false: drops them
-	heldMessages        []heldMessage
-	lastDelivery        map[hostPair]time.Duration // of the newest delivery, for streams
-	store               *store
-	controllers         []*controller
-	workers             []*machine
-	users               map[model.JobID]*user
-	violations          []string
-	startedTasks        int
-	storeSlowUntil      time.Duration // until when the store answers slowly
-	faultsOverAt        time.Duration // the last trouble is over
-	log                 []string
-	boundariesLeft      int // boundaries until the second trouble begins; 0: it has, or there is none
-	secondFault         func()
-	maxCancelDelay      time.Duration              // from when a user was told of a cancellation until a task of it was gone
-	delayedUntil        map[hostPair]time.Duration // what one sends to the other is held up, until then
-	observed            map[string]int             // what meetings are about, and how often it did happen
-	keptReports         []*keptReport              // copies of reports, for the next leader
-	lastHandover        time.Duration              // when work last changed hands
-	leaderStarts        []time.Duration            // when leaders began
-	allDownSince        time.Duration              // since when no controller is up; 0: one is
-	isolatedZone        *isolatedZone
-	lastAcknowledger    *controller                   // who last told a user of a cancellation
-	waitingSince        map[model.JobID]time.Duration // since when a job waits beside room
-	controllerActed     bool                          // a controller has sent, received or ticked since the last event
-	nextAccountingCheck time.Duration                 // when what is charged is looked at next, on other days
-	plans               planSpecs
-	interrupted         map[model.Task]bool // by plans, and not seen at work since
-	// Of drain plans: tasks moved, machines given back.
+	params params
+	rng    *rand.Rand
+	now    time.Duration
+	seq    uint64
+	queue  events
+	// Interrupted directions: true holds messages back, false drops them.
+	cuts         map[hostPair]bool
+	heldMessages []heldMessage
+	// Time of the newest delivery, which keeps streams in order.
+	lastDelivery map[hostPair]time.Duration
+	store        *store
+	controllers  []*controller
+	workers      []*machine
+	users        map[model.JobID]*user
+	violations   []string
+	startedTasks int
+	// Until then the store answers slowly.
+	storeSlowUntil time.Duration
+	// End of the last fault.
+	faultsOverAt time.Duration
+	log          []string
+	// Boundaries (see passBoundary) until the second fault begins; 0 means that it has begun or there
+	// is none.
+	boundariesLeft int
+	secondFault    func()
+	// Longest time from when a user knew of a cancellation until a task of the job was gone.
+	maxCancelDelay time.Duration
+	// Messages in this direction are delayed for seconds until then.
+	delayedUntil map[hostPair]time.Duration
+	// Number of times that each situation was observed, see observe.
+	observed map[string]int
+	// Copies of reports that are delivered when the next leader starts.
+	keptReports []*keptReport
+	// When a shard's machines last changed their owner.
+	lastHandover time.Duration
+	// When leaders started.
+	leaderStarts []time.Duration
+	// Since when no controller runs; 0 means that one runs.
+	allDownSince time.Duration
+	// Zone that is cut off now; nil if none is.
+	isolatedZone *isolatedZone
+	// Controller that last told a user of a cancellation.
+	lastAcknowledger *controller
+	// Since when a job waits beside free capacity.
+	waitingSince map[model.JobID]time.Duration
+	// A controller has sent, received or ticked since the last accounting check.
+	controllerActed bool
+	// Next accounting check of runs without checkEachStep.
+	nextAccountingCheck time.Duration
+	// Drain plans that were applied.
+	plans planSpecs
+	// Tasks that drain plans interrupted and that have not started again.
+	interrupted map[model.Task]bool
+	// Totals of drain plans: tasks recalled, machines returned to the cloud.
 	recalledTasks, returnedMachines int
 }
 
+// newWorld returns a run before its start; the seed fixes all random draws.
 func newWorld(seed uint64, p params) *world {
 	w := &world{params: p, rng: rand.New(rand.NewPCG(seed, 7)), cuts: map[hostPair]bool{},
 		lastDelivery: map[hostPair]time.Duration{},
@@ -140,21 +213,25 @@
 	return w
 }
 
+// after schedules f to run in d.
 func (w *world) after(d time.Duration, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, w.seq, f})
 }
 
+// randomDuration draws a duration from lo to hi.
 func (w *world) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
+// fail records a violation of a rule; it ends the run.
 func (w *world) fail(rule, format string, args ...any) {
 	if len(w.violations) < 20 {
 		w.violations = append(w.violations, fmt.Sprintf("%8.3f %s: ", w.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 	}
 }
 
+// logf adds a line to the log that a failed run prints. The log keeps the last few thousand lines.
 func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, fmt.Sprintf("%8.3f ", w.now.Seconds())+fmt.Sprintf(format, args...))
 	if len(w.log) > 4000 {
@@ -162,8 +239,9 @@
 	}
 }
 
-// send carries a message between two hosts, in order where stream is true.
-// A cut holds it back until it heals, or drops it.
+// send delivers a message to another host by calling f there. Streams (stream is true) keep their
+// order and lose nothing. A cut holds the message back until it heals, or drops it. A paused
+// controller sends and receives once it runs again.
 func (w *world) send(from, to string, stream bool, f func()) {
 	if w.controllerByHost(from) != nil || w.controllerByHost(to) != nil {
 		w.passBoundary()
@@ -194,7 +272,7 @@
 		f = func() { c.whenRunning(deliver) }
 	}
 	if hold, cut := w.cuts[hostPair{from, to}]; cut {
-		if hold || stream { // of a stream nothing is lost while it lasts
+		if hold || stream {
 			w.heldMessages = append(w.heldMessages, heldMessage{from, to, f})
 		}
 		return
@@ -216,6 +294,7 @@
 	w.after(at-w.now, f)
 }
 
+// controllerByHost returns the controller of a host, or nil if the host is none.
 func (w *world) controllerByHost(host string) *controller {
 	for _, c := range w.controllers {
 		if c.host == host {
@@ -225,10 +304,13 @@
 	return nil
 }
 
+// cut interrupts both directions between two hosts; messages are held back if hold is true, otherwise
+// dropped.
 func (w *world) cut(a, b string, hold bool) {
 	w.cuts[hostPair{a, b}], w.cuts[hostPair{b, a}] = hold, hold
 }
 
+// heal ends a cut and sends the messages that it held back.
 func (w *world) heal(a, b string) {
 	delete(w.cuts, hostPair{a, b})
 	delete(w.cuts, hostPair{b, a})
@@ -243,6 +325,8 @@
 	}
 }
 
+// cutFor cuts two hosts from each other for d, unless they are cut already. A random draw decides
+// whether messages are held back or dropped.
 func (w *world) cutFor(a, b string, d time.Duration) {
 	if _, ok := w.cuts[hostPair{a, b}]; ok {
 		return
@@ -251,6 +335,7 @@
 	w.after(d, func() { w.heal(a, b) })
 }
 
+// cutFromSiblings cuts a controller from all other controllers for d.
 func (w *world) cutFromSiblings(c *controller, d time.Duration) {
 	for _, o := range w.controllers {
 		if o != c {
@@ -259,13 +344,14 @@
 	}
 }
 
-// cutOff cuts a controller off from all but its workers.
+// cutOff cuts a controller from the store and all other controllers, but not from workers.
 func (w *world) cutOff(c *controller, d time.Duration) {
 	w.cutFor(c.host, "store", d)
 	w.cutFromSiblings(c, d)
 }
 
-// injectFaults keeps breaking things at random.
+// injectFaults injects a random fault, and schedules the next one until shortly before the end of the
+// run.
 func (w *world) injectFaults() {
 	if w.now > w.params.duration-30*time.Second {
 		return
@@ -277,7 +363,7 @@
 		w.logf("fault: %s crashes", c.host)
 		c.crash(w.randomDuration(time.Second, 6*time.Second))
 	case 2:
-		w.logf("fault: all crash")
+		w.logf("fault: all controllers crash")
 		for _, c := range w.controllers {
 			c.crash(w.randomDuration(time.Second, 6*time.Second))
 		}
@@ -292,22 +378,22 @@
 			}
 		}
 	case 5:
-		w.logf("fault: %s is cut from its siblings for %v", c.host, d)
+		w.logf("fault: %s is cut from the other controllers for %v", c.host, d)
 		w.cutFromSiblings(c, d)
 	case 6:
-		w.logf("fault: the store is out")
+		w.logf("fault: the store is down")
 		w.store.down = true
 		w.after(w.randomDuration(time.Second, 20*time.Second), func() { w.store.restore() })
 	case 7:
 		m := w.workers[w.rng.IntN(len(w.workers))]
-		w.logf("fault: %s hangs or ends", m.host)
+		w.logf("fault: %s hangs or restarts", m.host)
 		if w.rng.IntN(2) == 0 {
 			m.hungUntil = w.now + d
 		} else {
 			m.restart()
 		}
 	case 9:
-		w.logf("fault: controllers refuse each other for %v", d)
+		w.logf("fault: all controllers are cut from each other for %v", d)
 		for i, a := range w.controllers {
 			for _, b := range w.controllers[:i] {
 				w.cutFor(a.host, b.host, d)
@@ -318,7 +404,7 @@
 		w.storeSlowUntil = w.now + d
 	case 11, 12:
 		c.pauseAfter(w.rng.IntN(6), w.randomDuration(500*time.Millisecond, 60*time.Second))
-	case 13: // two in succession
+	case 13: // two pauses, possibly of two controllers
 		c.pauseAfter(w.rng.IntN(6), d)
 		o := w.controllers[w.rng.IntN(len(w.controllers))]
 		w.after(w.randomDuration(0, 10*time.Second), func() {
@@ -326,13 +412,15 @@
 				w.randomDuration(time.Second, 60*time.Second))
 		})
 	case 8:
-		w.logf("fault: %s is cut off for %v", c.host, d)
+		w.logf("fault: %s is cut from the store and the other controllers for %v", c.host, d)
 		w.cutOff(c, d)
 	}
 	w.extendFaults(70 * time.Second)
 	w.after(w.randomDuration(2*time.Second, 25*time.Second), w.injectFaults)
 }
 
+// run starts all hosts, schedules submissions and faults, and processes events until the end of the
+// run or the first violation.
 func (w *world) run() {
 	for _, c := range w.controllers {
 		c.start()
