--- a/internal/core/sim/concurrent_requests_test.go
+++ b/internal/core/sim/concurrent_requests_test.go
@@ -7,10 +7,11 @@
 	"honeylock/internal/core/model"
 )
 
-// answerCacheTime is how long answers are shared for with that guard broken.
+// answerCacheTime is how long a controller reuses answers with the guard cacheAnswers broken.
 const answerCacheTime = 300 * time.Millisecond
 
-// cachedResult gives, with the guard broken, what was read shortly before a question as its answer.
+// cachedResult returns, with that guard broken, what was read shortly before the request as its
+// result.
 func (c *controller) cachedResult(op jobs.Op, out jobs.Result) jobs.Result {
 	if !c.w.params.cacheAnswers || op.Kind != jobs.CompareOpen && op.Kind != jobs.ReadOpen {
 		return out
@@ -25,8 +26,8 @@
 	return out
 }
 
-// requestConcurrently has all controllers asked within milliseconds of an answer that settled
-// something, again and again, and the job submitted once more; some users cancel at once.
+// requestConcurrently has all controllers asked twice within 60 ms of an answer that changed what the
+// user knows, and submits the job once more. A quarter of the users cancel the job at once.
 func (w *world) requestConcurrently(u *user) {
 	if !w.params.concurrentRequests || w.now > w.params.duration {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// requestAroundEnd has users cancel a job, ask about it and submit it again, all around the end of
-// its last task.
+// requestAroundEnd has users poll, resubmit and perhaps cancel a job within 1.2 s of the end of its
+// last task.
 func (w *world) requestAroundEnd(u *user) {
 	if !w.params.requestsAtEnd || w.now > w.params.duration || u.finalStage != "" {
 		return
@@ -69,14 +70,14 @@
 	}
 }
 
-// adjustJob gives a day's jobs what its meeting is about.
+// adjustJob adjusts a job to the run's settings.
 func (w *world) adjustJob(u *user) {
 	sp, r := u.spec, w.rng
 	if w.params.overcommitted {
 		sp.Tasks, sp.PerTask = int32(3+r.IntN(9)), model.Request(float64(3+r.IntN(2)), 0, 4)
 		sp.SameZone, sp.Spread, sp.Zone = false, false, model.None
 		sp.Estimate = w.params.cancelBound + w.randomDuration(time.Second,
-			w.params.cancelBound/4) // all tasks run for as long
+			w.params.cancelBound/4) // all tasks run for this long
 	}
 	if w.params.jobsAtLimits {
 		w.shapeAtLimits(sp)
@@ -94,7 +95,8 @@
 	}
 }
 
-// startWithin is within what time a job should begin, as the settings of a dealer have it.
+// startWithin is the time within which a job should start, as the dispatcher's settings have it; 0
+// means never expedited.
 func (p *params) startWithin() time.Duration {
 	if p.noExpediting {
 		return 0
--- a/internal/core/sim/dependencies_test.go
+++ b/internal/core/sim/dependencies_test.go
@@ -15,14 +15,17 @@
 	"honeylock/internal/core/pipeline"
 )
 
-// dependencyTracker wires the graph as the node does.
+// dependencyTracker is the leader's graph of jobs that depend on others, connected as internal/node
+// does.
 type dependencyTracker struct {
-	l                *leadership
-	graph            *pipeline.Graph
-	inDoubt          pipeline.InDoubtJobs
-	lastCancellation time.Duration // the last cancellation was written
+	l       *leadership
+	graph   *pipeline.Graph
+	inDoubt pipeline.InDoubtJobs
+	// When the last cancellation of a dependent job was written.
+	lastCancellation time.Duration
 }
 
+// add adds an open job to the graph; the dispatcher holds it while dependencies are unfinished.
 func (p *dependencyTracker) add(o *openJob) {
 	since := -time.Hour
 	if p.l.loaded {
@@ -34,6 +37,7 @@
 	}
 }
 
+// jobEnded records the final state of a job.
 func (p *dependencyTracker) jobEnded(id model.JobID, e pipeline.FinalState) {
 	if e == pipeline.Unknown && p.l.c.w.params.missingCountsAsDone {
 		e = pipeline.Done
@@ -42,6 +46,7 @@
 	p.applyChanges()
 }
 
+// applyChanges releases jobs whose dependencies are done and passes inherited ranks to the dispatcher.
 func (p *dependencyTracker) applyChanges() {
 	for _, released := range p.graph.TakeReleased() {
 		p.l.dispatcher.ReleaseJob(released.ID, p.l.c.now(), released.NeverStarted)
@@ -51,10 +56,13 @@
 	}
 }
 
+// propagatedUntil is up to when cancellations have reached all jobs that depend on the cancelled ones.
 func (p *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
 	return min(p.l.readAt, p.graph.PropagatedUntil(now))
 }
 
+// tick looks up the final states of dependencies that are no longer open, and cancels jobs that depend
+// on cancelled ones. It also switches to smaller blocks of machine records when that is due.
 func (p *dependencyTracker) tick(now time.Duration) {
 	l, c := p.l, p.l.c
 	if c.w.params.resizeBlocksAt > 0 && c.w.now > c.w.params.resizeBlocksAt && l.dispatcher.Layout() == 0 {
@@ -71,7 +79,7 @@
 		})
 	}
 	limit := 2
-	if c.w.params.cancellationInterval > 0 { // hardly any changes are left for them
+	if c.w.params.cancellationInterval > 0 { // the store's write rate leaves hardly any changes for cancellations
 		if limit = 0; now-p.lastCancellation >= c.w.params.cancellationInterval {
 			limit, p.lastCancellation = 1, now
 		}
@@ -94,6 +102,7 @@
 	}
 }
 
+// finalState returns the stored final state of a job.
 func (s *store) finalState(id model.JobID) pipeline.FinalState {
 	switch s.finalStages[id] {
 	case jobs.Done:
@@ -104,7 +113,8 @@
 	return pipeline.Absent
 }
 
-// cancelDependent ends a job that was never let begin, guarded as the leader's writes are.
+// cancelDependent cancels a job that was never released, if the writer still leads and the job's
+// record is unchanged.
 func (s *store) cancelDependent(guard uint64, id model.JobID, version uint64) any {
 	s.expireLeases()
 	if !s.leader.Present || s.leader.Version != guard {
@@ -119,7 +129,7 @@
 	return writeResult{revision: s.revision, ok: true}
 }
 
-// loadRecords takes the stored blocks, those of the layout last written first.
+// loadRecords loads the stored blocks of machine records, those of the last written layout first.
 func (l *leadership) loadRecords(records map[dispatcher.BlockID]record) {
 	ids := slices.SortedFunc(maps.Keys(records), func(a, b dispatcher.BlockID) int {
 		if (a.Size == 0) != (b.Size == 0) {
@@ -135,10 +145,11 @@
 	}
 }
 
-// smallBlock is the size that blocks get when limits are to fall.
+// smallBlock is the size of the blocks after the change of layout, see params.resizeBlocksAt.
 const smallBlock = 3
 
-// addDependencies has a job await some that were accepted, in whatever state they are now.
+// addDependencies makes a job depend on up to three recently accepted jobs, whatever state they are in
+// now.
 func (w *world) addDependencies(u *user) {
 	if w.rng.IntN(4) == 0 {
 		return
@@ -160,28 +171,30 @@
 	}
 }
 
-// newRequest begins a request as a controller does.
+// newRequest starts a user's request as a controller does. Which versions of dependencies the
+// controller has seen, and whether it knows that the job has ended, is partly random, because both may
+// be outdated in practice.
 func (c *controller) newRequest(u *user, k jobs.Kind) (*jobs.Request, jobs.Op) {
 	if k == jobs.Submit && len(u.dependsOn) > 0 {
 		open := map[model.JobID]uint64{}
-		for _, id := range u.dependsOn { // what it happens to have seen
+		for _, id := range u.dependsOn { // versions that the controller happens to have seen
 			if v := c.w.users[id].openVersion; v != 0 && c.w.rng.IntN(2) == 0 {
 				open[id] = v
 			}
 		}
 		return jobs.NewWithDependencies(u.spec.ID, u.dependsOn, open, 18)
 	}
-	if k != jobs.Submit && c.now()/time.Second%4 == 0 { // rightly or wrongly
+	if k != jobs.Submit && c.now()/time.Second%4 == 0 { // whether the job has ended or not
 		return jobs.NewEnded(k, u.spec.ID)
 	}
 	return jobs.New(k, u.spec.ID, u.openVersion)
 }
 
-// maxStatusAge is how long ago the last news of cancellations may be, as the node's settings
-// have it.
+// maxStatusAge is how old the last news of cancellations may be for a waiting job to be reported as
+// queued, as internal/node's settings derive it.
 func (p *params) maxStatusAge() time.Duration { return p.cancelBound*9/10 - 3*time.Second }
 
-// inDoubtByJob is, for each open job, whether it is in doubt.
+// inDoubtByJob returns, for each open job, whether it is in doubt.
 func (p *dependencyTracker) inDoubtByJob(now time.Duration) map[model.JobID]bool {
 	jobsInDoubt := p.inDoubt.Update(now, p.graph)
 	out := map[model.JobID]bool{}
@@ -191,7 +204,8 @@
 	return out
 }
 
-// checkFreshness turns an answer that nobody may vouch for into a refusal, or into what is certain.
+// checkFreshness replaces the answer that a job is queued if the controller does not know enough: by
+// cancelled if the leader is certain of that, otherwise by a 503.
 func (c *controller) checkFreshness(u *user, a *jobs.Answer) *jobs.Answer {
 	if a.Stage != jobs.Queued || a.Created || len(u.dependsOn) == 0 || c.w.params.alwaysReportQueued {
 		return a
@@ -213,7 +227,7 @@
 		!c.w.params.globalFreshness) {
 		return a
 	}
-	for _, o := range c.w.controllers { // passed on, as the node does
+	for _, o := range c.w.controllers { // forwarded to the leader, as internal/node does
 		if l := o.leadership; l != nil && o.running && l.loaded && !o.oldRelease && (o == c || inDoubt) && !o.paused() &&
 			!c.w.params.globalFreshness &&
 			l.dependencies.inDoubt.CertainlyCancelled(o.now(), c.freshness.MaxAge, l.dependencies.graph, id) {
@@ -223,16 +237,15 @@
 	return &jobs.Answer{Status: http.StatusServiceUnavailable}
 }
 
-// dependsOnCancelled tells whether a job needs one, directly or through others, whose user
-// asked to cancel it.
+// dependsOnCancelled reports whether the user of a direct or indirect dependency asked to cancel it.
 func (w *world) dependsOnCancelled(u *user) bool {
 	return slices.ContainsFunc(u.dependsOn, func(id model.JobID) bool {
 		return w.users[id].cancelRequested || w.dependsOnCancelled(w.users[id])
 	})
 }
 
-// checkDependentCancelled: a job is called queued or running too long after a user was told that one
-// that it needs is cancelled.
+// checkDependentCancelled checks that a job is not reported as queued or running later than
+// cancelBound after a user knew that one of its dependencies is cancelled.
 func (w *world) checkDependentCancelled(u *user, asked time.Duration, st jobs.Stage) {
 	if st.Ended() {
 		return
@@ -244,7 +257,7 @@
 	}
 }
 
-// checkDependenciesDone: a task starts before all that its job needs is done.
+// checkDependenciesDone checks that all dependencies of a job are done when a task of it starts.
 func (w *world) checkDependenciesDone(u *user, t model.Task) {
 	for _, id := range u.dependsOn {
 		if o := w.users[id]; len(o.doneTasks) < int(o.spec.Tasks) {
@@ -253,14 +266,14 @@
 	}
 }
 
-// longOutages are longer than a cancellation may take: whoever leads afterwards must not let
-// it be told that what waits is queued before it has looked.
+// longOutages takes the store down for longer than a cancellation may take, repeatedly. The next
+// leader must not let waiting jobs be reported as queued before it has read the store.
 func (w *world) longOutages() {
 	w.after(w.params.cancelBound+15*time.Second, func() {
 		if w.now > w.params.duration {
 			return
 		}
-		w.logf("fault: the store is out for long")
+		w.logf("fault: the store is down for a long time")
 		w.extendFaults(w.params.cancelBound + 15*time.Second)
 		w.store.down = true
 		w.after(w.params.cancelBound+5*time.Second, func() { w.store.restore() })
@@ -268,14 +281,15 @@
 	})
 }
 
+// dependencyParams adds dependencies, more jobs and two more controllers.
 func dependencyParams() params {
 	p := shortLeaseParams()
 	p.dependencies, p.jobs, p.controllers, p.resizeBlocksAt = true, 120, 5, 2*time.Minute
 	return p
 }
 
-// TestRulesHoldWithDependencies plays random days of jobs that await each other, with every kind
-// of failure, while the blocks of machines' records change their size half way.
+// TestRulesHoldWithDependencies runs random simulations of jobs that depend on each other, with
+// faults. The blocks of machine records change their size halfway.
 func TestRulesHoldWithDependencies(t *testing.T) {
 	t.Parallel()
 	long := longLeaseParams()
@@ -290,7 +304,8 @@
 	}
 }
 
-// TestDependentJobsComplete: without failures every chain ends, done or cancelled.
+// TestDependentJobsComplete checks that without faults every dependent job ends, done or cancelled,
+// and that the old blocks of machine records are gone.
 func TestDependentJobsComplete(t *testing.T) {
 	t.Parallel()
 	p := dependencyParams()
@@ -304,29 +319,29 @@
 	finalStages := map[jobs.Stage]int{}
 	for id, u := range w.users {
 		if u.accepted && u.finalStage == "" {
-			t.Errorf("job %d (%+v, awaits %v) has not ended", id, u.spec, u.dependsOn)
+			t.Errorf("job %d (%+v, depends on %v) has not ended", id, u.spec, u.dependsOn)
 		}
 		if len(u.dependsOn) > 0 {
 			finalStages[u.finalStage]++
 		}
 	}
 	if finalStages[jobs.Done] == 0 || finalStages[jobs.Cancelled] == 0 {
-		t.Errorf("jobs that awaited others ended %v: one way never happened", finalStages)
+		t.Errorf("dependent jobs ended as %v: one final state never occurred", finalStages)
 	}
 	for id := range w.store.records {
 		if id.Size != smallBlock {
-			t.Errorf("block %v is still there", id)
+			t.Errorf("block %v of the old layout still exists", id)
 		}
 	}
 }
 
-// TestChecksCatchBrokenDependencies proves the checks.
+// TestChecksCatchBrokenDependencies checks that a broken guard of the dependencies is noticed.
 func TestChecksCatchBrokenDependencies(t *testing.T) {
 	t.Parallel()
 	for name, breakIt := range map[string]func(*params){
 		"a missing job counts as done": func(p *params) { p.missingCountsAsDone = true },
-		// Leaders that are refused alone give up at once here as they do in the node, so only
-		// records that end slowly leave time for it.
+		// A leader that only the store refuses resigns at once, here as in internal/node. Therefore
+		// only slow cancellations leave time for this violation.
 		"waiting jobs are always reported as queued": func(p *params) {
 			p.alwaysReportQueued, p.cancellationInterval = true,
 				6*time.Second
@@ -341,15 +356,17 @@
 	}
 }
 
-// slowCancellationParams has trees of jobs that are cancelled faster than their records can be ended.
+// slowCancellationParams has jobs cancelled faster than the records of their dependents can be
+// written.
 func slowCancellationParams() params {
 	p := dependencyParams()
-	p.cancellationInterval, p.quietPeriod = 6*time.Second, 10*time.Minute // outages take most of such a day
+	p.cancellationInterval, p.quietPeriod = 6*time.Second, 10*time.Minute // outages take most of such a run
 	return p
 }
 
-// TestDelayedCancellationsDoNotBlockOtherJobs: one cancelled tree whose records could not be ended in
-// time had every poll of a waiting job answered with 503, for longer than 75 s.
+// TestDelayedCancellationsDoNotBlockOtherJobs guards against one cancelled job blocking all others:
+// while the records of its dependents could not be written in time, every poll of a waiting job was
+// answered with a 503, for longer than 75 s.
 func TestDelayedCancellationsDoNotBlockOtherJobs(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(8) {
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -14,22 +14,24 @@
 	"honeylock/internal/wire"
 )
 
-// drainManager is the leader's engine of drain plans, wired as the node wires it.
+// drainManager runs the leader's drain plans, connected as internal/node does.
 type drainManager struct {
 	l       *leadership
 	engine  *drain.Engine
 	tracker *disruption.Tracker
 }
 
-// planSpecs are the specs of a day's plans by name: what a plan's source would say.
+// planSpecs are the specs of a run's plans by name, as a plan's source would give them.
 type planSpecs map[string]*drain.Spec
 
+// newDrains returns the drain manager of a new term.
 func (l *leadership) newDrains() *drainManager {
 	return &drainManager{l, drain.New(drain.Params{Term: l.term, ReportInterval: l.c.w.params.reportInterval,
 		RetryInterval: time.Second, MaxMachines: 200}),
 		l.newTracker()}
 }
 
+// load takes over the stored plans and cordons their machines.
 func (x *drainManager) load(now time.Duration, stored map[string]drain.StoredPlan) {
 	for _, s := range stored {
 		x.engine.Load(now, s, func([]byte) (*drain.Spec, error) {
@@ -43,6 +45,8 @@
 	}
 }
 
+// tick advances the plans with the current state of machines and jobs, and writes their progress to
+// the store.
 func (x *drainManager) tick(now time.Duration) {
 	requestMove := x.moveRequester(now)
 	if x.engine.Idle() {
@@ -78,8 +82,7 @@
 	}
 }
 
-// writePlan applies a plan's write, guarded by the leader key's version and the
-// record's own.
+// writePlan applies a plan's write if the writer still leads and the record has the expected version.
 func (s *store) writePlan(guard uint64, w drain.Write) writeResult {
 	s.expireLeases()
 	if !s.leader.Present || s.leader.Version != guard {
@@ -93,6 +96,7 @@
 	return writeResult{revision: s.revision, ok: true}
 }
 
+// execute carries out an action of a plan.
 func (x *drainManager) execute(a drain.Action) {
 	l := x.l
 	w := l.c.w
@@ -105,7 +109,7 @@
 		w.recalledTasks++
 		w.checkBudget(a)
 		l.dispatcher.RecallFrom(a.Machine, a.Task)
-	case drain.Rent: // nothing to be had: plans of these days rent nothing
+	case drain.Rent: // no machine is available: these plans rent none
 		x.engine.MachineRented(l.c.now(), a, nil, true)
 	case drain.ReturnMachine:
 		l.c.storeCall(func() any { w.returnMachine(a.Machine); return true }, func(r any) {
@@ -118,7 +122,7 @@
 	}
 }
 
-// returnMachine ends a machine for good.
+// returnMachine returns a machine to the cloud for good. Without faults, no task may be on it.
 func (w *world) returnMachine(id model.MachineID) {
 	m := w.workers[id]
 	if m.returned {
@@ -126,14 +130,14 @@
 	}
 	for k, at := range m.attempts {
 		if at.Stage != model.Exited && !w.params.faults {
-			w.fail("drain", "%s is given back with %v on it", m.host, k.task)
+			w.fail("drain", "%s is returned with %v on it", m.host, k.task)
 		}
 	}
 	m.returned, m.attempts = true, map[attemptKey]*attempt{}
 	w.returnedMachines++
 }
 
-// runOperator applies plans at random, pauses, cancels and patches.
+// runOperator acts on the plans every few seconds; it cancels all plans in the last third of the run.
 func (w *world) runOperator(n int) {
 	ending := w.now > w.params.duration*2/3
 	w.after(w.randomDuration(time.Second, 12*time.Second), func() { w.runOperator(n + 1) })
@@ -151,6 +155,7 @@
 	}
 }
 
+// operatorAction pauses, resumes, cancels or patches a random plan, or applies a new one.
 func (w *world) operatorAction(e *drain.Engine, now time.Duration, n int) {
 	names := make([]string, 0, len(w.plans))
 	for name := range w.plans {
@@ -187,23 +192,24 @@
 	if e.Check(s, nil, func(id model.MachineID) string { return fmt.Sprint(id) }) == nil {
 		w.plans[s.Name] = s
 		e.Apply(now, time.Unix(0, 0).Add(w.now), s, nil, "op")
-		w.logf("plan %s: machines %v, %d at once, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
+		w.logf("plan %s: machines %v, %d concurrent, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
 	}
 }
 
+// withDrains adds drain plans.
 func withDrains(p params) params {
 	p.drains = true
 	return p
 }
 
-// TestRulesHoldWhileMachinesAreDrained plays random days of plans with every kind
-// of failure: a moved task must not run twice, nor count double.
+// TestRulesHoldWhileMachinesAreDrained runs random simulations with drain plans and faults: a moved
+// task must not run twice, nor count twice against its team's limit.
 func TestRulesHoldWhileMachinesAreDrained(t *testing.T) {
 	t.Parallel()
 	var moved, given atomic.Int64
 	t.Cleanup(func() {
 		if !t.Failed() && (moved.Load() < 100 || given.Load() < 10) {
-			t.Errorf("%d tasks moved, %d machines given back: these days test nothing", moved.Load(), given.Load())
+			t.Errorf("only %d tasks were moved and %d machines returned: these runs test nothing", moved.Load(), given.Load())
 		}
 	})
 	for name, p := range map[string]params{"short lease": withDrains(shortLeaseParams()), "long lease": withDrains(longLeaseParams())} {
@@ -222,14 +228,14 @@
 	}
 }
 
-// TestDrainsWithoutFaultsLoseNothing: without failures no task is on a machine that is
-// given back, all plans settle, and all jobs end.
+// TestDrainsWithoutFaultsLoseNothing checks that without faults no task is on a machine that is
+// returned, and that all jobs end.
 func TestDrainsWithoutFaultsLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
 		p := withDrains(shortLeaseParams())
 		p.faults = false
-		p.quietPeriod = time.Minute // the last tasks may have begun late
+		p.quietPeriod = time.Minute // the last tasks may have started late
 		w := newWorld(seed+900, p)
 		w.run()
 		if len(w.violations) > 0 {
--- a/internal/core/sim/fault_pairs_test.go
+++ b/internal/core/sim/fault_pairs_test.go
@@ -9,9 +9,6 @@
 // A schedule search: the second of two faults begins at every boundary after the first one, not only
 // at random times. Boundaries are the moments before and after each message of a controller, and each
 // of its ticks.
-// A schedule search: of two troubles that meet the second begins at every boundary of the
-// first, before and after each message of a controller's and at each of its ticks, not at a
-// drawn time only.
 
 // passBoundary counts a boundary; at the last one the second fault begins.
 func (w *world) passBoundary() {
--- a/internal/core/sim/join_test.go
+++ b/internal/core/sim/join_test.go
@@ -7,7 +7,9 @@
 	"honeylock/internal/core/model"
 )
 
-// join opens a link to whoever leads; the shard of before acts no more.
+// join connects the controller to the leader, if it knows one. Its previous shard is dropped. The
+// exchange takes four messages; each side checks on arrival that the other's state still allows it.
+// The leader drops an earlier connection of the same host and adds an empty shard.
 func (c *controller) join() {
 	host := c.election.Holder()
 	if host == "" || host == c.host || c.w.rng.IntN(4) > 0 {
@@ -20,7 +22,7 @@
 			if l == nil || !l.loaded || !leader.running {
 				return
 			}
-			c.w.send(host, c.host, true, func() { // taken: Hello, Welcome
+			c.w.send(host, c.host, true, func() {
 				if !c.running || c.run != run || c.leadership != nil || c.local != nil && c.local.l != nil {
 					return
 				}
--- a/internal/core/sim/lease_expiry_test.go
+++ b/internal/core/sim/lease_expiry_test.go
@@ -8,13 +8,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Machines whose leases end while the network holds their reports back. Once it delivers them,
-// a controller reads reports of sessions that it has already settled, in front of the first
-// report of the present one. Teams are at their limits and jobs are bound to zones, so a task
-// that counts as free and is started from such a report breaks a rule.
+// Machines' leases expire while the network holds their reports back. When the network delivers them,
+// a controller first reads reports of sessions that it has already settled, and then the first report
+// of the current session. Teams are at their limits and jobs are bound to zones, so a task that counts
+// as free and is started because of such a report violates a rule.
 
-// shapeAtLimits makes a job one of several tasks that all want a quarter of a machine; a third of the
-// jobs keeps its tasks together, a third has a fixed zone.
+// shapeAtLimits makes a job one of several tasks that each need a quarter of a machine. A third of the
+// jobs keep their tasks in one zone, a third have a fixed zone.
 func (w *world) shapeAtLimits(sp *model.Spec) {
 	sp.Tasks = int32(3 + w.rng.IntN(6))
 	sp.PerTask = model.Request(4, 0, 4)
@@ -28,15 +28,15 @@
 	}
 }
 
-// jobsAtLimitsParams are days on which both teams offer more work than their limits allow.
+// jobsAtLimitsParams has both teams submit more work than their limits allow.
 func jobsAtLimitsParams(p params) params {
 	p.faults, p.jobsAtLimits, p.checkEachStep = false, true, true
 	p.jobs, p.duration, p.quietPeriod = 60, 4*time.Minute, 6*time.Minute
 	return p
 }
 
-// cutMachine cuts a machine off from all controllers; what is sent meanwhile is held back and
-// delivered at the end, or dropped.
+// cutMachine cuts a machine off from all controllers for d. Messages are held back and delivered at
+// the end if hold is true, otherwise dropped.
 func (w *world) cutMachine(m *machine, hold bool, d time.Duration) {
 	for _, c := range w.controllers {
 		if _, cut := w.cuts[hostPair{c.host, m.host}]; cut {
@@ -47,7 +47,7 @@
 	}
 }
 
-// longerThanLease is how long a fault lasts that ends 2 to 20 s after the leases that it broke.
+// longerThanLease draws the length of a fault that ends 2 to 20 s after the leases that it let expire.
 func (w *world) longerThanLease() time.Duration {
 	return w.params.lease + w.randomDuration(2*time.Second, 20*time.Second)
 }
@@ -66,8 +66,8 @@
 	return d
 }
 
-// machinesUnreachablePastLease has single machines lose all controllers, hear nothing, be heard by
-// nobody, or hang, each for longer than a lease.
+// machinesUnreachablePastLease makes single machines hang or lose all controllers, in one or both
+// directions, each for longer than a lease.
 func machinesUnreachablePastLease(w *world) time.Duration {
 	var longest time.Duration
 	for range 2 + w.rng.IntN(4) {
@@ -93,14 +93,15 @@
 	return longest
 }
 
+// observeHeldPastLease observes that a cut holds reports for longer than a lease.
 func (w *world) observeHeldPastLease(hold bool) {
 	if hold {
 		w.observe("reports are held for longer than the lease")
 	}
 }
 
-// maybeControllerFault has, on half of the occasions, a controller end, stand still or lose its
-// siblings within the next d, or direct commands arrive late around its end.
+// maybeControllerFault adds, in five of eight cases, a controller fault within the next d: a crash, a
+// pause, the loss of the other controllers, or late direct commands.
 func (w *world) maybeControllerFault(d time.Duration) {
 	at := w.randomDuration(0, d+2*time.Second)
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
@@ -123,13 +124,14 @@
 }
 
 const (
-	// accountingEvery is how often other days that may break no rule are looked at in the same way:
-	// at each step it took four times as long.
+	// accountingEvery is the interval of accounting checks in runs without checkEachStep. Checks after
+	// each step make a run four times as long.
 	accountingEvery = 2 * time.Second
-	never           = time.Duration(1<<63 - 1) // days with a broken guard must break a rule to count
+	never           = time.Duration(1<<63 - 1) // no checks: runs with a broken guard must violate another rule
 )
 
-// checkAccounting compares, on a leader, what shards hold and what runs with what is charged.
+// checkAccounting compares what shards hold and what machines run with what the leader charges to
+// teams.
 func (w *world) checkAccounting() {
 	l := w.newestLeader()
 	if l == nil {
@@ -144,7 +146,7 @@
 	l.checkCharges()
 	for _, m := range w.workers {
 		if w.now-m.leaseStart > w.params.lease || m.returned {
-			continue // it holds nothing, or will find so
+			continue // its lease is over or it was returned: it runs nothing
 		}
 		for k, a := range m.attempts {
 			if a.active && !l.dispatcher.IsCharged(k.task, k.attempt, m.ID) {
@@ -154,8 +156,8 @@
 	}
 }
 
-// checkCharges looks for charges that dispatching would have refused: limits do not change on
-// these days, and what an earlier leader left was within them.
+// checkCharges checks that charges are within the limits of teams and zones. Limits do not change in
+// these runs, and charges of an earlier leader were within them.
 func (l *leadership) checkCharges() {
 	w := l.c.w
 	for team, st := range l.dispatcher.TeamStatus() {
@@ -173,6 +175,7 @@
 	}
 }
 
+// checkShard checks that each task that a shard holds is charged to it.
 func (l *leadership) checkShard(local *localShard, id model.ShardID) {
 	local.shard.ForEachTask(func(t model.Task) {
 		if !l.dispatcher.IsAssigned(t, id) {
@@ -181,7 +184,7 @@
 	})
 }
 
-// newestLeader is the leader of the newest term that has read the store; nil if there is none.
+// newestLeader returns the leader of the newest term that has read the store; nil if there is none.
 func (w *world) newestLeader() (newest *leadership) {
 	for _, c := range w.controllers {
 		if l := c.leadership; c.running && l != nil && l.loaded && c.election.Leading(c.now()) &&
@@ -192,13 +195,14 @@
 	return newest
 }
 
+// leaseExpiryScenarios are faults that outlast machines' leases.
 var leaseExpiryScenarios = map[string]scenario{
 	"zone":     zoneCutPastLease,
 	"machines": machinesUnreachablePastLease,
 }
 
-// TestRulesHoldWhenMachinesReturnAfterLeaseExpiry plays days on which machines come back within
-// 2 to 20 s of their leases' ends, with what they had sent before.
+// TestRulesHoldWhenMachinesReturnAfterLeaseExpiry runs simulations in which machines return 2 to 20 s
+// after the ends of their leases, with the messages that they had sent before.
 func TestRulesHoldWhenMachinesReturnAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	for name, meet := range leaseExpiryScenarios {
--- a/internal/core/sim/observations_test.go
+++ b/internal/core/sim/observations_test.go
@@ -8,11 +8,13 @@
 	"honeylock/internal/core/model"
 )
 
-// Evidence that what a meeting is about did happen: a day on which it didn't shows nothing.
+// Observations show that a situation which a scenario is about has occurred. A run in which it has not
+// tests nothing.
 
+// observe counts a situation.
 func (w *world) observe(what string) { w.observed[what]++ }
 
-// controllerEnded notes that a controller ends.
+// controllerEnded observes the end of a controller process.
 func (w *world) controllerEnded(c *controller) {
 	if c.leadership != nil {
 		w.lastHandover = w.now
@@ -31,6 +33,7 @@
 	}
 }
 
+// isRecorded reports whether the store has a record of a machine.
 func (w *world) isRecorded(m *machine) bool {
 	for _, r := range w.store.records {
 		for _, x := range r.machines {
@@ -42,7 +45,7 @@
 	return false
 }
 
-// controllerStarted notes that a controller begins.
+// controllerStarted observes the start of a controller process.
 func (w *world) controllerStarted() {
 	if w.allDownSince > 0 && w.now-w.allDownSince > w.params.lease {
 		w.observe("no controller runs for longer than the lease")
@@ -53,7 +56,7 @@
 	w.allDownSince = 0
 }
 
-// leaderStarted notes that a controller begins to lead, and has it get what was kept for it.
+// leaderStarted observes the start of a leader and delivers the reports that were kept for it.
 func (w *world) leaderStarted(c *controller) {
 	w.lastHandover = w.now
 	w.leaderStarts = append(w.leaderStarts, w.now)
@@ -83,8 +86,8 @@
 	w.deliverKeptReports(c)
 }
 
-// userOn is the user of a task on a machine, nil if there is none, and whether its team is
-// at its limit.
+// userOn returns the user of a task on a machine, nil if there is none, and whether its team is at its
+// limit. It prefers tasks of teams at their limit.
 func (w *world) userOn(m *machine) (u *user, atLimit bool) {
 	for _, k := range m.sortedAttempts() {
 		if m.attempts[k].active {
@@ -97,7 +100,7 @@
 	return u, false
 }
 
-// teamCPU is what a team's tasks take now.
+// teamCPU returns the CPUs that a team's tasks use now.
 func (w *world) teamCPU(team model.Name) (cpu int64) {
 	for _, m := range w.workers {
 		for k, a := range m.attempts {
@@ -109,12 +112,12 @@
 	return cpu
 }
 
-// atLimit: a task of four CPUs would be too much for the team.
+// atLimit reports whether another task of four CPUs would exceed the team's limit.
 func (w *world) atLimit(team model.Name) bool {
 	return w.teamCPU(team)+model.Request(4, 0, 1).CPU > teamLimit.CPU
 }
 
-// unreachable tells whether no controller reaches a machine.
+// unreachable reports whether no controller reaches a machine.
 func (w *world) unreachable(m *machine) bool {
 	return !slices.ContainsFunc(w.controllers, func(c *controller) bool {
 		_, cut := w.cuts[hostPair{c.host, m.host}]
@@ -122,7 +125,7 @@
 	})
 }
 
-// observeCancellation notes what a cancellation meets that a controller tells its user of.
+// observeCancellation observes the circumstances in which a user learns of a cancellation.
 func (w *world) observeCancellation(c *controller, u *user, a *jobs.Answer) {
 	if a.Stage != jobs.Cancelled || u.finalStage != "" {
 		return
@@ -181,7 +184,8 @@
 	term     uint64
 }
 
-// captureReport keeps the first report of each machine, once that is asked for.
+// captureReport copies the first report of each machine that lists attempts, if reports are to be
+// kept.
 func (w *world) captureReport(m *machine, r *model.Report) {
 	for _, h := range w.keptReports {
 		if h.machine == m && !h.captured && len(r.Attempts) > 0 {
@@ -190,8 +194,8 @@
 	}
 }
 
-// deliverKeptReports has the copies arrive at every controller as a leader begins, and at that
-// leader once it has acted.
+// deliverKeptReports delivers the copies to every controller as a leader starts, and to that leader
+// again after it has loaded the store.
 func (w *world) deliverKeptReports(c *controller) {
 	kept := w.keptReports
 	w.keptReports = nil
@@ -215,7 +219,7 @@
 		deliverAfterFirstCycle = func() {
 			l := c.leadership
 			if l == nil || l.term <= h.term {
-				return // it leads no more
+				return // it is no longer leader
 			}
 			if !l.loaded {
 				w.after(300*time.Millisecond, deliverAfterFirstCycle)
@@ -231,10 +235,11 @@
 	}
 }
 
-// isolatedZone is a zone with its machines and a controller, cut off from all else.
+// isolatedZone is a zone that is cut off, with its machines and one controller, from all other hosts.
 type isolatedZone struct {
 	zone       model.Name
 	controller *controller
 }
 
+// contains reports whether a machine is in the zone.
 func (z *isolatedZone) contains(m *machine) bool { return m.Zone == z.zone }
