--- a/internal/core/sim/bench_test.go
+++ b/internal/core/sim/bench_test.go
@@ -13,20 +13,23 @@
 	"honeylock/internal/core/shard"
 )
 
-// benchCluster is a term on a plain day: a dealer, its shards and its fleet, with workers
-// that do as they are told at once. It measures what decisions cost; nothing is
-// lost or late in it.
+// benchCluster is a cluster without faults: a dispatcher, its shards and its fleet, with workers that
+// execute commands at once. It measures the processor time of decisions; no message is lost or late.
 type benchCluster struct {
-	dispatcher     *dispatcher.Dispatcher
-	fleet          *fleet.Fleet
-	shards         []*shard.Shard // by id, from 1; the first is the leader's own
-	workers        []*benchWorker
-	specs          map[model.JobID]*model.Spec
-	now            time.Duration
-	nextJob        model.JobID
-	arrivalRate    float64 // jobs a second
-	pendingJobs    float64
-	rng            *rand.Rand
+	dispatcher *dispatcher.Dispatcher
+	fleet      *fleet.Fleet
+	// By ID from 1; the first is the leader's own.
+	shards  []*shard.Shard
+	workers []*benchWorker
+	specs   map[model.JobID]*model.Spec
+	now     time.Duration
+	nextJob model.JobID
+	// Jobs per second.
+	arrivalRate float64
+	// Fraction of a job that is due but not yet submitted.
+	pendingJobs float64
+	rng         *rand.Rand
+	// Processor time by component.
 	timeSpent      map[string]time.Duration
 	finishedTasks  int
 	reportCount    int
@@ -34,14 +37,15 @@
 	workload       workload
 }
 
-// workload is what a yard's machines are like, and its tasks.
+// workload describes the machines and tasks of a benchmark: CPUs of a machine, seconds between
+// reports, number of shards, machines per arriving job and second, and number of images.
 type workload struct {
 	cpus, reportSeconds, shards, jobs, images int
-	cpusPerTask                               float64 // CPUs of a task
+	// CPUs of a task.
+	cpusPerTask float64
 }
 
-// Two loads: small machines that report seldom, and large ones with many tasks
-// that report often.
+// Two workloads: small machines that report rarely, and large ones with many tasks that report often.
 var (
 	smallMachines = workload{cpus: 8, reportSeconds: 8, shards: 3, jobs: 900, images: 24, cpusPerTask: 4}
 	largeMachines = workload{cpus: 48, reportSeconds: 3, shards: 5, jobs: 140, images: 24, cpusPerTask: 2}
@@ -49,30 +53,35 @@
 
 // benchWorker is a worker.
 type benchWorker struct {
-	machine      model.Machine
-	shard        int // the shard that it reports to
+	machine model.Machine
+	// Index of the shard that it reports to.
+	shard        int
 	token        uint64
 	seq          uint64
 	nextReportAt time.Duration
 	attempts     []model.AttemptStatus
-	endTimes     []time.Duration // of cells
+	// When each of the attempts ends.
+	endTimes []time.Duration
 }
 
-// newReport is its next message about itself.
+// newReport returns its next report.
 func (h *benchWorker) newReport() *model.Report {
 	h.seq++
 	return &model.Report{Machine: h.machine, Session: 1, Seq: h.seq, Token: h.token, PreemptionNotice: -1,
 		Attempts: h.attempts}
 }
 
+// types returns the only type of machine.
 func (l workload) types() []model.MachineType {
 	c := float64(l.cpus)
 	return []model.MachineType{{Name: 0, Cap: model.Capacity(c, 0, 2*c), Price: 0.07 * c, SpotPrice: 0.03 * c,
 		Boot: 20 * time.Second, Zones: []model.Name{0, 1, 2}}}
 }
 
+// reportInterval is the time between reports.
 func (l workload) reportInterval() time.Duration { return time.Duration(l.reportSeconds) * time.Second }
 
+// newBenchCluster returns a cluster in the given term.
 func newBenchCluster(l workload, machines int, term uint64) *benchCluster {
 	y := &benchCluster{specs: map[model.JobID]*model.Spec{}, rng: rand.New(rand.NewPCG(7, uint64(machines))),
 		now:       time.Minute,
@@ -87,7 +96,7 @@
 	return y
 }
 
-// startTerm begins a term.
+// startTerm starts a term with an empty dispatcher, fleet and shards.
 func (y *benchCluster) startTerm(term uint64) {
 	y.dispatcher = dispatcher.New(dispatcher.Params{Term: term, Teams: []dispatcher.Team{{}}, ChunkSize: 64,
 		BlockSize:        128,
@@ -108,13 +117,14 @@
 	}
 }
 
-// timed runs a part and counts what it took.
+// timed runs f and adds its time to the component.
 func (y *benchCluster) timed(component string, f func()) {
 	began := time.Now()
 	f()
 	y.timeSpent[component] += time.Since(began)
 }
 
+// exchangeMessages delivers orders and events between dispatcher and shards until there are none left.
 func (y *benchCluster) exchangeMessages() {
 	for again := true; again; {
 		again = false
@@ -134,7 +144,7 @@
 	}
 }
 
-// sendReport lets a worker report and do what it is told.
+// sendReport has a worker report and execute the commands in the answer.
 func (y *benchCluster) sendReport(worker *benchWorker) {
 	y.reportCount++
 	worker.nextReportAt = y.now + y.workload.reportInterval()
@@ -151,6 +161,7 @@
 	y.execute(worker, a.Token, a.Commands)
 }
 
+// execute carries out commands on a worker.
 func (y *benchCluster) execute(worker *benchWorker, token uint64, cmds []model.Command) {
 	worker.token = max(worker.token, token)
 	for _, c := range cmds {
@@ -174,7 +185,7 @@
 	}
 }
 
-// step is a tenth of a second.
+// step advances the cluster by a tenth of a second.
 func (y *benchCluster) step() {
 	y.now += 100 * time.Millisecond
 	for y.pendingJobs += y.arrivalRate / 10; y.pendingJobs >= 1; y.pendingJobs-- {
@@ -224,6 +235,7 @@
 	}
 }
 
+// dispatch updates the shards' status and assigns waiting tasks.
 func (y *benchCluster) dispatch() {
 	y.timed("status", func() {
 		for i, s := range y.shards {
@@ -234,6 +246,7 @@
 	y.timed("deal", func() { y.dispatcher.Dispatch(y.now) })
 }
 
+// sendCommands executes the shards' direct commands at once.
 func (y *benchCluster) sendCommands() {
 	for _, s := range y.shards {
 		s.Flush(y.now, 48)
@@ -246,18 +259,20 @@
 	}
 }
 
+// stepFleet advances the fleet by the current demand.
 func (y *benchCluster) stepFleet() {
 	status := y.dispatcher.MachineStatuses()
 	y.fleet.Observe(y.now, status, y.dispatcher.LeaseExpired)
 	var demand []fleet.Demand
 	for _, need := range y.dispatcher.Demand() {
-		demand = append(demand, fleet.Demand{Job: need, Placed: need.Assigned - int32(y.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
+		demand = append(demand, fleet.Demand{Job: need,
+			Placed: need.Assigned - int32(y.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
 	}
 	y.fleet.Step(y.now, status, demand, y.dispatcher.TeamLimit)
 }
 
-// BenchmarkSteadyState measures what the decisions of a calm second cost, all shards'
-// together, in milliseconds of processor time by part.
+// BenchmarkSteadyState measures the processor time of the decisions of a second without faults, for
+// all shards together, in milliseconds by component.
 func BenchmarkSteadyState(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -289,9 +304,8 @@
 	}
 }
 
-// BenchmarkFencing measures what a change of leader costs: all machines hold tasks
-// of the term before, and report to shards that know nothing. Processor time and
-// what is kept are per machine.
+// BenchmarkFencing measures the cost of a change of leader: all machines run tasks of the previous
+// term and report to shards that know nothing. Processor time and heap growth are per machine.
 func BenchmarkFencing(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -328,7 +342,7 @@
 	}
 }
 
-// startNextTerm begins a term that reads what the one before has stored.
+// startNextTerm starts a term that reads what the previous one has stored.
 func (y *benchCluster) startNextTerm(term uint64, open map[model.JobID]bool) {
 	y.startTerm(term)
 	for i := range y.workers {
@@ -343,7 +357,7 @@
 	}
 }
 
-// heapInUse is what the heap holds, garbage aside.
+// heapInUse returns the size of the live heap.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -102,7 +102,8 @@
 			t.Errorf("only %d tasks were moved: these runs test nothing", moved.Load())
 		}
 	})
-	for name, p := range map[string]params{"short lease": withBudget(shortLeaseParams()), "long lease": withBudget(longLeaseParams())} {
+	for name, p := range map[string]params{"short lease": withBudget(shortLeaseParams()),
+		"long lease": withBudget(longLeaseParams())} {
 		for seed := range uint64(15) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
@@ -115,7 +116,7 @@
 // TestChecksCatchBrokenBudgets checks that a broken guard of the budgets is noticed.
 func TestChecksCatchBrokenBudgets(t *testing.T) {
 	t.Parallel()
-	for name, breakIt := range map[string]func(*params){
+	for name, breakGuard := range map[string]func(*params){
 		"a stopped task counts as running again":             func(p *params) { p.stoppedCountsAsBack = true },
 		"a new leader assumes interrupted tasks are running": func(p *params) { p.assumeRunning = true },
 	} {
@@ -123,7 +124,7 @@
 			t.Parallel()
 			p := withBudget(shortLeaseParams())
 			p.disruptionBudget = 1
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 80, 500, p)
 		})
 	}
--- a/internal/core/sim/controller_test.go
+++ b/internal/core/sim/controller_test.go
@@ -43,7 +43,7 @@
 	inDoubt   map[model.JobID]bool
 	// Whether the state service serves this controller.
 	storeHealth storehealth.Health
-	// Cancellations that it told users of.
+	// Cancellations that it acknowledged to users.
 	cancelLog *cancellog.Log
 	// Recent answers, for the broken guard cacheAnswers.
 	answerCache map[model.JobID]cachedAnswer
@@ -103,7 +103,7 @@
 	})
 }
 
-// promiseDuration is how long a member promises not to elect another leader.
+// promiseDuration is for how long after a grant a member promises not to become leader itself.
 const promiseDuration = 2500 * time.Millisecond
 
 // memberLink is the leader's side of a connection to a member.
@@ -117,7 +117,7 @@
 	lastReceived time.Duration
 	// When the member sent its last request that the state service served.
 	lastServed time.Duration
-	// For what time the member has reported the cancellations that it told users of.
+	// For what time the member has reported the cancellations that it acknowledged.
 	coverage             cancellog.Coverage
 	reportsCancellations bool
 	closed               bool
@@ -397,7 +397,7 @@
 }
 
 // tickMember advances a member's shard and reports its status to the leader, which answers with a new
-// grant. Each status also carries the cancellations told to users and the promise for the last grant.
+// grant. Each status also carries the cancellations acknowledged to users and the promise for the last grant.
 // A member without connection tries to join.
 func (c *controller) tickMember() {
 	now := c.now()
@@ -432,7 +432,7 @@
 							k.coverage.Until = max(k.coverage.Until, grants[n-1])
 						}
 					}
-					if n := len(grants); n > 0 {
+					if n := len(grants); n > 0 { // shortened to allow for clock drift
 						k.promisedUntil = max(k.promisedUntil, grants[n-1]+promiseDuration-promiseDuration/200-50*time.Millisecond)
 					}
 					l.extendAuthority()
@@ -449,6 +449,7 @@
 						}
 						member.grants = append(member.grants, leaderNow)
 						member.c.election.Promise(member.c.now() + promiseDuration)
+						// The grant is shortened to allow for clock drift.
 						member.shard.SetGrant(now + remaining - remaining/500 - 50*time.Millisecond)
 					})
 				}
--- a/internal/core/sim/dependencies_test.go
+++ b/internal/core/sim/dependencies_test.go
@@ -246,12 +246,12 @@
 
 // checkDependentCancelled checks that a job is not reported as queued or running later than
 // cancelBound after a user knew that one of its dependencies is cancelled.
-func (w *world) checkDependentCancelled(u *user, asked time.Duration, st jobs.Stage) {
+func (w *world) checkDependentCancelled(u *user, askedAt time.Duration, st jobs.Stage) {
 	if st.Ended() {
 		return
 	}
 	for _, id := range u.dependsOn {
-		if o := w.users[id]; o.finalStage == jobs.Cancelled && asked > max(o.endedAt, u.acceptedAt)+w.params.cancelBound {
+		if o := w.users[id]; o.finalStage == jobs.Cancelled && askedAt > max(o.endedAt, u.acceptedAt)+w.params.cancelBound {
 			w.fail("dependent_not_cancelled", "job %d is %s, %d was cancelled at %v", u.spec.ID, st, id, o.endedAt)
 		}
 	}
@@ -338,7 +338,7 @@
 // TestChecksCatchBrokenDependencies checks that a broken guard of the dependencies is noticed.
 func TestChecksCatchBrokenDependencies(t *testing.T) {
 	t.Parallel()
-	for name, breakIt := range map[string]func(*params){
+	for name, breakGuard := range map[string]func(*params){
 		"a missing job counts as done": func(p *params) { p.missingCountsAsDone = true },
 		// A leader that only the store refuses resigns at once, here as in internal/node. Therefore
 		// only slow cancellations leave time for this violation.
@@ -350,7 +350,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := dependencyParams()
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 60, 0, p)
 		})
 	}
@@ -375,7 +375,7 @@
 			runSimulation(t, seed, slowCancellationParams())
 		})
 	}
-	for name, breakIt := range map[string]func(*params){
+	for name, breakGuard := range map[string]func(*params){
 		"one delayed cancellation blocks all waiting jobs":     func(p *params) { p.globalFreshness = true },
 		"jobs in doubt are reported as queued":                 func(p *params) { p.reportInDoubtAsQueued = true },
 		"cancelled is reported while others may report queued": func(p *params) { p.reportCancelledEarly = true },
@@ -383,7 +383,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := slowCancellationParams()
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 60, 0, p)
 		})
 	}
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -192,7 +192,8 @@
 	if e.Check(s, nil, func(id model.MachineID) string { return fmt.Sprint(id) }) == nil {
 		w.plans[s.Name] = s
 		e.Apply(now, time.Unix(0, 0).Add(w.now), s, nil, "op")
-		w.logf("plan %s: machines %v, %d concurrent, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent, s.Default, s.After)
+		w.logf("plan %s: machines %v, %d concurrent, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent,
+			s.Default, s.After)
 	}
 }
 
@@ -212,7 +213,8 @@
 			t.Errorf("only %d tasks were moved and %d machines returned: these runs test nothing", moved.Load(), given.Load())
 		}
 	})
-	for name, p := range map[string]params{"short lease": withDrains(shortLeaseParams()), "long lease": withDrains(longLeaseParams())} {
+	for name, p := range map[string]params{"short lease": withDrains(shortLeaseParams()),
+		"long lease": withDrains(longLeaseParams())} {
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
--- a/internal/core/sim/extra_faults_test.go
+++ b/internal/core/sim/extra_faults_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// extraFaultsParams has, beside all else that goes wrong, machines whose reports arrive while
-// nothing reaches them, copies of reports that come late, and controllers that are back
-// within a fraction of a second.
+// extraFaultsParams adds to the random faults: machines that nothing reaches while their reports
+// arrive, late duplicates of reports, and controllers that restart within a second.
 func extraFaultsParams() params {
 	p := shortLeaseParams()
 	p.oneWayCuts, p.duplicateReports, p.quickRestarts = true, true, true
@@ -18,7 +17,7 @@
 	return p
 }
 
-// oneWay keeps everything from a machine for a while; what it sends arrives.
+// cutInboundFor drops all messages to a machine for d; what it sends arrives.
 func (w *world) cutInboundFor(m *machine, d time.Duration) {
 	w.logf("fault: nothing reaches %s for %v", m.host, d)
 	for _, c := range w.controllers {
@@ -32,17 +31,17 @@
 	w.extendFaults(d)
 }
 
-// extendFaults notes that something is wrong until then.
+// extendFaults records that a fault lasts for d.
 func (w *world) extendFaults(d time.Duration) { w.faultsOverAt = max(w.faultsOverAt, w.now+d) }
 
-// oneWayCuts makes a part of the machines hear nothing, again and again.
+// oneWayCuts repeatedly cuts machines in one direction.
 func (w *world) oneWayCuts() {
 	if w.now > w.params.duration-30*time.Second {
 		return
 	}
-	if w.rng.IntN(5) == 0 { // the other way round: commands and answers pass, reports don't
+	if w.rng.IntN(5) == 0 { // commands and their answers arrive, reports do not
 		m, d := w.workers[w.rng.IntN(len(w.workers))], w.randomDuration(time.Second, 3*w.params.lease)
-		w.logf("fault: the reports of %s get lost for %v", m.host, d)
+		w.logf("fault: the reports of %s are lost for %v", m.host, d)
 		m.reportsLostUntil = w.now + d
 		w.extendFaults(d)
 	} else if w.rng.IntN(3) == 0 { // a fifth of them at once
@@ -58,8 +57,8 @@
 	w.after(w.randomDuration(5*time.Second, 30*time.Second), w.oneWayCuts)
 }
 
-// duplicateLater has copies of a message to a controller come again, from seconds to well over
-// a lease later, at any controller. Nobody hears what is answered.
+// duplicateLater delivers up to three copies of a report at random controllers, one second to three
+// leases later. The answers are dropped. Most reports get no copy.
 func (w *world) duplicateLater(deliver func(*controller)) {
 	if w.now > w.params.duration || w.rng.IntN(6) > 0 {
 		return
@@ -72,7 +71,7 @@
 	}
 }
 
-// repeatLater has a request that was perhaps carried out come again, late.
+// repeatLater repeats a tenth of the requests late, whether or not they were carried out.
 func (w *world) repeatLater(deliver func()) {
 	if w.now > w.params.duration || w.rng.IntN(10) > 0 {
 		return
@@ -82,8 +81,8 @@
 	w.after(d, deliver)
 }
 
-// quickRestarts has controllers that end be back within a fraction of a second, one or all,
-// once or twice in succession.
+// quickRestarts crashes one controller, the leader or all controllers, which restart within a second,
+// some twice in succession.
 func (w *world) quickRestarts() {
 	if w.now > w.params.duration-30*time.Second {
 		return
@@ -100,7 +99,7 @@
 			}
 		}
 	}
-	w.logf("fault: %d controllers end, and are back at once", len(crashed))
+	w.logf("fault: %d controllers crash and restart at once", len(crashed))
 	for _, c := range crashed {
 		c.crash(restartDelay())
 		if w.rng.IntN(3) == 0 {
@@ -111,8 +110,8 @@
 	w.after(w.randomDuration(5*time.Second, 40*time.Second), w.quickRestarts)
 }
 
-// controllerCutOffs has controllers lose the state service and the others, but not their workers:
-// one, or two at once, the leader among them or not.
+// controllerCutOffs cuts one or two controllers off from the state service and the other controllers,
+// but not from their workers.
 func (w *world) controllerCutOffs() {
 	if w.now > w.params.duration-30*time.Second {
 		return
@@ -120,15 +119,15 @@
 	d := w.randomDuration(500*time.Millisecond, 30*time.Second)
 	for range 1 + w.rng.IntN(2) {
 		c := w.controllers[w.rng.IntN(len(w.controllers))]
-		w.logf("fault: %s loses all but its workers for %v", c.host, d)
+		w.logf("fault: %s is cut from the store and the other controllers for %v", c.host, d)
 		w.cutOff(c, d)
 	}
 	w.extendFaults(d)
 	w.after(w.randomDuration(10*time.Second, 60*time.Second), w.controllerCutOffs)
 }
 
-// machineQuickRestarts has machines be back within a fraction of a second: with all they had, with
-// their next session, without their tasks, or with numbers that begin anew.
+// machineQuickRestarts hangs a machine for less than a second; half of the time it loses its attempts
+// and starts a new session.
 func (w *world) machineQuickRestarts() {
 	if w.now > w.params.duration-30*time.Second {
 		return
@@ -144,35 +143,35 @@
 		m.nextSession()
 		m.session, m.seq, m.token = 1, 0, 0
 	}
-	w.logf("fault: %s is back at once, session %d, message %d", m.host, m.session, m.seq)
+	w.logf("fault: %s is back at once in session %d, message %d", m.host, m.session, m.seq)
 	w.extendFaults(time.Second)
 	w.after(w.randomDuration(2*time.Second, 20*time.Second), w.machineQuickRestarts)
 }
 
-// maxUnanswered is for how long a job may be asked about in vain once all troubles are over.
+// maxUnanswered is for how long requests about a job may go unanswered after the last fault.
 const maxUnanswered = 75 * time.Second
 
-// checkAnswerDelay: a question about an accepted job is answered in time once all troubles,
-// which begin before the day's end, are over.
+// checkAnswerDelay checks that requests about an accepted job are answered in time after the last
+// fault. Faults begin before the end of params.duration.
 func (w *world) checkAnswerDelay(u *user) {
 	if from := max(u.lastAnsweredAt, w.faultsOverAt, w.params.duration); u.accepted &&
 		w.params.quietPeriod > maxUnanswered && w.now-from > maxUnanswered {
-		w.fail("unanswered", "job %d was not answered about for %v", u.spec.ID, w.now-from)
+		w.fail("unanswered", "requests about job %d were not answered for %v", u.spec.ID, w.now-from)
 	}
 }
 
-// checkAllAnswered looks, at the end, at every accepted job: it was answered about lately, and
-// has run if nobody cancelled it.
+// checkAllAnswered checks at the end of a run that requests about every accepted job were answered
+// lately, and that every job has ended.
 func (w *world) checkAllAnswered() {
 	if w.now < w.faultsOverAt+maxUnanswered {
-		w.fail("quiet_period_too_short", "troubles lasted until %v", w.faultsOverAt)
+		w.fail("quiet_period_too_short", "faults lasted until %v", w.faultsOverAt)
 	}
 	for id, u := range w.users {
 		if !u.accepted {
 			continue
 		}
 		if unanswered := w.now - max(u.lastAnsweredAt, w.faultsOverAt); unanswered > maxUnanswered {
-			w.fail("unanswered", "job %d was not answered about for %v", id, unanswered)
+			w.fail("unanswered", "requests about job %d were not answered for %v", id, unanswered)
 		}
 		if u.finalStage == "" {
 			w.fail("unfinished", "job %d (%+v): %d of %d tasks done", id, u.spec, len(u.doneTasks), u.spec.Tasks)
@@ -180,7 +179,8 @@
 	}
 }
 
-// seedCount is how many days are played: HONEYLOCK_SEEDS, outside CI, or so many.
+// seedCount is the number of seeds to run: HONEYLOCK_SEEDS if it is set, as outside CI, otherwise the
+// fallback.
 func seedCount(fallback uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("HONEYLOCK_SEEDS"), 10, 32); err == nil {
 		return n
@@ -188,8 +188,8 @@
 	return fallback
 }
 
-// TestRulesHoldWithExtraFaults plays days with all kinds of failure; no rule may
-// break, each job stays known, and each that nobody cancelled runs.
+// TestRulesHoldWithExtraFaults runs simulations with all kinds of faults: no rule may be violated,
+// requests about each job are answered, and each job ends.
 func TestRulesHoldWithExtraFaults(t *testing.T) {
 	t.Parallel()
 	long := longLeaseParams()
@@ -209,14 +209,15 @@
 	}
 }
 
-// unreachableMachinesParams is a day on which two of nine machines hear nothing from 20 s on, for
-// good, and the leader ends half a minute later.
+// unreachableMachinesParams are runs without random faults, for runWithUnreachableMachines.
 func unreachableMachinesParams() params {
 	p := shortLeaseParams()
 	p.faults, p.quietPeriod = false, time.Minute
 	return p
 }
 
+// runWithUnreachableMachines makes two of nine machines unreachable from 20 s on, for the rest of the
+// run, and crashes the leader at 50 s and at 110 s.
 func runWithUnreachableMachines(seed uint64, p params) *world {
 	w := newWorld(seed, p)
 	w.after(20*time.Second, func() {
@@ -237,8 +238,8 @@
 	return w
 }
 
-// TestJobsCompleteDespiteUnreachableMachines: what was on such a machine waited for ever,
-// and so did all jobs of before a change of leader.
+// TestJobsCompleteDespiteUnreachableMachines guards against tasks on machines that nothing reaches
+// waiting forever, together with all jobs from before a change of leader.
 func TestJobsCompleteDespiteUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -255,18 +256,18 @@
 	}
 }
 
-// TestChecksCatchBrokenGuardsWithExtraFaults proves the checks once more: with a guard broken, some day
-// must break a rule.
+// TestChecksCatchBrokenGuardsWithExtraFaults checks the checks: with a guard broken, some run must
+// violate a rule.
 func TestChecksCatchBrokenGuardsWithExtraFaults(t *testing.T) {
 	t.Parallel()
-	for name, breakIt := range map[string]func(*params){
+	for name, breakGuard := range map[string]func(*params){
 		"duplicate reports are taken for new ones": func(p *params) { p.acceptDuplicates = true },
 		"leases are considered over too early":     func(p *params) { p.shortMaxLease = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := extraFaultsParams()
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 40, 100, p)
 		})
 	}
--- a/internal/core/sim/fault_pairs_test.go
+++ b/internal/core/sim/fault_pairs_test.go
@@ -112,11 +112,11 @@
 	w.after(1500*time.Millisecond, func() { storeDownFor(20 * time.Second)(w) })
 }
 
-// acknowledgerCrashes crashes the controller that last told a user of a cancellation. It restarts at
+// acknowledgerCrashes crashes the controller that last acknowledged a cancellation to a user. It restarts at
 // once, with a clock that starts again.
 func acknowledgerCrashes(w *world) {
 	if w.lastAcknowledger != nil {
-		w.logf("%s crashes, which last told a user of a cancellation", w.lastAcknowledger.host)
+		w.logf("%s crashes, which last acknowledged a cancellation", w.lastAcknowledger.host)
 		w.lastAcknowledger.crash(300 * time.Millisecond)
 	}
 }
@@ -232,7 +232,7 @@
 		for _, mixed := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/mixed=%v", name, mixed), func(t *testing.T) {
 				t.Parallel()
-				p := p
+				p := p // the parallel subtests must not share it
 				p.mixedReleases = mixed
 				var longest time.Duration
 				for seed := range seedCount(3) {
--- a/internal/core/sim/leadership_test.go
+++ b/internal/core/sim/leadership_test.go
@@ -68,7 +68,7 @@
 }
 
 // load reads the store. The leader repeats this in place of a watch. The first read also takes over
-// machine records, drain plans and the cancellations that this controller told users of.
+// machine records, drain plans and the cancellations that this controller acknowledged to users.
 func (l *leadership) load() {
 	c := l.c
 	readAt := c.now()
@@ -140,7 +140,7 @@
 	return min(l.c.election.Deadline(), l.openJobsView.ValidUntil(l.c.w.params.maxStaleness))
 }
 
-// applyCancellation handles a cancellation that a controller told a user of: the job is removed before
+// applyCancellation handles a cancellation that a controller acknowledged to a user: the job is removed before
 // the store has been read again.
 func (l *leadership) applyCancellation(now time.Duration, id model.JobID) {
 	if l.openJobsView.AddCancelled(now, id) && l.dispatcher.JobVersion(id) != 0 {
@@ -312,7 +312,9 @@
 				if l.c.oldRelease || k.member.c.oldRelease {
 					o.VerifyFirst, o.MessageID, o.Assignment.WithinLimits = false, model.MessageID{}, false
 				}
-				l.sendToMember(k, func(st *localShard) { st.shard.HandleOrder(st.c.now(), adjustClock(o, now, st.c.now())) })
+				l.sendToMember(k, func(member *localShard) {
+					member.shard.HandleOrder(member.c.now(), adjustClock(o, now, member.c.now()))
+				})
 			}
 		}
 		for _, e := range evs {
--- a/internal/core/sim/lease_expiry_test.go
+++ b/internal/core/sim/lease_expiry_test.go
@@ -55,7 +55,7 @@
 // zoneCutPastLease cuts a whole zone off from all controllers for longer than a lease.
 func zoneCutPastLease(w *world) time.Duration {
 	zone, d, hold := model.Name(w.rng.IntN(3)), w.longerThanLease(), w.rng.IntN(4) > 0
-	w.logf("meeting: zone %d is cut off for %v, hold %v", zone, d, hold)
+	w.logf("scenario: zone %d is cut off for %v, hold %v", zone, d, hold)
 	for _, m := range w.workers {
 		if m.Zone == zone {
 			w.cutMachine(m, hold, d)
@@ -75,16 +75,16 @@
 		longest = max(longest, d)
 		switch w.rng.IntN(4) {
 		case 0:
-			w.logf("meeting: %s hangs for %v", m.host, d)
+			w.logf("scenario: %s hangs for %v", m.host, d)
 			m.hungUntil = max(m.hungUntil, w.now+d)
 		case 1:
 			w.cutInboundFor(m, d)
 		case 2:
-			w.logf("meeting: the reports of %s get lost for %v", m.host, d)
+			w.logf("scenario: the reports of %s are lost for %v", m.host, d)
 			m.reportsLostUntil = w.now + d
 		default:
 			hold := w.rng.IntN(4) > 0
-			w.logf("meeting: %s is cut off for %v, hold %v", m.host, d, hold)
+			w.logf("scenario: %s is cut off for %v, hold %v", m.host, d, hold)
 			w.cutMachine(m, hold, d)
 			w.observeHeldPastLease(hold)
 		}
@@ -205,12 +205,12 @@
 // after the ends of their leases, with the messages that they had sent before.
 func TestRulesHoldWhenMachinesReturnAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	for name, meet := range leaseExpiryScenarios {
+	for name, scenario := range leaseExpiryScenarios {
 		for lease, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams()} {
 			t.Run(name+"/"+lease, func(t *testing.T) {
 				t.Parallel()
 				p := jobsAtLimitsParams(p)
-				p.scenario = meet
+				p.scenario = scenario
 				held := 0
 				for seed := range seedCount(6) {
 					t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -218,7 +218,7 @@
 					})
 				}
 				if held == 0 {
-					t.Error("never seen: reports that are held back for longer than the lease")
+					t.Error("never observed: reports that are held for longer than the lease")
 				}
 			})
 		}
--- a/internal/core/sim/observations_test.go
+++ b/internal/core/sim/observations_test.go
@@ -141,15 +141,15 @@
 	if u.lastChangeAt > 0 && len(u.doneTasks) > 0 && w.now-u.lastChangeAt < time.Second {
 		w.observe("cancelled as a task ends")
 	}
-	for _, o := range w.controllers {
-		if o == c || !o.running {
+	for _, other := range w.controllers {
+		if other == c || !other.running {
 			continue
 		}
-		if w.now < w.store.refusedUntil[o.host] {
+		if w.now < w.store.refusedUntil[other.host] {
 			w.observe("cancelled while the store refuses only another controller")
 		}
-		_, fromStore := w.cuts[hostPair{o.host, "store"}]
-		if _, fromSibling := w.cuts[hostPair{o.host, c.host}]; fromStore && fromSibling {
+		_, fromStore := w.cuts[hostPair{other.host, "store"}]
+		if _, fromSibling := w.cuts[hostPair{other.host, c.host}]; fromStore && fromSibling {
 			w.observe("cancelled through another controller than the isolated one")
 		}
 	}
--- a/internal/core/sim/overload_test.go
+++ b/internal/core/sim/overload_test.go
@@ -10,46 +10,56 @@
 	"honeylock/internal/core/storehealth"
 )
 
-// A storm at the state service: controllers that have just lost their caches, a
-// leader that reads the store, users who ask again and again. The service refuses
-// what is above its rate; nothing else is wrong.
+// An overload of the state service: controllers that have just lost their caches, a leader that reads
+// the store, and users who poll all the time. The service refuses requests above its rate; there is no
+// other fault.
 
 const (
-	overloadRate   = 70.0
-	loadRequests   = 60  // requests that a new leader's reading takes
-	pollsPerSecond = 200 // asked of each controller in a second
+	// Requests per second that the state service serves.
+	overloadRate = 70.0
+	// Requests that a new leader needs to read the store.
+	loadRequests = 60
+	// Polls per second and controller.
+	pollsPerSecond = 200
 	overloadStep   = 10 * time.Millisecond
 )
 
 // stateClient is a controller as far as the state service sees it.
 type stateClient struct {
-	host      string
-	election  *election.Election
-	renewed   time.Duration // the last renewal that succeeded was sent
-	health    storehealth.Health
-	limiter   *ratelimit.Limiter
-	pending   []*pendingRequest
-	term      uint64
-	readsLeft int // left of the leader's reading
+	host     string
+	election *election.Election
+	// When the last successful renewal was sent.
+	renewed time.Duration
+	health  storehealth.Health
+	limiter *ratelimit.Limiter
+	pending []*pendingRequest
+	term    uint64
+	// Requests left of the leader's read of the store.
+	readsLeft int
 	reading   bool
 	resigned  int
 }
 
+// pendingRequest is a request that waits for the limiter's decision.
 type pendingRequest struct {
 	ticket *ratelimit.Ticket
 	done   func(ok bool)
 }
 
+// overload is one run of the overload test.
 type overload struct {
-	naive    bool // as release 0.4: nothing urgent is paced, and a renewal that fails is a refusal
-	now      time.Duration
-	store    *store
-	tokens   float64
-	refused  int
-	clients  []*stateClient
-	loadedAt []time.Duration // when a leader had read the store
+	// As release 0.4: urgent requests are not rate-limited, and a failed renewal counts as a refusal.
+	naive   bool
+	now     time.Duration
+	store   *store
+	tokens  float64
+	refused int
+	clients []*stateClient
+	// When a leader had read the store.
+	loadedAt []time.Duration
 }
 
+// newOverload returns a run with three controllers.
 func newOverload(naive bool) *overload {
 	w := newWorld(1, shortLeaseParams())
 	w.params.leaderTTL = 3 * time.Second
@@ -64,7 +74,7 @@
 	return s
 }
 
-// send has an office send a request; done hears whether it was executed.
+// send queues a request of a client; done learns whether it was executed.
 func (s *overload) send(o *stateClient, c ratelimit.Class, done func(ok bool)) {
 	if s.naive && c != ratelimit.Reads {
 		c = ratelimit.Authority
@@ -73,7 +83,7 @@
 		done: done})
 }
 
-// deliver lets the service answer what the limiter has let go.
+// deliver has the service answer the requests that the limiter has admitted.
 func (s *overload) deliver(o *stateClient) {
 	o.limiter.Step(s.now)
 	var keep []*pendingRequest
@@ -105,6 +115,7 @@
 	o.pending = append(o.pending, keep...)
 }
 
+// runElection sends the election's requests and feeds their results back.
 func (s *overload) runElection(o *stateClient, ops []election.Op) {
 	for _, op := range ops {
 		s.send(o, ratelimit.Authority, func(ok bool) {
@@ -121,7 +132,8 @@
 	}
 }
 
-// stepLeader reads the store in a new term, one page after the other.
+// stepLeader advances a leader: it reads the store once per term, one request after the other, and
+// resigns if only it is refused.
 func (s *overload) stepLeader(o *stateClient) {
 	if !o.election.Leading(s.now) {
 		o.term, o.reading = 0, false
@@ -140,7 +152,7 @@
 			o.reading = false
 			if !ok {
 				if s.naive {
-					o.readsLeft = loadRequests // from the beginning
+					o.readsLeft = loadRequests // starts over
 				}
 				return
 			}
@@ -155,7 +167,7 @@
 	}
 }
 
-// refusedAlone tells whether a leader takes itself for refused while a sibling is served.
+// refusedAlone reports whether a leader considers itself refused while another controller is served.
 func (s *overload) refusedAlone(o *stateClient) bool {
 	for _, sib := range s.clients {
 		at, _ := sib.health.LastServed()
@@ -173,8 +185,8 @@
 	return false
 }
 
-// poll has users ask: each question costs a read, for no controller knows any job yet;
-// and there are submissions, which 0.4 let go at once, as it did comparisons of polls.
+// poll sends users' requests. Each poll costs a read because no controller knows any job yet. There
+// are also submissions; release 0.4 did not rate-limit these and the comparisons of polls.
 func (s *overload) poll(o *stateClient) {
 	if s.now%(overloadStep*5) == 0 {
 		s.send(o, ratelimit.Changes, func(bool) {})
@@ -184,6 +196,8 @@
 	}
 }
 
+// run advances the overload to the given time. It returns the number of terms and how many of them
+// were resigned.
 func (s *overload) run(length time.Duration) (terms uint64, resigned int) {
 	for ; s.now < length; s.now += overloadStep {
 		s.tokens = min(overloadRate, s.tokens+overloadRate*overloadStep.Seconds())
@@ -202,21 +216,21 @@
 	return s.store.term, resigned
 }
 
-// TestOverloadKeepsLeader: on twice the machines every leader gave up after
-// a few seconds, for its renewals were refused for the rate: fourteen terms, five of
-// them given up by mistake.
+// TestOverloadKeepsLeader guards against leaders that give up under overload: with twice the machines,
+// renewals were refused for the rate and every leader resigned after a few seconds. There were
+// fourteen terms, five of them resigned by mistake.
 func TestOverloadKeepsLeader(t *testing.T) {
 	t.Parallel()
 	s := newOverload(false)
 	if terms, resigned := s.run(time.Minute); terms > 1 || resigned > 0 {
-		t.Errorf("%d terms, %d given up", terms, resigned)
+		t.Errorf("%d terms, %d resigned", terms, resigned)
 	}
 	if len(s.loadedAt) == 0 || s.loadedAt[0] > 8*time.Second {
 		t.Errorf("the store was read at %v", s.loadedAt)
 	}
 	naive := newOverload(true)
 	if terms, resigned := naive.run(time.Minute); resigned == 0 || len(naive.loadedAt) > 0 {
-		t.Errorf("the way of 0.4 stands the storm as well (%d terms, %d given up, read at %v): the test shows nothing",
+		t.Errorf("release 0.4 handles the overload as well (%d terms, %d resigned, store read at %v): the test shows nothing",
 			terms, resigned, naive.loadedAt)
 	}
 }
--- a/internal/core/sim/rules_test.go
+++ b/internal/core/sim/rules_test.go
@@ -23,7 +23,7 @@
 	openVersion uint64
 	// The user has asked to cancel the job.
 	cancelRequested bool
-	// Final state that the user was told, and when.
+	// Final state that was reported to the user, and when.
 	finalStage jobs.Stage
 	endedAt    time.Duration
 	// Tasks that have ended successfully on some machine.
@@ -103,7 +103,7 @@
 // sendRequestTo sends a request to a given controller, which reads or changes the job's records in the
 // store as internal/node does.
 func (w *world) sendRequestTo(c *controller, u *user, k jobs.Kind) {
-	before, asked := *u, w.now
+	before, askedAt := *u, w.now
 	answered := false
 	if c.running {
 		req, op := c.newRequest(u, k)
@@ -136,7 +136,7 @@
 							c.leadership.applyCancellation(c.now(), u.spec.ID)
 						}
 					}
-					w.checkAnswer(u, k, asked, &before, c.checkFreshness(u, ans))
+					w.checkAnswer(u, k, askedAt, &before, c.checkFreshness(u, ans))
 				}
 			})
 		}
@@ -154,7 +154,7 @@
 
 // checkAnswer checks an answer against what the user knew before the request was sent, and repeats a
 // request that was refused for now.
-func (w *world) checkAnswer(u *user, k jobs.Kind, asked time.Duration, before *user, a *jobs.Answer) {
+func (w *world) checkAnswer(u *user, k jobs.Kind, askedAt time.Duration, before *user, a *jobs.Answer) {
 	switch a.Status {
 	case http.StatusServiceUnavailable:
 		if k != jobs.Poll {
@@ -179,7 +179,7 @@
 		u.accepted, u.acceptedAt = true, w.now
 		w.requestConcurrently(u)
 	}
-	w.checkDependentCancelled(u, asked, a.Stage)
+	w.checkDependentCancelled(u, askedAt, a.Stage)
 	if before.finalStage != "" && a.Stage != before.finalStage {
 		w.fail("state_regressed", "job %d was reported as %s and now as %s", u.spec.ID, before.finalStage, a.Stage)
 	}
--- a/internal/core/sim/scenario_cases_test.go
+++ b/internal/core/sim/scenario_cases_test.go
@@ -7,10 +7,10 @@
 	"honeylock/internal/core/model"
 )
 
-// The meetings of the operators' page that came later, and those of their letter. Each has
-// what must have been seen on its days, and a guard without which they break a rule.
+// More fault scenarios. Each comes with what must have been observed in its runs, and with a guard
+// without which they violate a rule.
 
-// Users look closely: nothing else happens, or a leader ends.
+// quietOrLeaderCrash crashes the leader in a third of the cases, otherwise only cancels jobs.
 func quietOrLeaderCrash(w *world) time.Duration {
 	if w.rng.IntN(3) == 0 {
 		w.currentLeader().crash(w.randomDuration(50*time.Millisecond, 2*time.Second))
@@ -19,10 +19,10 @@
 	return w.randomDuration(5*time.Second, 15*time.Second)
 }
 
-// Transactions are carried out at once, and only their answers are lost.
+// answersLost has transactions carried out at once while some answers are lost.
 func answersLost(w *world) time.Duration {
 	d := w.randomDuration(10*time.Second, 40*time.Second)
-	w.logf("meeting: answers to transactions are lost for %v", d)
+	w.logf("scenario: answers to transactions are lost for %v", d)
 	w.store.answersLostUntil = w.now + d
 	w.cancelJobs(6, d)
 	for range w.rng.IntN(3) {
@@ -34,11 +34,11 @@
 	return d
 }
 
-// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and
-// the leader changes.
+// teamsAtLimits cancels jobs whose machines hang or are cut off, and crashes the leader, while every
+// team is at its limit.
 func teamsAtLimits(w *world) time.Duration {
 	duration := w.randomDuration(w.params.lease/2, 2*w.params.lease)
-	w.logf("meeting: machines hang or are cut off for %v, cancellations, and the leader ends", duration)
+	w.logf("scenario: machines hang or are cut off for %v, cancellations, and the leader crashes", duration)
 	for range 2 + w.rng.IntN(3) {
 		m := w.workers[w.rng.IntN(len(w.workers))]
 		if w.rng.IntN(2) == 0 {
@@ -59,7 +59,7 @@
 	return duration
 }
 
-// Jobs are cancelled in the seconds in which one controller's work changes hands.
+// shardHandover cancels jobs in the seconds in which a member's machines change their owner.
 func shardHandover(w *world) time.Duration {
 	var members []*controller
 	for _, c := range w.controllers {
@@ -72,7 +72,7 @@
 	}
 	c := members[w.rng.IntN(len(members))]
 	d := w.randomDuration(500*time.Millisecond, 8*time.Second)
-	w.logf("meeting: the work of %s changes hands", c.host)
+	w.logf("scenario: the machines of %s change their owner", c.host)
 	switch w.rng.IntN(4) {
 	case 0:
 		c.crash(d)
@@ -87,7 +87,7 @@
 	return max(d, 5*time.Second)
 }
 
-// addMachines has up to n machines come up within two seconds, while some are left.
+// addMachines adds up to n machines within two seconds, as long as spare ones are left.
 func addMachines(w *world, n int) {
 	for range min(n, w.params.machines+w.params.spareMachines-len(w.workers)) {
 		m := newMachine(w, model.MachineID(len(w.workers)), w.rng.IntN(3))
@@ -97,11 +97,11 @@
 	}
 }
 
-// New machines are up at once and get work while writes lag, and the leader ends.
+// newMachinesThenCrash adds machines, which get tasks while writes are slow, and crashes the leader.
 func newMachinesThenCrash(w *world) time.Duration {
 	addMachines(w, 2)
 	d := w.randomDuration(3*time.Second, 10*time.Second)
-	w.logf("meeting: new machines, writes lag for %v, and the leader ends", d)
+	w.logf("scenario: new machines, writes are slow for %v, and the leader crashes", d)
 	w.storeSlowUntil = w.now + d
 	w.after(w.randomDuration(500*time.Millisecond, d), func() {
 		w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
@@ -110,15 +110,15 @@
 	return d + 10*time.Second
 }
 
-// Old reports reach every controller just as a leader begins, and that leader once more when
-// it has acted.
+// reportsKeptForNextLeader has old reports reach every controller just as a leader starts, and that
+// leader again after it has loaded the store.
 func reportsKeptForNextLeader(w *world) time.Duration {
 	w.keptReports = nil
 	for _, m := range w.workers {
 		w.keptReports = append(w.keptReports, &keptReport{machine: m})
 	}
 	d := w.randomDuration(4*time.Second, w.params.lease+4*time.Second)
-	w.logf("meeting: reports are kept for the next leader, in %v", d)
+	w.logf("scenario: reports are kept for the next leader, which starts in %v", d)
 	if w.rng.IntN(2) == 0 {
 		m := w.workers[w.rng.IntN(len(w.workers))]
 		w.after(d/2, m.nextSession)
@@ -128,8 +128,8 @@
 	return d + 10*time.Second
 }
 
-// Jobs come four a second, of one task each, and a quarter of them are cancelled; now and then
-// a leader ends.
+// manySmallJobs crashes a leader now and then while four single-task jobs per second arrive, of which
+// a quarter are cancelled.
 func manySmallJobs(w *world) time.Duration {
 	if w.rng.IntN(3) == 0 {
 		w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 2*time.Second))
@@ -137,12 +137,12 @@
 	return w.randomDuration(15*time.Second, 40*time.Second)
 }
 
-// Machines reach no controller, while commands reach them.
+// reportsLost loses the reports of some machines while commands reach them.
 func reportsLost(w *world) time.Duration {
 	d := w.randomDuration(time.Second, 3*w.params.lease)
 	for range 1 + w.rng.IntN(3) {
 		m := w.workers[w.rng.IntN(len(w.workers))]
-		w.logf("meeting: the reports of %s get lost for %v", m.host, d)
+		w.logf("scenario: the reports of %s are lost for %v", m.host, d)
 		m.reportsLostUntil = w.now + d
 	}
 	if w.rng.IntN(2) == 0 {
@@ -155,9 +155,9 @@
 	return d
 }
 
-// Leaders change again and again, on some days inside an outage.
+// manyLeaderChanges changes the leader twelve times, in half of the cases partly during an outage.
 func manyLeaderChanges(w *world) time.Duration {
-	w.logf("meeting: twelve leaders in a row")
+	w.logf("scenario: twelve leaders in a row")
 	var at time.Duration
 	for range 12 {
 		at += w.randomDuration(4*time.Second, 9*time.Second)
@@ -172,11 +172,11 @@
 	return at + 15*time.Second
 }
 
-// A zone with its workers and a controller is cut off from all else.
+// zoneIsolated cuts a zone with its workers and one controller off from all other hosts.
 func zoneIsolated(w *world) time.Duration {
 	isolated := &isolatedZone{zone: model.Name(w.rng.IntN(3)), controller: w.controllers[w.rng.IntN(len(w.controllers))]}
 	d := w.randomDuration(w.params.lease/2, 3*w.params.lease)
-	w.logf("meeting: zone %d is cut off with %s for %v", isolated.zone, isolated.controller.host, d)
+	w.logf("scenario: zone %d is isolated with %s for %v", isolated.zone, isolated.controller.host, d)
 	w.cutOff(isolated.controller, d)
 	for _, m := range w.workers {
 		for _, c := range w.controllers {
@@ -196,20 +196,20 @@
 	return d
 }
 
-// All controllers are away, for about the lease or for longer.
+// allControllersDown stops all controllers for half a lease to two leases.
 func allControllersDown(w *world) time.Duration {
 	d := w.randomDuration(w.params.lease/2, 2*w.params.lease)
-	w.logf("meeting: all controllers are away for %v", d)
+	w.logf("scenario: all controllers are down for %v", d)
 	for _, c := range w.controllers {
 		c.crash(d + w.randomDuration(0, 2*time.Second))
 	}
 	return d + 5*time.Second
 }
 
-// Jobs that run and have long to go are cancelled at once, and their machines hang.
+// cancelledThenHung cancels jobs that would run for long, just before some machines hang.
 func cancelledThenHung(w *world) time.Duration {
 	d := w.randomDuration(w.params.lease/3, w.params.lease*3/2)
-	w.logf("meeting: cancelled, and machines hang for %v", d)
+	w.logf("scenario: jobs are cancelled, and machines hang for %v", d)
 	w.cancelJobs(8, 200*time.Millisecond)
 	for range 1 + w.rng.IntN(4) {
 		w.after(w.randomDuration(0, 400*time.Millisecond), func() {
@@ -226,7 +226,7 @@
 	return d
 }
 
-// Machines with tasks of jobs that are bound to a zone are lost.
+// zoneBoundMachinesLost restarts or hangs machines, among them some with tasks of zone-bound jobs.
 func zoneBoundMachinesLost(w *world) time.Duration {
 	for range 1 + w.rng.IntN(3) {
 		m := w.workers[w.rng.IntN(len(w.workers))]
@@ -248,7 +248,7 @@
 	return w.randomDuration(5*time.Second, 20*time.Second)
 }
 
-// There is more work than room, urgent and not, over slow links.
+// moreWorkThanCapacity injects no fault: jobs of all ranks exceed the capacity, over slow links.
 func moreWorkThanCapacity(w *world) time.Duration {
 	if w.atLimit(0) && w.atLimit(1) {
 		w.observe("every team is at its limit")
@@ -256,23 +256,28 @@
 	return w.randomDuration(5*time.Second, 15*time.Second)
 }
 
-// scenarioCase is a kind of meeting with the days that it comes on.
+// scenarioCase is a scenario with the settings of its runs.
 type scenarioCase struct {
-	scenario    scenario
-	adjust      func(*params) // what else such a day has
-	mustObserve []string      // must have been seen, on some day
-	breakGuard  func(*params) // without it, some day breaks a rule
+	scenario scenario
+	// Further settings; nil means none.
+	adjust func(*params)
+	// Must have been observed in some run.
+	mustObserve []string
+	// Breaks a guard, with which some run violates a rule.
+	breakGuard func(*params)
 }
 
-// overcommit days offer more work than teams may have at work.
+// overcommit has jobs that exceed the teams' limits.
 func overcommit(p *params) { p.overcommitted, p.jobs, p.quietPeriod = true, 26, 16*time.Minute }
 
+// Each of these functions breaks a guard, see params.
 func shortMaxLease(p *params)    { p.shortMaxLease = true }
 func ignoreRecords(p *params)    { p.ignoreRecords = true }
 func unguardedWrites(p *params)  { p.unguardedWrites = true }
 func acceptDuplicates(p *params) { p.acceptDuplicates = true }
 func ignoreOldGrants(p *params)  { p.ignoreOldGrants, p.freeMachinesOnLoss = true, true }
 
+// scenarioCases are the cases by name.
 var scenarioCases = map[string]scenarioCase{
 	"concurrent requests": {quietOrLeaderCrash, func(p *params) { p.concurrentRequests = true },
 		[]string{"requests within milliseconds of an answer"}, func(p *params) { p.cacheAnswers = true }},
@@ -313,60 +318,62 @@
 	"more work than capacity": {moreWorkThanCapacity, func(p *params) {
 		overcommit(p)
 		p.jobs, p.extraLatency = 60, 150*time.Millisecond
-		if p.cancelBound > time.Minute { // tasks run for as long, and all are to be done by the day's end
+		if p.cancelBound > time.Minute { // tasks run for longer, and all must end before the run does
 			p.jobs = 36
 		}
 	},
 		[]string{"every team is at its limit"}, func(p *params) { p.noExpediting = true }},
 }
 
-func (e *scenarioCase) params(p params) params {
-	p = withScenario(p, e.scenario)
+// params returns the settings of the case's runs.
+func (c *scenarioCase) params(p params) params {
+	p = withScenario(p, c.scenario)
 	p.checkWaiting = true
-	if e.adjust != nil {
-		e.adjust(&p)
+	if c.adjust != nil {
+		c.adjust(&p)
 	}
 	return p
 }
 
-// TestRulesHoldInScenarioCases plays days of each of these kinds with short leases and long
-// ones, and wants each to have happened.
+// TestRulesHoldInScenarioCases runs each case with short and long leases; no rule may be violated, and
+// each required situation must have been observed.
 func TestRulesHoldInScenarioCases(t *testing.T) {
 	t.Parallel()
-	for name, e := range scenarioCases {
+	for name, c := range scenarioCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			seen := map[string]int{}
+			observed := map[string]int{}
 			for lease, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams()} {
 				for seed := range seedCount(2) {
-					w := newWorld(6000+seed, e.params(p))
+					w := newWorld(6000+seed, c.params(p))
 					w.run()
 					for _, b := range w.violations {
 						t.Errorf("%s, seed %d: %s", lease, seed, b)
 					}
 					for what, n := range w.observed {
-						seen[what] += n
+						observed[what] += n
 					}
 				}
 			}
-			for _, what := range e.mustObserve {
-				if seen[what] == 0 {
-					t.Errorf("never seen: %s", what)
+			for _, what := range c.mustObserve {
+				if observed[what] == 0 {
+					t.Errorf("never observed: %s", what)
 				}
 			}
-			t.Logf("%v", seen)
+			t.Logf("%v", observed)
 		})
 	}
 }
 
-// TestChecksCatchBrokenGuardsInScenarioCases proves the checks: with a guard broken, some day breaks a rule.
+// TestChecksCatchBrokenGuardsInScenarioCases checks the checks: with a guard broken, some run violates
+// a rule.
 func TestChecksCatchBrokenGuardsInScenarioCases(t *testing.T) {
 	t.Parallel()
-	for name, e := range scenarioCases {
+	for name, c := range scenarioCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := e.params(shortLeaseParams())
-			e.breakGuard(&p)
+			p := c.params(shortLeaseParams())
+			c.breakGuard(&p)
 			expectViolation(t, 60, 6000, p)
 		})
 	}
--- a/internal/core/sim/scenarios_test.go
+++ b/internal/core/sim/scenarios_test.go
@@ -11,22 +11,22 @@
 	"honeylock/internal/core/model"
 )
 
-// Meetings of troubles: two at the same moment, each harmless on its own. A day has one
-// kind of meeting, again and again, with its own times each time; all else is as ever.
+// Fault scenarios: two faults at the same time, each of which is harmless alone. A run repeats one
+// kind of scenario, with new random times each time.
 
-// scenario brings two troubles about at once, and tells how long both last.
+// scenario injects its faults and returns how long they last.
 type scenario func(w *world) time.Duration
 
-// withScenario has a meeting come again and again. Jobs are of few tasks that end far apart, and
-// many are cancelled around the meetings.
-func withScenario(p params, m scenario) params {
-	p.faults, p.scenario, p.staggeredTasks, p.quietPeriod = false, m, true, 6*time.Minute
+// withScenario repeats a scenario in place of random faults. Jobs have few tasks that end far apart,
+// and many are cancelled during the scenarios.
+func withScenario(p params, s scenario) params {
+	p.faults, p.scenario, p.staggeredTasks, p.quietPeriod = false, s, true, 6*time.Minute
 	p.jobs = 40
 	return p
 }
 
-// staggerTasks makes a job one of two or three tasks, each of which runs for long after the
-// one before it; or one that runs for longer than a cancellation may take.
+// staggerTasks gives a job two or three tasks, each of which runs much longer than the one before, or
+// makes it run for longer than a cancellation may take.
 func (w *world) staggerTasks(u *user) {
 	u.spec.Tasks = int32(2 + w.rng.IntN(2))
 	u.spec.Estimate = w.randomDuration(10*time.Second, 40*time.Second)
@@ -44,6 +44,7 @@
 	return time.Second + u.spec.Estimate*time.Duration(index)
 }
 
+// runScenarios runs the scenario and schedules the next one until shortly before the end of the run.
 func (w *world) runScenarios() {
 	if w.now > w.params.duration-20*time.Second {
 		return
@@ -53,7 +54,7 @@
 	w.after(d+w.randomDuration(5*time.Second, 20*time.Second), w.runScenarios)
 }
 
-// currentLeader is the controller that leads, or any.
+// currentLeader returns a controller that leads, or a random one if none does.
 func (w *world) currentLeader() *controller {
 	for _, c := range w.controllers {
 		if c.running && c.leadership != nil {
@@ -63,7 +64,8 @@
 	return w.controllers[w.rng.IntN(len(w.controllers))]
 }
 
-// cancelJobs has users cancel up to n jobs, those with tasks on machines first.
+// cancelJobs has users cancel up to n long-running jobs, those with running tasks first, each at a
+// random time within the given duration.
 func (w *world) cancelJobs(n int, within time.Duration) {
 	active := map[model.JobID]bool{}
 	for _, m := range w.workers {
@@ -96,25 +98,24 @@
 	}
 }
 
-// A leader loses the state service and its siblings, not its workers and users, and jobs
-// are cancelled through the next one.
+// leaderCutOff cuts the leader off from the state service and the other controllers, but not from its
+// workers and users. Jobs are cancelled through the next leader.
 func leaderCutOff(w *world) time.Duration {
 	c, d := w.currentLeader(), w.randomDuration(2*time.Second, 2*w.params.lease)
-	w.logf("meeting: %s loses all but its workers for %v", c.host, d)
+	w.logf("scenario: %s is cut from the store and the other controllers for %v", c.host, d)
 	w.cutOff(c, d)
 	w.cancelJobs(5, d)
 	return d
 }
 
-// Controllers hand over and back, then all end; one is back within a second, the others
-// later.
+// failovers crashes three leaders in a row and then all controllers; one restarts within a second, the
+// others later.
 func failovers(w *world) time.Duration {
-	w.logf("meeting: hand over, and back, then all end")
+	w.logf("scenario: three failovers, then all controllers crash")
 	gap := w.randomDuration(200*time.Millisecond, 5*time.Second)
 	for i := range 3 {
 		w.after(time.Duration(i)*gap, func() {
-			w.currentLeader().crash(w.randomDuration(50*time.Millisecond,
-				2*time.Second))
+			w.currentLeader().crash(w.randomDuration(50*time.Millisecond, 2*time.Second))
 		})
 	}
 	w.after(3*gap, func() {
@@ -131,15 +132,15 @@
 	return 3*gap + 15*time.Second
 }
 
-// refusedThenDown is the gap: the state service refuses the leader alone, others confirm
-// cancellations, then it is out for all, for longer than these may take.
+// refusedThenDown has the state service refuse only the leader, while other controllers confirm
+// cancellations. Then the service is down for all, for longer than these cancellations may take.
 func refusedThenDown(w *world) time.Duration {
 	c, delay := w.currentLeader(), w.randomDuration(500*time.Millisecond, 6*time.Second)
 	downFor := w.params.cancelBound + w.randomDuration(5*time.Second, 15*time.Second)
-	w.logf("meeting: %s is refused alone, after %v all are, for %v", c.host, delay, downFor)
+	w.logf("scenario: the store refuses only %s, after %v it is down for all for %v", c.host, delay, downFor)
 	w.store.refusedUntil[c.host] = w.now + delay + w.randomDuration(0, downFor)
 	w.cancelJobs(6, delay)
-	for range w.rng.IntN(3) { // machines that are reached again in the outage only
+	for range w.rng.IntN(3) { // machines that are reachable again only during the outage
 		m := w.workers[w.rng.IntN(len(w.workers))]
 		d := w.randomDuration(delay, delay+w.params.lease)
 		for _, o := range w.controllers {
@@ -154,10 +155,10 @@
 	return delay + downFor
 }
 
-// The state service is slow, and carries transactions out late.
+// slowStore slows the state service down while jobs are cancelled and the leader crashes.
 func slowStore(w *world) time.Duration {
 	d := w.randomDuration(5*time.Second, 30*time.Second)
-	w.logf("meeting: the store is slow for %v", d)
+	w.logf("scenario: the store is slow for %v", d)
 	w.storeSlowUntil = w.now + d
 	w.cancelJobs(4, d)
 	w.after(w.randomDuration(0, d), func() {
@@ -167,10 +168,10 @@
 	return d
 }
 
-// A part of the transactions is carried out late, and leaders end meanwhile.
+// lateWrites has some transactions carried out late, and leaders crash meanwhile.
 func lateWrites(w *world) time.Duration {
 	d := w.randomDuration(10*time.Second, 40*time.Second)
-	w.logf("meeting: transactions are late for %v", d)
+	w.logf("scenario: transactions are carried out late for %v", d)
 	w.store.lateUntil = w.now + d
 	w.cancelJobs(4, d)
 	for range 1 + w.rng.IntN(3) {
@@ -182,18 +183,19 @@
 	return d + 12*time.Second
 }
 
-// Jobs of few tasks end far apart, and leaders change in between.
+// leaderChanges crashes the leader while jobs have tasks that end far apart.
 func leaderChanges(w *world) time.Duration {
-	w.logf("meeting: the leader ends")
+	w.logf("scenario: the leader crashes")
 	w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 5*time.Second))
 	w.cancelJobs(1, time.Second)
 	return w.randomDuration(5*time.Second, 15*time.Second)
 }
 
-// Old reports come after newer ones, of earlier sessions and attempts too.
+// oldReports has duplicates of reports arrive after newer ones, also those of earlier sessions and
+// attempts, while a machine starts a new session and the leader crashes.
 func oldReports(w *world) time.Duration {
 	m := w.workers[w.rng.IntN(len(w.workers))]
-	w.logf("meeting: %s begins a new session, with copies of its reports under way", m.host)
+	w.logf("scenario: %s starts a new session while copies of its reports are on their way", m.host)
 	w.after(w.randomDuration(0, 2*time.Second), m.nextSession)
 	w.after(w.randomDuration(0, 4*time.Second), func() {
 		w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
@@ -203,7 +205,7 @@
 	return w.randomDuration(5*time.Second, 15*time.Second)
 }
 
-// The leader ends while some machines can't be reached, or hear nothing.
+// machinesOutOfReach crashes the leader while some machines are unreachable in one or both directions.
 func machinesOutOfReach(w *world) time.Duration {
 	d := w.randomDuration(w.params.lease/2, 3*w.params.lease)
 	for range 1 + w.rng.IntN(3) {
@@ -225,12 +227,13 @@
 	return d
 }
 
-// Commands and answers are held up for seconds, and their machines then go on.
+// lateCommands delays commands and answers to some machines for seconds; some of these machines hang
+// before they continue.
 func lateCommands(w *world) time.Duration {
 	d := w.randomDuration(5*time.Second, 30*time.Second)
 	for range 1 + w.rng.IntN(4) {
 		m := w.workers[w.rng.IntN(len(w.workers))]
-		w.logf("meeting: what goes to %s is held up for %v", m.host, d)
+		w.logf("scenario: messages to %s are delayed for %v", m.host, d)
 		for _, c := range w.controllers {
 			w.delayedUntil[hostPair{c.host, m.host}] = w.now + d
 		}
@@ -248,7 +251,7 @@
 	return d + 2*w.params.lease
 }
 
-// requiredObservations are what the days of each kind must have seen.
+// requiredObservations are what the runs of each scenario must have observed.
 var requiredObservations = map[string][]string{
 	"leader cut off":            {"cancelled through another controller than the isolated one"},
 	"failovers, then all crash": {"all controllers crash", "a controller restarts within a second"},
@@ -263,6 +266,8 @@
 	"late commands": {"a command arrives seconds late"},
 }
 
+// scenarios are the scenarios by name. overlappingScenarios draws from the sorted names, so their
+// order determines its runs.
 var scenarios = map[string]scenario{
 	"leader cut off":                         leaderCutOff,
 	"failovers, then all crash":              failovers,
@@ -275,20 +280,19 @@
 	"late commands":                          lateCommands,
 }
 
-// overlappingScenarios has two kinds of meeting overlap.
+// overlappingScenarios starts two random scenarios within 20 s.
 func overlappingScenarios(w *world) time.Duration {
 	names := slices.Sorted(maps.Keys(scenarios))
 	var last time.Duration
 	for range 2 {
-		m, at := scenarios[names[w.rng.IntN(len(names))]], w.randomDuration(0, 20*time.Second)
-		w.after(at, func() { w.extendFaults(m(w)) })
+		start, at := scenarios[names[w.rng.IntN(len(names))]], w.randomDuration(0, 20*time.Second)
+		w.after(at, func() { w.extendFaults(start(w)) })
 		last = max(last, at)
 	}
 	return last + w.randomDuration(5*time.Second, 60*time.Second)
 }
 
-// TestRulesHoldWithOverlappingScenarios plays days on which the kinds of meeting overlap, beside
-// all random troubles.
+// TestRulesHoldWithOverlappingScenarios runs overlapping scenarios together with all random faults.
 func TestRulesHoldWithOverlappingScenarios(t *testing.T) {
 	t.Parallel()
 	for lease, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams()} {
@@ -303,38 +307,39 @@
 	}
 }
 
-// TestRulesHoldInScenarios plays days of each kind of meeting with short leases and
-// long ones; no rule may break, and each job is known and runs.
+// TestRulesHoldInScenarios runs each scenario with short and long leases. No rule may be violated,
+// each job is answered about and ends, and each situation that the scenario is about must have been
+// observed.
 func TestRulesHoldInScenarios(t *testing.T) {
 	t.Parallel()
 	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			seen := map[string]int{}
+			observed := map[string]int{}
 			for _, p := range []params{shortLeaseParams(), longLeaseParams()} {
 				p = withScenario(p, scenario)
 				p.duplicateReports = name == "old reports"
 				for seed := range seedCount(2) {
 					for what, n := range runSimulation(t, 1000+seed, p).observed {
-						seen[what] += n
+						observed[what] += n
 					}
 				}
 			}
 			for _, what := range requiredObservations[name] {
-				if seen[what] == 0 {
-					t.Errorf("never seen: %s, of %v", what, seen)
+				if observed[what] == 0 {
+					t.Errorf("never observed: %s; observed: %v", what, observed)
 				}
 			}
 		})
 	}
 }
 
-// TestChecksCatchBrokenGuardsInScenarios proves the checks: with the guard broken that a meeting tries, some
-// day must break a rule.
+// TestChecksCatchBrokenGuardsInScenarios checks the checks: with the guard broken that a scenario
+// tests, some run must violate a rule.
 func TestChecksCatchBrokenGuardsInScenarios(t *testing.T) {
 	t.Parallel()
 	ignoreGrants := func(p *params) { p.ignoreOldGrants, p.freeMachinesOnLoss = true, true }
-	for name, breakIt := range map[string]func(*params){
+	for name, breakGuard := range map[string]func(*params){
 		"leader cut off":                         ignoreGrants,
 		"failovers, then all crash":              ignoreGrants,
 		"unavailable to the leader, then to all": func(p *params) { p.dropCancellationLog = true },
@@ -349,20 +354,21 @@
 			t.Parallel()
 			p := withScenario(shortLeaseParams(), scenarios[name])
 			p.duplicateReports = name == "old reports"
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 60, 1000, p)
 		})
 	}
 }
 
-// TestTasksKeepRunningThroughOutage: while all controllers live and hear each other, what runs goes
-// on through an outage of any length, and what is cancelled goes.
+// TestTasksKeepRunningThroughOutage checks that, while all controllers run and reach each other,
+// running tasks continue through an outage of any length and cancelled ones end. The state service
+// first refuses only the leader.
 func TestTasksKeepRunningThroughOutage(t *testing.T) {
 	t.Parallel()
 	p := longLeaseParams()
 	p.faults, p.staggeredTasks, p.jobs, p.duration, p.quietPeriod = false, true, 30, 4*time.Minute, 8*time.Minute
 	for seed := range 3 * seedCount(3) {
-		// The outage begins at any moment before the leader's lease, 3 s and more, is over.
+		// The outage begins at different times before the leader's lease of 3 s or more expires.
 		outageDelay := time.Duration([]int{1500, 2600, 2700}[seed%3]) * time.Millisecond
 		w := newWorld(3000+seed/3, p)
 		w.after(70*time.Second, func() {
@@ -377,7 +383,7 @@
 		}
 		for _, m := range w.workers {
 			if m.session > 1 {
-				t.Errorf("seed %d: %s lost all it had: session %d", seed, m.host, m.session)
+				t.Errorf("seed %d: %s lost all its attempts: session %d", seed, m.host, m.session)
 			}
 		}
 		cancelled := 0
@@ -387,7 +393,7 @@
 			}
 		}
 		if cancelled == 0 {
-			t.Errorf("seed %d: nothing was cancelled", seed)
+			t.Errorf("seed %d: no job was cancelled", seed)
 		}
 	}
 }
--- a/internal/core/sim/sim_test.go
+++ b/internal/core/sim/sim_test.go
@@ -69,7 +69,8 @@
 // TestRulesHold runs random simulations with every kind of random fault; no rule may be violated.
 func TestRulesHold(t *testing.T) {
 	t.Parallel()
-	for name, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams(), "large cluster": largeClusterParams(), "bulk jobs": bulkJobsParams()} {
+	for name, p := range map[string]params{"short lease": shortLeaseParams(), "long lease": longLeaseParams(),
+		"large cluster": largeClusterParams(), "bulk jobs": bulkJobsParams()} {
 		seeds := uint64(25)
 		if name == "large cluster" || name == "bulk jobs" {
 			seeds = 6
@@ -108,14 +109,17 @@
 // TestChecksCatchBrokenGuards checks the checks: with a guard broken, some run must violate a rule.
 func TestChecksCatchBrokenGuards(t *testing.T) {
 	t.Parallel()
-	for name, breakIt := range map[string]func(*params){
-		"a new leader ignores machine records":            func(p *params) { p.ignoreRecords = true },
-		"a lost shard's grant is considered over at once": func(p *params) { p.freeMachinesOnLoss = true; p.ignoreOldGrants = true },
+	for name, breakGuard := range map[string]func(*params){
+		"a new leader ignores machine records": func(p *params) { p.ignoreRecords = true },
+		"a lost shard's grant is considered over at once": func(p *params) {
+			p.freeMachinesOnLoss = true
+			p.ignoreOldGrants = true
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := shortLeaseParams()
-			breakIt(&p)
+			breakGuard(&p)
 			expectViolation(t, 60, 0, p)
 		})
 	}
--- a/internal/core/sim/world_test.go
+++ b/internal/core/sim/world_test.go
@@ -180,7 +180,7 @@
 	allDownSince time.Duration
 	// Zone that is cut off now; nil if none is.
 	isolatedZone *isolatedZone
-	// Controller that last told a user of a cancellation.
+	// Controller that last acknowledged a cancellation to a user.
 	lastAcknowledger *controller
 	// Since when a job waits beside free capacity.
 	waitingSince map[model.JobID]time.Duration
