--- a/internal/core/sim/bench_test.go
+++ b/internal/core/sim/bench_test.go
@@ -65,10 +65,10 @@
 }
 
 // newReport returns its next report.
-func (h *benchWorker) newReport() *model.Report {
-	h.seq++
-	return &model.Report{Machine: h.machine, Session: 1, Seq: h.seq, Token: h.token, PreemptionNotice: -1,
-		Attempts: h.attempts}
+func (w *benchWorker) newReport() *model.Report {
+	w.seq++
+	return &model.Report{Machine: w.machine, Session: 1, Seq: w.seq, Token: w.token, PreemptionNotice: -1,
+		Attempts: w.attempts}
 }
 
 // types returns the only type of machine.
@@ -82,87 +82,87 @@
 func (l workload) reportInterval() time.Duration { return time.Duration(l.reportSeconds) * time.Second }
 
 // newBenchCluster returns a cluster in the given term.
-func newBenchCluster(l workload, machines int, term uint64) *benchCluster {
-	y := &benchCluster{specs: map[model.JobID]*model.Spec{}, rng: rand.New(rand.NewPCG(7, uint64(machines))),
+func newBenchCluster(load workload, machines int, term uint64) *benchCluster {
+	cluster := &benchCluster{specs: map[model.JobID]*model.Spec{}, rng: rand.New(rand.NewPCG(7, uint64(machines))),
 		now:       time.Minute,
-		timeSpent: map[string]time.Duration{}, arrivalRate: float64(machines) / float64(l.jobs), workload: l}
+		timeSpent: map[string]time.Duration{}, arrivalRate: float64(machines) / float64(load.jobs), workload: load}
 	for i := range machines {
-		y.workers = append(y.workers, &benchWorker{machine: model.Machine{ID: model.MachineID(i), Addr: "w",
+		cluster.workers = append(cluster.workers, &benchWorker{machine: model.Machine{ID: model.MachineID(i), Addr: "w",
 			Zone: model.Name(i % 3),
-			Spot: i%2 == 0}, shard: i % l.shards,
-			nextReportAt: y.now + time.Duration(i)*l.reportInterval()/time.Duration(machines)})
+			Spot: i%2 == 0}, shard: i % load.shards,
+			nextReportAt: cluster.now + time.Duration(i)*load.reportInterval()/time.Duration(machines)})
 	}
-	y.startTerm(term)
-	return y
+	cluster.startTerm(term)
+	return cluster
 }
 
 // startTerm starts a term with an empty dispatcher, fleet and shards.
-func (y *benchCluster) startTerm(term uint64) {
-	y.dispatcher = dispatcher.New(dispatcher.Params{Term: term, Teams: []dispatcher.Team{{}}, ChunkSize: 64,
+func (b *benchCluster) startTerm(term uint64) {
+	b.dispatcher = dispatcher.New(dispatcher.Params{Term: term, Teams: []dispatcher.Team{{}}, ChunkSize: 64,
 		BlockSize:        128,
-		ProgressInterval: 2 * time.Second, DispatchAhead: 12, MaxLease: 43 * time.Second}, y.now)
-	y.dispatcher.SetTypes(y.workload.types())
-	y.fleet = fleet.New(fleet.Params{Term: term, TermStart: y.now, ListLag: 10 * time.Second, IdleReturn: time.Hour,
+		ProgressInterval: 2 * time.Second, DispatchAhead: 12, MaxLease: 43 * time.Second}, b.now)
+	b.dispatcher.SetTypes(b.workload.types())
+	b.fleet = fleet.New(fleet.Params{Term: term, TermStart: b.now, ListLag: 10 * time.Second, IdleReturn: time.Hour,
 		Horizon: 90 * time.Second, RetryRefusedAfter: 15 * time.Second})
-	y.fleet.SetTypes(y.workload.types())
-	y.fleet.UpdateListed(y.now, y.now, nil)
-	y.shards = nil
-	for i := range y.workload.shards {
-		id := y.dispatcher.AddShard(y.now, fmt.Sprint("c", i))
-		localShard := shard.New(shard.Params{MaxLease: 43 * time.Second, ReportInterval: y.workload.reportInterval(),
+	b.fleet.SetTypes(b.workload.types())
+	b.fleet.UpdateListed(b.now, b.now, nil)
+	b.shards = nil
+	for i := range b.workload.shards {
+		id := b.dispatcher.AddShard(b.now, fmt.Sprint("c", i))
+		localShard := shard.New(shard.Params{MaxLease: 43 * time.Second, ReportInterval: b.workload.reportInterval(),
 			VictimSample: 3,
-			PaybackLimit: time.Minute, DemotionStep: 2, DirectRetryDelay: time.Second}, y.dispatcher.FirstAttempt(id), y.rng)
+			PaybackLimit: time.Minute, DemotionStep: 2, DirectRetryDelay: time.Second}, b.dispatcher.FirstAttempt(id), b.rng)
 		localShard.SetGrant(time.Hour * 24)
-		y.shards = append(y.shards, localShard)
+		b.shards = append(b.shards, localShard)
 	}
 }
 
 // timed runs f and adds its time to the component.
-func (y *benchCluster) timed(component string, f func()) {
+func (b *benchCluster) timed(component string, f func()) {
 	began := time.Now()
 	f()
-	y.timeSpent[component] += time.Since(began)
+	b.timeSpent[component] += time.Since(began)
 }
 
 // exchangeMessages delivers orders and events between dispatcher and shards until there are none left.
-func (y *benchCluster) exchangeMessages() {
+func (b *benchCluster) exchangeMessages() {
 	for again := true; again; {
 		again = false
-		for _, o := range y.dispatcher.TakeOrders() {
+		for _, o := range b.dispatcher.TakeOrders() {
 			again = true
-			y.shards[o.To-1].HandleOrder(y.now, o)
+			b.shards[o.To-1].HandleOrder(b.now, o)
 		}
-		for i, s := range y.shards {
+		for i, s := range b.shards {
 			for _, e := range s.TakeEvents() {
 				again = true
 				if e.Kind == model.TaskFinished {
-					y.finishedTasks++
+					b.finishedTasks++
 				}
-				y.dispatcher.HandleEvent(y.now, model.ShardID(i+1), e)
+				b.dispatcher.HandleEvent(b.now, model.ShardID(i+1), e)
 			}
 		}
 	}
 }
 
 // sendReport has a worker report and execute the commands in the answer.
-func (y *benchCluster) sendReport(worker *benchWorker) {
-	y.reportCount++
-	worker.nextReportAt = y.now + y.workload.reportInterval()
-	s := y.shards[worker.shard]
+func (b *benchCluster) sendReport(worker *benchWorker) {
+	b.reportCount++
+	worker.nextReportAt = b.now + b.workload.reportInterval()
+	s := b.shards[worker.shard]
 	r := worker.newReport()
-	if !s.HandleReport(y.now, r) {
-		y.exchangeMessages()
-		if !s.HandleReport(y.now, r) {
+	if !s.HandleReport(b.now, r) {
+		b.exchangeMessages()
+		if !s.HandleReport(b.now, r) {
 			return
 		}
 	}
-	s.PlaceOn(y.now, worker.machine.ID)
-	a := s.Answer(y.now, r)
-	y.execute(worker, a.Token, a.Commands)
+	s.PlaceOn(b.now, worker.machine.ID)
+	a := s.Answer(b.now, r)
+	b.execute(worker, a.Token, a.Commands)
 }
 
 // execute carries out commands on a worker.
-func (y *benchCluster) execute(worker *benchWorker, token uint64, cmds []model.Command) {
+func (b *benchCluster) execute(worker *benchWorker, token uint64, cmds []model.Command) {
 	worker.token = max(worker.token, token)
 	for _, c := range cmds {
 		index := -1
@@ -175,7 +175,7 @@
 		case c.Verb == model.Launch && index < 0:
 			worker.attempts = append(worker.attempts, model.AttemptStatus{Task: c.Task, Attempt: c.Attempt,
 				Stage: model.Running})
-			worker.endTimes = append(worker.endTimes, y.now+time.Duration(20+y.rng.IntN(60))*time.Second)
+			worker.endTimes = append(worker.endTimes, b.now+time.Duration(20+b.rng.IntN(60))*time.Second)
 		case c.Verb == model.Kill && index >= 0:
 			worker.attempts[index].Stage, worker.attempts[index].Cause = model.Exited, model.CauseStopped
 		case c.Verb == model.Clear && index >= 0:
@@ -186,89 +186,89 @@
 }
 
 // step advances the cluster by a tenth of a second.
-func (y *benchCluster) step() {
-	y.now += 100 * time.Millisecond
-	for y.pendingJobs += y.arrivalRate / 10; y.pendingJobs >= 1; y.pendingJobs-- {
-		y.nextJob++
-		sp := &model.Spec{ID: y.nextJob, Rank: model.Rank(y.rng.IntN(2)), Tasks: int32(20 + y.rng.IntN(60)),
-			Zone: model.None, PerTask: model.Request(y.workload.cpusPerTask, 0,
-				y.workload.cpusPerTask*(1.1+0.7*y.rng.Float64())), Spot: true,
-			Estimate: 50 * time.Second, Image: model.Name(y.rng.IntN(y.workload.images))}
-		y.specs[sp.ID] = sp
-		y.dispatcher.AddJob(y.now, sp, uint64(y.nextJob), 0, false)
+func (b *benchCluster) step() {
+	b.now += 100 * time.Millisecond
+	for b.pendingJobs += b.arrivalRate / 10; b.pendingJobs >= 1; b.pendingJobs-- {
+		b.nextJob++
+		sp := &model.Spec{ID: b.nextJob, Rank: model.Rank(b.rng.IntN(2)), Tasks: int32(20 + b.rng.IntN(60)),
+			Zone: model.None, PerTask: model.Request(b.workload.cpusPerTask, 0,
+				b.workload.cpusPerTask*(1.1+0.7*b.rng.Float64())), Spot: true,
+			Estimate: 50 * time.Second, Image: model.Name(b.rng.IntN(b.workload.images))}
+		b.specs[sp.ID] = sp
+		b.dispatcher.AddJob(b.now, sp, uint64(b.nextJob), 0, false)
 	}
-	for _, worker := range y.workers {
-		due := y.now >= worker.nextReportAt
+	for _, worker := range b.workers {
+		due := b.now >= worker.nextReportAt
 		for i, end := range worker.endTimes {
-			if worker.attempts[i].Stage == model.Running && y.now >= end {
+			if worker.attempts[i].Stage == model.Running && b.now >= end {
 				worker.attempts[i].Stage, worker.attempts[i].Cause = model.Exited, model.CauseDone
 				due = true
 			}
 		}
 		if due {
-			y.timed("reports", func() { y.sendReport(worker) })
+			b.timed("reports", func() { b.sendReport(worker) })
 		}
 	}
-	y.timed("events", y.exchangeMessages)
-	y.timed("ticks", func() {
-		for _, s := range y.shards {
-			s.Tick(y.now)
+	b.timed("events", b.exchangeMessages)
+	b.timed("ticks", func() {
+		for _, s := range b.shards {
+			s.Tick(b.now)
 		}
-		y.dispatcher.Tick(y.now)
+		b.dispatcher.Tick(b.now)
 	})
-	y.dispatch()
-	y.timed("events", y.exchangeMessages)
-	y.timed("place", func() {
-		for _, s := range y.shards {
-			s.Place(y.now)
+	b.dispatch()
+	b.timed("events", b.exchangeMessages)
+	b.timed("place", func() {
+		for _, s := range b.shards {
+			s.Place(b.now)
 		}
 	})
-	y.timed("flush", y.sendCommands)
-	y.timed("writes", func() {
-		for _, w := range y.dispatcher.Writes(y.now, 3) {
-			y.dispatcher.WriteDone(y.now, w, uint64(y.now), true, false)
+	b.timed("flush", b.sendCommands)
+	b.timed("writes", func() {
+		for _, w := range b.dispatcher.Writes(b.now, 3) {
+			b.dispatcher.WriteDone(b.now, w, uint64(b.now), true, false)
 		}
 	})
-	y.timed("events", y.exchangeMessages)
-	if y.now%(500*time.Millisecond) == 0 {
-		y.timed("fleet", y.stepFleet)
+	b.timed("events", b.exchangeMessages)
+	if b.now%(500*time.Millisecond) == 0 {
+		b.timed("fleet", b.stepFleet)
 	}
 }
 
 // dispatch updates the shards' status and assigns waiting tasks.
-func (y *benchCluster) dispatch() {
-	y.timed("status", func() {
-		for i, s := range y.shards {
-			y.dispatcher.UpdateStatus(y.now, model.ShardID(i+1), s.TakeStatus(y.now), s.TaskCounts(y.now),
+func (b *benchCluster) dispatch() {
+	b.timed("status", func() {
+		for i, s := range b.shards {
+			b.dispatcher.UpdateStatus(b.now, model.ShardID(i+1), s.TakeStatus(b.now), s.TaskCounts(b.now),
 				s.AssignmentsReceived())
 		}
 	})
-	y.timed("deal", func() { y.dispatcher.Dispatch(y.now) })
+	b.timed("deal", func() { b.dispatcher.Dispatch(b.now) })
 }
 
 // sendCommands executes the shards' direct commands at once.
-func (y *benchCluster) sendCommands() {
-	for _, s := range y.shards {
-		s.Flush(y.now, 48)
+func (b *benchCluster) sendCommands() {
+	for _, s := range b.shards {
+		s.Flush(b.now, 48)
 		for _, d := range s.TakeDirectCommands() {
-			worker := y.workers[d.Machine]
-			y.directCommands++
-			y.execute(worker, d.Token, d.Commands)
-			s.DirectCommandDone(y.now, d, worker.newReport(), true)
+			worker := b.workers[d.Machine]
+			b.directCommands++
+			b.execute(worker, d.Token, d.Commands)
+			s.DirectCommandDone(b.now, d, worker.newReport(), true)
 		}
 	}
 }
 
 // stepFleet advances the fleet by the current demand.
-func (y *benchCluster) stepFleet() {
-	status := y.dispatcher.MachineStatuses()
-	y.fleet.Observe(y.now, status, y.dispatcher.LeaseExpired)
+func (b *benchCluster) stepFleet() {
+	status := b.dispatcher.MachineStatuses()
+	b.fleet.Observe(b.now, status, b.dispatcher.LeaseExpired)
 	var demand []fleet.Demand
-	for _, need := range y.dispatcher.Demand() {
+	for _, need := range b.dispatcher.Demand() {
 		demand = append(demand, fleet.Demand{Job: need,
-			Placed: need.Assigned - int32(y.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
+			Placed: need.Assigned - int32(b.dispatcher.TaskCounts(need.Spec.ID).Waiting)})
 	}
-	y.fleet.Step(y.now, status, demand, y.dispatcher.TeamLimit)
+	b.fleet.Step(b.now, status, demand, b.dispatcher.TeamLimit)
 }
 
 // BenchmarkSteadyState measures the processor time of the decisions of a second without faults, for
@@ -282,24 +282,24 @@
 		{"large", largeMachines, 740},
 		{"large", largeMachines, 2960}} {
 		b.Run(fmt.Sprint(c.name, "/", c.n), func(b *testing.B) {
-			y := newBenchCluster(c.l, c.n, 1)
+			cluster := newBenchCluster(c.l, c.n, 1)
 			for range 900 {
-				y.step()
+				cluster.step()
 			}
-			y.timeSpent = map[string]time.Duration{}
-			y.finishedTasks, y.reportCount, y.directCommands = 0, 0, 0
+			cluster.timeSpent = map[string]time.Duration{}
+			cluster.finishedTasks, cluster.reportCount, cluster.directCommands = 0, 0, 0
 			b.ResetTimer()
 			for range b.N {
 				for range 10 {
-					y.step()
+					cluster.step()
 				}
 			}
-			for part, d := range y.timeSpent {
+			for part, d := range cluster.timeSpent {
 				b.ReportMetric(d.Seconds()*1000/float64(b.N), part+"-ms/s")
 			}
-			b.ReportMetric(float64(y.finishedTasks)/float64(b.N), "done/s")
-			b.ReportMetric(float64(y.reportCount)/float64(b.N), "reports/s")
-			b.ReportMetric(float64(y.directCommands)/float64(b.N), "directs/s")
+			b.ReportMetric(float64(cluster.finishedTasks)/float64(b.N), "done/s")
+			b.ReportMetric(float64(cluster.reportCount)/float64(b.N), "reports/s")
+			b.ReportMetric(float64(cluster.directCommands)/float64(b.N), "directs/s")
 		})
 	}
 }
@@ -313,26 +313,26 @@
 		n    int
 	}{{"small", smallMachines, 1373}, {"small", smallMachines, 5000}, {"large", largeMachines, 740}} {
 		b.Run(fmt.Sprint(c.name, "/", c.n), func(b *testing.B) {
-			y := newBenchCluster(c.l, c.n, 1)
+			cluster := newBenchCluster(c.l, c.n, 1)
 			for range 600 {
-				y.step()
+				cluster.step()
 			}
 			var spent time.Duration
 			var bytes, recovered int64
 			b.ResetTimer()
 			for i := range b.N {
 				open := map[model.JobID]bool{}
-				y.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
-				y.dispatcher, y.fleet, y.shards = nil, nil, nil
+				cluster.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) { open[id] = true })
+				cluster.dispatcher, cluster.fleet, cluster.shards = nil, nil, nil
 				before := heapInUse()
-				began, at := time.Now(), y.now
-				y.startNextTerm(uint64(i+2), open)
-				for !y.dispatcher.Recovered() {
-					y.step()
+				began, at := time.Now(), cluster.now
+				cluster.startNextTerm(uint64(i+2), open)
+				for !cluster.dispatcher.Recovered() {
+					cluster.step()
 				}
 				spent += time.Since(began)
 				bytes += heapInUse() - before
-				recovered += int64(y.now - at)
+				recovered += int64(cluster.now - at)
 			}
 			each := float64(b.N) * float64(c.n)
 			b.ReportMetric(spent.Seconds()*1e6/each, "us/machine")
@@ -343,16 +343,16 @@
 }
 
 // startNextTerm starts a term that reads what the previous one has stored.
-func (y *benchCluster) startNextTerm(term uint64, open map[model.JobID]bool) {
-	y.startTerm(term)
-	for i := range y.workers {
-		m := y.workers[i].machine
-		m.Cap = y.workload.types()[0].Cap
-		y.dispatcher.AddStoredBlock(dispatcher.BlockID{}, 1, []model.Machine{m})
+func (b *benchCluster) startNextTerm(term uint64, open map[model.JobID]bool) {
+	b.startTerm(term)
+	for i := range b.workers {
+		m := b.workers[i].machine
+		m.Cap = b.workload.types()[0].Cap
+		b.dispatcher.AddStoredBlock(dispatcher.BlockID{}, 1, []model.Machine{m})
 	}
-	for id := range y.nextJob + 1 {
+	for id := range b.nextJob + 1 {
 		if open[id] {
-			y.dispatcher.AddJob(y.now, y.specs[id], uint64(id), 0, true)
+			b.dispatcher.AddJob(b.now, b.specs[id], uint64(id), 0, true)
 		}
 	}
 }
--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -23,19 +23,19 @@
 
 // moveRequester updates the tracker and returns the function that drain plans ask for permission to
 // move a task. It and handleEvent connect the tracker as internal/node does.
-func (x *drainManager) moveRequester(now time.Duration) func(drain.MoveRequest) string {
-	if !x.tracker.Enabled() {
+func (d *drainManager) moveRequester(now time.Duration) func(drain.MoveRequest) string {
+	if !d.tracker.Enabled() {
 		return nil
 	}
-	l := x.l
+	l := d.l
 	for _, t := range l.dispatcher.TakeFreedTasks() {
 		if sp := l.dispatcher.Spec(t.Job); sp != nil {
-			x.tracker.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
+			d.tracker.TaskStopped(t, sp, disruption.Lost, sp.Estimate/2)
 		}
 	}
-	x.tracker.Prune(func(id model.JobID) bool { return l.dispatcher.Spec(id) != nil })
-	x.tracker.Recovered = l.dispatcher.Recovered() || l.c.w.params.assumeRunning
-	x.tracker.TeamState = func(team, class model.Name) (p disruption.TeamState) {
+	d.tracker.Prune(func(id model.JobID) bool { return l.dispatcher.Spec(id) != nil })
+	d.tracker.Recovered = l.dispatcher.Recovered() || l.c.w.params.assumeRunning
+	d.tracker.TeamState = func(team, class model.Name) (p disruption.TeamState) {
 		p.Running, p.Orphaned, p.Unknown, p.CPU = l.dispatcher.WorkCounts(team, class)
 		if l.c.w.params.assumeRunning {
 			p.Unknown, p.Orphaned, p.CPU = 0, 0, 0
@@ -43,20 +43,20 @@
 		return p
 	}
 	return func(m drain.MoveRequest) string {
-		return x.tracker.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran,
+		return d.tracker.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran,
 			Remaining: m.Remaining})
 	}
 }
 
 // handleEvent passes an event of a task to the tracker.
-func (x *drainManager) handleEvent(now time.Duration, e *model.Event) {
-	sp := x.l.dispatcher.Spec(e.Task.Job)
-	if !x.tracker.Enabled() || sp == nil {
+func (d *drainManager) handleEvent(now time.Duration, e *model.Event) {
+	sp := d.l.dispatcher.Spec(e.Task.Job)
+	if !d.tracker.Enabled() || sp == nil {
 		return
 	}
-	x.tracker.HandleEvent(now, e, sp)
-	if e.Kind == model.TaskInterrupted && x.l.c.w.params.stoppedCountsAsBack {
-		x.tracker.TaskDone(e.Task)
+	d.tracker.HandleEvent(now, e, sp)
+	if e.Kind == model.TaskInterrupted && d.l.c.w.params.stoppedCountsAsBack {
+		d.tracker.TaskDone(e.Task)
 	}
 }
 
--- a/internal/core/sim/dependencies_test.go
+++ b/internal/core/sim/dependencies_test.go
@@ -26,77 +26,77 @@
 }
 
 // add adds an open job to the graph; the dispatcher holds it while dependencies are unfinished.
-func (p *dependencyTracker) add(o *openJob) {
+func (t *dependencyTracker) add(o *openJob) {
 	since := -time.Hour
-	if p.l.loaded {
-		since = p.l.readAt
+	if t.l.loaded {
+		since = t.l.readAt
 	}
-	if p.graph.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, HasObjective: !o.spec.BestEffort,
+	if t.graph.Add(pipeline.Job{ID: o.spec.ID, Rank: o.spec.Rank, HasObjective: !o.spec.BestEffort,
 		DependsOn: o.dependsOn}, since) {
-		p.l.dispatcher.HoldJob(o.spec.ID)
+		t.l.dispatcher.HoldJob(o.spec.ID)
 	}
 }
 
 // jobEnded records the final state of a job.
-func (p *dependencyTracker) jobEnded(id model.JobID, e pipeline.FinalState) {
-	if e == pipeline.Unknown && p.l.c.w.params.missingCountsAsDone {
+func (t *dependencyTracker) jobEnded(id model.JobID, e pipeline.FinalState) {
+	if e == pipeline.Unknown && t.l.c.w.params.missingCountsAsDone {
 		e = pipeline.Done
 	}
-	p.graph.JobEnded(id, e, p.l.readAt)
-	p.applyChanges()
+	t.graph.JobEnded(id, e, t.l.readAt)
+	t.applyChanges()
 }
 
 // applyChanges releases jobs whose dependencies are done and passes inherited ranks to the dispatcher.
-func (p *dependencyTracker) applyChanges() {
-	for _, released := range p.graph.TakeReleased() {
-		p.l.dispatcher.ReleaseJob(released.ID, p.l.c.now(), released.NeverStarted)
+func (t *dependencyTracker) applyChanges() {
+	for _, released := range t.graph.TakeReleased() {
+		t.l.dispatcher.ReleaseJob(released.ID, t.l.c.now(), released.NeverStarted)
 	}
-	for _, inherited := range p.graph.TakeInherited() {
-		p.l.dispatcher.InheritRank(inherited.ID, inherited.Rank, inherited.HasObjective)
+	for _, inherited := range t.graph.TakeInherited() {
+		t.l.dispatcher.InheritRank(inherited.ID, inherited.Rank, inherited.HasObjective)
 	}
 }
 
 // propagatedUntil is up to when cancellations have reached all jobs that depend on the cancelled ones.
-func (p *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
-	return min(p.l.readAt, p.graph.PropagatedUntil(now))
+func (t *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
+	return min(t.l.readAt, t.graph.PropagatedUntil(now))
 }
 
 // tick looks up the final states of dependencies that are no longer open, and cancels jobs that depend
 // on cancelled ones. It also switches to smaller blocks of machine records when that is due.
-func (p *dependencyTracker) tick(now time.Duration) {
-	l, c := p.l, p.l.c
+func (t *dependencyTracker) tick(now time.Duration) {
+	l, c := t.l, t.l.c
 	if c.w.params.resizeBlocksAt > 0 && c.w.now > c.w.params.resizeBlocksAt && l.dispatcher.Layout() == 0 {
 		l.dispatcher.SetLayout(smallBlock)
 	}
-	for _, id := range p.graph.NextLookups(now, 4) {
+	for _, id := range t.graph.NextLookups(now, 4) {
 		c.storeCall(func() any { c.w.store.expireLeases(); return c.w.store.finalState(id) }, func(v any) {
 			if end, ok := v.(pipeline.FinalState); ok && c.leadership == l {
-				p.graph.LookupDone(c.now(), id, end, 0)
-				p.applyChanges()
+				t.graph.LookupDone(c.now(), id, end, 0)
+				t.applyChanges()
 			} else {
-				p.graph.LookupDone(c.now(), id, pipeline.Unknown, 0)
+				t.graph.LookupDone(c.now(), id, pipeline.Unknown, 0)
 			}
 		})
 	}
 	limit := 2
 	if c.w.params.cancellationInterval > 0 { // the store's write rate leaves hardly any changes for cancellations
-		if limit = 0; now-p.lastCancellation >= c.w.params.cancellationInterval {
-			limit, p.lastCancellation = 1, now
+		if limit = 0; now-t.lastCancellation >= c.w.params.cancellationInterval {
+			limit, t.lastCancellation = 1, now
 		}
 	}
-	for _, id := range p.graph.NextCancellations(now, limit) {
+	for _, id := range t.graph.NextCancellations(now, limit) {
 		version := l.dispatcher.JobVersion(id)
 		c.storeTxn(func() any { return c.w.store.cancelDependent(l.leaderVersion, id, version) }, func(v any) {
 			r, _ := v.(writeResult)
 			switch {
 			case r.ok:
 				l.dispatcher.JobRemoved(id)
-				p.jobEnded(id, pipeline.Cancelled)
+				t.jobEnded(id, pipeline.Cancelled)
 			case r.conflict:
 				l.dispatcher.JobRemoved(id)
-				p.jobEnded(id, pipeline.Unknown)
+				t.jobEnded(id, pipeline.Unknown)
 			default:
-				p.graph.CancellationFailed(c.now(), id)
+				t.graph.CancellationFailed(c.now(), id)
 			}
 		})
 	}
@@ -195,10 +195,10 @@
 func (p *params) maxStatusAge() time.Duration { return p.cancelBound*9/10 - 3*time.Second }
 
 // inDoubtByJob returns, for each open job, whether it is in doubt.
-func (p *dependencyTracker) inDoubtByJob(now time.Duration) map[model.JobID]bool {
-	jobsInDoubt := p.inDoubt.Update(now, p.graph)
+func (t *dependencyTracker) inDoubtByJob(now time.Duration) map[model.JobID]bool {
+	jobsInDoubt := t.inDoubt.Update(now, t.graph)
 	out := map[model.JobID]bool{}
-	p.l.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) {
+	t.l.dispatcher.ForEachOpenJob(func(id model.JobID, _ uint64, _, _ int) {
 		out[id] = jobsInDoubt[id]
 	})
 	return out
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -32,29 +32,29 @@
 }
 
 // load takes over the stored plans and cordons their machines.
-func (x *drainManager) load(now time.Duration, stored map[string]drain.StoredPlan) {
+func (d *drainManager) load(now time.Duration, stored map[string]drain.StoredPlan) {
 	for _, s := range stored {
-		x.engine.Load(now, s, func([]byte) (*drain.Spec, error) {
-			spec := *x.l.c.w.plans[s.Name]
+		d.engine.Load(now, s, func([]byte) (*drain.Spec, error) {
+			spec := *d.l.c.w.plans[s.Name]
 			spec.Machines = nil
 			return &spec, nil
 		})
 	}
-	for _, a := range x.engine.Cordons() {
-		x.execute(a)
+	for _, a := range d.engine.Cordons() {
+		d.execute(a)
 	}
 }
 
 // tick advances the plans with the current state of machines and jobs, and writes their progress to
 // the store.
-func (x *drainManager) tick(now time.Duration) {
-	requestMove := x.moveRequester(now)
-	if x.engine.Idle() {
+func (d *drainManager) tick(now time.Duration) {
+	requestMove := d.moveRequester(now)
+	if d.engine.Idle() {
 		return
 	}
-	w := x.l.c.w
+	w := d.l.c.w
 	v := &drain.View{Now: now, Wall: time.Unix(0, 0).Add(w.now), Machines: map[model.MachineID]drain.Machine{},
-		Recovered: x.l.dispatcher.Recovered(), RequestMove: requestMove,
+		Recovered: d.l.dispatcher.Recovered(), RequestMove: requestMove,
 		RunTimeFactor: func(_ model.Name, p float64) float64 {
 			return 0.5 +
 				p
@@ -64,20 +64,20 @@
 			v.Machines[m.ID] = drain.Machine{MachineStatus: model.MachineStatus{Machine: m.Machine}}
 		}
 	}
-	x.l.dispatcher.ForEachMachine(func(st model.MachineStatus, reported bool) {
+	d.l.dispatcher.ForEachMachine(func(st model.MachineStatus, reported bool) {
 		v.Machines[st.Machine.ID] = drain.Machine{MachineStatus: st, Reported: reported}
 	})
-	for _, n := range x.l.dispatcher.Demand() {
+	for _, n := range d.l.dispatcher.Demand() {
 		v.Jobs = append(v.Jobs, drain.Job{Spec: n.Spec, UnfinishedTasks: int(n.Unfinished),
-			RunningTasks: x.l.dispatcher.TaskCounts(n.Spec.ID).Running})
+			RunningTasks: d.l.dispatcher.TaskCounts(n.Spec.ID).Running})
 	}
-	for _, a := range x.engine.Tick(v) {
-		x.execute(a)
+	for _, a := range d.engine.Tick(v) {
+		d.execute(a)
 	}
-	for _, wr := range x.engine.Writes(4) {
-		x.l.c.storeTxn(func() any { return w.store.writePlan(x.l.leaderVersion, wr) }, func(r any) {
+	for _, wr := range d.engine.Writes(4) {
+		d.l.c.storeTxn(func() any { return w.store.writePlan(d.l.leaderVersion, wr) }, func(r any) {
 			o, answered := r.(writeResult)
-			x.engine.WriteDone(wr, o.revision, o.ok, answered && o.conflict, o.revision)
+			d.engine.WriteDone(wr, o.revision, o.ok, answered && o.conflict, o.revision)
 		})
 	}
 }
@@ -97,8 +97,8 @@
 }
 
 // execute carries out an action of a plan.
-func (x *drainManager) execute(a drain.Action) {
-	l := x.l
+func (d *drainManager) execute(a drain.Action) {
+	l := d.l
 	w := l.c.w
 	switch a.Kind {
 	case drain.Cordon, drain.Uncordon:
@@ -110,14 +110,14 @@
 		w.checkBudget(a)
 		l.dispatcher.RecallFrom(a.Machine, a.Task)
 	case drain.Rent: // no machine is available: these plans rent none
-		x.engine.MachineRented(l.c.now(), a, nil, true)
+		d.engine.MachineRented(l.c.now(), a, nil, true)
 	case drain.ReturnMachine:
 		l.c.storeCall(func() any { w.returnMachine(a.Machine); return true }, func(r any) {
 			ok, _ := r.(bool)
 			if l.c.leadership == l && ok {
 				l.dispatcher.MachineGone(a.Machine)
 			}
-			x.engine.MachineReturned(l.c.now(), a.Machine, ok)
+			d.engine.MachineReturned(l.c.now(), a.Machine, ok)
 		})
 	}
 }
