--- a/internal/core/sim/scenario_cases_test.go
+++ b/internal/core/sim/scenario_cases_test.go
@@ -27,8 +27,7 @@
 	w.cancelJobs(6, d)
 	for range w.rng.IntN(3) {
 		w.after(w.randomDuration(0, d), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	return d
@@ -52,8 +51,7 @@
 	w.cancelJobs(6, duration)
 	for range 1 + w.rng.IntN(2) {
 		w.after(w.randomDuration(0, duration), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				5*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 5*time.Second))
 		})
 	}
 	return duration
@@ -147,8 +145,7 @@
 	}
 	if w.rng.IntN(2) == 0 {
 		w.after(w.randomDuration(0, d), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	w.cancelJobs(3, d)
@@ -219,8 +216,7 @@
 	}
 	if w.rng.IntN(2) == 0 {
 		w.after(w.randomDuration(0, d), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	return d
@@ -241,8 +237,7 @@
 	}
 	if w.rng.IntN(2) == 0 {
 		w.after(w.randomDuration(0, 3*time.Second), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	return w.randomDuration(5*time.Second, 20*time.Second)
--- a/internal/core/sim/scenarios_test.go
+++ b/internal/core/sim/scenarios_test.go
@@ -162,8 +162,7 @@
 	w.storeSlowUntil = w.now + d
 	w.cancelJobs(4, d)
 	w.after(w.randomDuration(0, d), func() {
-		w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-			5*time.Second))
+		w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 5*time.Second))
 	})
 	return d
 }
@@ -176,8 +175,7 @@
 	w.cancelJobs(4, d)
 	for range 1 + w.rng.IntN(3) {
 		w.after(w.randomDuration(0, d), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	return d + 12*time.Second
@@ -198,8 +196,7 @@
 	w.logf("scenario: %s starts a new session while copies of its reports are on their way", m.host)
 	w.after(w.randomDuration(0, 2*time.Second), m.nextSession)
 	w.after(w.randomDuration(0, 4*time.Second), func() {
-		w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-			3*time.Second))
+		w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 	})
 	w.cancelJobs(1, time.Second)
 	return w.randomDuration(5*time.Second, 15*time.Second)
@@ -220,8 +217,7 @@
 		}
 	}
 	w.after(w.randomDuration(0, d/2), func() {
-		w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-			5*time.Second))
+		w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 5*time.Second))
 	})
 	w.cancelJobs(3, d)
 	return d
@@ -244,8 +240,7 @@
 	w.cancelJobs(4, d)
 	if w.rng.IntN(2) == 0 {
 		w.after(w.randomDuration(0, d), func() {
-			w.currentLeader().crash(w.randomDuration(100*time.Millisecond,
-				3*time.Second))
+			w.currentLeader().crash(w.randomDuration(100*time.Millisecond, 3*time.Second))
 		})
 	}
 	return d + 2*w.params.lease
