--- a/internal/core/sim/world_test.go
+++ b/internal/core/sim/world_test.go
@@ -9,61 +9,110 @@
 	"honeylock/internal/core/model"
 )
 
-// params of a simulated deployment.
+// params are the settings of one run.
 type params struct {
+	// Numbers of hosts and jobs.
 	controllers, machines, jobs int
-	report, lease, cancel, ttl  time.Duration
-	staleness                   time.Duration // how old a picture of the open jobs may be acted on
-	length, rest                time.Duration // rest: played on for so long, with nothing new
-	faults                      bool
-	drains                      bool          // operators' drain plans
-	chains                      bool          // jobs that await others
-	goOnUnasked                 bool          // a broken guard: a job that is gone counts as done
-	vouchForEver                bool          // a broken guard: what waits is called queued whatever is known
-	resize                      time.Duration // when leaders begin to write smaller blocks; 0: never
-	guests                      bool          // swarms of small tasks, and jobs that always fail
-	budget                      int           // tasks of a team that plans may have out of work at once; 0: no bound
-	forgetDraws                 bool          // a broken guard: a new leader takes what it does not know for at work
-	unpaid                      bool          // a broken guard: a task that was stopped counts as back
-	forgetRecords               bool          // a broken guard: a new leader ignores the machines' records
-	trustOldEnd                 bool          // a broken guard: old grants are taken for over at once
-	oneWay                      bool          // machines that send, and that nothing reaches
-	copies                      bool          // copies of reports come late
-	slowDooms                   time.Duration // between cancellations of jobs that need a cancelled one; 0: as ever
-	oneForAll                   bool          // as 0.5.0: one tree that is behind leaves all waiting jobs unanswered
-	vouchInDoubt                bool          // a broken guard: jobs in doubt are called queued
-	hastyCancel                 bool          // a broken guard: cancelled is said while others may say queued
-	hastyLease                  bool          // a broken guard: leases are taken for over too early
-	believed                    bool          // a broken guard: copies are taken for new
-	mixed                       bool          // some controllers are of release 0.5 as far as others can tell
-	blinks                      bool          // controllers are back within a fraction of a second
-	freeOnLoss                  bool          // a broken guard: a lost shard's machines count as accounted for
-	meets                       meeting       // troubles that meet, again and again; nil: none
-	mum                         bool          // a broken guard: nobody says of which cancellations users were told
-	unguarded                   bool          // a broken guard: writes bear no versions
-	anyToken                    bool          // a broken guard: machines take commands under old tokens
-	apart                       bool          // jobs of few tasks that end far apart, and long ones to cancel
-	heavy                       bool          // jobs that together ask for more than their teams' limits
-	zoned                       bool          // jobs bound to one zone, or whose tasks stay together
-	swarm                       bool          // one-task jobs, four a second, a quarter of them cancelled
-	looks                       bool          // all controllers are asked right after any answer that settles something
-	atEnd                       bool          // jobs are cancelled, asked about and submitted as they end
-	slowLinks                   time.Duration // that messages take longer; 0: as ever
-	beside                      bool          // no job may wait beside room, or for long to begin
-	spare                       int           // machines that come up during the day
-	sharedAnswers               bool          // a broken guard: answers of before a question are given to it
-	unvetted                    bool          // a broken guard: shards don't know which jobs are open
-	noFloor                     bool          // a broken guard: no job is sure to begin
-	limited                     bool          // teams at their limits, jobs bound to zones
-	accounting                  bool          // what shards hold and what runs is compared with what is charged
+	// Interval of workers' reports, lease of a worker, time within which a cancelled job's tasks must
+	// have ended, and lease of the leader in the state service.
+	reportInterval, lease, cancelBound, leaderTTL time.Duration
+	// How old the leader's view of the open jobs may be for it to act on it.
+	maxStaleness time.Duration
+	// Jobs are submitted and faults begin before duration. The run then goes on for quietPeriod.
+	duration, quietPeriod time.Duration
+	// Random faults, see injectFaults.
+	faults bool
+	// Operators apply drain plans.
+	drains bool
+	// Jobs that depend on other jobs.
+	dependencies bool
+	// Broken guard: a job that no longer exists counts as done for its dependents.
+	missingCountsAsDone bool
+	// Broken guard: waiting jobs are reported as queued however old the known state is.
+	alwaysReportQueued bool
+	// When leaders begin to write smaller blocks of machine records; 0 means never.
+	resizeBlocksAt time.Duration
+	// Jobs of many small tasks, many single-task jobs, and jobs whose tasks always fail.
+	bulkJobs bool
+	// Maximum tasks of a team that drain plans may interrupt at once; 0 means no limit.
+	disruptionBudget int
+	// Broken guard: a new leader assumes that tasks in an unknown state are running.
+	assumeRunning bool
+	// Broken guard: a task that was stopped counts as running again.
+	stoppedCountsAsBack bool
+	// Broken guard: a new leader ignores the stored machine records.
+	ignoreRecords bool
+	// Broken guard: a new leader considers earlier terms' grants over at once.
+	ignoreOldGrants bool
+	// Machines whose messages arrive while nothing reaches them.
+	oneWayCuts bool
+	// Copies of reports and commands arrive late.
+	duplicateReports bool
+	// Time between cancellations of jobs that depend on a cancelled one; 0 means two per tick.
+	cancellationInterval time.Duration
+	// As release 0.5.0: one delayed cancellation leaves polls of all waiting jobs unanswered.
+	globalFreshness bool
+	// Broken guard: jobs in doubt are reported as queued.
+	reportInDoubtAsQueued bool
+	// Broken guard: a job is reported as cancelled while other controllers may report it as queued.
+	reportCancelledEarly bool
+	// Broken guard: workers' leases are considered over too early.
+	shortMaxLease bool
+	// Broken guard: duplicates of reports are taken for new reports.
+	acceptDuplicates bool
+	// Some controllers exchange only what release 0.5 knows.
+	mixedReleases bool
+	// Controllers and machines restart within a second, and controllers lose all but their workers.
+	quickRestarts bool
+	// Broken guard: a lost shard's machines count as accounted for at once.
+	freeMachinesOnLoss bool
+	// Fault scenario that is run repeatedly; nil means none.
+	scenario scenario
+	// Broken guard: controllers do not tell the leader which cancellations users know of.
+	dropCancellationLog bool
+	// Broken guard: the state service does not compare versions.
+	unguardedWrites bool
+	// Broken guard: machines execute commands that carry an old token.
+	acceptOldTokens bool
+	// Jobs of few tasks that end far apart, and jobs that run for longer than cancelBound.
+	staggeredTasks bool
+	// Jobs that together exceed their teams' limits.
+	overcommitted bool
+	// Jobs that are bound to a zone or keep their tasks in one zone.
+	zoneBoundJobs bool
+	// Four single-task jobs per second, a quarter of which are cancelled.
+	singleTaskJobs bool
+	// Every controller is asked right after an answer that changed what a user knows.
+	concurrentRequests bool
+	// Users cancel, poll and resubmit a job around its end.
+	requestsAtEnd bool
+	// Added to the latency of each message.
+	extraLatency time.Duration
+	// Checks that no job waits beside free capacity or takes too long to start.
+	checkWaiting bool
+	// Number of machines that are added during the run.
+	spareMachines int
+	// Broken guard: a request gets an answer that was read before the request.
+	cacheAnswers bool
+	// Broken guard: shards do not know which jobs are open.
+	skipOpenJobs bool
+	// Broken guard: starving jobs are not expedited.
+	noExpediting bool
+	// Teams at their limits with jobs bound to zones.
+	jobsAtLimits bool
+	// Compares shards and running tasks with the leader's charges after each step, not only every
+	// accountingEvery.
+	checkEachStep bool
 }
 
+// event is a function that runs at a time of the simulated clock.
 type event struct {
 	at  time.Duration
 	seq uint64
-	f   func()
+	run func()
 }
 
+// events is a heap of events ordered by time, then by creation.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -79,59 +128,84 @@
 	return e
 }
 
-type pair struct{ a, b string }
+// hostPair is a direction between two hosts.
+type hostPair struct{ from, to string }
 
-type held struct {
+// heldMessage is a message that a cut holds back until it heals.
+type heldMessage struct {
 	from, to string
-	f        func()
+	deliver  func()
 }
 
+// world is one run: the simulated clock, network, hosts and users, and what was observed.
 type world struct {
-	p            params
-	rng          *rand.Rand
-	now          time.Duration
-	seq          uint64
-	queue        events
-	cuts         map[pair]bool // true: holds messages; false: drops them
-	held         []held
-	last         map[pair]time.Duration // of the newest delivery, for streams
+	params params
+	rng    *rand.Rand
+	now    time.Duration
+	seq    uint64
+	queue  events
+	// Interrupted directions: true holds messages back, false drops them.
+	cuts         map[hostPair]bool
+	heldMessages []heldMessage
+	// Time of the newest delivery, which keeps streams in order.
+	lastDelivery map[hostPair]time.Duration
 	store        *store
-	ctls         []*ctl
+	controllers  []*controller
 	workers      []*machine
 	users        map[model.JobID]*user
-	broken       []string
-	started      int
-	slow         time.Duration // until when the store answers slowly
-	calm         time.Duration // the last trouble is over
+	violations   []string
+	startedTasks int
+	// Until then the store answers slowly.
+	storeSlowUntil time.Duration
+	// End of the last fault.
+	faultsOverAt time.Duration
 	log          []string
-	search       int // boundaries until the second trouble begins; 0: it has, or there is none
-	second       func()
-	longest      time.Duration          // from when a user was told of a cancellation until a task of it was gone
-	holdsUp      map[pair]time.Duration // what one sends to the other is held up, until then
-	seen         map[string]int         // what meetings are about, and how often it did happen
-	kept         []*heldReport          // copies of reports, for the next leader
-	changed      time.Duration          // when work last changed hands
-	ledAt        []time.Duration        // when leaders began
-	gone         time.Duration          // since when no controller is up; 0: one is
-	zoneCut      *zoneCut
-	teller       *ctl                          // who last told a user of a cancellation
-	room         map[model.JobID]time.Duration // since when a job waits beside room
-	acted        bool                          // a controller has sent, received or ticked since the last event
-	accountingAt time.Duration                 // when what is charged is looked at next, on other days
-	plans        plans
-	moved        map[model.Task]bool // by plans, and not seen at work since
-	// Of drain plans: tasks moved, machines given back.
-	recalled, given int
+	// Boundaries (see passBoundary) until the second fault begins; 0 means that it has begun or there
+	// is none.
+	boundariesLeft int
+	secondFault    func()
+	// Longest time from when a user knew of a cancellation until a task of the job was gone.
+	maxCancelDelay time.Duration
+	// Messages in this direction are delayed for seconds until then.
+	delayedUntil map[hostPair]time.Duration
+	// Number of times that each situation was observed, see observe.
+	observed map[string]int
+	// Copies of reports that are delivered when the next leader starts.
+	keptReports []*keptReport
+	// When a shard's machines last changed their owner.
+	lastHandover time.Duration
+	// When leaders started.
+	leaderStarts []time.Duration
+	// Since when no controller runs; 0 means that one runs.
+	allDownSince time.Duration
+	// Zone that is cut off now; nil if none is.
+	isolatedZone *isolatedZone
+	// Controller that last acknowledged a cancellation to a user.
+	lastAcknowledger *controller
+	// Since when a job waits beside free capacity.
+	waitingSince map[model.JobID]time.Duration
+	// A controller has sent, received or ticked since the last accounting check.
+	controllerActed bool
+	// Next accounting check of runs without checkEachStep.
+	nextAccountingCheck time.Duration
+	// Drain plans that were applied.
+	plans planSpecs
+	// Tasks that drain plans interrupted and that have not started again.
+	interrupted map[model.Task]bool
+	// Totals of drain plans: tasks recalled, machines returned to the cloud.
+	recalledTasks, returnedMachines int
 }
 
+// newWorld returns a run before its start; the seed fixes all random draws.
 func newWorld(seed uint64, p params) *world {
-	w := &world{p: p, rng: rand.New(rand.NewPCG(seed, 7)), cuts: map[pair]bool{}, last: map[pair]time.Duration{},
-		users: map[model.JobID]*user{},
-		plans: plans{}, moved: map[model.Task]bool{}, holdsUp: map[pair]time.Duration{},
-		seen: map[string]int{}, room: map[model.JobID]time.Duration{}, accountingAt: never}
+	w := &world{params: p, rng: rand.New(rand.NewPCG(seed, 7)), cuts: map[hostPair]bool{},
+		lastDelivery: map[hostPair]time.Duration{},
+		users:        map[model.JobID]*user{},
+		plans:        planSpecs{}, interrupted: map[model.Task]bool{}, delayedUntil: map[hostPair]time.Duration{},
+		observed: map[string]int{}, waitingSince: map[model.JobID]time.Duration{}, nextAccountingCheck: never}
 	w.store = newStore(w)
 	for i := range p.controllers {
-		w.ctls = append(w.ctls, newCtl(w, i))
+		w.controllers = append(w.controllers, newController(w, i))
 	}
 	for i := range p.machines {
 		w.workers = append(w.workers, newMachine(w, model.MachineID(i), i%3))
@@ -139,84 +213,90 @@
 	return w
 }
 
+// after schedules f to run in d.
 func (w *world) after(d time.Duration, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, w.seq, f})
 }
 
-func (w *world) between(lo, hi time.Duration) time.Duration {
+// randomDuration draws a duration from lo to hi.
+func (w *world) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
+// fail records a violation of a rule; it ends the run.
 func (w *world) fail(rule, format string, args ...any) {
-	if len(w.broken) < 20 {
-		w.broken = append(w.broken, fmt.Sprintf("%8.3f %s: ", w.now.Seconds(), rule)+fmt.Sprintf(format, args...))
+	if len(w.violations) < 20 {
+		w.violations = append(w.violations, fmt.Sprintf("%8.3f %s: ", w.now.Seconds(), rule)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) note(format string, args ...any) {
+// logf adds a line to the log that a failed run prints. The log keeps the last few thousand lines.
+func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, fmt.Sprintf("%8.3f ", w.now.Seconds())+fmt.Sprintf(format, args...))
 	if len(w.log) > 4000 {
 		w.log = w.log[2000:]
 	}
 }
 
-// send carries a message between two hosts, in order where stream is true.
-// A cut holds it back until it heals, or drops it.
+// send delivers a message to another host by calling f there. Streams (stream is true) keep their
+// order and lose nothing. A cut holds the message back until it heals, or drops it. A paused
+// controller sends and receives once it runs again.
 func (w *world) send(from, to string, stream bool, f func()) {
-	if w.ctl(from) != nil || w.ctl(to) != nil {
-		w.boundary()
+	if w.controllerByHost(from) != nil || w.controllerByHost(to) != nil {
+		w.passBoundary()
 		deliver := f
 		f = func() {
 			deliver()
-			w.boundary()
+			w.passBoundary()
 		}
 	}
-	if c := w.ctl(from); c != nil {
-		if c.halt.span > 0 {
-			if c.halt.sends--; c.halt.sends < 0 {
-				c.beginHalt()
+	if c := w.controllerByHost(from); c != nil {
+		if c.pause.duration > 0 {
+			if c.pause.sendsLeft--; c.pause.sendsLeft < 0 {
+				c.beginPause()
 			}
 		}
-		if c.halted() {
-			life := c.life
-			c.awake(func() {
-				if c.up && c.life == life {
+		if c.paused() {
+			run := c.run
+			c.whenRunning(func() {
+				if c.running && c.run == run {
 					w.send(from, to, stream, f)
 				}
 			})
 			return
 		}
 	}
-	if c := w.ctl(to); c != nil {
+	if c := w.controllerByHost(to); c != nil {
 		deliver := f
-		f = func() { c.awake(deliver) }
+		f = func() { c.whenRunning(deliver) }
 	}
-	if hold, cut := w.cuts[pair{from, to}]; cut {
-		if hold || stream { // of a stream nothing is lost while it lasts
-			w.held = append(w.held, held{from, to, f})
+	if hold, cut := w.cuts[hostPair{from, to}]; cut {
+		if hold || stream {
+			w.heldMessages = append(w.heldMessages, heldMessage{from, to, f})
 		}
 		return
 	}
-	at := w.now + w.between(time.Millisecond, 8*time.Millisecond) + w.p.slowLinks
-	if w.now < w.slow && to == "store" {
-		at += w.between(20*time.Millisecond, 2*time.Second)
+	at := w.now + w.randomDuration(time.Millisecond, 8*time.Millisecond) + w.params.extraLatency
+	if w.now < w.storeSlowUntil && to == "store" {
+		at += w.randomDuration(20*time.Millisecond, 2*time.Second)
 	}
 	if !stream && w.rng.IntN(200) == 0 {
-		at += w.between(0, 3*time.Second)
+		at += w.randomDuration(0, 3*time.Second)
 	}
-	if w.now < w.holdsUp[pair{from, to}] {
-		at += w.between(500*time.Millisecond, 12*time.Second)
+	if w.now < w.delayedUntil[hostPair{from, to}] {
+		at += w.randomDuration(500*time.Millisecond, 12*time.Second)
 	}
 	if stream {
-		at = max(at, w.last[pair{from, to}])
-		w.last[pair{from, to}] = at
+		at = max(at, w.lastDelivery[hostPair{from, to}])
+		w.lastDelivery[hostPair{from, to}] = at
 	}
 	w.after(at-w.now, f)
 }
 
-func (w *world) ctl(host string) *ctl {
-	for _, c := range w.ctls {
+// controllerByHost returns the controller of a host, or nil if the host is none.
+func (w *world) controllerByHost(host string) *controller {
+	for _, c := range w.controllers {
 		if c.host == host {
 			return c
 		}
@@ -224,157 +304,171 @@
 	return nil
 }
 
-func (w *world) cut(a, b string, hold bool) { w.cuts[pair{a, b}], w.cuts[pair{b, a}] = hold, hold }
+// cut interrupts both directions between two hosts; messages are held back if hold is true, otherwise
+// dropped.
+func (w *world) cut(a, b string, hold bool) {
+	w.cuts[hostPair{a, b}], w.cuts[hostPair{b, a}] = hold, hold
+}
 
+// heal ends a cut and sends the messages that it held back.
 func (w *world) heal(a, b string) {
-	delete(w.cuts, pair{a, b})
-	delete(w.cuts, pair{b, a})
-	rest := w.held
-	w.held = nil
-	for _, h := range rest {
+	delete(w.cuts, hostPair{a, b})
+	delete(w.cuts, hostPair{b, a})
+	held := w.heldMessages
+	w.heldMessages = nil
+	for _, h := range held {
 		if h.from == a && h.to == b || h.from == b && h.to == a {
-			w.send(h.from, h.to, true, h.f)
+			w.send(h.from, h.to, true, h.deliver)
 		} else {
-			w.held = append(w.held, h)
+			w.heldMessages = append(w.heldMessages, h)
 		}
 	}
 }
 
+// cutFor cuts two hosts from each other for d, unless they are cut already. A random draw decides
+// whether messages are held back or dropped.
 func (w *world) cutFor(a, b string, d time.Duration) {
-	if _, ok := w.cuts[pair{a, b}]; ok {
+	if _, ok := w.cuts[hostPair{a, b}]; ok {
 		return
 	}
 	w.cut(a, b, w.rng.IntN(2) == 0)
 	w.after(d, func() { w.heal(a, b) })
 }
 
-func (w *world) cutFromSiblings(c *ctl, d time.Duration) {
-	for _, o := range w.ctls {
+// cutFromSiblings cuts a controller from all other controllers for d.
+func (w *world) cutFromSiblings(c *controller, d time.Duration) {
+	for _, o := range w.controllers {
 		if o != c {
 			w.cutFor(c.host, o.host, d)
 		}
 	}
 }
 
-// cutOff cuts a controller off from all but its workers.
-func (w *world) cutOff(c *ctl, d time.Duration) {
+// cutOff cuts a controller from the store and all other controllers, but not from workers.
+func (w *world) cutOff(c *controller, d time.Duration) {
 	w.cutFor(c.host, "store", d)
 	w.cutFromSiblings(c, d)
 }
 
-// faults keeps breaking things at random.
-func (w *world) faults() {
-	if w.now > w.p.length-30*time.Second {
+// injectFaults injects a random fault, and schedules the next one until shortly before the end of the
+// run.
+func (w *world) injectFaults() {
+	if w.now > w.params.duration-30*time.Second {
 		return
 	}
-	c := w.ctls[w.rng.IntN(len(w.ctls))]
-	d := w.between(time.Second, 40*time.Second)
+	c := w.controllers[w.rng.IntN(len(w.controllers))]
+	d := w.randomDuration(time.Second, 40*time.Second)
 	switch w.rng.IntN(14) {
 	case 0, 1:
-		w.note("fault: %s crashes", c.host)
-		c.crash(w.between(time.Second, 6*time.Second))
+		w.logf("fault: %s crashes", c.host)
+		c.crash(w.randomDuration(time.Second, 6*time.Second))
 	case 2:
-		w.note("fault: all crash")
-		for _, c := range w.ctls {
-			c.crash(w.between(time.Second, 6*time.Second))
+		w.logf("fault: all controllers crash")
+		for _, c := range w.controllers {
+			c.crash(w.randomDuration(time.Second, 6*time.Second))
 		}
 	case 3:
-		w.note("fault: %s is cut from the store for %v", c.host, d)
+		w.logf("fault: %s is cut from the store for %v", c.host, d)
 		w.cutFor(c.host, "store", d)
 	case 4:
-		w.note("fault: %s is cut from workers for %v", c.host, d)
+		w.logf("fault: %s is cut from workers for %v", c.host, d)
 		for _, m := range w.workers {
 			if w.rng.IntN(3) > 0 {
 				w.cutFor(c.host, m.host, d)
 			}
 		}
 	case 5:
-		w.note("fault: %s is cut from its siblings for %v", c.host, d)
+		w.logf("fault: %s is cut from the other controllers for %v", c.host, d)
 		w.cutFromSiblings(c, d)
 	case 6:
-		w.note("fault: the store is out")
-		w.store.out = true
-		w.after(w.between(time.Second, 20*time.Second), func() { w.store.back() })
+		w.logf("fault: the store is down")
+		w.store.down = true
+		w.after(w.randomDuration(time.Second, 20*time.Second), func() { w.store.restore() })
 	case 7:
 		m := w.workers[w.rng.IntN(len(w.workers))]
-		w.note("fault: %s hangs or ends", m.host)
+		w.logf("fault: %s hangs or restarts", m.host)
 		if w.rng.IntN(2) == 0 {
 			m.hungUntil = w.now + d
 		} else {
 			m.restart()
 		}
 	case 9:
-		w.note("fault: controllers refuse each other for %v", d)
-		for i, a := range w.ctls {
-			for _, b := range w.ctls[:i] {
+		w.logf("fault: all controllers are cut from each other for %v", d)
+		for i, a := range w.controllers {
+			for _, b := range w.controllers[:i] {
 				w.cutFor(a.host, b.host, d)
 			}
 		}
 	case 10:
-		w.note("fault: the store is slow for %v", d)
-		w.slow = w.now + d
+		w.logf("fault: the store is slow for %v", d)
+		w.storeSlowUntil = w.now + d
 	case 11, 12:
-		c.haltIn(w.rng.IntN(6), w.between(500*time.Millisecond, 60*time.Second))
-	case 13: // two in succession
-		c.haltIn(w.rng.IntN(6), d)
-		o := w.ctls[w.rng.IntN(len(w.ctls))]
-		w.after(w.between(0, 10*time.Second), func() { o.haltIn(w.rng.IntN(6), w.between(time.Second, 60*time.Second)) })
+		c.pauseAfter(w.rng.IntN(6), w.randomDuration(500*time.Millisecond, 60*time.Second))
+	case 13: // two pauses, possibly of two controllers
+		c.pauseAfter(w.rng.IntN(6), d)
+		o := w.controllers[w.rng.IntN(len(w.controllers))]
+		w.after(w.randomDuration(0, 10*time.Second), func() {
+			o.pauseAfter(w.rng.IntN(6),
+				w.randomDuration(time.Second, 60*time.Second))
+		})
 	case 8:
-		w.note("fault: %s is cut off for %v", c.host, d)
+		w.logf("fault: %s is cut from the store and the other controllers for %v", c.host, d)
 		w.cutOff(c, d)
 	}
-	w.troubled(70 * time.Second)
-	w.after(w.between(2*time.Second, 25*time.Second), w.faults)
+	w.extendFaults(70 * time.Second)
+	w.after(w.randomDuration(2*time.Second, 25*time.Second), w.injectFaults)
 }
 
+// run starts all hosts, schedules submissions and faults, and processes events until the end of the
+// run or the first violation.
 func (w *world) run() {
-	for _, c := range w.ctls {
+	for _, c := range w.controllers {
 		c.start()
 	}
 	for _, m := range w.workers {
-		w.after(w.between(0, time.Second), m.tick)
+		w.after(w.randomDuration(0, time.Second), m.tick)
 	}
-	for i := range w.p.jobs {
-		at := w.between(0, w.p.length*2/3)
-		if w.p.swarm {
+	for i := range w.params.jobs {
+		at := w.randomDuration(0, w.params.duration*2/3)
+		if w.params.singleTaskJobs {
 			at = 20*time.Second + time.Duration(i)*250*time.Millisecond
 		}
 		w.after(at, func() { w.submit(model.JobID(i)) })
 	}
-	if w.p.beside {
-		w.after(time.Second, w.checkBeside)
+	if w.params.checkWaiting {
+		w.after(time.Second, w.checkWaitingJobs)
 	}
-	if w.p.faults {
-		w.after(10*time.Second, w.faults)
+	if w.params.faults {
+		w.after(10*time.Second, w.injectFaults)
 	}
-	if w.p.faults && w.p.chains {
-		w.outages()
+	if w.params.faults && w.params.dependencies {
+		w.longOutages()
 	}
-	if w.p.oneWay {
-		w.after(8*time.Second, w.oneWays)
+	if w.params.oneWayCuts {
+		w.after(8*time.Second, w.oneWayCuts)
 	}
-	if w.p.blinks {
-		w.after(12*time.Second, w.blinks)
-		w.after(15*time.Second, w.cutOffs)
-		w.after(10*time.Second, w.backAtOnce)
+	if w.params.quickRestarts {
+		w.after(12*time.Second, w.quickRestarts)
+		w.after(15*time.Second, w.controllerCutOffs)
+		w.after(10*time.Second, w.machineQuickRestarts)
 	}
-	if w.p.meets != nil {
-		w.after(w.between(20*time.Second, 30*time.Second), w.meet)
+	if w.params.scenario != nil {
+		w.after(w.randomDuration(20*time.Second, 30*time.Second), w.runScenarios)
 	}
-	if w.p.drains {
-		w.after(5*time.Second, func() { w.operator(0) })
+	if w.params.drains {
+		w.after(5*time.Second, func() { w.runOperator(0) })
 	}
-	for len(w.queue) > 0 && w.queue[0].at <= w.p.length+w.p.rest && len(w.broken) == 0 {
+	for len(w.queue) > 0 && w.queue[0].at <= w.params.duration+w.params.quietPeriod && len(w.violations) == 0 {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.f()
-		if w.acted && (w.p.accounting || w.now >= w.accountingAt) {
-			w.acted = false
-			w.accountingAt = w.now + accountingEvery
+		e.run()
+		if w.controllerActed && (w.params.checkEachStep || w.now >= w.nextAccountingCheck) {
+			w.controllerActed = false
+			w.nextAccountingCheck = w.now + accountingEvery
 			w.checkAccounting()
 		}
 	}
-	if len(w.broken) == 0 && w.p.rest > known+70*time.Second {
-		w.checkKnown()
+	if len(w.violations) == 0 && w.params.quietPeriod > maxUnanswered+70*time.Second {
+		w.checkAllAnswered()
 	}
 }
