--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -23,44 +23,44 @@
 
 // Options of a cluster.
 type Options struct {
-	Controllers int
-	Kinds       []standin.Kind
-	Seeds       []Seed // machines that are up from the beginning
-	Teams       []config.Team
-	Zones       []string
-	Report      time.Duration
-	Lease       time.Duration
-	Cancel      time.Duration
-	ListLag     time.Duration
-	Dying       time.Duration
-	CloudRPS    float64
-	Limits      standin.StoreLimits
-	Settings    func(host string) (*config.Settings, error) // nil: defaults
-	Log         *slog.Logger
-	Seed        uint64
-	Depot       *standin.Depot
-	// Cuttable: what a controller says to the state service and to its siblings passes
+	Controllers     int
+	Types           []standin.Kind
+	InitialMachines []InitialMachines // machines that are up from the beginning
+	Teams           []config.Team
+	Zones           []string
+	Report          time.Duration
+	Lease           time.Duration
+	Cancel          time.Duration
+	ListLag         time.Duration
+	ListedAfterLoss time.Duration
+	CloudRPS        float64
+	Limits          standin.StoreLimits
+	Settings        func(host string) (*config.Settings, error) // nil: defaults
+	Log             *slog.Logger
+	Seed            uint64
+	Tasks           *standin.Depot
+	// Partitionable: what a controller says to the state service and to its siblings passes
 	// relays, so that it can be cut off from both.
-	Cuttable bool
+	Partitionable bool
 }
 
-// Seed is a number of machines of a kind.
-type Seed struct {
-	Kind int
-	Zone string
-	Spot bool
-	N    int
+// InitialMachines is a number of machines of a kind.
+type InitialMachines struct {
+	TypeIndex int
+	Zone      string
+	Spot      bool
+	Count     int
 }
 
 // Controller of a cluster.
 type Controller struct {
-	Cfg   *config.Platform
-	Front *standin.Front
-	Node  *node.Node
-	Ops   string // its operators' door, if there is one
-	o     *Options
-	stop  context.CancelFunc
-	ways  []*standin.Relay
+	Config  *config.Platform
+	Store   *standin.Front
+	Node    *node.Node
+	OpsAddr string // its operators' door, if there is one
+	options *Options
+	stop    context.CancelFunc
+	proxies []*standin.Proxy
 }
 
 // Cluster is all that runs.
@@ -72,16 +72,16 @@
 }
 
 // Start brings a cluster up.
-func Start(o Options) (c *Cluster, err error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+func Start(options Options) (c *Cluster, err error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	c = &Cluster{Store: standin.NewStore(o.Limits), Depot: o.Depot}
+	c = &Cluster{Store: standin.NewStore(options.Limits), Depot: options.Tasks}
 	if c.Depot == nil {
 		c.Depot = standin.NewDepot()
 	}
 	if c.Depot.Look == nil { // users of this cluster upload nothing: what they submit is in the store
-		c.Depot.Look = c.Find
+		c.Depot.Look = c.OpenRecord
 	}
 	defer func() {
 		if err != nil {
@@ -89,139 +89,139 @@
 		}
 	}()
 	var hosts []standin.Host
-	for i := range o.Controllers {
-		k, err := newController(c, &o, i)
+	for i := range options.Controllers {
+		controller, err := newController(c, &options, i)
 		if err != nil {
 			return c, err
 		}
-		c.Controllers = append(c.Controllers, k)
-		hosts = append(hosts, standin.Host{Name: k.Cfg.HostName, Addr: k.Cfg.Bind})
+		c.Controllers = append(c.Controllers, controller)
+		hosts = append(hosts, standin.Host{Name: controller.Config.HostName, Addr: controller.Config.Bind})
 	}
-	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: o.Kinds, ListLag: o.ListLag, Dying: o.Dying,
-		RPS:    o.CloudRPS,
-		Timing: standin.Timing{Report: o.Report, Lease: o.Lease}}, c.Depot, hosts, rand.New(rand.NewPCG(o.Seed, 3)))
+	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: options.Types, ListLag: options.ListLag, Dying: options.ListedAfterLoss,
+		RPS:    options.CloudRPS,
+		Timing: standin.Timing{Report: options.Report, Lease: options.Lease}}, c.Depot, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
 	if err != nil {
 		return c, err
 	}
-	for _, k := range c.Controllers {
-		k.Cfg.Services.Cloud = c.Cloud.Addr()
-		for _, s := range c.Controllers {
-			if s != k {
-				k.Cfg.Siblings = append(k.Cfg.Siblings, config.Sibling{HostName: s.Cfg.HostName, Zone: s.Cfg.Zone,
-					Address: s.Cfg.PeerListen})
+	for _, controller := range c.Controllers {
+		controller.Config.Services.Cloud = c.Cloud.Addr()
+		for _, other := range c.Controllers {
+			if other != controller {
+				controller.Config.Siblings = append(controller.Config.Siblings, config.Sibling{HostName: other.Config.HostName, Zone: other.Config.Zone,
+					Address: other.Config.PeerListen})
 			}
 		}
 	}
-	if o.Cuttable {
-		if err := c.relay(); err != nil {
+	if options.Partitionable {
+		if err := c.addProxies(); err != nil {
 			return c, err
 		}
 	}
-	for _, k := range c.Controllers {
-		if err := k.Start(); err != nil {
+	for _, controller := range c.Controllers {
+		if err := controller.Start(); err != nil {
 			return c, err
 		}
 	}
-	for _, s := range o.Seeds {
-		if err := c.Cloud.Seed(s.Kind, s.Zone, s.Spot, s.N); err != nil {
+	for _, other := range options.InitialMachines {
+		if err := c.Cloud.Seed(other.TypeIndex, other.Zone, other.Spot, other.Count); err != nil {
 			return c, err
 		}
 	}
 	return c, nil
 }
 
-// relay puts a relay on each way from a controller to the state service and to a sibling.
-func (c *Cluster) relay() error {
+// addProxies puts a relay on each way from a controller to the state service and to a sibling.
+func (c *Cluster) addProxies() error {
 	for _, k := range c.Controllers {
-		addrs := []*string{&k.Cfg.Services.State}
-		for i := range k.Cfg.Siblings {
-			addrs = append(addrs, &k.Cfg.Siblings[i].Address)
+		addrs := []*string{&k.Config.Services.State}
+		for i := range k.Config.Siblings {
+			addrs = append(addrs, &k.Config.Siblings[i].Address)
 		}
 		for _, a := range addrs {
-			r, err := standin.NewRelay(*a)
+			r, err := standin.NewProxy(*a)
 			if err != nil {
 				return err
 			}
-			k.ways = append(k.ways, r)
+			k.proxies = append(k.proxies, r)
 			*a = r.Addr()
 		}
 	}
 	return nil
 }
 
-// CutOff cuts a controller off from the state service and from all other controllers, in
+// SetPartitioned cuts a controller off from the state service and from all other controllers, in
 // both directions, or ends that. Its workers and users still reach it.
-func (c *Cluster) CutOff(k *Controller, on bool) {
-	for _, r := range k.ways {
-		r.Cut(on)
+func (c *Cluster) SetPartitioned(k *Controller, on bool) {
+	for _, r := range k.proxies {
+		r.SetPartitioned(on)
 	}
-	for _, o := range c.Controllers {
-		for i, s := range o.Cfg.Siblings {
-			if o != k && s.HostName == k.Cfg.HostName {
-				o.ways[i+1].Cut(on) // the first is to the state service
+	for _, other := range c.Controllers {
+		for i, sibling := range other.Config.Siblings {
+			if other != k && sibling.HostName == k.Config.HostName {
+				other.proxies[i+1].SetPartitioned(on) // the first is to the state service
 			}
 		}
 	}
 }
 
-// Find returns a job's open record.
-func (c *Cluster) Find(name string) []byte { return c.Store.Peek("open/" + name) }
+// OpenRecord returns a job's open record.
+func (c *Cluster) OpenRecord(name string) []byte { return c.Store.ReadKey("open/" + name) }
 
-func newController(c *Cluster, o *Options, i int) (*Controller, error) {
-	front, err := c.Store.Front()
+func newController(c *Cluster, options *Options, i int) (*Controller, error) {
+	endpoint, err := c.Store.Front()
 	if err != nil {
 		return nil, err
 	}
-	k := &config.Platform{HostName: fmt.Sprintf("hive-%d", i), Zone: o.Zones[i%len(o.Zones)]}
-	for _, a := range []*string{&k.Bind, &k.PeerListen} {
+	cfg := &config.Platform{HostName: fmt.Sprintf("hive-%d", i), Zone: options.Zones[i%len(options.Zones)]}
+	for _, a := range []*string{&cfg.Bind, &cfg.PeerListen} {
 		if *a, err = FreeAddr(); err != nil {
 			return nil, err
 		}
 	}
-	k.Services.State = front.Addr
-	cl := &k.Cluster
-	cl.Zones, cl.Teams = o.Zones, o.Teams
-	cl.Workers.ReportS, cl.Workers.LeaseS, cl.Workers.CancelS = o.Report.Seconds(), o.Lease.Seconds(), o.Cancel.Seconds()
-	cl.State.RPS, cl.State.WriteRPS, cl.State.ValueKB, cl.State.TxnOps = o.Limits.RPS, o.Limits.WriteRPS,
-		o.Limits.ValueKB, o.Limits.TxnOps
-	cl.Cloud.RPS, cl.Cloud.ListLagS = o.CloudRPS, o.ListLag.Seconds()
-	cl.Resources.MemMB, cl.Resources.FDLimit = 300, 500
-	return &Controller{Cfg: k, Front: front, o: o}, nil
+	cfg.Services.State = endpoint.Addr
+	cluster := &cfg.Cluster
+	cluster.Zones, cluster.Teams = options.Zones, options.Teams
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = options.Report.Seconds(), options.Lease.Seconds(), options.Cancel.Seconds()
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = options.Limits.RPS, options.Limits.WriteRPS,
+		options.Limits.ValueKB, options.Limits.TxnOps
+	cluster.Cloud.RPS, cluster.Cloud.ListLagS = options.CloudRPS, options.ListLag.Seconds()
+	cluster.Resources.MemMB, cluster.Resources.FDLimit = 300, 500
+	return &Controller{Config: cfg, Store: endpoint, options: options}, nil
 }
 
 // Start runs the controller, with nothing left of an earlier life.
 func (k *Controller) Start() error {
-	set := config.DefaultSettings()
-	if k.o.Settings != nil {
+	settings := config.DefaultSettings()
+	if k.options.Settings != nil {
 		var err error
-		if set, err = k.o.Settings(k.Cfg.HostName); err != nil {
-			return fmt.Errorf("settings of %s: %w", k.Cfg.HostName, err)
+		if settings, err = k.options.Settings(k.Config.HostName); err != nil {
+			return fmt.Errorf("settings of %s: %w", k.Config.HostName, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	k.stop = cancel
-	log := k.o.Log.With("host", k.Cfg.HostName)
-	return k.serve(ctx, set, log)
+	log := k.options.Log.With("host", k.Config.HostName)
+	return k.serve(ctx, settings, log)
 }
 
 // serve runs a controller's doors and its node until the context ends.
-func (k *Controller) serve(ctx context.Context, set *config.Settings, log *slog.Logger) error {
-	rng := rand.New(rand.NewPCG(k.o.Seed, rand.Uint64()))
-	k.Node = node.New(k.Cfg, set, log, rng)
-	reg := prometheus.NewRegistry()
-	k.Node.Register(reg)
-	go server.New(k.Node, k.Cfg.Cluster.Resources.FDLimit, log, reg).Serve(ctx, k.Cfg.Bind, log)
-	go k.Node.ServePeers(ctx, k.Cfg.PeerListen)
+func (k *Controller) serve(ctx context.Context, settings *config.Settings, log *slog.Logger) error {
+	rng := rand.New(rand.NewPCG(k.options.Seed, rand.Uint64()))
+	k.Node = node.New(k.Config, settings, log, rng)
+	registry := prometheus.NewRegistry()
+	k.Node.Register(registry)
+	go server.New(k.Node, k.Config.Cluster.Resources.FDLimit, log, registry).Serve(ctx, k.Config.Bind, log)
+	go k.Node.ServePeers(ctx, k.Config.PeerListen)
 	go k.Node.Run(ctx)
-	if set.Operator == nil {
+	if settings.Operator == nil {
 		return nil
 	}
-	door, err := ops.New(k.Node, set.Operator, log, reg)
+	operators, err := ops.New(k.Node, settings.Operator, log, registry)
 	if err != nil {
 		return err
 	}
-	k.Ops = set.Operator.Listen
-	go door.Serve(ctx, k.Ops)
+	k.OpsAddr = settings.Operator.Listen
+	go operators.Serve(ctx, k.OpsAddr)
 	return nil
 }
 
@@ -236,7 +236,7 @@
 func (c *Cluster) Close() {
 	for _, k := range c.Controllers {
 		k.Stop()
-		for _, r := range k.ways {
+		for _, r := range k.proxies {
 			r.Close()
 		}
 	}
@@ -250,7 +250,7 @@
 func (c *Cluster) Addrs() []string {
 	var out []string
 	for _, k := range c.Controllers {
-		out = append(out, k.Cfg.Bind)
+		out = append(out, k.Config.Bind)
 	}
 	return out
 }
@@ -259,8 +259,8 @@
 func (c *Cluster) OpsAddrs() []string {
 	var out []string
 	for _, k := range c.Controllers {
-		if k.Ops != "" {
-			out = append(out, k.Ops)
+		if k.OpsAddr != "" {
+			out = append(out, k.OpsAddr)
 		}
 	}
 	return out
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -9,34 +9,34 @@
 
 // What the README's first command does, for a few seconds: no job is lost, and no
 // task is on two machines at a time.
-func TestATrialLosesNothing(t *testing.T) {
+func TestTrialClusterLosesNoJob(t *testing.T) {
 	c, err := Start(Trial(3, 4, 20, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	u := NewUsers(c.Addrs(), DefaultWorkload(), 20, 3)
-	arrive, stop1 := context.WithTimeout(t.Context(), 4*time.Second)
+	arrivals, stop1 := context.WithTimeout(t.Context(), 4*time.Second)
 	defer stop1()
 	all, stop2 := context.WithTimeout(t.Context(), 50*time.Second)
 	defer stop2()
-	u.Run(arrive, all)
+	u.Run(arrivals, all)
 	n := u.Counts()
 	if n.Accepted < 8 || n.Open+n.Lost+n.Refused > 0 || n.Done+n.Cancelled != n.Accepted || len(c.Depot.Broken()) > 0 {
 		t.Errorf("%+v %v", n, c.Depot.Broken())
 	}
 }
 
-func TestWorkloadsAreChecked(t *testing.T) {
-	good := `classes { name: "a" team: "batch" rank: "idle" image: "i" tasks: 3 cpus: 1 mem_gb: 1 run_s: 5 per_minute: 2 }`
-	if cs, err := ParseWorkload([]byte(good)); err != nil || len(cs) != 1 || cs[0].Tasks != 3 || cs[0].RunS != 5 {
+func TestParseWorkloadNamesInvalidFields(t *testing.T) {
+	valid := `classes { name: "a" team: "batch" rank: "idle" image: "i" tasks: 3 cpus: 1 mem_gb: 1 run_s: 5 per_minute: 2 }`
+	if cs, err := ParseWorkload([]byte(valid)); err != nil || len(cs) != 1 || cs[0].Tasks != 3 || cs[0].RunS != 5 {
 		t.Fatalf("%+v %v", cs, err)
 	}
 	for from, field := range map[string]string{`team: "batch"`: "classes[0].team", `rank: "idle"`: "classes[0].rank",
 		`tasks: 3`: "classes[0].tasks",
 		`cpus: 1`:  "classes[0].cpus", `run_s: 5`: "classes[0].run_s", `name: "a"`: "classes[0].name",
 		`image: "i"`: "classes[0].image"} {
-		if _, err := ParseWorkload([]byte(strings.Replace(good, from, "", 1))); err == nil ||
+		if _, err := ParseWorkload([]byte(strings.Replace(valid, from, "", 1))); err == nil ||
 			!strings.Contains(err.Error(), field) {
 			t.Errorf("without %s: %v", from, err)
 		}
@@ -45,16 +45,16 @@
 
 // A cluster was given the port of another one's controller that was stopped just then, and
 // answered operators for it.
-func TestNoAddressIsGivenTwice(t *testing.T) {
-	given := map[string]bool{}
+func TestFreeAddrReturnsNoAddressTwice(t *testing.T) {
+	returned := map[string]bool{}
 	for range 2000 {
 		addr, err := FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if given[addr] {
-			t.Fatalf("%s is given a second time, after %d others", addr, len(given)-1)
+		if returned[addr] {
+			t.Fatalf("%s is given a second time, after %d others", addr, len(returned)-1)
 		}
-		given[addr] = true
+		returned[addr] = true
 	}
 }
--- a/internal/dev/parse.go
+++ b/internal/dev/parse.go
@@ -23,23 +23,23 @@
 	var errs []error
 	for i, c := range p.GetClasses() {
 		errs = append(errs, checkClass(i, c))
-		out = append(out, classOf(c))
+		out = append(out, toClass(c))
 	}
 	return out, errors.Join(errs...)
 }
 
-func classOf(c *devpb.Class) Class {
+func toClass(c *devpb.Class) Class {
 	return Class{
 		Name: c.GetName(), Team: c.GetTeam(), Rank: c.GetRank(), Image: c.GetImage(), Tasks: int(c.GetTasks()),
 		CPUs: c.GetCpus(), MemGB: c.GetMemGb(), ImageGB: c.GetImageGb(), RunS: c.GetRunS(), SaveEveryS: c.GetSaveEveryS(),
 		SaveS: c.GetSaveS(), DeadlineS: c.GetDeadlineS(), PerMinute: c.GetPerMinute(), AtStart: int(c.GetAtStart()),
-		Spot: c.GetSpot(), Withdrawn: c.GetWithdrawn(),
+		Spot: c.GetSpot(), CancelledFraction: c.GetWithdrawn(),
 	}
 }
 
 const (
-	mostAmount = 1e6
-	mostTasks  = 10_000
+	maxAmount = 1e6
+	maxTasks  = 10_000
 )
 
 func checkClass(i int, c *devpb.Class) error {
@@ -50,27 +50,27 @@
 		}
 	}
 	check(len(c.GetName()) > 0 && len(c.GetName()) <= 200, "name", c.GetName(), "must be 1 to 200 bytes")
-	team := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == c.GetTeam() })
-	check(team, "team", c.GetTeam(), "must be batch or office")
-	_, rank := wire.Rank(c.GetRank())
-	check(rank, "rank", c.GetRank(), "must be idle, standard, urgent or prod")
+	knownTeam := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == c.GetTeam() })
+	check(knownTeam, "team", c.GetTeam(), "must be batch or office")
+	_, knownRank := wire.Rank(c.GetRank())
+	check(knownRank, "rank", c.GetRank(), "must be idle, standard, urgent or prod")
 	check(c.GetImage() != "", "image", c.GetImage(), "must be given")
-	check(c.GetTasks() >= 1 && c.GetTasks() <= mostTasks, "tasks", c.GetTasks(), "must be from 1 to 10000")
-	check(c.GetAtStart() >= 0 && c.GetAtStart() <= mostTasks, "at_start", c.GetAtStart(), "must be from 0 to 10000")
+	check(c.GetTasks() >= 1 && c.GetTasks() <= maxTasks, "tasks", c.GetTasks(), "must be from 1 to 10000")
+	check(c.GetAtStart() >= 0 && c.GetAtStart() <= maxTasks, "at_start", c.GetAtStart(), "must be from 0 to 10000")
 	check(c.GetWithdrawn() >= 0 && c.GetWithdrawn() <= 1, "withdrawn", c.GetWithdrawn(), "must be from 0 to 1")
-	above := func(field string, v float64) {
-		check(v > 0 && v <= mostAmount, field, v, "must be above 0 and at most 1000000")
+	checkPositive := func(field string, v float64) {
+		check(v > 0 && v <= maxAmount, field, v, "must be above 0 and at most 1000000")
 	}
-	above("cpus", c.GetCpus())
-	above("mem_gb", c.GetMemGb())
-	above("run_s", c.GetRunS())
-	from := func(field string, v float64) {
-		check(v >= 0 && v <= mostAmount, field, v, "must be from 0 to 1000000")
+	checkPositive("cpus", c.GetCpus())
+	checkPositive("mem_gb", c.GetMemGb())
+	checkPositive("run_s", c.GetRunS())
+	checkNotNegative := func(field string, v float64) {
+		check(v >= 0 && v <= maxAmount, field, v, "must be from 0 to 1000000")
 	}
-	from("image_gb", c.GetImageGb())
-	from("save_every_s", c.GetSaveEveryS())
-	from("save_s", c.GetSaveS())
-	from("deadline_s", c.GetDeadlineS())
-	from("per_minute", c.GetPerMinute())
+	checkNotNegative("image_gb", c.GetImageGb())
+	checkNotNegative("save_every_s", c.GetSaveEveryS())
+	checkNotNegative("save_s", c.GetSaveS())
+	checkNotNegative("deadline_s", c.GetDeadlineS())
+	checkNotNegative("per_minute", c.GetPerMinute())
 	return errors.Join(errs...)
 }
--- a/internal/dev/trial.go
+++ b/internal/dev/trialcluster.go
@@ -29,7 +29,7 @@
 		},
 		{
 			Name: "tidy", Team: "batch", Rank: "idle", Image: "tidy-1", Tasks: 8, CPUs: 1, MemGB: 1, ImageGB: 1,
-			RunS: 60, SaveEveryS: 10, SaveS: 1, PerMinute: 4, AtStart: 4, Spot: true, Withdrawn: 0.1,
+			RunS: 60, SaveEveryS: 10, SaveS: 1, PerMinute: 4, AtStart: 4, Spot: true, CancelledFraction: 0.1,
 		},
 	}
 }
@@ -37,28 +37,28 @@
 // Trial returns the options of a trial cluster: machines with 8 CPUs in two
 // zones, half of them up at the start spot ones, and a cloud that has as many
 // again. A pace above 1 makes boots, fetches and runs that many times shorter.
-func Trial(controllers, workers int, pace float64, seed uint64) Options {
-	kind := standin.Kind{Label: "k8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 0.5 * pace, Hourly: 0.5,
+func Trial(controllers, workers int, speed float64, seed uint64) Options {
+	machineType := standin.Kind{Label: "k8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 0.5 * speed, Hourly: 0.5,
 		MarketPrice: 0.2,
-		ReadyS:      20 / pace, Yards: trialZones, Room: workers}
-	o := Options{
-		Controllers: controllers, Zones: trialZones, Teams: trialTeams, Kinds: []standin.Kind{kind},
+		ReadyS:      20 / speed, Yards: trialZones, Room: workers}
+	options := Options{
+		Controllers: controllers, Zones: trialZones, Teams: trialTeams, Types: []standin.Kind{machineType},
 		Report: 500 * time.Millisecond, Lease: 10 * time.Second, Cancel: 40 * time.Second, ListLag: time.Second,
-		Dying:    3 * time.Second,
-		CloudRPS: 10, Limits: standin.StoreLimits{RPS: 300, WriteRPS: 120, ValueKB: 16,
-			TxnOps: 16}, Seed: seed, Depot: standin.NewDepot(),
+		ListedAfterLoss: 3 * time.Second,
+		CloudRPS:        10, Limits: standin.StoreLimits{RPS: 300, WriteRPS: 120, ValueKB: 16,
+			TxnOps: 16}, Seed: seed, Tasks: standin.NewDepot(),
 	}
 	for i := range min(workers, 4) {
 		n := (workers + 3 - i) / 4
-		o.Seeds = append(o.Seeds, Seed{Zone: trialZones[i%2], Spot: i >= 2, N: n})
+		options.InitialMachines = append(options.InitialMachines, InitialMachines{Zone: trialZones[i%2], Spot: i >= 2, Count: n})
 	}
-	o.Depot.Factor = func(_ *standin.Job, task string) float64 { return Wrong(task, seed) }
-	return o
+	options.Tasks.Factor = func(_ *standin.Job, task string) float64 { return EstimateError(task, seed) }
+	return options
 }
 
-// Wrong is by how much a task's estimate is wrong: 0.6 to 1.5 times, the same for
+// EstimateError is by how much a task's estimate is wrong: 0.6 to 1.5 times, the same for
 // a task whenever it runs.
-func Wrong(task string, seed uint64) float64 {
+func EstimateError(task string, seed uint64) float64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%s", seed, task)
 	return 0.6 + 0.9*float64(h.Sum64()%1000)/1000
--- a/internal/dev/workload.go
+++ b/internal/dev/workload.go
@@ -23,7 +23,7 @@
 	PerMinute               float64
 	AtStart                 int
 	Spot                    bool
-	Withdrawn               float64 // part that its user cancels
+	CancelledFraction       float64 // part that its user cancels
 }
 
 // Counts of a workload's jobs.
@@ -34,17 +34,17 @@
 
 // Users submit a workload's jobs, poll them and cancel some.
 type Users struct {
-	client  func() (*client.Users, error)
-	classes []Class
-	pace    float64
-	rng     *rand.Rand
-	mu      sync.Mutex
-	last    int
-	open    map[string]bool
-	c       Counts
-	wg      sync.WaitGroup
-	// Told gets every job as it is accepted.
-	Told func(Submitted)
+	newClient  func() (*client.Users, error)
+	classes    []Class
+	speed      float64
+	rng        *rand.Rand
+	mu         sync.Mutex
+	lastNumber int
+	open       map[string]bool
+	counts     Counts
+	pending    sync.WaitGroup
+	// OnAccepted gets every job as it is accepted.
+	OnAccepted func(Submitted)
 }
 
 // Submitted is a job that was accepted.
@@ -55,10 +55,10 @@
 }
 
 // NewUsers returns the users of a workload.
-func NewUsers(addrs []string, classes []Class, pace float64, seed uint64) *Users {
-	u := &Users{classes: classes, pace: max(pace, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
-		last: 100}
-	u.client = func() (*client.Users, error) {
+func NewUsers(addrs []string, classes []Class, speed float64, seed uint64) *Users {
+	u := &Users{classes: classes, speed: max(speed, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
+		lastNumber: 100}
+	u.newClient = func() (*client.Users, error) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return client.NewUsers(addrs, rand.New(rand.NewPCG(u.rng.Uint64(), 1)))
@@ -68,50 +68,50 @@
 
 // Run submits until arrive ends, then follows what is open until ctx ends or all
 // of it has ended.
-func (u *Users) Run(arrive, ctx context.Context) {
+func (u *Users) Run(arrivals, ctx context.Context) {
 	for i := range u.classes {
 		c := &u.classes[i]
 		for range c.AtStart {
-			u.start(ctx, c)
+			u.submitJob(ctx, c)
 		}
 		if c.PerMinute > 0 {
-			u.wg.Add(1)
-			go u.arrivals(arrive, ctx, c)
+			u.pending.Add(1)
+			go u.submitArrivals(arrivals, ctx, c)
 		}
 	}
-	u.wg.Wait()
+	u.pending.Wait()
 }
 
-func (u *Users) arrivals(arrive, ctx context.Context, c *Class) {
-	defer u.wg.Done()
-	mean := float64(time.Minute) / c.PerMinute / u.pace
+func (u *Users) submitArrivals(arrivals, ctx context.Context, c *Class) {
+	defer u.pending.Done()
+	mean := float64(time.Minute) / c.PerMinute / u.speed
 	for {
 		u.mu.Lock()
 		d := time.Duration(u.rng.ExpFloat64() * mean)
 		u.mu.Unlock()
 		select {
-		case <-arrive.Done():
+		case <-arrivals.Done():
 			return
 		case <-time.After(d):
-			u.start(ctx, c)
+			u.submitJob(ctx, c)
 		}
 	}
 }
 
-func (u *Users) start(ctx context.Context, c *Class) {
+func (u *Users) submitJob(ctx context.Context, c *Class) {
 	u.mu.Lock()
-	u.last++
-	id := fmt.Sprintf("job-%06d", u.last)
+	u.lastNumber++
+	id := fmt.Sprintf("job-%06d", u.lastNumber)
 	body, err := json.Marshal(u.submission(id, c))
-	withdraw := u.rng.Float64() < c.Withdrawn
+	cancelled := u.rng.Float64() < c.CancelledFraction
 	u.mu.Unlock()
 	if err != nil {
 		return // plain values always encode
 	}
-	u.wg.Add(1)
+	u.pending.Add(1)
 	go func() {
-		defer u.wg.Done()
-		u.follow(ctx, id, c.Name, body, withdraw)
+		defer u.pending.Done()
+		u.runJob(ctx, id, c.Name, body, cancelled)
 	}()
 }
 
@@ -122,73 +122,73 @@
 		"Cpus":         c.CPUs,
 		"Accelerators": 0, "MemGb": c.MemGB, "Wax": c.Image, "ImageGb": c.ImageGB, "Together": false, "Spread": false,
 		"SwarmBoxes": c.Spot,
-		"ForageS":    c.RunS / u.pace, "CapIntervalS": c.SaveEveryS / u.pace, "CapS": c.SaveS / u.pace}
+		"ForageS":    c.RunS / u.speed, "CapIntervalS": c.SaveEveryS / u.speed, "CapS": c.SaveS / u.speed}
 	if c.DeadlineS > 0 {
-		s["HarvestS"] = c.DeadlineS / u.pace
+		s["HarvestS"] = c.DeadlineS / u.speed
 	}
 	return s
 }
 
-// follow is a user's life with one job.
-func (u *Users) follow(ctx context.Context, id, class string, body []byte, withdraw bool) {
-	c, err := u.client()
+// runJob is a user's life with one job.
+func (u *Users) runJob(ctx context.Context, id, class string, body []byte, cancelled bool) {
+	user, err := u.newClient()
 	if err != nil {
 		return
 	}
-	if _, _, err := c.Submit(ctx, body); err != nil {
-		u.count(func() { u.c.Refused++ })
+	if _, _, err := user.Submit(ctx, body); err != nil {
+		u.update(func() { u.counts.Refused++ })
 		return
 	}
-	u.count(func() {
-		u.c.Accepted++
+	u.update(func() {
+		u.counts.Accepted++
 		u.open[id] = true
-		if u.Told != nil {
-			u.Told(Submitted{id, class, time.Now()})
+		if u.OnAccepted != nil {
+			u.OnAccepted(Submitted{id, class, time.Now()})
 		}
 	})
-	if withdraw {
-		_, err := c.Withdraw(ctx, id)
-		u.failed(ctx, id, err)
+	if cancelled {
+		_, err := user.Withdraw(ctx, id)
+		u.checkUnknown(ctx, id, err)
 	}
-	every := time.Duration(float64(5*time.Second) / min(u.pace, 10))
-	st, err := c.Wait(ctx, id, every, func(*wire.JobState) {})
+	pollInterval := time.Duration(float64(5*time.Second) / min(u.speed, 10))
+	state, err := user.Wait(ctx, id, pollInterval, func(*wire.JobState) {})
 	if err != nil {
-		u.failed(ctx, id, err)
+		u.checkUnknown(ctx, id, err)
 		return
 	}
-	u.count(func() {
+	u.update(func() {
 		delete(u.open, id)
-		if st.Stage == "aborted" {
-			u.c.Cancelled++
+		if state.Stage == "aborted" {
+			u.counts.Cancelled++
 		} else {
-			u.c.Done++
+			u.counts.Done++
 		}
-		if !withdraw && st.Stage == "aborted" {
-			u.lose("%s was called cancelled, which nobody asked for", id)
+		if !cancelled && state.Stage == "aborted" {
+			u.recordLoss("%s was called cancelled, which nobody asked for", id)
 		}
 	})
 }
 
-// failed counts an accepted job that is answered as if it were unknown.
-func (u *Users) failed(ctx context.Context, id string, err error) {
-	var r *client.Refused
-	if ctx.Err() != nil || err == nil || !errors.As(err, &r) {
+// checkUnknown counts an accepted job that is answered as if it were unknown.
+func (u *Users) checkUnknown(ctx context.Context, id string, err error) {
+	var refused *client.Refused
+	if ctx.Err() != nil || err == nil || !errors.As(err, &refused) {
 		return
 	}
-	u.count(func() {
+	u.update(func() {
 		if u.open[id] {
 			delete(u.open, id)
-			u.lose("%s was accepted, then answered with %d", id, r.Status)
+			u.recordLoss("%s was accepted, then answered with %d", id, refused.Status)
 		}
 	})
 }
 
-func (u *Users) lose(format string, args ...any) {
-	u.c.Lost++
-	u.c.Losses = append(u.c.Losses, fmt.Sprintf(format, args...))
+func (u *Users) recordLoss(format string, args ...any) {
+	u.counts.Lost++
+	u.counts.Losses = append(u.counts.Losses, fmt.Sprintf(format, args...))
 }
 
-func (u *Users) count(f func()) {
+func (u *Users) update(f func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f()
@@ -198,7 +198,7 @@
 func (u *Users) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	c := u.c
+	c := u.counts
 	c.Open = len(u.open)
 	return c
 }
--- a/internal/e2e/looks_test.go
+++ b/internal/e2e/consistency_test.go
@@ -10,26 +10,26 @@
 	"honeylock/internal/dev"
 )
 
-// witness checks what users are told of jobs: an answer to a question that was asked after
+// answerChecker checks what users are told of jobs: an answer to a question that was asked after
 // somebody had been told of a job's acceptance or end is never older than that.
-type witness struct {
-	t    *testing.T
-	mu   sync.Mutex
-	told map[string]string // accepted, done or aborted
-	n    int               // answers that were compared with something
+type answerChecker struct {
+	t            *testing.T
+	mu           sync.Mutex
+	acknowledged map[string]string // accepted, done or aborted
+	compared     int               // answers that were compared with something
 }
 
-// ask asks a controller once, and compares its answer with what had been told before.
-func (w *witness) ask(c *dev.Controller, method, path, job string, body any) (status int, stage string) {
+// request asks a controller once, and compares its answer with what had been told before.
+func (w *answerChecker) request(c *dev.Controller, method, path, job string, body any) (status int, stage string) {
 	w.mu.Lock()
-	before := w.told[job]
+	before := w.acknowledged[job]
 	w.mu.Unlock()
 	status, v := call(c, method, path, body)
 	stage, _ = v["Stage"].(string)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if before != "" && (status == http.StatusOK || status == http.StatusCreated || status == http.StatusNotFound) {
-		w.n++
+		w.compared++
 		ended := before == "done" || before == "aborted"
 		if status != http.StatusOK || ended && stage != before {
 			w.t.Errorf("%s %s: %d %q after %q", method, path, status, stage, before)
@@ -37,38 +37,38 @@
 	}
 	switch {
 	case stage == "done" || stage == "aborted":
-		w.told[job] = stage
-	case stage != "" && w.told[job] == "":
-		w.told[job] = "accepted"
+		w.acknowledged[job] = stage
+	case stage != "" && w.acknowledged[job] == "":
+		w.acknowledged[job] = "accepted"
 	}
 	return status, stage
 }
 
-// look asks all controllers at once, twice, and submits the job once more.
-func (w *witness) look(cl *dev.Cluster, job object) {
+// checkAll asks all controllers at once, twice, and submits the job once more.
+func (w *answerChecker) checkAll(cl *dev.Cluster, job object) {
 	id := job["NameId"].(string)
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for range 2 {
 		for _, c := range cl.Controllers {
-			all.Go(func() { w.ask(c, http.MethodGet, "/v1/jobs/"+id, id, nil) })
+			requests.Go(func() { w.request(c, http.MethodGet, "/v1/jobs/"+id, id, nil) })
 		}
 	}
-	all.Go(func() { w.ask(cl.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
-	all.Wait()
+	requests.Go(func() { w.request(cl.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
+	requests.Wait()
 }
 
-// insist repeats a request until it is answered, and looks closely then.
-func (w *witness) insist(cl *dev.Cluster, i int, path string, job object) {
+// retryUntilAnswered repeats a request until it is answered, and looks closely then.
+func (w *answerChecker) retryUntilAnswered(cl *dev.Cluster, firstController int, path string, job object) {
 	id := job["NameId"].(string)
 	var body any
 	if path == "/v1/jobs" {
 		body = job
 	}
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		i++
-		st, _ := w.ask(cl.Controllers[i%3], http.MethodPost, path, id, body)
-		if st == http.StatusOK || st == http.StatusCreated {
-			w.look(cl, job)
+		firstController++
+		status, _ := w.request(cl.Controllers[firstController%3], http.MethodPost, path, id, body)
+		if status == http.StatusOK || status == http.StatusCreated {
+			w.checkAll(cl, job)
 			return
 		}
 	}
@@ -77,65 +77,65 @@
 
 // Users ask at all controllers within milliseconds of an answer, repeat submissions, cancel at
 // once or just as the last task ends, while one controller's transactions lose their answers.
-func TestCloseLooks(t *testing.T) {
-	cl := troubled(t, 6)
-	cl.Controllers[1].Front.Lose(4)
-	w := &witness{t: t, told: map[string]string{}}
-	var all sync.WaitGroup
+func TestAnswersAreConsistentAcrossControllers(t *testing.T) {
+	cl := startFaultCluster(t, 6)
+	cl.Controllers[1].Store.LoseAnswers(4)
+	checker := &answerChecker{t: t, acknowledged: map[string]string{}}
+	var users sync.WaitGroup
 	for i := range 24 {
 		job := submission(fmt.Sprintf("job-%06d", 100+i), 1+i%3)
 		id := job["NameId"].(string)
-		all.Go(func() {
+		users.Go(func() {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-			w.insist(cl, i, "/v1/jobs", job)
+			checker.retryUntilAnswered(cl, i, "/v1/jobs", job)
 			switch i % 3 {
 			case 0: // at once
 			case 1: // about when its last task ends
 				time.Sleep(time.Duration(300+40*i) * time.Millisecond)
 			default:
 				for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					if _, st := w.ask(cl.Controllers[i%2], http.MethodGet, "/v1/jobs/"+id, id, nil); st == "done" {
+					if _, st := checker.request(cl.Controllers[i%2], http.MethodGet, "/v1/jobs/"+id, id, nil); st == "done" {
 						break
 					}
 				}
-				w.look(cl, job)
+				checker.checkAll(cl, job)
 			}
-			w.insist(cl, i+1, "/v1/jobs/"+id+"/withdraw", job)
+			checker.retryUntilAnswered(cl, i+1, "/v1/jobs/"+id+"/withdraw", job)
 		})
 	}
-	all.Wait()
-	ends := map[string]int{}
-	for _, st := range w.told {
-		ends[st]++
+	users.Wait()
+	outcomes := map[string]int{}
+	for _, st := range checker.acknowledged {
+		outcomes[st]++
 	}
-	if ends["done"] < 8 || ends["aborted"] == 0 || ends["accepted"] > 0 || w.n < 24*14 {
-		t.Errorf("%v after %d comparisons", ends, w.n)
+	if outcomes["done"] < 8 || outcomes["aborted"] == 0 || outcomes["accepted"] > 0 || checker.compared < 24*14 {
+		t.Errorf("%v after %d comparisons", outcomes, checker.compared)
 	}
 }
 
 // Machines reach no controller while commands reach them: they lose their leases, their tasks run
 // elsewhere, none twice at a time, and room comes back.
-func TestMachinesThatReachNobody(t *testing.T) {
+func TestMachinesThatReachNoController(t *testing.T) {
 	t.Parallel()
-	cl := troubled(t, 6)
+	cl := startFaultCluster(t, 6)
 	job := submission("job-000001", 28)
 	job["ForageS"] = 7.0
-	accept(t, cl.Controllers[0], job)
-	until(t, "tasks run", func() bool { return cl.Depot.Running("job-000001") > 20 })
-	mute := cl.Cloud.Workers()[:2]
-	for _, w := range mute {
-		w.Mute(12 * time.Second)
+	submitAccepted(t, cl.Controllers[0], job)
+	waitUntil(t, "tasks run", func() bool { return cl.Depot.Running("job-000001") > 20 })
+	isolated := cl.Cloud.Workers()[:2]
+	for _, w := range isolated {
+		w.LoseOutbound(12 * time.Second)
 	}
-	k := leader(t, cl)
+	k := waitForLeader(t, cl)
 	k.Stop()
 	time.Sleep(200 * time.Millisecond)
 	if err := k.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the job", func() bool { return stage(k, "job-000001") == "done" })
+	waitUntil(t, "the job", func() bool { return jobStage(k, "job-000001") == "done" })
 	killed := 0
 	for _, r := range cl.Depot.Runs() {
-		if r.Cause == "killed" && (r.Machine == mute[0].Name || r.Machine == mute[1].Name) {
+		if r.Cause == "killed" && (r.Machine == isolated[0].Name || r.Machine == isolated[1].Name) {
 			killed++
 		}
 	}
@@ -144,18 +144,18 @@
 	}
 	last := submission("job-000002", 24)
 	last["ForageS"] = 2.0
-	accept(t, k, last)
-	until(t, "all machines work again", func() bool { return cl.Depot.Running("job-000002") >= 20 })
+	submitAccepted(t, k, last)
+	waitUntil(t, "all machines work again", func() bool { return cl.Depot.Running("job-000002") >= 20 })
 }
 
 // What is no job, or can never run, is refused however it is asked, and is never accepted; a
 // known job's name does not make it one.
-func TestOddRequests(t *testing.T) {
-	cl := troubled(t, 2)
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
+	cl := startFaultCluster(t, 2)
 	k := cl.Controllers[0]
-	accept(t, k, submission("job-000001", 1))
-	until(t, "the job", func() bool { return stage(k, "job-000001") == "done" })
-	odd := map[string]struct {
+	submitAccepted(t, k, submission("job-000001", 1))
+	waitUntil(t, "the job", func() bool { return jobStage(k, "job-000001") == "done" })
+	invalid := map[string]struct {
 		field string
 		value any // nil: left out
 		want  int
@@ -179,19 +179,19 @@
 	}
 	for _, f := range []string{"NameId", "Comb", "Colony", "Shape", "Rank", "Cells", "Cpus", "Accelerators", "MemGb",
 		"Wax", "ImageGb", "Together", "Spread", "SwarmBoxes", "ForageS", "CapIntervalS", "CapS"} {
-		odd["without "+f] = struct {
+		invalid["without "+f] = struct {
 			field string
 			value any
 			want  int
 		}{f, nil, http.StatusBadRequest}
-		odd["a wrong type of "+f] = struct {
+		invalid["a wrong type of "+f] = struct {
 			field string
 			value any
 			want  int
 		}{f, object{}, http.StatusBadRequest}
 	}
 	n := 0
-	for name, o := range odd {
+	for name, o := range invalid {
 		n++
 		job := submission(fmt.Sprintf("job-%06d", 500+n), 2)
 		if o.value == nil {
@@ -219,7 +219,7 @@
 	if st != http.StatusOK || v["Stage"] != "done" {
 		t.Errorf("a job that is done, cancelled: %d %v", st, v)
 	}
-	if b := cl.Find("job-000001"); b != nil {
+	if b := cl.OpenRecord("job-000001"); b != nil {
 		t.Errorf("an open record of a job that is done: %s", b)
 	}
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -19,44 +19,44 @@
 	"honeylock/internal/standin"
 )
 
-const token = "a token of the tests"
+const operatorToken = "a token of the tests"
 
-// operated starts a cluster of n machines with operators' doors.
-func operated(t *testing.T, n int, seed uint64) (*dev.Cluster, *client.Operators) {
+// startOperated starts a cluster of n machines with operators' doors.
+func startOperated(t *testing.T, n int, seed uint64) (*dev.Cluster, *client.Operators) {
 	t.Helper()
-	o := options()
+	o := defaultOptions()
 	o.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
-	o.Seeds = []dev.Seed{{Zone: "a", N: n}}
-	o.Depot = standin.NewDepot()
-	o.Depot.Factor = func(_ *standin.Job, task string) float64 {
-		return 0.9 + (dev.Wrong(task, seed)-0.6)/4.5 // 0.9 to 1.1
+	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: n}}
+	o.Tasks = standin.NewDepot()
+	o.Tasks.Factor = func(_ *standin.Job, task string) float64 {
+		return 0.9 + (dev.EstimateError(task, seed)-0.6)/4.5 // 0.9 to 1.1
 	}
-	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(token) }
-	return opened(t, o)
+	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	return startOperatedWith(t, o)
 }
 
-// opened starts a cluster with operators' doors.
-func opened(t *testing.T, o dev.Options) (*dev.Cluster, *client.Operators) {
+// startOperatedWith starts a cluster with operators' doors.
+func startOperatedWith(t *testing.T, o dev.Options) (*dev.Cluster, *client.Operators) {
 	t.Helper()
-	c := start(t, o)
-	ops, err := client.NewOperators(c.OpsAddrs(), token, "")
+	c := startWith(t, o)
+	ops, err := client.NewOperators(c.OpsAddrs(), operatorToken, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c, ops
 }
 
-func quiet(string) {}
+func discardMessage(string) {}
 
-func apply(t *testing.T, ops *client.Operators, plan string) {
+func applyPlan(t *testing.T, ops *client.Operators, plan string) {
 	t.Helper()
 	var out node.Outcome
-	if err := ops.Change(t.Context(), "drains", []byte(plan), &out, quiet); err != nil {
+	if err := ops.Change(t.Context(), "drains", []byte(plan), &out, discardMessage); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func forecastOf(t *testing.T, ops *client.Operators, path, plan string) (f node.ForecastReply) {
+func requestForecast(t *testing.T, ops *client.Operators, path, plan string) (f node.ForecastReply) {
 	t.Helper()
 	if err := ops.Ask(t.Context(), path, []byte(plan), &f, func() bool { return f.Done >= 1 }); err != nil {
 		t.Fatal(err)
@@ -64,9 +64,9 @@
 	return f
 }
 
-// load fills a cluster of 5 machines: a class that teaches how long tasks take, 20
+// submitLoad fills a cluster of 5 machines: a class that teaches how long tasks take, 20
 // tasks that take all CPUs, and 30 that wait for them.
-func load(t *testing.T, c *dev.Cluster) {
+func submitLoad(t *testing.T, c *dev.Cluster) {
 	t.Helper()
 	k := c.Controllers[0]
 	job := func(id string, tasks int, run float64) object {
@@ -74,24 +74,24 @@
 		s["ForageS"], s["ImageGb"] = run, 0.01
 		return s
 	}
-	accept(t, k, job("job-000001", 20, 3))
-	until(t, "the first job", func() bool { return stage(k, "job-000001") == "done" })
-	accept(t, k, job("job-000002", 20, 9))
-	until(t, "the second job runs", func() bool { return c.Depot.Running("job-000002") == 20 })
-	accept(t, k, job("job-000003", 30, 6))
+	submitAccepted(t, k, job("job-000001", 20, 3))
+	waitUntil(t, "the first job", func() bool { return jobStage(k, "job-000001") == "done" })
+	submitAccepted(t, k, job("job-000002", 20, 9))
+	waitUntil(t, "the second job runs", func() bool { return c.Depot.Running("job-000002") == 20 })
+	submitAccepted(t, k, job("job-000003", 30, 6))
 }
 
-// ends waits for jobs and tells how long after a time they were done.
-func ends(t *testing.T, c *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
+// completionTimes waits for jobs and tells how long after a time they were done.
+func completionTimes(t *testing.T, c *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
 	t.Helper()
 	last := map[string]time.Time{}
 	for _, id := range ids {
-		until(t, id, func() bool { return stage(c.Controllers[0], id) == "done" })
+		waitUntil(t, id, func() bool { return jobStage(c.Controllers[0], id) == "done" })
 	}
 	for _, r := range c.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
-		if r.Cause == "done" && r.Ended.After(last[id]) {
-			last[id] = r.Ended
+		if r.Cause == "done" && r.EndedAt.After(last[id]) {
+			last[id] = r.EndedAt
 		}
 	}
 	out := map[string]float64{}
@@ -101,52 +101,52 @@
 	return out
 }
 
-const twoOfFive = `name: "p" machines { names: "m-000001" names: "m-000002" } at_once: 2 after: PATCH patch_s: 600`
+const drainTwoOfFive = `name: "p" machines { names: "m-000001" names: "m-000002" } at_once: 2 after: PATCH patch_s: 600`
 
-// tolerance of a forecast, in seconds: its steps, reports and late room.
-const tolerance = 3.5
+// toleranceSeconds of a forecast, in seconds: its steps, reports and late room.
+const toleranceSeconds = 3.5
 
-// TestForecastMatchesWhatHappens compares a forecast with two clusters under the
+// TestForecastMatchesOutcome compares a forecast with two clusters under the
 // same load: one with the plan, one without.
-func TestForecastMatchesWhatHappens(t *testing.T) {
+func TestForecastMatchesOutcome(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			with, ops := operated(t, 5, seed)
-			without, _ := operated(t, 5, seed)
-			var base map[string]float64
+			with, ops := startOperated(t, 5, seed)
+			without, _ := startOperated(t, 5, seed)
+			var baseline map[string]float64
 			var wg sync.WaitGroup
 			wg.Go(func() {
-				load(t, without)
-				base = ends(t, without, time.Now(), "job-000002", "job-000003")
+				submitLoad(t, without)
+				baseline = completionTimes(t, without, time.Now(), "job-000002", "job-000003")
 			})
-			load(t, with)
-			began := time.Now()
-			f := forecastOf(t, ops, "forecasts", twoOfFive)
-			apply(t, ops, twoOfFive)
-			got := ends(t, with, began, "job-000002", "job-000003")
+			submitLoad(t, with)
+			startedAt := time.Now()
+			forecast := requestForecast(t, ops, "forecasts", drainTwoOfFive)
+			applyPlan(t, ops, drainTwoOfFive)
+			withPlan := completionTimes(t, with, startedAt, "job-000002", "job-000003")
 			wg.Wait()
-			if len(f.Delayed) != 1 || f.Delayed[0].Job != "job-000003" || f.Delayed[0].Why != "waits for room" {
-				t.Fatalf("%+v, want job-000003 to wait for room", f)
+			if len(forecast.Delayed) != 1 || forecast.Delayed[0].Job != "job-000003" || forecast.Delayed[0].Why != "waits for room" {
+				t.Fatalf("%+v, want job-000003 to wait for room", forecast)
 			}
-			l := f.Delayed[0]
-			if d := got["job-000003"]; math.Abs(d-l.EndS[1]) > tolerance {
-				t.Errorf("it ended after %.1f s, %v were foreseen", d, l.EndS)
+			delayed := forecast.Delayed[0]
+			if deviation := withPlan["job-000003"]; math.Abs(deviation-delayed.EndS[1]) > toleranceSeconds {
+				t.Errorf("it ended after %.1f s, %v were foreseen", deviation, delayed.EndS)
 			}
-			if d := got["job-000003"] - base["job-000003"]; math.Abs(d-l.DelayS[1]) > 2*tolerance {
-				t.Errorf("it was %.1f s late, %v were foreseen", d, l.DelayS)
+			if deviation := withPlan["job-000003"] - baseline["job-000003"]; math.Abs(deviation-delayed.DelayS[1]) > 2*toleranceSeconds {
+				t.Errorf("it was %.1f s late, %v were foreseen", deviation, delayed.DelayS)
 			}
-			if d := got["job-000002"] - base["job-000002"]; math.Abs(d) > tolerance {
-				t.Errorf("job-000002 was %.1f s late, none was foreseen", d)
+			if deviation := withPlan["job-000002"] - baseline["job-000002"]; math.Abs(deviation) > toleranceSeconds {
+				t.Errorf("job-000002 was %.1f s late, none was foreseen", deviation)
 			}
-			t.Logf("job-000003: foreseen to end in %v s, late by %v s; ended after %.1f s, without the plan %.1f s", l.EndS,
-				l.DelayS,
-				got["job-000003"], base["job-000003"])
+			t.Logf("job-000003: foreseen to end in %v s, late by %v s; ended after %.1f s, without the plan %.1f s", delayed.EndS,
+				delayed.DelayS,
+				withPlan["job-000003"], baseline["job-000003"])
 		})
 	}
 }
 
-func status(t *testing.T, ops *client.Operators, name string) (s node.PlanStatus) {
+func planStatus(t *testing.T, ops *client.Operators, name string) (s node.PlanStatus) {
 	t.Helper()
 	if err := ops.Get(t.Context(), "drains/"+name, &s); err != nil {
 		t.Fatal(err)
@@ -156,56 +156,58 @@
 
 // A machine dies half way through its drain, and the leader with it: the plan goes
 // on, a new forecast knows of the loss, and it is right.
-func TestAMachineAndTheLeaderDieHalfWay(t *testing.T) {
+func TestMachineAndLeaderLostDuringDrain(t *testing.T) {
 	t.Parallel()
-	c, ops := operated(t, 5, 7)
-	load(t, c)
-	apply(t, ops, strings.Replace(twoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
-	until(t, "both are being drained", func() bool { return status(t, ops, "p").Counts["draining"] == 2 })
+	c, ops := startOperated(t, 5, 7)
+	submitLoad(t, c)
+	applyPlan(t, ops, strings.Replace(drainTwoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
+	waitUntil(t, "both are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
 	c.Cloud.Lose("m-000001")
 	for _, k := range c.Controllers {
-		if leads(k) {
+		if isLeader(k) {
 			k.Stop()
 			defer func() { _ = k.Start() }()
 		}
 	}
-	until(t, "the loss is known", func() bool { return status(t, ops, "p").Counts["gone"] == 1 })
-	began := time.Now()
-	again := forecastOf(t, ops, "drains/p/forecast", "")
-	until(t, "the plan is done", func() bool { return status(t, ops, "p").Phase == "done" })
-	took := time.Since(began).Seconds()
-	if math.Abs(took-again.TookS[1]) > 2*tolerance {
-		t.Errorf("the rest took %.1f s, %v were foreseen", took, again.TookS)
+	waitUntil(t, "the loss is known", func() bool { return planStatus(t, ops, "p").Counts["gone"] == 1 })
+	startedAt := time.Now()
+	forecast := requestForecast(t, ops, "drains/p/forecast", "")
+	waitUntil(t, "the plan is done", func() bool { return planStatus(t, ops, "p").Phase == "done" })
+	duration := time.Since(startedAt).Seconds()
+	if math.Abs(duration-forecast.TookS[1]) > 2*toleranceSeconds {
+		t.Errorf("the rest took %.1f s, %v were foreseen", duration, forecast.TookS)
 	}
 	if n := len(c.Cloud.Workers()); n != 3 {
 		t.Errorf("%d machines are left", n)
 	}
 	for _, id := range []string{"job-000002", "job-000003"} {
-		until(t, id, func() bool { return stage(c.Controllers[0], id) == "done" || stage(c.Controllers[1], id) == "done" })
+		waitUntil(t, id, func() bool {
+			return jobStage(c.Controllers[0], id) == "done" || jobStage(c.Controllers[1], id) == "done"
+		})
 	}
-	var log []audit.Entry
-	if err := ops.Get(t.Context(), "audit", &log); err != nil || len(log) != 1 || log[0].Who != "dev" ||
-		log[0].What != "drain apply" {
-		t.Errorf("%+v %v", log, err)
+	var entries []audit.Entry
+	if err := ops.Get(t.Context(), "audit", &entries); err != nil || len(entries) != 1 || entries[0].Who != "dev" ||
+		entries[0].What != "drain apply" {
+		t.Errorf("%+v %v", entries, err)
 	}
 }
 
-func leads(k *dev.Controller) bool {
+func isLeader(k *dev.Controller) bool {
 	st, _ := call(k, http.MethodGet, "/metrics", nil)
-	return st == http.StatusOK && metric(k, "honeylock_leading") == "1"
+	return st == http.StatusOK && metricValue(k, "honeylock_leading") == "1"
 }
 
 // The operators' door: who may do what, what is refused, and what is repeated.
-func TestTheOperatorsDoor(t *testing.T) {
+func TestOperatorEndpoint(t *testing.T) {
 	t.Parallel()
-	c, ops := operated(t, 2, 1)
-	accept(t, c.Controllers[0], submission("job-000001", 1))
-	until(t, "both machines are known", func() bool {
+	c, ops := startOperated(t, 2, 1)
+	submitAccepted(t, c.Controllers[0], submission("job-000001", 1))
+	waitUntil(t, "both machines are known", func() bool {
 		var out node.Outcome
 		plan := `name: "a" machines { names: "m-000001" names: "m-000002" } after: PATCH`
-		return ops.Change(t.Context(), "drains", []byte(plan), &out, quiet) == nil
+		return ops.Change(t.Context(), "drains", []byte(plan), &out, discardMessage) == nil
 	})
-	ask := func(method, path, bearer, id, body string) (int, string) {
+	request := func(method, path, bearer, id, body string) (int, string) {
 		req, _ := http.NewRequestWithContext(context.Background(), method, "http://"+c.OpsAddrs()[1]+"/ops/v1/"+path,
 			strings.NewReader(body))
 		if bearer != "" {
@@ -223,9 +225,9 @@
 		_ = json.NewDecoder(res.Body).Decode(&e)
 		return res.StatusCode, e.Error + e.Outcome
 	}
-	until(t, "this door's controller has joined the leader", func() bool {
-		st, _ := ask("GET", "drains", token, "", "")
-		return st == http.StatusOK
+	waitUntil(t, "this door's controller has joined the leader", func() bool {
+		status, _ := request("GET", "drains", operatorToken, "", "")
+		return status == http.StatusOK
 	})
 	for _, x := range []struct {
 		method, path, bearer, id, body string
@@ -234,37 +236,37 @@
 	}{
 		{"GET", "drains", "", "", "", 401, "bearer token"},
 		{"GET", "drains", "wrong", "", "", 401, "bearer token"},
-		{"GET", "drains", token, "", "", 200, ""},
-		{"GET", "drains/b", token, "", "", 404, `"b"`},
-		{"GET", "nothing", token, "", "", 404, ""},
-		{"POST", "drains", token, "", `name: "B"`, 400, "name: "},
-		{"POST", "drains", token, "", `name: "b" machines { all: true }`, 409, `m-000001 is wanted by plan "a" and by "b"`},
-		{"POST", "drains", token, "", `name: "b" machines { names: "m-000099" }`, 409, "m-000099 is no machine"},
-		{"POST", "drains/a/pause", token, "again", "", 200, "paused"},
-		{"POST", "drains/a/pause", token, "again", "", 200, "paused"},
-		{"POST", "drains/a/resume", token, "again", "", 409, "used for something else"},
-		{"POST", "drains/a/resume", token, "not an id", "", 400, "Request-Id"},
-		{"POST", "drains/b/cancel", token, "", "", 409, `"b"`},
-		{"POST", "drains/a/machines/m-000001/patched", token, "", "", 409, "only a machine that is patching"},
-		{"POST", "drains/a/cancel", token, "", "", 200, "cancelled"},
-		{"POST", "drains/a/resume", token, "", "", 409, "cancelled"},
+		{"GET", "drains", operatorToken, "", "", 200, ""},
+		{"GET", "drains/b", operatorToken, "", "", 404, `"b"`},
+		{"GET", "nothing", operatorToken, "", "", 404, ""},
+		{"POST", "drains", operatorToken, "", `name: "B"`, 400, "name: "},
+		{"POST", "drains", operatorToken, "", `name: "b" machines { all: true }`, 409, `m-000001 is wanted by plan "a" and by "b"`},
+		{"POST", "drains", operatorToken, "", `name: "b" machines { names: "m-000099" }`, 409, "m-000099 is no machine"},
+		{"POST", "drains/a/pause", operatorToken, "again", "", 200, "paused"},
+		{"POST", "drains/a/pause", operatorToken, "again", "", 200, "paused"},
+		{"POST", "drains/a/resume", operatorToken, "again", "", 409, "used for something else"},
+		{"POST", "drains/a/resume", operatorToken, "not an id", "", 400, "Request-Id"},
+		{"POST", "drains/b/cancel", operatorToken, "", "", 409, `"b"`},
+		{"POST", "drains/a/machines/m-000001/patched", operatorToken, "", "", 409, "only a machine that is patching"},
+		{"POST", "drains/a/cancel", operatorToken, "", "", 200, "cancelled"},
+		{"POST", "drains/a/resume", operatorToken, "", "", 409, "cancelled"},
 	} {
-		st, why := ask(x.method, x.path, x.bearer, x.id, x.body)
-		if st != x.want || !strings.Contains(why, x.why) {
-			t.Errorf("%s %s %s: %d %q, want %d %q", x.method, x.path, x.body, st, why, x.want, x.why)
+		status, message := request(x.method, x.path, x.bearer, x.id, x.body)
+		if status != x.want || !strings.Contains(message, x.why) {
+			t.Errorf("%s %s %s: %d %q, want %d %q", x.method, x.path, x.body, status, message, x.want, x.why)
 		}
 	}
-	var log []audit.Entry
-	if err := ops.Get(t.Context(), "audit", &log); err != nil {
+	var entries []audit.Entry
+	if err := ops.Get(t.Context(), "audit", &entries); err != nil {
 		t.Fatal(err)
 	}
 	paused := 0
-	for _, e := range log {
+	for _, e := range entries {
 		if e.What == "drain pause" {
 			paused++
 		}
 	}
-	if paused != 1 || log[0].Outcome != `plan "a" is cancelled` {
-		t.Errorf("%+v", log)
+	if paused != 1 || entries[0].Outcome != `plan "a" is cancelled` {
+		t.Errorf("%+v", entries)
 	}
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/jobs_test.go
@@ -18,28 +18,28 @@
 
 type object = map[string]any
 
-func options() dev.Options {
+func defaultOptions() dev.Options {
 	return dev.Options{
 		Controllers: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}},
-		Kinds: []standin.Kind{{Label: "g8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 20, Hourly: 1, MarketPrice: 0.3,
+		Types: []standin.Kind{{Label: "g8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 20, Hourly: 1, MarketPrice: 0.3,
 			ReadyS: 10,
 			Yards:  []string{"a", "b"}}},
 		Report: 300 * time.Millisecond, Lease: 10 * time.Second, Cancel: 40 * time.Second, ListLag: time.Second,
-		Dying:    time.Second,
-		CloudRPS: 10, Limits: standin.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}, Seed: 1,
+		ListedAfterLoss: time.Second,
+		CloudRPS:        10, Limits: standin.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}, Seed: 1,
 	}
 }
 
-// cluster starts three controllers with their stand-ins and n workers.
-func cluster(t *testing.T, n int) *dev.Cluster {
+// startCluster starts three controllers with their stand-ins and n workers.
+func startCluster(t *testing.T, n int) *dev.Cluster {
 	t.Helper()
-	o := options()
-	o.Seeds = []dev.Seed{{Zone: "a", N: n}}
-	return start(t, o)
+	o := defaultOptions()
+	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: n}}
+	return startWith(t, o)
 }
 
-// start starts a cluster that is closed with the test, which fails if a task ran twice.
-func start(t *testing.T, o dev.Options) *dev.Cluster {
+// startWith starts a cluster that is closed with the test, which fails if a task ran twice.
+func startWith(t *testing.T, o dev.Options) *dev.Cluster {
 	t.Helper()
 	c, err := dev.Start(o)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if s, ok := body.(string); ok {
 		b = []byte(s)
 	}
-	req, _ := http.NewRequest(method, "http://"+c.Cfg.Bind+path, bytes.NewReader(b))
+	req, _ := http.NewRequest(method, "http://"+c.Config.Bind+path, bytes.NewReader(b))
 	res, err := (&http.Client{Timeout: 3 * time.Second}).Do(req)
 	if err != nil {
 		return 0, nil
@@ -70,9 +70,9 @@
 	return res.StatusCode, v
 }
 
-// metric is the value of one of a controller's metrics.
-func metric(c *dev.Controller, name string) string {
-	res, err := http.Get("http://" + c.Cfg.Bind + "/metrics")
+// metricValue is the value of one of a controller's metrics.
+func metricValue(c *dev.Controller, name string) string {
+	res, err := http.Get("http://" + c.Config.Bind + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -86,15 +86,15 @@
 	return ""
 }
 
-// until retries f until it holds.
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil retries f until it holds.
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if f() {
+		if holds() {
 			return
 		}
 	}
-	t.Fatalf("%s: not within 40 s", what)
+	t.Fatalf("%s: not within 40 s", condition)
 }
 
 func submission(id string, tasks int) object {
@@ -103,42 +103,42 @@
 		"CapIntervalS": 0, "CapS": 0}
 }
 
-func accept(t *testing.T, c *dev.Controller, job object) {
+func submitAccepted(t *testing.T, c *dev.Controller, job object) {
 	t.Helper()
-	until(t, "submission", func() bool {
+	waitUntil(t, "submission", func() bool {
 		st, _ := call(c, http.MethodPost, "/v1/jobs", job)
 		return st == http.StatusCreated || st == http.StatusOK
 	})
 }
 
-func stage(c *dev.Controller, id string) any {
+func jobStage(c *dev.Controller, id string) any {
 	_, v := call(c, http.MethodGet, "/v1/jobs/"+id, nil)
 	return v["Stage"]
 }
 
-func TestJobsRunThroughTheLossOfControllers(t *testing.T) {
-	cl := cluster(t, 4)
+func TestJobsSurviveLossOfControllers(t *testing.T) {
+	cl := startCluster(t, 4)
 	cs := cl.Controllers
-	accept(t, cs[0], submission("job-000001", 20))
-	until(t, "first job", func() bool { return stage(cs[1], "job-000001") == "done" })
+	submitAccepted(t, cs[0], submission("job-000001", 20))
+	waitUntil(t, "first job", func() bool { return jobStage(cs[1], "job-000001") == "done" })
 	if st, v := call(cs[2], http.MethodPost, "/v1/jobs", submission("job-000001", 20)); st != http.StatusOK || v["Stage"] != "done" {
 		t.Errorf("a repeated submission got %d %v", st, v)
 	}
 
-	accept(t, cs[1], submission("job-000002", 40))
+	submitAccepted(t, cs[1], submission("job-000002", 40))
 	// Every controller is killed in turn and started again.
 	for i, c := range cs {
 		c.Stop()
 		other := cs[(i+1)%3]
-		accept(t, other, submission(fmt.Sprintf("job-%06d", 10+i), 6))
+		submitAccepted(t, other, submission(fmt.Sprintf("job-%06d", 10+i), 6))
 		time.Sleep(300 * time.Millisecond)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		until(t, "the controller is back", func() bool { st, _ := call(c, http.MethodGet, "/healthz", nil); return st == http.StatusOK })
+		waitUntil(t, "the controller is back", func() bool { st, _ := call(c, http.MethodGet, "/healthz", nil); return st == http.StatusOK })
 	}
 	for _, id := range []string{"job-000002", "job-000010", "job-000011", "job-000012"} {
-		until(t, id, func() bool { return stage(cs[0], id) == "done" })
+		waitUntil(t, id, func() bool { return jobStage(cs[0], id) == "done" })
 	}
 	starts := map[string]int{}
 	for _, r := range cl.Depot.Runs() {
@@ -149,29 +149,29 @@
 	// Tasks that must share a zone run too.
 	together := submission("job-000030", 6)
 	together["Together"] = true
-	accept(t, cs[2], together)
-	until(t, "the job in one zone", func() bool { return stage(cs[1], "job-000030") == "done" })
+	submitAccepted(t, cs[2], together)
+	waitUntil(t, "the job in one zone", func() bool { return jobStage(cs[1], "job-000030") == "done" })
 
 	// A job that runs for ever is cancelled through another controller.
 	svc := submission("job-000020", 2)
 	svc["Shape"] = "daemon"
-	accept(t, cs[0], svc)
-	until(t, "the service starts", func() bool { return cl.Depot.Running("job-000020") == 2 })
-	until(t, "cancel", func() bool {
+	submitAccepted(t, cs[0], svc)
+	waitUntil(t, "the service starts", func() bool { return cl.Depot.Running("job-000020") == 2 })
+	waitUntil(t, "cancel", func() bool {
 		st, v := call(cs[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
 		return st == http.StatusOK && v["Stage"] == "aborted"
 	})
-	until(t, "its tasks go", func() bool { return cl.Depot.Running("job-000020") == 0 })
+	waitUntil(t, "its tasks go", func() bool { return cl.Depot.Running("job-000020") == 0 })
 	for _, c := range cs {
-		if s := stage(c, "job-000020"); s != "aborted" {
-			t.Errorf("%s says %v of a cancelled job", c.Cfg.HostName, s)
+		if s := jobStage(c, "job-000020"); s != "aborted" {
+			t.Errorf("%s says %v of a cancelled job", c.Config.HostName, s)
 		}
 	}
 }
 
-func TestAnswersToUsers(t *testing.T) {
-	cs := cluster(t, 1).Controllers
-	accept(t, cs[0], submission("job-000001", 1))
+func TestStatusCodesForUsers(t *testing.T) {
+	cs := startCluster(t, 1).Controllers
+	submitAccepted(t, cs[0], submission("job-000001", 1))
 	with := func(k string, v any) object {
 		s := submission("job-000099", 1)
 		s[k] = v
@@ -209,35 +209,35 @@
 
 // A controller that the state service alone refuses passes users' requests on:
 // for the seconds until the load balancer has noticed they would all fail.
-func TestRefusedControllerPassesRequestsOn(t *testing.T) {
-	cs := cluster(t, 1).Controllers
+func TestRefusedControllerForwardsRequests(t *testing.T) {
+	cs := startCluster(t, 1).Controllers
 	for _, c := range cs {
-		accept(t, c, submission("job-000001", 1))
+		submitAccepted(t, c, submission("job-000001", 1))
 	}
 	for i, c := range cs { // the leader is one of them
-		c.Front.Refuse(true)
+		c.Store.SetRefusing(true)
 		id := fmt.Sprintf("job-%06d", 10+i)
-		until(t, "submission", func() bool {
+		waitUntil(t, "submission", func() bool {
 			st, _ := call(c, http.MethodPost, "/v1/jobs", submission(id, 1))
 			return st == http.StatusCreated || st == http.StatusOK
 		})
 		if st, _ := call(cs[(i+1)%3], http.MethodGet, "/v1/jobs/"+id, nil); st != http.StatusOK {
 			t.Errorf("the job is known to a sibling as %d", st)
 		}
-		c.Front.Refuse(false)
+		c.Store.SetRefusing(false)
 		time.Sleep(2 * time.Second)
 	}
 }
 
 // With the state service silent, users' requests pile up: more than a few are
 // told at once to come back, and workers are answered all the while.
-func TestOverloadShedsUsersNotWorkers(t *testing.T) {
-	silent, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections, answers nothing
+func TestOverloadShedsUserRequestsNotReports(t *testing.T) {
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections, answers nothing
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	o := options()
+	defer unresponsive.Close()
+	o := defaultOptions()
 	o.Controllers, o.Limits.RPS, o.Limits.WriteRPS = 1, 1e6, 1e6
 	cl, err := dev.Start(o)
 	if err != nil {
@@ -246,11 +246,11 @@
 	defer cl.Close()
 	c := cl.Controllers[0]
 	c.Stop()
-	c.Cfg.Services.State = silent.Addr().String()
+	c.Config.Services.State = unresponsive.Addr().String()
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the port is open", func() bool { st, _ := call(c, http.MethodGet, "/metrics", nil); return st == http.StatusOK })
+	waitUntil(t, "the port is open", func() bool { st, _ := call(c, http.MethodGet, "/metrics", nil); return st == http.StatusOK })
 	answers := make(chan int, 150)
 	for range 150 {
 		go func() {
@@ -259,9 +259,9 @@
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
-	began := time.Now()
-	if st, _ := call(c, http.MethodPost, "/agent/beat", object{"Hive": "m-000001", "Breed": "g8", "Yard": "a", "Flight": 1, "Buzz": 1}); st != http.StatusMisdirectedRequest || time.Since(began) > time.Second {
-		t.Errorf("a worker got %d after %v", st, time.Since(began))
+	sentAt := time.Now()
+	if st, _ := call(c, http.MethodPost, "/agent/beat", object{"Hive": "m-000001", "Breed": "g8", "Yard": "a", "Flight": 1, "Buzz": 1}); st != http.StatusMisdirectedRequest || time.Since(sentAt) > time.Second {
+		t.Errorf("a worker got %d after %v", st, time.Since(sentAt))
 	}
 	if n := len(answers); n < 50 {
 		t.Errorf("%d of 150 users were answered at once", n)
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -13,22 +13,22 @@
 	"honeylock/internal/standin"
 )
 
-// known waits until all controllers are members, and have so many machines: workers that
+// waitForMembers waits until all controllers are members, and have so many machines: workers that
 // turned to one that had just started come a second later.
-func known(t *testing.T, ops *client.Operators, machines int) {
+func waitForMembers(t *testing.T, ops *client.Operators, machines int) {
 	t.Helper()
-	var ms []node.MemberReply
+	var members []node.MemberReply
 	defer func() {
 		if t.Failed() {
-			t.Logf("%+v", ms)
+			t.Logf("%+v", members)
 		}
 	}()
-	until(t, "all controllers and machines are known", func() bool {
-		if err := ops.Get(t.Context(), "members", &ms); err != nil || len(ms) != 3 {
+	waitUntil(t, "all controllers and machines are known", func() bool {
+		if err := ops.Get(t.Context(), "members", &members); err != nil || len(members) != 3 {
 			return false
 		}
 		sum := 0
-		for _, m := range ms {
+		for _, m := range members {
 			if !m.Connected || m.Release == 0 {
 				return false
 			}
@@ -38,17 +38,17 @@
 	})
 }
 
-// mostAtOnce is the most tasks that were on machines at a time, from then on, by what the
+// maxConcurrent is the most tasks that were on machines at a time, from then on, by what the
 // workers did.
-func mostAtOnce(runs []standin.Run, from time.Time) int {
+func maxConcurrent(runs []standin.Run, from time.Time) int {
 	type step struct {
 		at time.Time
 		by int
 	}
 	var steps []step
 	for _, r := range runs {
-		if end := r.Ended; end.IsZero() || end.After(from) {
-			began := r.Began
+		if end := r.EndedAt; end.IsZero() || end.After(from) {
+			began := r.StartedAt
 			if began.Before(from) {
 				began = from
 			}
@@ -64,30 +64,30 @@
 		}
 		return a.by - b.by
 	})
-	n, most := 0, 0
+	running, maxCount := 0, 0
 	for _, s := range steps {
-		n += s.by
-		most = max(most, n)
+		running += s.by
+		maxCount = max(maxCount, running)
 	}
-	return most
+	return maxCount
 }
 
 // A leader that is told to stop gives its key up at once; another need not wait for its lease.
-func TestALeaderLeavesInOrder(t *testing.T) {
+func TestLeaderResignsOnStop(t *testing.T) {
 	t.Parallel()
-	c := cluster(t, 1)
-	accept(t, c.Controllers[0], submission("job-000001", 1))
+	c := startCluster(t, 1)
+	submitAccepted(t, c.Controllers[0], submission("job-000001", 1))
 	for _, k := range c.Controllers {
-		if leads(k) {
+		if isLeader(k) {
 			k.Stop()
 			k.Node.ResignLeadership()
-			if v := c.Store.Peek("leader"); strings.Contains(string(v), k.Cfg.HostName) {
+			if v := c.Store.ReadKey("leader"); strings.Contains(string(v), k.Config.HostName) {
 				t.Errorf("the key is still there: %s", v)
 			}
 			defer func() { _ = k.Start() }()
 		}
 	}
-	until(t, "another leads", func() bool { return slices.ContainsFunc(c.Controllers, leads) })
+	waitUntil(t, "another leads", func() bool { return slices.ContainsFunc(c.Controllers, isLeader) })
 }
 
 // TestLimitsHoldAcrossControllers: three controllers never have more of a team's tasks on
@@ -95,34 +95,34 @@
 // is lowered holds under the next leader too, stops nothing, and is taken back at once.
 func TestLimitsHoldAcrossControllers(t *testing.T) {
 	t.Parallel()
-	o := options()
-	o.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}} // 12 tasks
-	o.Seeds = []dev.Seed{{Zone: "a", N: 4}, {Zone: "b", N: 4}}      // room for 32
-	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(token) }
-	c, ops := opened(t, o)
+	o := defaultOptions()
+	o.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}}                         // 12 tasks
+	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // room for 32
+	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	c, ops := startOperatedWith(t, o)
 	for i, id := range []string{"job-000001", "job-000002", "job-000003"} {
 		s := submission(id, 200)
 		s["ForageS"], s["ImageGb"] = 1.5, 0.01
-		accept(t, c.Controllers[i], s)
+		submitAccepted(t, c.Controllers[i], s)
 	}
 	running := func() int {
 		return c.Depot.Running("job-000001") + c.Depot.Running("job-000002") + c.Depot.Running("job-000003")
 	}
-	until(t, "the limit is used", func() bool { return running() == 12 })
+	waitUntil(t, "the limit is used", func() bool { return running() == 12 })
 	team := func() (r node.TeamReply) {
 		if err := ops.Get(t.Context(), "teams/vision", &r); err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	known(t, ops, 8)
-	until(t, "the limit holds the team", func() bool { // tasks end at once, and others take their place
+	waitForMembers(t, ops, 8)
+	waitUntil(t, "the limit holds the team", func() bool { // tasks end at once, and others take their place
 		r := team()
 		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
 	})
-	kill := func() (again func() error) {
+	stopLeader := func() (restart func() error) {
 		for _, k := range c.Controllers {
-			if leads(k) {
+			if isLeader(k) {
 				k.Stop()
 				return k.Start
 			}
@@ -130,39 +130,39 @@
 		t.Fatal("nobody leads")
 		return nil
 	}
-	again := kill()
+	restart := stopLeader()
 	c.Cloud.Lose(c.Cloud.Workers()[0].Name)
-	until(t, "the limit is used under the next leader", func() bool { return running() == 12 })
-	if err := again(); err != nil {
+	waitUntil(t, "the limit is used under the next leader", func() bool { return running() == 12 })
+	if err := restart(); err != nil {
 		t.Fatal(err)
 	}
 
 	var out node.Outcome
-	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 30`), &out, quiet); err == nil ||
+	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 30`), &out, discardMessage); err == nil ||
 		!strings.Contains(err.Error(), "above the platform's limit of 24") {
 		t.Errorf("a limit above the platform's: %v", err)
 	}
-	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 8 guarantee_cpus: 4`), &out, quiet); err != nil {
+	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 8 guarantee_cpus: 4`), &out, discardMessage); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "what is above the lower limit has ended", func() bool { return running() <= 4 })
-	low := time.Now()
-	again = kill()
-	until(t, "it is used under the next leader", func() bool { return running() == 4 })
+	waitUntil(t, "what is above the lower limit has ended", func() bool { return running() <= 4 })
+	loweredAt := time.Now()
+	restart = stopLeader()
+	waitUntil(t, "it is used under the next leader", func() bool { return running() == 4 })
 	time.Sleep(2 * time.Second)
-	if most := mostAtOnce(c.Depot.Runs(), low); most > 4 {
-		t.Errorf("%d tasks at once under a limit of 4", most)
+	if concurrent := maxConcurrent(c.Depot.Runs(), loweredAt); concurrent > 4 {
+		t.Errorf("%d tasks at once under a limit of 4", concurrent)
 	}
 	if r := team(); r.Limit != 8 || r.Guarantee != 4 || !strings.HasPrefix(r.Changed, "by dev") {
 		t.Errorf("the next leader has %+v", r)
 	}
-	if err := ops.Change(t.Context(), "teams/vision/unset", nil, &out, quiet); err != nil {
+	if err := ops.Change(t.Context(), "teams/vision/unset", nil, &out, discardMessage); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	until(t, "the platform's limit is used again", func() bool { return running() == 12 })
-	t.Logf("used %.1f s after it was raised", time.Since(began).Seconds())
-	if err := again(); err != nil {
+	raisedAt := time.Now()
+	waitUntil(t, "the platform's limit is used again", func() bool { return running() == 12 })
+	t.Logf("used %.1f s after it was raised", time.Since(raisedAt).Seconds())
+	if err := restart(); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range c.Depot.Runs() {
@@ -170,7 +170,7 @@
 			t.Errorf("%s was stopped on %s: a lower limit stops nothing", r.Task, r.Machine)
 		}
 	}
-	if most := mostAtOnce(c.Depot.Runs(), time.Time{}); most != 12 {
-		t.Errorf("%d tasks at once under a limit of 12", most)
+	if concurrent := maxConcurrent(c.Depot.Runs(), time.Time{}); concurrent != 12 {
+		t.Errorf("%d tasks at once under a limit of 12", concurrent)
 	}
 }
--- a/internal/e2e/gap_test.go
+++ b/internal/e2e/outage_test.go
@@ -10,30 +10,30 @@
 // The gap: the state service refuses the leader alone, another controller confirms a
 // cancellation, then the service is out for all, for longer than a cancellation may take, while
 // workers report to the old leader. The cancelled tasks are gone in time, all others go on.
-func TestTheGap(t *testing.T) {
+func TestCancellationCompletesDuringOutage(t *testing.T) {
 	t.Parallel()
-	o := options()
+	o := defaultOptions()
 	o.Lease, o.Cancel = 3*time.Second, 10*time.Second
 	o.Teams[0].CPUsMax = 400
-	o.Seeds = seedsOf(6)
-	cl := start(t, o)
+	o.InitialMachines = twoZoneMachines(6)
+	cl := startWith(t, o)
 	for _, id := range []string{"job-000001", "job-000002"} {
 		service := submission(id, 8)
 		service["Shape"] = "daemon"
-		accept(t, cl.Controllers[0], service)
+		submitAccepted(t, cl.Controllers[0], service)
 	}
-	until(t, "all tasks run", func() bool { return cl.Depot.Running("job-000001")+cl.Depot.Running("job-000002") == 16 })
-	k := leader(t, cl)
+	waitUntil(t, "all tasks run", func() bool { return cl.Depot.Running("job-000001")+cl.Depot.Running("job-000002") == 16 })
+	k := waitForLeader(t, cl)
 	other := cl.Controllers[0]
 	if other == k {
 		other = cl.Controllers[1]
 	}
-	k.Front.Refuse(true)
-	until(t, "cancelled", func() bool {
+	k.Store.SetRefusing(true)
+	waitUntil(t, "cancelled", func() bool {
 		st, v := call(other, http.MethodPost, "/v1/jobs/job-000001/withdraw", nil)
 		return st == http.StatusOK && v["Stage"] == "aborted"
 	})
-	cl.Store.Out(true)
+	cl.Store.SetOutage(true)
 	time.Sleep(o.Cancel)
 	if n := cl.Depot.Running("job-000001"); n > 0 {
 		t.Errorf("%d cancelled tasks are there", n)
@@ -48,8 +48,8 @@
 	if n := cl.Depot.Running("job-000002"); n != 8 || starts != 8 {
 		t.Errorf("%d of 8 tasks run that nobody cancelled, after %d starts", n, starts)
 	}
-	cl.Store.Out(false)
-	k.Front.Refuse(false)
-	accept(t, other, submission("job-000003", 6))
-	until(t, "the next job", func() bool { return stage(k, "job-000003") == "done" })
+	cl.Store.SetOutage(false)
+	k.Store.SetRefusing(false)
+	submitAccepted(t, other, submission("job-000003", 6))
+	waitUntil(t, "the next job", func() bool { return jobStage(k, "job-000003") == "done" })
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -14,45 +14,45 @@
 	"honeylock/internal/config"
 )
 
-// rented is a machine as the cloud knows it.
-type rented struct {
-	name, yard string
-	kind       Kind
-	spot       bool
-	since      time.Time
-	up         time.Time // when it boots; zero: never
-	w          *Worker   // nil until then, and where machines run elsewhere
-	addr       string    // "" until then
-	listedAt   time.Time // shows from then on
-	goneAt     time.Time // zero: it is there; the list shows it until then
+// rentedMachine is a machine as the cloud knows it.
+type rentedMachine struct {
+	name, zone  string
+	machineType Kind
+	spot        bool
+	rentedAt    time.Time
+	bootedAt    time.Time // when it boots; zero: never
+	worker      *Worker   // nil until then, and where machines run elsewhere
+	addr        string    // "" until then
+	listedAt    time.Time // shows from then on
+	unlistedAt  time.Time // zero: it is there; the list shows it until then
 }
 
 // Cloud is a stand-in of the cloud: it rents machines with limited capacity,
 // boots them after a while, and lists them late.
 type Cloud struct {
-	mu     sync.Mutex
-	kinds  []Kind
-	lag    time.Duration
-	dying  time.Duration
-	timing Timing
-	depot  *Depot
-	hosts  []Host
-	rng    *rand.Rand
-	reqs   *rate.Limiter
-	last   int
-	all    map[string]*rented
-	hires  map[string][]string
-	refuse bool
-	shut   map[string]bool // zones without machines to rent
-	stuck  bool            // machines rented from now on never come up
-	runs   Machines
-	calls  int
-	busy   int
-	door   *door
+	mu              sync.Mutex
+	types           []Kind
+	listLag         time.Duration
+	listedAfterLoss time.Duration
+	timing          Timing
+	tasks           *Depot
+	hosts           []Host
+	rng             *rand.Rand
+	requestLimiter  *rate.Limiter
+	lastNumber      int
+	machines        map[string]*rentedMachine
+	rentals         map[string][]string
+	noCapacity      bool
+	exhaustedZones  map[string]bool // zones without machines to rent
+	neverBoot       bool            // machines rented from now on never come up
+	runner          MachineRunner
+	calls           int
+	refusedCalls    int
+	server          *loopbackServer
 }
 
-// Machines brings machines up and ends them.
-type Machines interface {
+// MachineRunner brings machines up and ends them.
+type MachineRunner interface {
 	// Boot brings a machine up and returns its worker's address.
 	Boot(m MachineSpec) (addr string, err error)
 	// End ends a machine with all that is on it; the name may be unknown.
@@ -66,37 +66,37 @@
 	Dying   time.Duration // a machine that stopped is listed for so much longer
 	RPS     float64
 	Timing  Timing
-	Runs    Machines // where machines run; nil: in this process, each with its own listener
+	Runs    MachineRunner // where machines run; nil: in this process, each with its own listener
 }
 
 // NewCloud returns a cloud whose workers report to the hosts.
-func NewCloud(p CloudParams, d *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
+func NewCloud(p CloudParams, tasks *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
 	c := &Cloud{
-		kinds:  p.Kinds,
-		lag:    p.ListLag,
-		dying:  p.Dying,
-		timing: p.Timing,
-		depot:  d,
-		hosts:  hosts,
-		rng:    rng,
-		runs:   p.Runs,
-		reqs:   rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))),
-		all:    map[string]*rented{},
-		hires:  map[string][]string{},
-		shut:   map[string]bool{},
+		types:           p.Kinds,
+		listLag:         p.ListLag,
+		listedAfterLoss: p.Dying,
+		timing:          p.Timing,
+		tasks:           tasks,
+		hosts:           hosts,
+		rng:             rng,
+		runner:          p.Runs,
+		requestLimiter:  rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))),
+		machines:        map[string]*rentedMachine{},
+		rentals:         map[string][]string{},
+		exhaustedZones:  map[string]bool{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter,
 		_ *http.Request) {
-		answer(w, http.StatusOK, object{"Breeds": c.kinds})
+		writeJSON(w, http.StatusOK, object{"Breeds": c.types})
 	})
 	mux.HandleFunc("GET /rentals", c.list)
 	mux.HandleFunc("POST /rentals", c.rent)
-	mux.HandleFunc("POST /rentals/return", c.giveBack)
+	mux.HandleFunc("POST /rentals/return", c.returnMachines)
 	var err error
-	c.door, err = open(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !c.admits() {
-			answer(w, http.StatusTooManyRequests, object{})
+	c.server, err = startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !c.allowRequest() {
+			writeJSON(w, http.StatusTooManyRequests, object{})
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -107,14 +107,14 @@
 	return c, nil
 }
 
-// admits counts a call, and tells whether it is within the cloud's rate.
-func (c *Cloud) admits() bool {
-	allowed := c.reqs.Allow()
+// allowRequest counts a call, and tells whether it is within the cloud's rate.
+func (c *Cloud) allowRequest() bool {
+	allowed := c.requestLimiter.Allow()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	if !allowed {
-		c.busy++
+		c.refusedCalls++
 	}
 	return allowed
 }
@@ -123,47 +123,47 @@
 func (c *Cloud) Calls() (all, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls, c.busy
+	return c.calls, c.refusedCalls
 }
 
 // Addr is where controllers reach the cloud.
-func (c *Cloud) Addr() string { return c.door.addr }
+func (c *Cloud) Addr() string { return c.server.addr }
 
 // Close ends the cloud and all its machines.
 func (c *Cloud) Close() {
-	c.door.close()
+	c.server.close()
 	for _, w := range c.Workers() {
 		w.Kill()
 	}
 }
 
-// Refuse lets the cloud have no capacity, or some again.
-func (c *Cloud) Refuse(on bool) {
+// SetNoCapacity lets the cloud have no capacity, or some again.
+func (c *Cloud) SetNoCapacity(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuse = on
+	c.noCapacity = on
 }
 
 // Shut lets a zone have no capacity any more.
 func (c *Cloud) Shut(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut[zone] = true
+	c.exhaustedZones[zone] = true
 }
 
-// Stick lets machines rented from now on never come up, or come up again.
-func (c *Cloud) Stick(on bool) {
+// SetNeverBoot lets machines rented from now on never come up, or come up again.
+func (c *Cloud) SetNeverBoot(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stuck = on
+	c.neverBoot = on
 }
 
 // Seed gives the cluster machines that are up from the beginning.
-func (c *Cloud) Seed(kind int, yard string, spot bool, n int) error {
+func (c *Cloud) Seed(typeIndex int, zone string, spot bool, count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for range n {
-		m := c.add(c.kinds[kind], yard, spot)
+	for range count {
+		m := c.addMachine(c.types[typeIndex], zone, spot)
 		m.listedAt = time.Time{}
 		if err := c.boot(m); err != nil {
 			return err
@@ -172,38 +172,38 @@
 	return nil
 }
 
-func (c *Cloud) add(k Kind, yard string, spot bool) *rented {
-	c.last++
-	m := &rented{name: fmt.Sprintf("m-%06d", c.last), yard: yard, kind: k, spot: spot, since: time.Now()}
-	m.listedAt = m.since.Add(c.lag)
-	c.all[m.name] = m
+func (c *Cloud) addMachine(machineType Kind, zone string, spot bool) *rentedMachine {
+	c.lastNumber++
+	m := &rentedMachine{name: fmt.Sprintf("m-%06d", c.lastNumber), zone: zone, machineType: machineType, spot: spot, rentedAt: time.Now()}
+	m.listedAt = m.rentedAt.Add(c.listLag)
+	c.machines[m.name] = m
 	return m
 }
 
-func (c *Cloud) boot(m *rented) error {
-	spec := MachineSpec{Name: m.name, Yard: m.yard, Spot: m.spot, Kind: m.kind, First: c.last}
-	if c.runs != nil {
-		addr, err := c.runs.Boot(spec)
+func (c *Cloud) boot(m *rentedMachine) error {
+	spec := MachineSpec{Name: m.name, Yard: m.zone, Spot: m.spot, Kind: m.machineType, First: c.lastNumber}
+	if c.runner != nil {
+		addr, err := c.runner.Boot(spec)
 		if err == nil {
-			m.addr, m.up = addr, time.Now()
+			m.addr, m.bootedAt = addr, time.Now()
 		}
 		return err
 	}
-	w, err := StartWorker(spec, c.timing, c.depot, c.hosts)
+	w, err := StartWorker(spec, c.timing, c.tasks, c.hosts)
 	if err != nil {
 		return err
 	}
-	m.w, m.addr, m.up = w, w.Addr(), time.Now()
+	m.worker, m.addr, m.bootedAt = w, w.Addr(), time.Now()
 	return nil
 }
 
-// end ends a machine's worker.
-func (c *Cloud) end(m *rented) {
+// stopMachine ends a machine's worker.
+func (c *Cloud) stopMachine(m *rentedMachine) {
 	switch {
-	case m.w != nil:
-		m.w.Kill()
-	case c.runs != nil && m.addr != "":
-		c.runs.End(m.name)
+	case m.worker != nil:
+		m.worker.Kill()
+	case c.runner != nil && m.addr != "":
+		c.runner.End(m.name)
 	}
 }
 
@@ -212,8 +212,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
-	for name, m := range c.all {
-		if m.addr != "" && m.goneAt.IsZero() && (zone == "" || m.yard == zone) {
+	for name, m := range c.machines {
+		if m.addr != "" && m.unlistedAt.IsZero() && (zone == "" || m.zone == zone) {
 			out = append(out, name)
 		}
 	}
@@ -226,9 +226,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Worker
-	for _, m := range c.all {
-		if m.w != nil && m.goneAt.IsZero() {
-			out = append(out, m.w)
+	for _, m := range c.machines {
+		if m.worker != nil && m.unlistedAt.IsZero() {
+			out = append(out, m.worker)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
@@ -238,91 +238,91 @@
 // Lose lets a machine stop with all that is on it; the list shows it for a while.
 func (c *Cloud) Lose(name string) {
 	c.mu.Lock()
-	m := c.all[name]
-	if m == nil || !m.goneAt.IsZero() {
+	m := c.machines[name]
+	if m == nil || !m.unlistedAt.IsZero() {
 		c.mu.Unlock()
 		return
 	}
-	m.goneAt = time.Now().Add(c.dying + c.lag)
+	m.unlistedAt = time.Now().Add(c.listedAfterLoss + c.listLag)
 	c.mu.Unlock()
-	c.end(m)
+	c.stopMachine(m)
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var b struct {
+	var request struct {
 		Hire, Breed, Yard string
 		SwarmBoxes        bool
 		Count             int
 	}
-	if json.NewDecoder(r.Body).Decode(&b) != nil || b.Hire == "" || b.Count < 1 || b.Count > 50 {
-		answer(w, http.StatusBadRequest, object{"error": "malformed"})
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Hire == "" || request.Count < 1 || request.Count > 50 {
+		writeJSON(w, http.StatusBadRequest, object{"error": "malformed"})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.hires[b.Hire]; ok {
-		answer(w, http.StatusOK, object{"Hives": got})
+	if earlier, ok := c.rentals[request.Hire]; ok {
+		writeJSON(w, http.StatusOK, object{"Hives": earlier})
 		return
 	}
 	var names []string
-	for _, k := range c.kinds {
-		if k.Label != b.Breed || c.refuse || c.shut[b.Yard] {
+	for _, k := range c.types {
+		if k.Label != request.Breed || c.noCapacity || c.exhaustedZones[request.Yard] {
 			continue
 		}
-		have := 0
-		for _, m := range c.all {
-			if m.kind.Label == k.Label && m.yard == b.Yard && m.spot == b.SwarmBoxes && m.goneAt.IsZero() {
-				have++
+		rentedCount := 0
+		for _, m := range c.machines {
+			if m.machineType.Label == k.Label && m.zone == request.Yard && m.spot == request.SwarmBoxes && m.unlistedAt.IsZero() {
+				rentedCount++
 			}
 		}
-		for range min(b.Count, k.Room-have) {
-			names = append(names, c.hire(k, b.Yard, b.SwarmBoxes).name)
+		for range min(request.Count, k.Room-rentedCount) {
+			names = append(names, c.rentOne(k, request.Yard, request.SwarmBoxes).name)
 		}
 	}
 	if len(names) == 0 {
-		answer(w, http.StatusServiceUnavailable, object{"error": "no capacity"})
+		writeJSON(w, http.StatusServiceUnavailable, object{"error": "no capacity"})
 		return
 	}
-	c.hires[b.Hire] = names
-	answer(w, http.StatusOK, object{"Hives": names})
+	c.rentals[request.Hire] = names
+	writeJSON(w, http.StatusOK, object{"Hives": names})
 }
 
-// hire rents one machine, which boots later.
-func (c *Cloud) hire(k Kind, yard string, spot bool) *rented {
-	m := c.add(k, yard, spot)
-	if c.stuck {
+// rentOne rents one machine, which boots later.
+func (c *Cloud) rentOne(machineType Kind, zone string, spot bool) *rentedMachine {
+	m := c.addMachine(machineType, zone, spot)
+	if c.neverBoot {
 		return m
 	}
-	ready := config.Seconds(k.ReadyS * (0.6 + 0.9*c.rng.Float64()))
-	time.AfterFunc(ready, func() {
+	bootTime := config.Seconds(machineType.ReadyS * (0.6 + 0.9*c.rng.Float64()))
+	time.AfterFunc(bootTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if m.goneAt.IsZero() && c.all[m.name] == m {
+		if m.unlistedAt.IsZero() && c.machines[m.name] == m {
 			_ = c.boot(m) // without a port it is one that never comes up
 		}
 	})
 	return m
 }
 
-func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var b struct{ Hives []string }
-	if json.NewDecoder(r.Body).Decode(&b) != nil || len(b.Hives) > 100 {
-		answer(w, http.StatusBadRequest, object{"error": "malformed"})
+func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
+	var request struct{ Hives []string }
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hives) > 100 {
+		writeJSON(w, http.StatusBadRequest, object{"error": "malformed"})
 		return
 	}
 	c.mu.Lock()
-	var dead []*rented
-	for _, n := range b.Hives {
-		if m := c.all[n]; m != nil && m.goneAt.IsZero() {
-			m.goneAt = time.Now().Add(c.lag)
-			dead = append(dead, m)
+	var returned []*rentedMachine
+	for _, n := range request.Hives {
+		if m := c.machines[n]; m != nil && m.unlistedAt.IsZero() {
+			m.unlistedAt = time.Now().Add(c.listLag)
+			returned = append(returned, m)
 		}
 	}
 	c.mu.Unlock()
-	for _, m := range dead {
-		c.end(m)
+	for _, m := range returned {
+		c.stopMachine(m)
 	}
-	answer(w, http.StatusOK, object{})
+	writeJSON(w, http.StatusOK, object{})
 }
 
 func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
@@ -330,19 +330,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	hives := []object{}
-	for n, m := range c.all {
-		if n <= from || now.Before(m.listedAt) || !m.goneAt.IsZero() && now.After(m.goneAt) {
+	machines := []object{}
+	for name, m := range c.machines {
+		if name <= from || now.Before(m.listedAt) || !m.unlistedAt.IsZero() && now.After(m.unlistedAt) {
 			continue
 		}
-		h := object{"NameId": n, "Addr": "", "Breed": m.kind.Label, "Yard": m.yard, "SwarmBoxes": m.spot, "Stage": "starting",
-			"HeldS": now.Add(-c.lag).Sub(m.since).Seconds()}
+		machine := object{"NameId": name, "Addr": "", "Breed": m.machineType.Label, "Yard": m.zone, "SwarmBoxes": m.spot, "Stage": "starting",
+			"HeldS": now.Add(-c.listLag).Sub(m.rentedAt).Seconds()}
 		if m.addr != "" {
-			h["Stage"], h["Addr"] = "running", m.addr
+			machine["Stage"], machine["Addr"] = "running", m.addr
 		}
-		hives = append(hives, h)
+		machines = append(machines, machine)
 	}
-	sort.Slice(hives, func(i, j int) bool { return hives[i]["NameId"].(string) < hives[j]["NameId"].(string) })
-	cut := min(len(hives), 500)
-	answer(w, http.StatusOK, object{"Hives": hives[:cut], "Truncated": cut < len(hives)})
+	sort.Slice(machines, func(i, j int) bool { return machines[i]["NameId"].(string) < machines[j]["NameId"].(string) })
+	pageSize := min(len(machines), 500)
+	writeJSON(w, http.StatusOK, object{"Hives": machines[:pageSize], "Truncated": pageSize < len(machines)})
 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -12,26 +12,26 @@
 
 type object = map[string]any
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v) // a reader that is gone is no concern of a stand-in's
 }
 
-// door serves a handler on a loopback port of its own.
-type door struct {
-	addr string
-	srv  *http.Server
+// loopbackServer serves a handler on a loopback port of its own.
+type loopbackServer struct {
+	addr   string
+	server *http.Server
 }
 
-func open(h http.Handler) (*door, error) {
+func startServer(h http.Handler) (*loopbackServer, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &door{l.Addr().String(), &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
-	go func() { _ = d.srv.Serve(l) }() // it ends with Close
+	d := &loopbackServer{l.Addr().String(), &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
+	go func() { _ = d.server.Serve(l) }() // it ends with Close
 	return d, nil
 }
 
-func (d *door) close() { _ = d.srv.Close() }
+func (d *loopbackServer) close() { _ = d.server.Close() }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func ask(t *testing.T, method, addr, path, body string) (int, map[string]any) {
+func request(t *testing.T, method, addr, path, body string) (int, map[string]any) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
@@ -32,7 +32,7 @@
 	return res.StatusCode, v
 }
 
-func store(t *testing.T, l StoreLimits) (*Store, *Front) {
+func newStore(t *testing.T, l StoreLimits) (*Store, *Front) {
 	t.Helper()
 	s := NewStore(l)
 	t.Cleanup(s.Close)
@@ -44,9 +44,9 @@
 }
 
 // The state service's rules, one by one.
-func TestStoreKeepsToTheProtocol(t *testing.T) {
-	s, f := store(t, StoreLimits{ValueKB: 1, TxnOps: 2})
-	_, granted := ask(t, "POST", f.Addr, "/grants", `{"TtlMs":300}`)
+func TestStoreProtocol(t *testing.T) {
+	s, f := newStore(t, StoreLimits{ValueKB: 1, TxnOps: 2})
+	_, granted := request(t, "POST", f.Addr, "/grants", `{"TtlMs":300}`)
 	lease := fmt.Sprint(granted["Nectar"])
 	for _, c := range []struct {
 		method, path, body string
@@ -67,77 +67,77 @@
 		{"POST", "/grants/99/extend", "", 404},
 		{"GET", "/watch?Starts=a/&From=0&WaitMs=10", "", 200},
 	} {
-		if got, v := ask(t, c.method, f.Addr, c.path, c.body); got != c.want {
+		if got, v := request(t, c.method, f.Addr, c.path, c.body); got != c.want {
 			t.Errorf("%s %s %.60s: %d %v, want %d", c.method, c.path, c.body, got, v, c.want)
 		}
 	}
-	if _, v := ask(t, "GET", f.Addr, "/store?Starts=a/&Page=1", ""); v["Truncated"] != true ||
+	if _, v := request(t, "GET", f.Addr, "/store?Starts=a/&Page=1", ""); v["Truncated"] != true ||
 		len(v["Entries"].([]any)) != 1 {
 		t.Errorf("%v", v)
 	}
-	if _, v := ask(t, "GET", f.Addr, "/store?Starts=a/&From=a/b", ""); v["Truncated"] != false ||
+	if _, v := request(t, "GET", f.Addr, "/store?Starts=a/&From=a/b", ""); v["Truncated"] != false ||
 		len(v["Entries"].([]any)) != 1 {
 		t.Errorf("%v", v)
 	}
 	// In an outage no lease ends; after it each has its full time again.
-	s.Out(true)
+	s.SetOutage(true)
 	time.Sleep(400 * time.Millisecond)
-	if st, _ := ask(t, "GET", f.Addr, "/store/a/c", ""); st != 503 {
+	if st, _ := request(t, "GET", f.Addr, "/store/a/c", ""); st != 503 {
 		t.Errorf("%d in an outage", st)
 	}
-	s.Out(false)
-	if st, _ := ask(t, "GET", f.Addr, "/store/a/c", ""); st != 200 {
+	s.SetOutage(false)
+	if st, _ := request(t, "GET", f.Addr, "/store/a/c", ""); st != 200 {
 		t.Errorf("%d: the lease has ended in an outage", st)
 	}
 	// A watch hears of the key that goes with its lease.
-	_, v := ask(t, "GET", f.Addr, "/watch?Starts=a/c&From="+fmt.Sprint(s.rev)+"&WaitMs=2000", "")
+	_, v := request(t, "GET", f.Addr, "/watch?Starts=a/c&From="+fmt.Sprint(s.revision)+"&WaitMs=2000", "")
 	if evs := v["Events"].([]any); len(evs) != 1 || evs[0].(map[string]any)["Drop"] != "a/c" {
 		t.Errorf("%v", v)
 	}
-	for range keptChanges + 1 {
-		s.Poke("b", json.RawMessage("1"))
+	for range maxKeptChanges + 1 {
+		s.WriteKey("b", json.RawMessage("1"))
 	}
-	if st, _ := ask(t, "GET", f.Addr, "/watch?Starts=a/&From=1&WaitMs=10", ""); st != 410 {
+	if st, _ := request(t, "GET", f.Addr, "/watch?Starts=a/&From=1&WaitMs=10", ""); st != 410 {
 		t.Errorf("%d for a revision that is no longer kept", st)
 	}
 }
 
-func TestStoreLimitsRates(t *testing.T) {
-	_, f := store(t, StoreLimits{RPS: 20, WriteRPS: 5})
-	seen := map[int]int{}
+func TestStoreRateLimits(t *testing.T) {
+	_, f := newStore(t, StoreLimits{RPS: 20, WriteRPS: 5})
+	statuses := map[int]int{}
 	for range 12 {
-		st, _ := ask(t, "POST", f.Addr, "/txn", `{"Then":[{"Put":"x","V":1}]}`)
-		seen[st]++
+		st, _ := request(t, "POST", f.Addr, "/txn", `{"Then":[{"Put":"x","V":1}]}`)
+		statuses[st]++
 	}
-	if seen[200] < 5 || seen[429] < 5 {
-		t.Errorf("of 12 writes at 5 a second: %v", seen)
+	if statuses[200] < 5 || statuses[429] < 5 {
+		t.Errorf("of 12 writes at 5 a second: %v", statuses)
 	}
 	for range 20 {
-		st, _ := ask(t, "GET", f.Addr, "/store/x", "")
-		seen[st]++
+		st, _ := request(t, "GET", f.Addr, "/store/x", "")
+		statuses[st]++
 	}
-	if seen[429] < 10 {
-		t.Errorf("requests are not limited: %v", seen)
+	if statuses[429] < 10 {
+		t.Errorf("requests are not limited: %v", statuses)
 	}
 }
 
 // The cloud has only so many machines, answers a repeated request alike, and a
 // worker keeps to tokens, leases, room and what is saved.
-func TestCloudAndWorkersKeepToTheProtocol(t *testing.T) {
-	d := NewDepot()
-	d.Look = func(string) []byte {
+func TestCloudAndWorkerProtocol(t *testing.T) {
+	tasks := NewDepot()
+	tasks.Look = func(string) []byte {
 		return []byte(`{"Shape":"batch","Wax":"i","Cpus":5,"MemGb":1,"ImageGb":0,"ForageS":60,"CapIntervalS":0.05,"CapS":0.05}`)
 	}
 	c, err := NewCloud(CloudParams{Kinds: []Kind{{Label: "k", Cpus: 8, MemGb: 8, PullGbPerS: 1, Yards: []string{"a"},
 		Room: 2}}, RPS: 100,
-		Timing: Timing{Report: 50 * time.Millisecond, Lease: 700 * time.Millisecond}}, d, []Host{{"h",
+		Timing: Timing{Report: 50 * time.Millisecond, Lease: 700 * time.Millisecond}}, tasks, []Host{{"h",
 		"127.0.0.1:1"}}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
 	rent := func(name string) (int, map[string]any) {
-		return ask(t, "POST", c.Addr(), "/rentals", `{"Hire":"`+name+`","Breed":"k","Yard":"a","SwarmBoxes":false,"Count":3}`)
+		return request(t, "POST", c.Addr(), "/rentals", `{"Hire":"`+name+`","Breed":"k","Yard":"a","SwarmBoxes":false,"Count":3}`)
 	}
 	_, first := rent("r-1")
 	_, again := rent("r-1")
@@ -151,32 +151,32 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	w := c.Workers()[0]
-	say := func(body string) (int, string) {
-		st, v := ask(t, "POST", w.Addr(), "/commands", body)
+	sendCommands := func(body string) (int, string) {
+		st, v := request(t, "POST", w.Addr(), "/commands", body)
 		return st, fmt.Sprint(v["Cells"])
 	}
-	say(`{"QueenMark":5,"Flight":1,"Dances":[{"Dance":"launch","Cell":"job-000001/0","Brood":1},{"Dance":"launch","Cell":"job-000001/1","Brood":2}]}`)
+	sendCommands(`{"QueenMark":5,"Flight":1,"Dances":[{"Dance":"launch","Cell":"job-000001/0","Brood":1},{"Dance":"launch","Cell":"job-000001/1","Brood":2}]}`)
 	time.Sleep(200 * time.Millisecond)
-	if st, cells := say(`{"QueenMark":5,"Flight":1}`); st != 200 || !strings.Contains(cells, "running") ||
+	if st, cells := sendCommands(`{"QueenMark":5,"Flight":1}`); st != 200 || !strings.Contains(cells, "running") ||
 		!strings.Contains(cells, "no_room") {
 		t.Errorf("%d %s", st, cells)
 	}
-	if st, _ := say(`{"QueenMark":4,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1}]}`); st != 409 {
+	if st, _ := sendCommands(`{"QueenMark":4,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1}]}`); st != 409 {
 		t.Errorf("%d for an old token", st)
 	}
-	if st, _ := say(`{"QueenMark":6}`); st != 400 {
+	if st, _ := sendCommands(`{"QueenMark":6}`); st != 400 {
 		t.Errorf("%d without a session", st)
 	}
-	say(`{"QueenMark":6,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1,"SettleS":1}]}`)
+	sendCommands(`{"QueenMark":6,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1,"SettleS":1}]}`)
 	time.Sleep(150 * time.Millisecond)
-	if _, cells := say(`{"QueenMark":6,"Flight":1}`); !strings.Contains(cells, "Saved:true") {
+	if _, cells := sendCommands(`{"QueenMark":6,"Flight":1}`); !strings.Contains(cells, "Saved:true") {
 		t.Errorf("%s: it was given time to save", cells)
 	}
-	if d.saved["job-000001/0"] < 100*time.Millisecond {
-		t.Errorf("%v saved", d.saved)
+	if tasks.saved["job-000001/0"] < 100*time.Millisecond {
+		t.Errorf("%v saved", tasks.saved)
 	}
 	time.Sleep(700 * time.Millisecond) // nobody answers its reports
-	if st, cells := say(`{"QueenMark":6,"Flight":2}`); st != 200 || cells != "[]" {
+	if st, cells := sendCommands(`{"QueenMark":6,"Flight":2}`); st != 200 || cells != "[]" {
 		t.Errorf("%d %s: its lease is over", st, cells)
 	}
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -21,43 +21,43 @@
 	TxnOps        int
 }
 
-// keptChanges is how many changes a watch can look back.
-const keptChanges = 10_000
+// maxKeptChanges is how many changes a watch can look back.
+const maxKeptChanges = 10_000
 
 type entry struct {
-	key   string
-	value json.RawMessage
-	frame uint64
-	lease uint64
+	key      string
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
 type change struct {
-	key   string
-	value json.RawMessage // nil: dropped
-	frame uint64
+	key      string
+	value    json.RawMessage // nil: dropped
+	revision uint64
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Store is a stand-in of the state service.
 type Store struct {
-	mu      sync.Mutex
-	limits  StoreLimits
-	reqs    *rate.Limiter
-	writes  *rate.Limiter
-	rev     uint64
-	keys    *btree.BTreeG[entry]
-	leases  map[uint64]*lease
-	lastID  uint64
-	changes []change
-	oldest  uint64 // changes after this revision are kept
-	changed chan struct{}
-	out     bool
-	doors   []*door
-	counts  StoreCounts
+	mu                sync.Mutex
+	limits            StoreLimits
+	requestLimiter    *rate.Limiter
+	writeLimiter      *rate.Limiter
+	revision          uint64
+	keys              *btree.BTreeG[entry]
+	leases            map[uint64]*lease
+	lastLeaseID       uint64
+	changes           []change
+	compactedRevision uint64 // changes after this revision are kept
+	changed           chan struct{}
+	outage            bool
+	servers           []*loopbackServer
+	counts            StoreCounts
 }
 
 // NewStore returns an empty store.
@@ -68,28 +68,28 @@
 		}
 		return rate.NewLimiter(rate.Limit(r), max(1, int(math.Ceil(r))))
 	}
-	return &Store{limits: l, reqs: limiter(l.RPS), writes: limiter(l.WriteRPS), rev: 1, leases: map[uint64]*lease{},
+	return &Store{limits: l, requestLimiter: limiter(l.RPS), writeLimiter: limiter(l.WriteRPS), revision: 1, leases: map[uint64]*lease{},
 		keys: btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
 }
 
 // Front is one controller's way to the store, which may refuse it, or be slow.
 type Front struct {
-	Addr    string
-	mu      sync.Mutex
-	refuses bool
-	slow    time.Duration
-	loses   int // of so many transactions one gets no answer; 0: none
-	txns    int
-	counts  FrontCounts
+	Addr               string
+	mu                 sync.Mutex
+	refusing           bool
+	delay              time.Duration
+	lostAnswerInterval int // of so many transactions one gets no answer; 0: none
+	transactions       int
+	counts             EndpointCounts
 }
 
-// FrontCounts are one controller's requests so far.
-type FrontCounts struct {
+// EndpointCounts are one controller's requests so far.
+type EndpointCounts struct {
 	Requests, Refused, Watches int
 }
 
 // Counts of this controller's requests; those refused for the rate are among them.
-func (f *Front) Counts() FrontCounts {
+func (f *Front) Counts() EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
@@ -107,40 +107,40 @@
 	}
 }
 
-// Refuse lets the store answer this controller alone with 503, or no longer.
-func (f *Front) Refuse(on bool) {
+// SetRefusing lets the store answer this controller alone with 503, or no longer.
+func (f *Front) SetRefusing(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuses = on
+	f.refusing = on
 }
 
 // Slow delays every answer to this controller.
-func (f *Front) Slow(d time.Duration) {
+func (f *Front) Slow(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow = d
+	f.delay = delay
 }
 
-// Lose has one of every n transactions of this controller carried out at once, and its answer
+// LoseAnswers has one of every n transactions of this controller carried out at once, and its answer
 // lost; 0: none.
-func (f *Front) Lose(n int) {
+func (f *Front) LoseAnswers(interval int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loses = n
+	f.lostAnswerInterval = interval
 }
 
-// lost tells whether a transaction's answer is lost.
-func (f *Front) lost() bool {
+// loseNextAnswer tells whether a transaction's answer is lost.
+func (f *Front) loseNextAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.txns++
-	return f.loses > 0 && f.txns%f.loses == 0
+	f.transactions++
+	return f.lostAnswerInterval > 0 && f.transactions%f.lostAnswerInterval == 0
 }
 
-func (f *Front) fault() (bool, time.Duration) {
+func (f *Front) faults() (bool, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.refuses, f.slow
+	return f.refusing, f.delay
 }
 
 // Front opens a way to the store.
@@ -150,30 +150,30 @@
 	mux.HandleFunc("GET /store/{key...}", s.get)
 	mux.HandleFunc("GET /store", s.list)
 	mux.HandleFunc("POST /txn", func(w http.ResponseWriter, r *http.Request) {
-		if !f.lost() {
+		if !f.loseNextAnswer() {
 			s.txn(w, r)
 			return
 		}
 		s.txn(httptest.NewRecorder(), r)
 		<-r.Context().Done() // until its asker has lost patience
 	})
-	mux.HandleFunc("POST /grants", s.grant)
-	mux.HandleFunc("POST /grants/{id}/extend", s.extend)
-	mux.HandleFunc("DELETE /grants/{id}", s.end)
+	mux.HandleFunc("POST /grants", s.createLease)
+	mux.HandleFunc("POST /grants/{id}/extend", s.extendLease)
+	mux.HandleFunc("DELETE /grants/{id}", s.revokeLease)
 	watch := func(w http.ResponseWriter, r *http.Request) { s.watch(w, r, f) }
 	mux.HandleFunc("GET /watch", watch)
-	d, err := open(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		refuses, slow := f.fault()
-		time.Sleep(slow)
-		if refuses || s.isOut() {
-			answer(w, http.StatusServiceUnavailable, object{})
+	d, err := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		refusing, delay := f.faults()
+		time.Sleep(delay)
+		if refusing || s.hasOutage() {
+			writeJSON(w, http.StatusServiceUnavailable, object{})
 			return
 		}
-		allowed := s.reqs.Allow()
+		allowed := s.requestLimiter.Allow()
 		f.count(r, !allowed)
 		switch {
 		case !allowed:
-			answer(w, http.StatusTooManyRequests, object{})
+			writeJSON(w, http.StatusTooManyRequests, object{})
 		default:
 			mux.ServeHTTP(w, r)
 		}
@@ -184,7 +184,7 @@
 	f.Addr = d.addr
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doors = append(s.doors, d)
+	s.servers = append(s.servers, d)
 	return f, nil
 }
 
@@ -212,48 +212,48 @@
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doors {
+	for _, d := range s.servers {
 		d.close()
 	}
 }
 
-// Out begins or ends an outage; at its end every lease has its full time again.
-func (s *Store) Out(on bool) {
+// SetOutage begins or ends an outage; at its end every lease has its full time again.
+func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = on
+	s.outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.end = time.Now().Add(l.ttl)
+			l.expiresAt = time.Now().Add(l.ttl)
 		}
 	}
 }
 
-func (s *Store) isOut() bool {
+func (s *Store) hasOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.out
+	return s.outage
 }
 
-// Peek reads a key past all limits; nil if it is absent.
-func (s *Store) Peek(key string) json.RawMessage {
+// ReadKey reads a key past all limits; nil if it is absent.
+func (s *Store) ReadKey(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, _ := s.keys.Get(entry{key: key})
 	return e.value
 }
 
-// Poke writes a key past all limits, as another release might have left it.
-func (s *Store) Poke(key string, v json.RawMessage) {
+// WriteKey writes a key past all limits, as another release might have left it.
+func (s *Store) WriteKey(key string, v json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
-	s.put(key, v, 0)
-	s.tell()
+	s.revision++
+	s.putKey(key, v, 0)
+	s.notifyWatches()
 }
 
-// Below calls f for every key with the prefix, in order.
-func (s *Store) Below(prefix string, f func(key string, v json.RawMessage)) {
+// ScanPrefix calls f for every key with the prefix, in order.
+func (s *Store) ScanPrefix(prefix string, f func(key string, v json.RawMessage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
@@ -265,60 +265,60 @@
 	})
 }
 
-// expire ends the leases whose time is over. While the store is out none ends.
-func (s *Store) expire() {
-	if s.out {
+// expireLeases ends the leases whose time is over. While the store is out none ends.
+func (s *Store) expireLeases() {
+	if s.outage {
 		return
 	}
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.end) {
-			s.endLease(id)
+		if now.After(l.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *Store) endLease(id uint64) {
+func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
-	var gone []string
+	var expired []string
 	s.keys.Ascend(func(e entry) bool {
 		if e.lease == id {
-			gone = append(gone, e.key)
+			expired = append(expired, e.key)
 		}
 		return true
 	})
-	if len(gone) == 0 {
+	if len(expired) == 0 {
 		return
 	}
-	s.rev++
-	for _, k := range gone {
-		s.drop(k)
+	s.revision++
+	for _, k := range expired {
+		s.deleteKey(k)
 	}
-	s.tell()
+	s.notifyWatches()
 }
 
-func (s *Store) put(key string, v json.RawMessage, lease uint64) {
-	s.keys.ReplaceOrInsert(entry{key, v, s.rev, lease})
-	s.note(change{key, v, s.rev})
+func (s *Store) putKey(key string, v json.RawMessage, lease uint64) {
+	s.keys.ReplaceOrInsert(entry{key, v, s.revision, lease})
+	s.recordChange(change{key, v, s.revision})
 }
 
-func (s *Store) drop(key string) {
+func (s *Store) deleteKey(key string) {
 	if _, ok := s.keys.Delete(entry{key: key}); ok {
-		s.note(change{key, nil, s.rev})
+		s.recordChange(change{key, nil, s.revision})
 	}
 }
 
-func (s *Store) note(c change) {
+func (s *Store) recordChange(c change) {
 	s.counts.Changes++
 	s.changes = append(s.changes, c)
-	if n := len(s.changes) - keptChanges; n > 0 {
-		s.oldest = s.changes[n-1].frame
+	if n := len(s.changes) - maxKeptChanges; n > 0 {
+		s.compactedRevision = s.changes[n-1].revision
 		s.changes = s.changes[n:] // append moves the rest once the room behind is used up
 	}
 }
 
-// tell wakes the watches.
-func (s *Store) tell() {
+// notifyWatches wakes the watches.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/standin/depot.go
+++ b/internal/standin/taskregistry.go
@@ -23,11 +23,11 @@
 
 // Run is one attempt of a task on a machine, for checkers and reports.
 type Run struct {
-	Task, Machine string
-	Attempt       uint64
-	Began, Ended  time.Time // Ended is zero while it runs
-	Cause         string
-	job           *Job
+	Task, Machine      string
+	Attempt            uint64
+	StartedAt, EndedAt time.Time // Ended is zero while it runs
+	Cause              string
+	job                *Job
 }
 
 // Depot is what lives outside the machines: descriptions of jobs, results and
@@ -39,8 +39,8 @@
 	Look func(name string) []byte
 	// Factor is how much longer than estimated a task runs; nil: 1.
 	Factor func(j *Job, task string) float64
-	// Fails tells whether an attempt of a task ends with an error; nil: never.
-	Fails func(task, machine string) bool
+	// AttemptFails tells whether an attempt of a task ends with an error; nil: never.
+	AttemptFails func(task, machine string) bool
 	// Started hears of each task that comes onto a machine; nil: nobody asks.
 	Started func(j *Job, at time.Time)
 	// LimitCPUs are the teams' limits; a team without one has none.
@@ -48,20 +48,20 @@
 	// Brief: attempts that have ended are forgotten, for runs with very many.
 	Brief bool
 
-	mu     sync.Mutex
-	jobs   map[string]*Job
-	done   map[string]bool
-	saved  map[string]time.Duration
-	on     map[string]string // task -> machine
-	runs   []*Run
-	broken []string
-	used   map[string]float64 // CPUs on machines, by team
+	mu         sync.Mutex
+	jobs       map[string]*Job
+	completed  map[string]bool
+	saved      map[string]time.Duration
+	machineOf  map[string]string // task -> machine
+	runs       []*Run
+	violations []string
+	usedCPUs   map[string]float64 // CPUs on machines, by team
 }
 
 // NewDepot returns an empty depot.
 func NewDepot() *Depot {
-	return &Depot{jobs: map[string]*Job{}, done: map[string]bool{}, saved: map[string]time.Duration{},
-		on: map[string]string{}, used: map[string]float64{}}
+	return &Depot{jobs: map[string]*Job{}, completed: map[string]bool{}, saved: map[string]time.Duration{},
+		machineOf: map[string]string{}, usedCPUs: map[string]float64{}}
 }
 
 // job returns a job's description, nil if it has not been submitted.
@@ -83,49 +83,51 @@
 	return &j
 }
 
-func (d *Depot) factor(j *Job, task string) float64 {
+func (d *Depot) runTimeFactor(j *Job, task string) float64 {
 	if d.Factor == nil {
 		return 1
 	}
 	return d.Factor(j, task)
 }
 
-func (d *Depot) fails(task, machine string) bool { return d.Fails != nil && d.Fails(task, machine) }
+func (d *Depot) attemptFails(task, machine string) bool {
+	return d.AttemptFails != nil && d.AttemptFails(task, machine)
+}
 
-// begin notes that a task is on a machine, and returns what it had saved.
-func (d *Depot) begin(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, done bool) {
+// startRun notes that a task is on a machine, and returns what it had saved.
+func (d *Depot) startRun(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, completed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if other, ok := d.on[task]; ok && other != machine {
-		d.broken = append(d.broken, fmt.Sprintf("%s starts on %s while it is on %s", task, machine, other))
+	if other, ok := d.machineOf[task]; ok && other != machine {
+		d.violations = append(d.violations, fmt.Sprintf("%s starts on %s while it is on %s", task, machine, other))
 	}
-	d.on[task] = machine
-	r = &Run{Task: task, Machine: machine, Attempt: attempt, Began: time.Now(), job: j}
+	d.machineOf[task] = machine
+	r = &Run{Task: task, Machine: machine, Attempt: attempt, StartedAt: time.Now(), job: j}
 	if !d.Brief {
 		d.runs = append(d.runs, r)
 	}
-	d.used[j.Colony] += j.Cpus
-	if most := d.LimitCPUs[j.Colony]; most > 0 && d.used[j.Colony] > most+1e-6 {
-		d.broken = append(d.broken, fmt.Sprintf("%s uses %.1f CPUs with %s, more than %.1f", j.Colony, d.used[j.Colony], task,
-			most))
+	d.usedCPUs[j.Colony] += j.Cpus
+	if limit := d.LimitCPUs[j.Colony]; limit > 0 && d.usedCPUs[j.Colony] > limit+1e-6 {
+		d.violations = append(d.violations, fmt.Sprintf("%s uses %.1f CPUs with %s, more than %.1f", j.Colony, d.usedCPUs[j.Colony], task,
+			limit))
 	}
 	if d.Started != nil {
-		d.Started(j, r.Began)
+		d.Started(j, r.StartedAt)
 	}
-	return r, d.saved[task], d.done[task]
+	return r, d.saved[task], d.completed[task]
 }
 
-// end notes that a task has left its machine.
-func (d *Depot) end(r *Run, cause string, progress time.Duration) {
+// endRun notes that a task has left its machine.
+func (d *Depot) endRun(r *Run, cause string, progress time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.Ended, r.Cause = time.Now(), cause
-	d.used[r.job.Colony] -= r.job.Cpus
-	if d.on[r.Task] == r.Machine {
-		delete(d.on, r.Task)
+	r.EndedAt, r.Cause = time.Now(), cause
+	d.usedCPUs[r.job.Colony] -= r.job.Cpus
+	if d.machineOf[r.Task] == r.Machine {
+		delete(d.machineOf, r.Task)
 	}
 	if cause == "done" {
-		d.done[r.Task] = true
+		d.completed[r.Task] = true
 	}
 	d.saved[r.Task] = max(d.saved[r.Task], progress)
 }
@@ -134,14 +136,14 @@
 func (d *Depot) Broken() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.broken...)
+	return append([]string(nil), d.violations...)
 }
 
 // OnMachines counts the tasks that are on machines now.
 func (d *Depot) OnMachines() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.on)
+	return len(d.machineOf)
 }
 
 // Runs returns all attempts so far, the earliest first.
@@ -160,7 +162,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
-	for t := range d.on {
+	for t := range d.machineOf {
 		if strings.HasPrefix(t, job+"/") {
 			n++
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -32,80 +32,80 @@
 // again and again: a timer fires at the next event of its tasks, and reporting sleeps
 // until there is news, so that thousands fit into one process.
 type Worker struct {
-	Name, Yard string
-	Spot       bool
-	kind       Kind
-	timing     Timing
-	depot      *Depot
-	hosts      []Host
-	addr       string
-	unlisten   func()
-	meter      *Meter
-	stop       context.CancelFunc
-	news       chan struct{} // holds one element while something may have changed
+	Name, Yard  string
+	Spot        bool
+	machineType Kind
+	timing      Timing
+	tasks       *Depot
+	hosts       []Host
+	addr        string
+	unlisten    func()
+	stats       *Meter
+	stop        context.CancelFunc
+	wake        chan struct{} // holds one element while something may have changed
 
-	mu        sync.Mutex
-	dead      bool
-	hung      time.Time // does not run until then
-	deaf      time.Time // nothing reaches it until then; what it sends arrives
-	mute      time.Time // it reaches no controller until then; commands reach it
-	copies    []time.Duration
-	session   uint64
-	seq       uint64
-	token     uint64
-	tokenTold time.Time // a higher token last counted as a change
-	cells     map[string]*cell
-	images    map[string]bool
-	fetches   map[string]time.Time // when they are complete
-	target    int
-	renewed   time.Time // when the last answered report was sent
-	notice    time.Time // the cloud takes the machine then
-	changed   bool
-	timer     *time.Timer // the next event of its tasks
+	mu                sync.Mutex
+	dead              bool
+	hungUntil         time.Time // does not run until then
+	inboundLostUntil  time.Time // nothing reaches it until then; what it sends arrives
+	outboundLostUntil time.Time // it reaches no controller until then; commands reach it
+	replayDelays      []time.Duration
+	session           uint64
+	reportSeq         uint64
+	token             uint64
+	tokenReportedAt   time.Time // a higher token last counted as a change
+	attempts          map[string]*attempt
+	images            map[string]bool
+	imageFetches      map[string]time.Time // when they are complete
+	hostIndex         int
+	leaseRenewedAt    time.Time // when the last answered report was sent
+	reclaimedAt       time.Time // the cloud takes the machine then
+	changed           bool
+	timer             *time.Timer // the next event of its tasks
 }
 
 // newWorker returns a machine that is not up yet.
-func newWorker(m MachineSpec, t Timing, d *Depot, hosts []Host, meter *Meter) *Worker {
+func newWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host, stats *Meter) *Worker {
 	return &Worker{
-		Name: m.Name, Yard: m.Yard, Spot: m.Spot, kind: m.Kind, timing: t, depot: d, hosts: hosts,
-		target: m.First, session: 1,
-		cells: map[string]*cell{}, images: map[string]bool{}, fetches: map[string]time.Time{}, renewed: time.Now(),
-		meter: meter, news: make(chan struct{}, 1),
+		Name: m.Name, Yard: m.Yard, Spot: m.Spot, machineType: m.Kind, timing: t, tasks: tasks, hosts: hosts,
+		hostIndex: m.First, session: 1,
+		attempts: map[string]*attempt{}, images: map[string]bool{}, imageFetches: map[string]time.Time{}, leaseRenewedAt: time.Now(),
+		stats: stats, wake: make(chan struct{}, 1),
 	}
 }
 
 // StartWorker brings a machine up, with a listener of its own.
-func StartWorker(m MachineSpec, t Timing, d *Depot, hosts []Host) (*Worker, error) {
-	w := newWorker(m, t, d, hosts, &Meter{})
-	door, err := open(w.handler())
+func StartWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host) (*Worker, error) {
+	w := newWorker(m, t, tasks, hosts, &Meter{})
+	server, err := startServer(w.handler())
 	if err != nil {
 		return nil, fmt.Errorf("stand-in worker %s: %w", m.Name, err)
 	}
-	w.addr, w.unlisten = door.addr, door.close
-	w.begin()
+	w.addr, w.unlisten = server.addr, server.close
+	w.start()
 	return w, nil
 }
 
 // handler serves what reaches the machine directly.
 func (w *Worker) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /commands", w.commands)
+	mux.HandleFunc("POST /commands", w.handleCommands)
 	mux.HandleFunc("GET /inspect", func(rw http.ResponseWriter, _ *http.Request) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		answer(rw, http.StatusOK, w.report(time.Now()))
+		writeJSON(rw, http.StatusOK, w.report(time.Now()))
 	})
 	return mux
 }
 
-// begin has the worker report and move its tasks on.
-func (w *Worker) begin() {
+// start has the worker report and move its tasks on.
+func (w *Worker) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
 	w.mu.Lock()
 	w.timer = time.AfterFunc(w.timing.Lease, w.advance)
 	w.mu.Unlock()
-	go w.talk(ctx)
+	go w.reportLoop(ctx)
 }
 
 // Addr is where the worker takes commands.
@@ -120,7 +120,7 @@
 	w.timer.Stop()
 	if !w.dead {
 		w.dead = true
-		w.forget(time.Now())
+		w.killTasks(time.Now())
 	}
 }
 
@@ -128,52 +128,52 @@
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hung = time.Now().Add(d)
+	w.hungUntil = time.Now().Add(d)
 	w.timer.Reset(0)
 }
 
-// Deafen keeps answers and commands from the machine for a while; its reports arrive.
-func (w *Worker) Deafen(d time.Duration) {
+// LoseInbound keeps answers and commands from the machine for a while; its reports arrive.
+func (w *Worker) LoseInbound(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = time.Now().Add(d)
+	w.inboundLostUntil = time.Now().Add(d)
 }
 
-// Mute keeps the machine from reaching any controller for a while; commands reach it.
-func (w *Worker) Mute(d time.Duration) {
+// LoseOutbound keeps the machine from reaching any controller for a while; commands reach it.
+func (w *Worker) LoseOutbound(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute = time.Now().Add(d)
+	w.outboundLostUntil = time.Now().Add(d)
 }
 
-// Copies has each report come again, at every controller, so much later each time.
+// ReplayReports has each report come again, at every controller, so much later each time.
 // Nobody hears the answers.
-func (w *Worker) Copies(after ...time.Duration) {
+func (w *Worker) ReplayReports(delays ...time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.copies = after
+	w.replayDelays = delays
 }
 
-// hears tells whether anything reaches the machine.
-func (w *Worker) hears() bool {
+// receives tells whether anything reaches the machine.
+func (w *Worker) receives() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Now().After(w.deaf)
+	return time.Now().After(w.inboundLostUntil)
 }
 
-// Notice tells the worker that the cloud takes the machine then.
-func (w *Worker) Notice(d time.Duration) {
+// AnnounceReclaim tells the worker that the cloud takes the machine then.
+func (w *Worker) AnnounceReclaim(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.notice = time.Now().Add(d)
-	w.change()
+	w.reclaimedAt = time.Now().Add(d)
+	w.markChanged()
 }
 
-// change notes that the next report has something new to say.
-func (w *Worker) change() {
+// markChanged notes that the next report has something new to say.
+func (w *Worker) markChanged() {
 	w.changed = true
 	select {
-	case w.news <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
@@ -186,84 +186,84 @@
 		return
 	}
 	now := time.Now()
-	if now.Before(w.hung) {
-		w.timer.Reset(w.hung.Sub(now))
+	if now.Before(w.hungUntil) {
+		w.timer.Reset(w.hungUntil.Sub(now))
 		return
 	}
-	w.step(now)
-	w.schedule(now)
+	w.advanceTasks(now)
+	w.resetTimer(now)
 }
 
-// leastStep keeps events that are due at once from being looked for without a pause.
-const leastStep = time.Millisecond
+// minTimerDelay keeps events that are due at once from being looked for without a pause.
+const minTimerDelay = time.Millisecond
 
-// schedule sets the timer for the next event of the machine's tasks.
-func (w *Worker) schedule(now time.Time) {
-	next := w.renewed.Add(w.timing.Lease)
-	sooner := func(at time.Time) {
+// resetTimer sets the timer for the next event of the machine's tasks.
+func (w *Worker) resetTimer(now time.Time) {
+	next := w.leaseRenewedAt.Add(w.timing.Lease)
+	atMost := func(at time.Time) {
 		if at.Before(next) {
 			next = at
 		}
 	}
-	for _, end := range w.fetches {
-		sooner(end)
+	for _, end := range w.imageFetches {
+		atMost(end)
 	}
-	for _, c := range w.cells {
+	for _, a := range w.attempts {
 		switch {
-		case c.stage == "running" && c.job.Shape != "daemon":
-			sooner(c.began.Add(c.need))
-		case c.stage == "saving":
-			sooner(c.saveEnd)
+		case a.stage == "running" && a.job.Shape != "daemon":
+			atMost(a.startedAt.Add(a.remaining))
+		case a.stage == "saving":
+			atMost(a.saveEndsAt)
 		}
 	}
-	w.timer.Reset(max(leastStep, next.Sub(now)))
+	w.timer.Reset(max(minTimerDelay, next.Sub(now)))
 }
 
-// commands takes what comes straight from a controller.
-func (w *Worker) commands(rw http.ResponseWriter, r *http.Request) {
-	var b struct {
+// handleCommands takes what comes straight from a controller.
+func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
+	var request struct {
 		QueenMark, Flight *uint64
 		Dances            []command
 	}
-	if json.NewDecoder(r.Body).Decode(&b) != nil || b.QueenMark == nil || b.Flight == nil {
-		answer(rw, http.StatusBadRequest, object{})
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.QueenMark == nil || request.Flight == nil {
+		writeJSON(rw, http.StatusBadRequest, object{})
 		return
 	}
-	if !w.hears() { // it never came: its sender waits in vain
+	if !w.receives() { // it never came: its sender waits in vain
 		<-r.Context().Done()
 		return
 	}
-	w.awake(r.Context())
+	w.waitWhileHung(r.Context())
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if *b.QueenMark < w.token || *b.Flight != w.session || w.dead {
-		answer(rw, http.StatusConflict, w.report(now))
+	if *request.QueenMark < w.token || *request.Flight != w.session || w.dead {
+		writeJSON(rw, http.StatusConflict, w.report(now))
 		return
 	}
-	w.meter.Commands.Add(1)
-	w.see(now, *b.QueenMark)
-	w.execute(now, b.Dances)
-	answer(rw, http.StatusOK, w.report(now))
+	w.stats.Commands.Add(1)
+	w.observeToken(now, *request.QueenMark)
+	w.execute(now, request.Dances)
+	writeJSON(rw, http.StatusOK, w.report(now))
 }
 
-// see takes a token. A higher one counts as a change once per half of the lease.
-func (w *Worker) see(now time.Time, token uint64) {
+// observeToken takes a token. A higher one counts as a change once per half of the lease.
+func (w *Worker) observeToken(now time.Time, token uint64) {
 	if token <= w.token {
 		return
 	}
 	w.token = token
-	if now.Sub(w.tokenTold) >= w.timing.Lease/2 {
-		w.tokenTold = now
-		w.change()
+	if now.Sub(w.tokenReportedAt) >= w.timing.Lease/2 {
+		w.tokenReportedAt = now
+		w.markChanged()
 	}
 }
 
-// awake waits while the machine hangs.
-func (w *Worker) awake(ctx context.Context) {
+// waitWhileHung waits while the machine hangs.
+func (w *Worker) waitWhileHung(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		d := time.Until(w.hung)
+		d := time.Until(w.hungUntil)
 		w.mu.Unlock()
 		if d <= 0 {
 			return
--- a/internal/standin/worker_reports.go
+++ b/internal/standin/worker_reports.go
@@ -12,10 +12,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// again sends the copies of a report, as long as the rig lasts; the machine may have died
+// replayReport sends the copies of a report, as long as the rig lasts; the machine may have died
 // meanwhile.
-func (w *Worker) again(after []time.Duration, body []byte) {
-	for _, d := range after {
+func (w *Worker) replayReport(delays []time.Duration, body []byte) {
+	for _, d := range delays {
 		time.AfterFunc(d, func() {
 			for _, h := range w.hosts {
 				c := http.Client{Timeout: 4 * time.Second}
@@ -47,67 +47,67 @@
 }
 
 func (w *Worker) report(now time.Time) *reportBody {
-	w.seq++
+	w.reportSeq++
 	r := &reportBody{
-		Hive: w.Name, Addr: w.addr, Breed: w.kind.Label, Yard: w.Yard, SwarmBoxes: w.Spot,
-		Flight: w.session, Buzz: w.seq, QueenMark: w.token, Cells: make([]reportCell, 0, len(w.cells)),
+		Hive: w.Name, Addr: w.addr, Breed: w.machineType.Label, Yard: w.Yard, SwarmBoxes: w.Spot,
+		Flight: w.session, Buzz: w.reportSeq, QueenMark: w.token, Cells: make([]reportCell, 0, len(w.attempts)),
 	}
-	for _, c := range w.cells {
-		r.Cells = append(r.Cells, reportCell{Cell: c.task, Brood: c.attempt, Stage: c.stage, Cause: c.cause, Saved: c.saved})
+	for _, a := range w.attempts {
+		r.Cells = append(r.Cells, reportCell{Cell: a.task, Brood: a.number, Stage: a.stage, Cause: a.cause, Saved: a.saved})
 	}
-	if !w.notice.IsZero() {
-		left := max(0, w.notice.Sub(now).Seconds())
-		r.SmokeS = &left
+	if !w.reclaimedAt.IsZero() {
+		remaining := max(0, w.reclaimedAt.Sub(now).Seconds())
+		r.SmokeS = &remaining
 	}
 	return r
 }
 
-// talk reports to one controller at a time.
-func (w *Worker) talk(ctx context.Context) {
-	client := w.meter.client(answerPatience)
+// reportLoop reports to one controller at a time.
+func (w *Worker) reportLoop(ctx context.Context) {
+	client := w.stats.newClient(answerTimeout)
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		w.awake(ctx)
+		w.waitWhileHung(ctx)
 		sent := time.Now()
 		w.mu.Lock()
 		w.changed = false
 		session := w.session
 		body, err := json.Marshal(w.report(sent))
-		host := w.hosts[w.target%len(w.hosts)]
-		copies, mute := w.copies, sent.Before(w.mute)
-		if mute {
-			w.target++
+		host := w.hosts[w.hostIndex%len(w.hosts)]
+		replayDelays, outboundLost := w.replayDelays, sent.Before(w.outboundLostUntil)
+		if outboundLost {
+			w.hostIndex++
 		}
 		w.mu.Unlock()
-		if mute { // a connection that can't be opened
-			w.wait(ctx, time.Second)
+		if outboundLost { // a connection that can't be opened
+			w.waitForChange(ctx, time.Second)
 			continue
 		}
 		if err != nil {
 			return // a report of plain values always encodes
 		}
-		w.again(copies, body)
-		w.meter.Reports.Add(1)
-		pause, stays := w.exchange(ctx, client, host, session, sent, body)
-		if !stays {
+		w.replayReport(replayDelays, body)
+		w.stats.Reports.Add(1)
+		pause, sameHost := w.sendReport(ctx, client, host, session, sent, body)
+		if !sameHost {
 			client.CloseIdleConnections()
 		}
-		w.wait(ctx, pause)
+		w.waitForChange(ctx, pause)
 	}
 }
 
-// answerPatience is how long a worker waits for the answer to a report.
-const answerPatience = 4 * time.Second
+// answerTimeout is how long a worker waits for the answer to a report.
+const answerTimeout = 4 * time.Second
 
-// exchange sends a report and takes its answer; it returns when to report next, and
+// sendReport sends a report and takes its answer; it returns when to report next, and
 // whether to the same controller.
-func (w *Worker) exchange(ctx context.Context, c *http.Client, h Host, session uint64, sent time.Time,
-	body []byte) (pause time.Duration, stays bool) {
+func (w *Worker) sendReport(ctx context.Context, c *http.Client, h Host, session uint64, sent time.Time,
+	body []byte) (pause time.Duration, sameHost bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.Addr+"/agent/beat", bytes.NewReader(body))
 	if err != nil {
 		return time.Second, false
 	}
-	var ans struct {
+	var reply struct {
 		QueenMark uint64
 		Dances    []command
 		Keeper    string
@@ -116,62 +116,62 @@
 	if res, err := c.Do(req); err == nil {
 		b, _ := io.ReadAll(res.Body)
 		res.Body.Close()
-		if json.Unmarshal(b, &ans) == nil {
+		if json.Unmarshal(b, &reply) == nil {
 			status = res.StatusCode
 		}
 	}
-	if !w.hears() {
+	if !w.receives() {
 		select { // its patience for an answer
 		case <-ctx.Done():
-		case <-time.After(max(0, answerPatience-time.Since(sent))):
+		case <-time.After(max(0, answerTimeout-time.Since(sent))):
 		}
 		status = 0
 	}
-	w.awake(ctx)
+	w.waitWhileHung(ctx)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case w.dead:
 	case status == http.StatusOK:
-		if ans.QueenMark >= w.token && session == w.session {
+		if reply.QueenMark >= w.token && session == w.session {
 			now := time.Now()
-			w.renewed = sent
-			w.see(now, ans.QueenMark)
-			w.execute(now, ans.Dances)
+			w.leaseRenewedAt = sent
+			w.observeToken(now, reply.QueenMark)
+			w.execute(now, reply.Dances)
 		} else {
-			w.meter.Dropped.Add(1)
+			w.stats.Dropped.Add(1)
 		}
-		return w.spread(w.timing.Report), true
-	case status == http.StatusMisdirectedRequest && ans.Keeper != "" && ans.Keeper != h.Name:
-		if i := slices.IndexFunc(w.hosts, func(o Host) bool { return o.Name == ans.Keeper }); i >= 0 {
-			w.target = i
-			w.meter.Redirected.Add(1)
+		return w.jitter(w.timing.Report), true
+	case status == http.StatusMisdirectedRequest && reply.Keeper != "" && reply.Keeper != h.Name:
+		if i := slices.IndexFunc(w.hosts, func(o Host) bool { return o.Name == reply.Keeper }); i >= 0 {
+			w.hostIndex = i
+			w.stats.Redirected.Add(1)
 			return 50 * time.Millisecond, false
 		}
 	}
-	w.meter.Unanswered.Add(1)
-	w.target++
+	w.stats.Unanswered.Add(1)
+	w.hostIndex++
 	return time.Second, false
 }
 
-// spread is a duration plus or minus a quarter.
-func (w *Worker) spread(d time.Duration) time.Duration {
+// jitter is a duration plus or minus a quarter.
+func (w *Worker) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
 
-// leastPause is how long a worker waits at least before it reports a change.
-const leastPause = 500 * time.Millisecond
+// minReportPause is how long a worker waits at least before it reports a change.
+const minReportPause = 500 * time.Millisecond
 
-// wait lets a pause go by, or less if something changes meanwhile.
-func (w *Worker) wait(ctx context.Context, pause time.Duration) {
+// waitForChange lets a pause go by, or less if something changes meanwhile.
+func (w *Worker) waitForChange(ctx context.Context, pause time.Duration) {
 	end := time.NewTimer(pause)
 	defer end.Stop()
-	soonest := time.NewTimer(min(pause, leastPause))
-	defer soonest.Stop()
+	earliest := time.NewTimer(min(pause, minReportPause))
+	defer earliest.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-soonest.C:
+	case <-earliest.C:
 	}
 	for !w.hasChanged() {
 		select {
@@ -179,7 +179,7 @@
 			return
 		case <-end.C:
 			return
-		case <-w.news:
+		case <-w.wake:
 		}
 	}
 }
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -8,111 +8,111 @@
 	"honeylock/internal/config"
 )
 
-type cell struct {
-	task         string
-	attempt      uint64
-	job          *Job
-	stage, cause string
-	saved        bool
-	run          *Run
-	base         time.Duration // progress at its beginning
-	began        time.Time     // running since
-	need         time.Duration // run time still needed then
-	saveEnd      time.Time
-	fails        bool
+type attempt struct {
+	task          string
+	number        uint64
+	job           *Job
+	stage, cause  string
+	saved         bool
+	run           *Run
+	savedProgress time.Duration // progress at its beginning
+	startedAt     time.Time     // running since
+	remaining     time.Duration // run time still needed then
+	saveEndsAt    time.Time
+	fails         bool
 }
 
 // progress is the work done so far, in the world's own time.
-func (c *cell) progress(now time.Time) time.Duration {
-	if c.began.IsZero() {
-		return c.base
+func (a *attempt) progress(now time.Time) time.Duration {
+	if a.startedAt.IsZero() {
+		return a.savedProgress
 	}
-	return c.base + min(now.Sub(c.began), c.need)
+	return a.savedProgress + min(now.Sub(a.startedAt), a.remaining)
 }
 
-// forget kills all tasks.
-func (w *Worker) forget(now time.Time) {
-	for k, c := range w.cells {
-		w.leave(c, now, "killed")
-		delete(w.cells, k)
+// killTasks kills all tasks.
+func (w *Worker) killTasks(now time.Time) {
+	for k, a := range w.attempts {
+		w.endRun(a, now, "killed")
+		delete(w.attempts, k)
 	}
 }
 
-// leave ends a task's stay; what it last saved by itself is kept.
-func (w *Worker) leave(c *cell, now time.Time, cause string) {
-	if c.run == nil || !c.run.Ended.IsZero() {
+// endRun ends a task's stay; what it last saved by itself is kept.
+func (w *Worker) endRun(a *attempt, now time.Time, cause string) {
+	if a.run == nil || !a.run.EndedAt.IsZero() {
 		return
 	}
-	kept := c.base
-	if every := config.Seconds(c.job.CapIntervalS); every > 0 {
-		p := c.progress(now)
-		kept = max(kept, p-p%every)
-		if c.saved {
-			kept = p
+	saved := a.savedProgress
+	if saveInterval := config.Seconds(a.job.CapIntervalS); saveInterval > 0 {
+		progress := a.progress(now)
+		saved = max(saved, progress-progress%saveInterval)
+		if a.saved {
+			saved = progress
 		}
 	}
-	w.depot.end(c.run, cause, kept)
+	w.tasks.endRun(a.run, cause, saved)
 }
 
-func (w *Worker) step(now time.Time) {
-	if now.Sub(w.renewed) > w.timing.Lease {
-		w.forget(now)
+func (w *Worker) advanceTasks(now time.Time) {
+	if now.Sub(w.leaseRenewedAt) > w.timing.Lease {
+		w.killTasks(now)
 		w.session++
-		w.renewed = now
-		w.meter.Expired.Add(1)
-		w.change()
+		w.leaseRenewedAt = now
+		w.stats.Expired.Add(1)
+		w.markChanged()
 	}
-	for img, end := range w.fetches {
+	for img, end := range w.imageFetches {
 		if !now.Before(end) {
 			w.images[img] = true
-			delete(w.fetches, img)
+			delete(w.imageFetches, img)
 		}
 	}
-	for _, c := range w.cells {
-		switch c.stage {
+	for _, a := range w.attempts {
+		switch a.stage {
 		case "fetching":
-			w.fetch(now, c)
+			w.fetchImage(now, a)
 		case "running":
-			if c.job.Shape != "daemon" && now.Sub(c.began) >= c.need {
+			if a.job.Shape != "daemon" && now.Sub(a.startedAt) >= a.remaining {
 				cause := "done"
-				if c.fails {
+				if a.fails {
 					cause = "error"
 				}
-				w.exit(now, c, cause)
+				w.exitAttempt(now, a, cause)
 			}
 		case "saving":
-			if !now.Before(c.saveEnd) {
-				c.saved = true
-				w.exit(now, c, "stopped")
+			if !now.Before(a.saveEndsAt) {
+				a.saved = true
+				w.exitAttempt(now, a, "stopped")
 			}
 		}
 	}
 }
 
-func (w *Worker) fetch(now time.Time, c *cell) {
-	if !w.images[c.job.Wax] {
-		if _, ok := w.fetches[c.job.Wax]; !ok {
-			w.fetches[c.job.Wax] = now.Add(config.Seconds(c.job.ImageGb / w.kind.PullGbPerS))
+func (w *Worker) fetchImage(now time.Time, a *attempt) {
+	if !w.images[a.job.Wax] {
+		if _, ok := w.imageFetches[a.job.Wax]; !ok {
+			w.imageFetches[a.job.Wax] = now.Add(config.Seconds(a.job.ImageGb / w.machineType.PullGbPerS))
 		}
 		return
 	}
-	r, base, done := w.depot.begin(c.job, c.task, w.Name, c.attempt)
-	w.meter.Starts.Add(1)
-	c.run, c.base, c.began, c.stage = r, base, now, "running"
-	c.need = config.Seconds(c.job.ForageS*w.depot.factor(c.job, c.task)) - base
-	if c.fails = w.depot.fails(c.task, w.Name); c.fails {
-		c.need /= 4
+	run, savedProgress, completed := w.tasks.startRun(a.job, a.task, w.Name, a.number)
+	w.stats.Starts.Add(1)
+	a.run, a.savedProgress, a.startedAt, a.stage = run, savedProgress, now, "running"
+	a.remaining = config.Seconds(a.job.ForageS*w.tasks.runTimeFactor(a.job, a.task)) - savedProgress
+	if a.fails = w.tasks.attemptFails(a.task, w.Name); a.fails {
+		a.remaining /= 4
 	}
-	w.change()
-	if done {
-		w.exit(now, c, "done")
+	w.markChanged()
+	if completed {
+		w.exitAttempt(now, a, "done")
 	}
 }
 
-func (w *Worker) exit(now time.Time, c *cell, cause string) {
-	w.leave(c, now, cause)
-	c.stage, c.cause = "exited", cause
-	w.change()
+func (w *Worker) exitAttempt(now time.Time, a *attempt, cause string) {
+	w.endRun(a, now, cause)
+	a.stage, a.cause = "exited", cause
+	w.markChanged()
 }
 
 type command struct {
@@ -121,62 +121,62 @@
 	SettleS     float64
 }
 
-func (w *Worker) execute(now time.Time, cmds []command) {
-	for _, d := range cmds {
-		key := fmt.Sprintf("%s#%d", d.Cell, d.Brood)
-		c := w.cells[key]
+func (w *Worker) execute(now time.Time, commands []command) {
+	for _, command := range commands {
+		key := fmt.Sprintf("%s#%d", command.Cell, command.Brood)
+		a := w.attempts[key]
 		switch {
-		case d.Dance == "launch" && c == nil:
-			w.cells[key] = w.launch(d)
-			w.change()
-		case d.Dance == "kill" && c != nil && c.stage != "exited":
-			w.kill(now, c, d.SettleS)
-		case d.Dance == "clear" && c != nil && c.stage == "exited":
-			delete(w.cells, key)
-			w.change()
+		case command.Dance == "launch" && a == nil:
+			w.attempts[key] = w.launch(command)
+			w.markChanged()
+		case command.Dance == "kill" && a != nil && a.stage != "exited":
+			w.kill(now, a, command.SettleS)
+		case command.Dance == "clear" && a != nil && a.stage == "exited":
+			delete(w.attempts, key)
+			w.markChanged()
 		}
 	}
-	w.step(now)
-	w.schedule(now)
+	w.advanceTasks(now)
+	w.resetTimer(now)
 }
 
-func (w *Worker) launch(d command) *cell {
-	name, _, _ := strings.Cut(d.Cell, "/")
-	c := &cell{task: d.Cell, attempt: d.Brood, stage: "exited"}
-	c.job = w.depot.job(name)
-	if c.job == nil {
-		c.cause = "unknown"
-		return c
+func (w *Worker) launch(command command) *attempt {
+	name, _, _ := strings.Cut(command.Cell, "/")
+	a := &attempt{task: command.Cell, number: command.Brood, stage: "exited"}
+	a.job = w.tasks.job(name)
+	if a.job == nil {
+		a.cause = "unknown"
+		return a
 	}
-	cpus, gpus, mem := c.job.Cpus, c.job.Accelerators, c.job.MemGb
-	for _, o := range w.cells {
-		if o.stage == "exited" {
+	cpus, gpus, mem := a.job.Cpus, a.job.Accelerators, a.job.MemGb
+	for _, other := range w.attempts {
+		if other.stage == "exited" {
 			continue
 		}
-		if o.task == c.task {
-			c.cause = "busy"
-			return c
+		if other.task == a.task {
+			a.cause = "busy"
+			return a
 		}
-		cpus, gpus, mem = cpus+o.job.Cpus, gpus+o.job.Accelerators, mem+o.job.MemGb
+		cpus, gpus, mem = cpus+other.job.Cpus, gpus+other.job.Accelerators, mem+other.job.MemGb
 	}
 	const slack = 1e-6
-	if cpus > w.kind.Cpus+slack || gpus > w.kind.Accelerators+slack || mem > w.kind.MemGb+slack {
-		c.cause = "no_room"
-		return c
+	if cpus > w.machineType.Cpus+slack || gpus > w.machineType.Accelerators+slack || mem > w.machineType.MemGb+slack {
+		a.cause = "no_room"
+		return a
 	}
-	c.stage = "fetching"
-	return c
+	a.stage = "fetching"
+	return a
 }
 
-func (w *Worker) kill(now time.Time, c *cell, settle float64) {
-	saves := c.job.CapIntervalS > 0 && c.stage == "running" && settle >= c.job.CapS
+func (w *Worker) kill(now time.Time, a *attempt, graceS float64) {
+	saves := a.job.CapIntervalS > 0 && a.stage == "running" && graceS >= a.job.CapS
 	if !saves {
-		if c.stage == "saving" && settle > 0 {
+		if a.stage == "saving" && graceS > 0 {
 			return
 		}
-		w.exit(now, c, "stopped")
+		w.exitAttempt(now, a, "stopped")
 		return
 	}
-	c.stage, c.saveEnd = "saving", now.Add(config.Seconds(c.job.CapS))
-	w.change()
+	a.stage, a.saveEndsAt = "saving", now.Add(config.Seconds(a.job.CapS))
+	w.markChanged()
 }
--- a/internal/standin/group.go
+++ b/internal/standin/workergroup.go
@@ -17,48 +17,48 @@
 	First      int // index of the controller that it reports to first
 }
 
-// addressesOfGroup is how many loopback addresses a group has: those of a /16 without the
+// maxGroupWorkers is how many loopback addresses a group has: those of a /16 without the
 // first and the last of each /24.
-const addressesOfGroup = 256 * 254
+const maxGroupWorkers = 256 * 254
 
 var errGroupFull = errors.New("the group has no address left")
 
 // WorkerGroup runs many workers in one process behind one listener: each has a loopback
 // address of its own, 127.NET.x.y, and all share the port.
 type WorkerGroup struct {
-	Meter  Meter
-	timing Timing
-	depot  *Depot
-	hosts  []Host
-	net    byte
-	port   int
-	srv    *http.Server
-
-	mu     sync.Mutex
-	last   int
-	byAddr map[string]http.Handler // by IP
-	byName map[string]*Worker
+	Meter   Meter
+	timing  Timing
+	tasks   *Depot
+	hosts   []Host
+	network byte
+	port    int
+	server  *http.Server
+
+	mu            sync.Mutex
+	nextIndex     int
+	handlersByIP  map[string]http.Handler // by IP
+	workersByName map[string]*Worker
 }
 
 // NewWorkerGroup begins to listen. network is the second byte of its workers' addresses.
-func NewWorkerGroup(network byte, t Timing, d *Depot, hosts []Host) (*WorkerGroup, error) {
+func NewWorkerGroup(network byte, t Timing, tasks *Depot, hosts []Host) (*WorkerGroup, error) {
 	// One socket for the whole loopback range can only be had on the unspecified
 	// address; loopbackListener turns all other connections away.
 	l, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("worker group: %w", err)
 	}
-	g := &WorkerGroup{timing: t, depot: d, hosts: hosts, net: network, port: l.Addr().(*net.TCPAddr).Port,
-		byAddr: map[string]http.Handler{}, byName: map[string]*Worker{}}
-	g.srv = &http.Server{Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = g.srv.Serve(&loopbackListener{l, &g.Meter}) }() // it ends with Close
+	g := &WorkerGroup{timing: t, tasks: tasks, hosts: hosts, network: network, port: l.Addr().(*net.TCPAddr).Port,
+		handlersByIP: map[string]http.Handler{}, workersByName: map[string]*Worker{}}
+	g.server = &http.Server{Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = g.server.Serve(&loopbackListener{l, &g.Meter}) }() // it ends with Close
 	return g, nil
 }
 
 // loopbackListener takes connections to loopback addresses only, and counts their bytes.
 type loopbackListener struct {
 	net.Listener
-	meter *Meter
+	stats *Meter
 }
 
 // Accept returns the next connection to a loopback address.
@@ -69,7 +69,7 @@
 			return nil, err
 		}
 		if a, ok := c.LocalAddr().(*net.TCPAddr); ok && a.IP.IsLoopback() {
-			return &meteredConn{c, l.meter}, nil
+			return &countingConn{c, l.stats}, nil
 		}
 		c.Close()
 	}
@@ -81,7 +81,7 @@
 	var h http.Handler
 	if a != nil {
 		g.mu.Lock()
-		h = g.byAddr[a.IP.String()]
+		h = g.handlersByIP[a.IP.String()]
 		g.mu.Unlock()
 	}
 	if h == nil { // no machine has this address: whoever asks gets no answer
@@ -93,29 +93,29 @@
 
 // address is the group's nth loopback address.
 func (g *WorkerGroup) address(n int) string {
-	return fmt.Sprintf("127.%d.%d.%d", g.net, n/254, n%254+1)
+	return fmt.Sprintf("127.%d.%d.%d", g.network, n/254, n%254+1)
 }
 
 // Boot brings a machine up and returns its address.
 func (g *WorkerGroup) Boot(m MachineSpec) (addr string, err error) {
-	w := newWorker(m, g.timing, g.depot, g.hosts, &g.Meter)
+	w := newWorker(m, g.timing, g.tasks, g.hosts, &g.Meter)
 	g.mu.Lock()
-	if g.last >= addressesOfGroup {
+	if g.nextIndex >= maxGroupWorkers {
 		g.mu.Unlock()
 		return "", errGroupFull
 	}
-	ip := g.address(g.last)
-	g.last++
+	ip := g.address(g.nextIndex)
+	g.nextIndex++
 	w.addr = fmt.Sprintf("%s:%d", ip, g.port)
 	w.unlisten = func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.byAddr, ip)
-		delete(g.byName, m.Name)
+		delete(g.handlersByIP, ip)
+		delete(g.workersByName, m.Name)
 	}
-	g.byAddr[ip], g.byName[m.Name] = w.handler(), w
+	g.handlersByIP[ip], g.workersByName[m.Name] = w.handler(), w
 	g.mu.Unlock()
-	w.begin()
+	w.start()
 	return w.addr, nil
 }
 
@@ -123,7 +123,7 @@
 func (g *WorkerGroup) Worker(name string) *Worker {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.byName[name]
+	return g.workersByName[name]
 }
 
 // End ends a machine with all that is on it.
@@ -137,19 +137,19 @@
 func (g *WorkerGroup) Size() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.byName)
+	return len(g.workersByName)
 }
 
 // Close ends all machines and the listener.
 func (g *WorkerGroup) Close() {
 	g.mu.Lock()
-	all := make([]*Worker, 0, len(g.byName))
-	for _, w := range g.byName {
+	all := make([]*Worker, 0, len(g.workersByName))
+	for _, w := range g.workersByName {
 		all = append(all, w)
 	}
 	g.mu.Unlock()
 	for _, w := range all {
 		w.Kill()
 	}
-	_ = g.srv.Close()
+	_ = g.server.Close()
 }
--- a/internal/standin/meter.go
+++ b/internal/standin/workerstats.go
@@ -22,36 +22,36 @@
 	BytesOut   atomic.Int64
 }
 
-// client returns a worker's own client: it keeps one connection to a controller.
-func (m *Meter) client(timeout time.Duration) *http.Client {
+// newClient returns a worker's own client: it keeps one connection to a controller.
+func (m *Meter) newClient(timeout time.Duration) *http.Client {
 	dialer := net.Dialer{Timeout: timeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &meteredConn{c, m}, nil
+		return &countingConn{c, m}, nil
 	}
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1,
 		DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10}}
 }
 
-// meteredConn counts the bytes of a connection.
-type meteredConn struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
-	meter *Meter
+	stats *Meter
 }
 
 // Read counts what it reads.
-func (c *meteredConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.meter.BytesIn.Add(int64(n))
+	c.stats.BytesIn.Add(int64(n))
 	return n, err
 }
 
 // Write counts what it writes.
-func (c *meteredConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.meter.BytesOut.Add(int64(n))
+	c.stats.BytesOut.Add(int64(n))
 	return n, err
 }
