--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -14,21 +14,21 @@
 	"honeylock/internal/config"
 )
 
-// rentedMachine is a machine as the cloud knows it.
+// rentedMachine is a machine that was rented from the cloud.
 type rentedMachine struct {
 	name, zone  string
 	machineType Kind
 	spot        bool
 	rentedAt    time.Time
-	bootedAt    time.Time // when it boots; zero: never
-	worker      *Worker   // nil until then, and where machines run elsewhere
-	addr        string    // "" until then
-	listedAt    time.Time // shows from then on
-	unlistedAt  time.Time // zero: it is there; the list shows it until then
+	bootedAt    time.Time // zero until it has booted
+	worker      *Worker   // nil until it has booted, and if a MachineRunner runs it
+	addr        string    // empty until it has booted
+	listedAt    time.Time // the list shows it from then on
+	unlistedAt  time.Time // the list shows it until then; zero while it is rented
 }
 
-// Cloud is a stand-in of the cloud: it rents machines with limited capacity,
-// boots them after a while, and lists them late.
+// Cloud is a stand-in for the cloud: it rents out machines of limited capacity, boots them
+// after a delay, and lists changes after a lag.
 type Cloud struct {
 	mu              sync.Mutex
 	types           []Kind
@@ -41,35 +41,35 @@
 	requestLimiter  *rate.Limiter
 	lastNumber      int
 	machines        map[string]*rentedMachine
-	rentals         map[string][]string
+	rentals         map[string][]string // names of machines by the ID of their rental request
 	noCapacity      bool
-	exhaustedZones  map[string]bool // zones without machines to rent
-	neverBoot       bool            // machines rented from now on never come up
+	exhaustedZones  map[string]bool // zones in which no machine can be rented
+	neverBoot       bool            // machines rented from now on never boot
 	runner          MachineRunner
 	calls           int
 	refusedCalls    int
 	server          *loopbackServer
 }
 
-// MachineRunner brings machines up and ends them.
+// MachineRunner boots and stops machines outside this process.
 type MachineRunner interface {
-	// Boot brings a machine up and returns its worker's address.
+	// Boot boots a machine and returns its worker's address.
 	Boot(m MachineSpec) (addr string, err error)
-	// End ends a machine with all that is on it; the name may be unknown.
+	// End stops a machine and its tasks; the name may be unknown.
 	End(name string)
 }
 
-// CloudParams of a cloud.
+// CloudParams are the parameters of a cloud.
 type CloudParams struct {
 	Kinds   []Kind
 	ListLag time.Duration
-	Dying   time.Duration // a machine that stopped is listed for so much longer
+	Dying   time.Duration // how long a failed machine is still listed, in addition to ListLag
 	RPS     float64
 	Timing  Timing
-	Runs    MachineRunner // where machines run; nil: in this process, each with its own listener
+	Runs    MachineRunner // runs the machines; nil: in this process, each with its own listener
 }
 
-// NewCloud returns a cloud whose workers report to the hosts.
+// NewCloud starts a cloud whose workers report to the hosts.
 func NewCloud(p CloudParams, tasks *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
 	c := &Cloud{
 		types:           p.Kinds,
@@ -86,8 +86,7 @@
 		exhaustedZones:  map[string]bool{},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter,
-		_ *http.Request) {
+	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, object{"Breeds": c.types})
 	})
 	mux.HandleFunc("GET /rentals", c.list)
@@ -107,7 +106,7 @@
 	return c, nil
 }
 
-// allowRequest counts a call, and tells whether it is within the cloud's rate.
+// allowRequest counts a call and reports whether it is within the cloud's rate limit.
 func (c *Cloud) allowRequest() bool {
 	allowed := c.requestLimiter.Allow()
 	c.mu.Lock()
@@ -119,17 +118,17 @@
 	return allowed
 }
 
-// Calls are the calls so far, and those of them that were refused for the rate.
+// Calls returns the number of calls so far and how many of them exceeded the rate limit.
 func (c *Cloud) Calls() (all, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls, c.refusedCalls
 }
 
-// Addr is where controllers reach the cloud.
+// Addr returns the address at which controllers reach the cloud.
 func (c *Cloud) Addr() string { return c.server.addr }
 
-// Close ends the cloud and all its machines.
+// Close stops the cloud and its machines.
 func (c *Cloud) Close() {
 	c.server.close()
 	for _, w := range c.Workers() {
@@ -137,28 +136,28 @@
 	}
 }
 
-// SetNoCapacity lets the cloud have no capacity, or some again.
+// SetNoCapacity makes the cloud refuse all rentals for lack of capacity, or stops that.
 func (c *Cloud) SetNoCapacity(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noCapacity = on
 }
 
-// Shut lets a zone have no capacity any more.
+// Shut makes the cloud refuse all further rentals in a zone for lack of capacity.
 func (c *Cloud) Shut(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exhaustedZones[zone] = true
 }
 
-// SetNeverBoot lets machines rented from now on never come up, or come up again.
+// SetNeverBoot makes machines that are rented from now on never boot, or stops that.
 func (c *Cloud) SetNeverBoot(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.neverBoot = on
 }
 
-// Seed gives the cluster machines that are up from the beginning.
+// Seed adds machines that have already booted, at the start of a cluster.
 func (c *Cloud) Seed(typeIndex int, zone string, spot bool, count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,14 +171,18 @@
 	return nil
 }
 
+// addMachine records a new machine, which the list shows after its lag.
 func (c *Cloud) addMachine(machineType Kind, zone string, spot bool) *rentedMachine {
 	c.lastNumber++
-	m := &rentedMachine{name: fmt.Sprintf("m-%06d", c.lastNumber), zone: zone, machineType: machineType, spot: spot, rentedAt: time.Now()}
+	m := &rentedMachine{
+		name: fmt.Sprintf("m-%06d", c.lastNumber), zone: zone, machineType: machineType, spot: spot, rentedAt: time.Now(),
+	}
 	m.listedAt = m.rentedAt.Add(c.listLag)
 	c.machines[m.name] = m
 	return m
 }
 
+// boot starts a machine's worker.
 func (c *Cloud) boot(m *rentedMachine) error {
 	spec := MachineSpec{Name: m.name, Yard: m.zone, Spot: m.spot, Kind: m.machineType, First: c.lastNumber}
 	if c.runner != nil {
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// stopMachine ends a machine's worker.
+// stopMachine stops a machine's worker, if it has booted.
 func (c *Cloud) stopMachine(m *rentedMachine) {
 	switch {
 	case m.worker != nil:
@@ -207,7 +210,7 @@
 	}
 }
 
-// InZone are the names of the machines of a zone that are up, in order; "": of all zones.
+// InZone returns the sorted names of the running machines in a zone, or in all zones for "".
 func (c *Cloud) InZone(zone string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +224,7 @@
 	return out
 }
 
-// Workers returns the machines that are up, by name.
+// Workers returns the running machines of this process, sorted by name.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,7 +238,7 @@
 	return out
 }
 
-// Lose lets a machine stop with all that is on it; the list shows it for a while.
+// Lose makes a machine and its tasks stop; the cloud lists it for some time after that.
 func (c *Cloud) Lose(name string) {
 	c.mu.Lock()
 	m := c.machines[name]
@@ -248,6 +251,8 @@
 	c.stopMachine(m)
 }
 
+// rent rents machines, as many as there is capacity for. A repeated request gets the same
+// answer as the first.
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		Hire, Breed, Yard string
@@ -271,7 +276,8 @@
 		}
 		rentedCount := 0
 		for _, m := range c.machines {
-			if m.machineType.Label == k.Label && m.zone == request.Yard && m.spot == request.SwarmBoxes && m.unlistedAt.IsZero() {
+			if m.machineType.Label == k.Label && m.zone == request.Yard && m.spot == request.SwarmBoxes &&
+				m.unlistedAt.IsZero() {
 				rentedCount++
 			}
 		}
@@ -287,7 +293,7 @@
 	writeJSON(w, http.StatusOK, object{"Hives": names})
 }
 
-// rentOne rents one machine, which boots later.
+// rentOne rents one machine, which boots after 0.6 to 1.5 times its type's boot time.
 func (c *Cloud) rentOne(machineType Kind, zone string, spot bool) *rentedMachine {
 	m := c.addMachine(machineType, zone, spot)
 	if c.neverBoot {
@@ -298,12 +304,13 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if m.unlistedAt.IsZero() && c.machines[m.name] == m {
-			_ = c.boot(m) // without a port it is one that never comes up
+			_ = c.boot(m) // if no port is free, the machine never boots
 		}
 	})
 	return m
 }
 
+// returnMachines takes machines back and stops them.
 func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
 	var request struct{ Hives []string }
 	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hives) > 100 {
@@ -325,6 +332,7 @@
 	writeJSON(w, http.StatusOK, object{})
 }
 
+// list answers with a page of the machines, as they were known one lag ago.
 func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
 	from := r.URL.Query().Get("From")
 	c.mu.Lock()
@@ -335,8 +343,10 @@
 		if name <= from || now.Before(m.listedAt) || !m.unlistedAt.IsZero() && now.After(m.unlistedAt) {
 			continue
 		}
-		machine := object{"NameId": name, "Addr": "", "Breed": m.machineType.Label, "Yard": m.zone, "SwarmBoxes": m.spot, "Stage": "starting",
-			"HeldS": now.Add(-c.listLag).Sub(m.rentedAt).Seconds()}
+		machine := object{
+			"NameId": name, "Addr": "", "Breed": m.machineType.Label, "Yard": m.zone, "SwarmBoxes": m.spot,
+			"Stage": "starting", "HeldS": now.Add(-c.listLag).Sub(m.rentedAt).Seconds(),
+		}
 		if m.addr != "" {
 			machine["Stage"], machine["Addr"] = "running", m.addr
 		}
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin plays the outside world of the controllers on loopback, by its
-// published protocol: the state service, the cloud and the workers. Tests and
-// `honeylock dev` use it; nothing of it runs in a deployed controller.
+// Package standin contains stand-ins for the services that controllers depend on: the state
+// service, the cloud and the workers. They listen on loopback and follow the published
+// protocols. Tests, `honeylock dev` and scale runs use them; a deployed controller does not.
 package standin
 
 import (
@@ -10,28 +10,32 @@
 	"time"
 )
 
+// object is a JSON object.
 type object = map[string]any
 
+// writeJSON answers a request with a status and a JSON body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a reader that is gone is no concern of a stand-in's
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected; a stand-in need not care
 }
 
-// loopbackServer serves a handler on a loopback port of its own.
+// loopbackServer is an HTTP server on its own loopback port.
 type loopbackServer struct {
 	addr   string
 	server *http.Server
 }
 
+// startServer serves a handler on a free loopback port.
 func startServer(h http.Handler) (*loopbackServer, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &loopbackServer{l.Addr().String(), &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
-	go func() { _ = d.server.Serve(l) }() // it ends with Close
+	go func() { _ = d.server.Serve(l) }() // returns when close is called
 	return d, nil
 }
 
+// close stops the server and closes its connections.
 func (d *loopbackServer) close() { _ = d.server.Close() }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -7,9 +7,8 @@
 	"sync"
 )
 
-// Proxy stands between a client and an address on loopback, and can be cut: connections
-// then stay open and carry nothing, and new ones are taken by nobody, as behind a cut of
-// the network.
+// Proxy forwards TCP connections to an address on loopback and can simulate a network
+// partition: connections then stay open but carry no data, and new ones are not forwarded.
 type Proxy struct {
 	target      string
 	listener    net.Listener
@@ -20,11 +19,11 @@
 	connections map[net.Conn]bool
 }
 
-// NewProxy begins to relay to an address.
+// NewProxy starts a proxy for an address.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay to %s: %w", target, err)
+		return nil, fmt.Errorf("proxy to %s: %w", target, err)
 	}
 	r := &Proxy{target: target, listener: l, connections: map[net.Conn]bool{}}
 	r.cond = sync.NewCond(&r.mu)
@@ -32,10 +31,10 @@
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the proxy listens.
 func (r *Proxy) Addr() string { return r.listener.Addr().String() }
 
-// SetPartitioned holds everything back, or lets it go on.
+// SetPartitioned holds back all data, or lets it pass again.
 func (r *Proxy) SetPartitioned(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +42,7 @@
 	r.cond.Broadcast()
 }
 
-// Close ends it, with all its connections.
+// Close stops the proxy and closes its connections.
 func (r *Proxy) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -55,7 +54,7 @@
 	r.cond.Broadcast()
 }
 
-// waitWhilePartitioned waits while it is cut.
+// waitWhilePartitioned blocks until no partition is simulated.
 func (r *Proxy) waitWhilePartitioned() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,6 +63,7 @@
 	}
 }
 
+// acceptLoop accepts connections until the proxy is closed.
 func (r *Proxy) acceptLoop() {
 	for {
 		client, err := r.listener.Accept()
@@ -74,7 +74,7 @@
 	}
 }
 
-// track notes an open connection; false: the relay has ended.
+// track adds or removes an open connection. Adding returns false if the proxy is closed.
 func (r *Proxy) track(c net.Conn, add bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,6 +86,7 @@
 	return false
 }
 
+// forward connects a client to the target and copies data in both directions.
 func (r *Proxy) forward(client net.Conn) {
 	defer client.Close()
 	if !r.track(client, true) {
@@ -106,7 +107,7 @@
 	r.copyStream(client, upstream)
 }
 
-// copyStream carries what one side says to the other, piece by piece.
+// copyStream copies data in one direction until either side ends.
 func (r *Proxy) copyStream(to io.Writer, from io.Reader) {
 	buf := make([]byte, 16<<10)
 	for {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -43,7 +43,8 @@
 	return s, f
 }
 
-// The state service's rules, one by one.
+// TestStoreProtocol checks the state service's answers to valid and invalid requests, and
+// leases and watches during an outage.
 func TestStoreProtocol(t *testing.T) {
 	s, f := newStore(t, StoreLimits{ValueKB: 1, TxnOps: 2})
 	_, granted := request(t, "POST", f.Addr, "/grants", `{"TtlMs":300}`)
@@ -79,17 +80,17 @@
 		len(v["Entries"].([]any)) != 1 {
 		t.Errorf("%v", v)
 	}
-	// In an outage no lease ends; after it each has its full time again.
+	// During an outage no lease expires; after it each has its full time again.
 	s.SetOutage(true)
 	time.Sleep(400 * time.Millisecond)
 	if st, _ := request(t, "GET", f.Addr, "/store/a/c", ""); st != 503 {
-		t.Errorf("%d in an outage", st)
+		t.Errorf("status %d during an outage, want 503", st)
 	}
 	s.SetOutage(false)
 	if st, _ := request(t, "GET", f.Addr, "/store/a/c", ""); st != 200 {
-		t.Errorf("%d: the lease has ended in an outage", st)
+		t.Errorf("status %d: the lease expired during an outage", st)
 	}
-	// A watch hears of the key that goes with its lease.
+	// A watch reports that a key was deleted when its lease expired.
 	_, v := request(t, "GET", f.Addr, "/watch?Starts=a/c&From="+fmt.Sprint(s.revision)+"&WaitMs=2000", "")
 	if evs := v["Events"].([]any); len(evs) != 1 || evs[0].(map[string]any)["Drop"] != "a/c" {
 		t.Errorf("%v", v)
@@ -98,10 +99,11 @@
 		s.WriteKey("b", json.RawMessage("1"))
 	}
 	if st, _ := request(t, "GET", f.Addr, "/watch?Starts=a/&From=1&WaitMs=10", ""); st != 410 {
-		t.Errorf("%d for a revision that is no longer kept", st)
+		t.Errorf("status %d for a revision that is no longer kept, want 410", st)
 	}
 }
 
+// TestStoreRateLimits checks that the store limits writes and requests separately.
 func TestStoreRateLimits(t *testing.T) {
 	_, f := newStore(t, StoreLimits{RPS: 20, WriteRPS: 5})
 	statuses := map[int]int{}
@@ -110,28 +112,29 @@
 		statuses[st]++
 	}
 	if statuses[200] < 5 || statuses[429] < 5 {
-		t.Errorf("of 12 writes at 5 a second: %v", statuses)
+		t.Errorf("statuses of 12 writes at a limit of 5 per second: %v", statuses)
 	}
 	for range 20 {
 		st, _ := request(t, "GET", f.Addr, "/store/x", "")
 		statuses[st]++
 	}
 	if statuses[429] < 10 {
-		t.Errorf("requests are not limited: %v", statuses)
+		t.Errorf("requests are not limited; statuses: %v", statuses)
 	}
 }
 
-// The cloud has only so many machines, answers a repeated request alike, and a
-// worker keeps to tokens, leases, room and what is saved.
+// TestCloudAndWorkerProtocol checks that the cloud rents no more machines than it has and answers
+// a repeated request in the same way, and that a worker obeys tokens, leases and its capacity
+// and saves the progress of tasks.
 func TestCloudAndWorkerProtocol(t *testing.T) {
 	tasks := NewDepot()
 	tasks.Look = func(string) []byte {
 		return []byte(`{"Shape":"batch","Wax":"i","Cpus":5,"MemGb":1,"ImageGb":0,"ForageS":60,"CapIntervalS":0.05,"CapS":0.05}`)
 	}
-	c, err := NewCloud(CloudParams{Kinds: []Kind{{Label: "k", Cpus: 8, MemGb: 8, PullGbPerS: 1, Yards: []string{"a"},
-		Room: 2}}, RPS: 100,
-		Timing: Timing{Report: 50 * time.Millisecond, Lease: 700 * time.Millisecond}}, tasks, []Host{{"h",
-		"127.0.0.1:1"}}, rand.New(rand.NewPCG(1, 1)))
+	c, err := NewCloud(CloudParams{
+		Kinds: []Kind{{Label: "k", Cpus: 8, MemGb: 8, PullGbPerS: 1, Yards: []string{"a"}, Room: 2}}, RPS: 100,
+		Timing: Timing{Report: 50 * time.Millisecond, Lease: 700 * time.Millisecond},
+	}, tasks, []Host{{"h", "127.0.0.1:1"}}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,10 +145,10 @@
 	_, first := rent("r-1")
 	_, again := rent("r-1")
 	if len(first["Hives"].([]any)) != 2 || fmt.Sprint(first) != fmt.Sprint(again) {
-		t.Fatalf("%v, then %v", first, again)
+		t.Fatalf("first answer %v, repeated request %v", first, again)
 	}
 	if st, _ := rent("r-2"); st != 503 {
-		t.Errorf("%d with no machine left", st)
+		t.Errorf("status %d with no machine left, want 503", st)
 	}
 	for len(c.Workers()) < 2 {
 		time.Sleep(5 * time.Millisecond)
@@ -159,24 +162,24 @@
 	time.Sleep(200 * time.Millisecond)
 	if st, cells := sendCommands(`{"QueenMark":5,"Flight":1}`); st != 200 || !strings.Contains(cells, "running") ||
 		!strings.Contains(cells, "no_room") {
-		t.Errorf("%d %s", st, cells)
+		t.Errorf("status %d, attempts %s", st, cells)
 	}
 	if st, _ := sendCommands(`{"QueenMark":4,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1}]}`); st != 409 {
-		t.Errorf("%d for an old token", st)
+		t.Errorf("status %d for an old token, want 409", st)
 	}
 	if st, _ := sendCommands(`{"QueenMark":6}`); st != 400 {
-		t.Errorf("%d without a session", st)
+		t.Errorf("status %d without a session, want 400", st)
 	}
 	sendCommands(`{"QueenMark":6,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1,"SettleS":1}]}`)
 	time.Sleep(150 * time.Millisecond)
 	if _, cells := sendCommands(`{"QueenMark":6,"Flight":1}`); !strings.Contains(cells, "Saved:true") {
-		t.Errorf("%s: it was given time to save", cells)
+		t.Errorf("attempts %s: the task had enough time to save", cells)
 	}
 	if tasks.saved["job-000001/0"] < 100*time.Millisecond {
-		t.Errorf("%v saved", tasks.saved)
+		t.Errorf("saved progress: %v", tasks.saved)
 	}
-	time.Sleep(700 * time.Millisecond) // nobody answers its reports
+	time.Sleep(700 * time.Millisecond) // the lease expires because no controller answers the reports
 	if st, cells := sendCommands(`{"QueenMark":6,"Flight":2}`); st != 200 || cells != "[]" {
-		t.Errorf("%d %s: its lease is over", st, cells)
+		t.Errorf("status %d, attempts %s after the lease expired", st, cells)
 	}
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -14,16 +14,17 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreLimits are the state service's limits; 0 means none.
+// StoreLimits are the limits of the state service; 0 means no limit.
 type StoreLimits struct {
 	RPS, WriteRPS float64
 	ValueKB       float64
 	TxnOps        int
 }
 
-// maxKeptChanges is how many changes a watch can look back.
+// maxKeptChanges is the number of past changes that a watch can still read.
 const maxKeptChanges = 10_000
 
+// entry is a key with its value, the revision of its last change and its lease.
 type entry struct {
 	key      string
 	value    json.RawMessage
@@ -31,18 +32,20 @@
 	lease    uint64
 }
 
+// change is one put or delete in the history that watches read.
 type change struct {
 	key      string
-	value    json.RawMessage // nil: dropped
+	value    json.RawMessage // nil: the key was deleted
 	revision uint64
 }
 
+// lease is a lease that keys can be bound to; they are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// Store is a stand-in of the state service.
+// Store is a stand-in for the state service.
 type Store struct {
 	mu                sync.Mutex
 	limits            StoreLimits
@@ -53,14 +56,14 @@
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
 	changes           []change
-	compactedRevision uint64 // changes after this revision are kept
+	compactedRevision uint64 // only changes after this revision are still kept
 	changed           chan struct{}
 	outage            bool
 	servers           []*loopbackServer
 	counts            StoreCounts
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store with the given limits.
 func NewStore(l StoreLimits) *Store {
 	limiter := func(r float64) *rate.Limiter {
 		if r <= 0 {
@@ -68,33 +71,37 @@
 		}
 		return rate.NewLimiter(rate.Limit(r), max(1, int(math.Ceil(r))))
 	}
-	return &Store{limits: l, requestLimiter: limiter(l.RPS), writeLimiter: limiter(l.WriteRPS), revision: 1, leases: map[uint64]*lease{},
-		keys: btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
+	return &Store{limits: l, requestLimiter: limiter(l.RPS), writeLimiter: limiter(l.WriteRPS), revision: 1,
+		leases: map[uint64]*lease{},
+		keys:   btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
 }
 
-// Front is one controller's way to the store, which may refuse it, or be slow.
+// Front is the address at which one controller reaches the store. Faults can be injected
+// for this controller alone.
 type Front struct {
 	Addr               string
 	mu                 sync.Mutex
 	refusing           bool
 	delay              time.Duration
-	lostAnswerInterval int // of so many transactions one gets no answer; 0: none
+	lostAnswerInterval int // one of this many transactions gets no answer; 0: none
 	transactions       int
 	counts             EndpointCounts
 }
 
-// EndpointCounts are one controller's requests so far.
+// EndpointCounts counts the requests of one controller.
 type EndpointCounts struct {
 	Requests, Refused, Watches int
 }
 
-// Counts of this controller's requests; those refused for the rate are among them.
+// Counts returns the number of this controller's requests, including those that were
+// refused because of the rate limit.
 func (f *Front) Counts() EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
+// count records a request.
 func (f *Front) count(r *http.Request, refused bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +114,7 @@
 	}
 }
 
-// SetRefusing lets the store answer this controller alone with 503, or no longer.
+// SetRefusing makes the store answer all requests of this controller with 503, or stops that.
 func (f *Front) SetRefusing(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,15 +128,15 @@
 	f.delay = delay
 }
 
-// LoseAnswers has one of every n transactions of this controller carried out at once, and its answer
-// lost; 0: none.
+// LoseAnswers makes the store commit one of every interval transactions of this controller
+// without answering it; 0 ends that.
 func (f *Front) LoseAnswers(interval int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lostAnswerInterval = interval
 }
 
-// loseNextAnswer tells whether a transaction's answer is lost.
+// loseNextAnswer counts a transaction and reports whether its answer is to be lost.
 func (f *Front) loseNextAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,13 +144,14 @@
 	return f.lostAnswerInterval > 0 && f.transactions%f.lostAnswerInterval == 0
 }
 
+// faults reports whether requests are refused and by how much answers are delayed.
 func (f *Front) faults() (bool, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refusing, f.delay
 }
 
-// Front opens a way to the store.
+// Front opens a new address at which a controller can reach the store.
 func (s *Store) Front() (*Front, error) {
 	f := &Front{}
 	mux := http.NewServeMux()
@@ -155,7 +163,7 @@
 			return
 		}
 		s.txn(httptest.NewRecorder(), r)
-		<-r.Context().Done() // until its asker has lost patience
+		<-r.Context().Done() // until the client times out
 	})
 	mux.HandleFunc("POST /grants", s.createLease)
 	mux.HandleFunc("POST /grants/{id}/extend", s.extendLease)
@@ -188,14 +196,14 @@
 	return f, nil
 }
 
-// StoreCounts is what the store holds and has done so far.
+// StoreCounts is the size of the store's data and the number of changes so far.
 type StoreCounts struct {
 	Keys, Bytes    int
-	Changes        int // puts and deletes that were carried out
-	RefusedChanges int // ... that were refused for the rate
+	Changes        int // puts and deletes that were committed
+	RefusedChanges int // puts and deletes that were refused because of the write rate limit
 }
 
-// Counts of the whole store.
+// Counts returns the counts of the whole store.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +216,7 @@
 	return c
 }
 
-// Close ends all fronts.
+// Close closes all addresses of the store.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +225,8 @@
 	}
 }
 
-// SetOutage begins or ends an outage; at its end every lease has its full time again.
+// SetOutage starts or ends an outage for all controllers. At its end every lease gets its
+// full time again.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,13 +238,14 @@
 	}
 }
 
+// hasOutage reports whether the store is in an outage.
 func (s *Store) hasOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage
 }
 
-// ReadKey reads a key past all limits; nil if it is absent.
+// ReadKey returns the value of a key without any limits, or nil if it does not exist.
 func (s *Store) ReadKey(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +253,7 @@
 	return e.value
 }
 
-// WriteKey writes a key past all limits, as another release might have left it.
+// WriteKey writes a key without any limits, for example as another release would have left it.
 func (s *Store) WriteKey(key string, v json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +262,7 @@
 	s.notifyWatches()
 }
 
-// ScanPrefix calls f for every key with the prefix, in order.
+// ScanPrefix calls f for every key with the prefix, in the order of the keys.
 func (s *Store) ScanPrefix(prefix string, f func(key string, v json.RawMessage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,7 +275,7 @@
 	})
 }
 
-// expireLeases ends the leases whose time is over. While the store is out none ends.
+// expireLeases removes leases that have expired. During an outage no lease expires.
 func (s *Store) expireLeases() {
 	if s.outage {
 		return
@@ -278,6 +288,7 @@
 	}
 }
 
+// removeLease removes a lease and deletes the keys that are bound to it.
 func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
 	var expired []string
@@ -297,27 +308,30 @@
 	s.notifyWatches()
 }
 
+// putKey sets a key at the current revision.
 func (s *Store) putKey(key string, v json.RawMessage, lease uint64) {
 	s.keys.ReplaceOrInsert(entry{key, v, s.revision, lease})
 	s.recordChange(change{key, v, s.revision})
 }
 
+// deleteKey deletes a key at the current revision, if it exists.
 func (s *Store) deleteKey(key string) {
 	if _, ok := s.keys.Delete(entry{key: key}); ok {
 		s.recordChange(change{key, nil, s.revision})
 	}
 }
 
+// recordChange appends a change to the history and drops the oldest beyond maxKeptChanges.
 func (s *Store) recordChange(c change) {
 	s.counts.Changes++
 	s.changes = append(s.changes, c)
 	if n := len(s.changes) - maxKeptChanges; n > 0 {
 		s.compactedRevision = s.changes[n-1].revision
-		s.changes = s.changes[n:] // append moves the rest once the room behind is used up
+		s.changes = s.changes[n:] // append reallocates once the capacity is used up
 	}
 }
 
-// notifyWatches wakes the watches.
+// notifyWatches wakes all waiting watches.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/standin/store_http.go
+++ b/internal/standin/store_http.go
@@ -9,12 +9,14 @@
 	"time"
 )
 
+// Limits of the protocol.
 const (
 	maxPageSize   = 1000
 	maxReplyBytes = 512 << 10
 	maxTxnBytes   = 64 << 10
 )
 
+// get answers with one key.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,6 +29,7 @@
 	writeJSON(w, http.StatusOK, object{"K": e.key, "V": e.value, "Frame": e.revision, "Nectar": e.lease})
 }
 
+// list answers with a page of the keys that have a prefix.
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	page, err := strconv.Atoi(query.Get("Page"))
@@ -55,6 +58,7 @@
 	writeJSON(w, http.StatusOK, object{"Entries": entries, "Truncated": truncated, "FrameCount": s.revision})
 }
 
+// txn is a transaction: its operations are committed if every guard still has its revision.
 type txn struct {
 	Guards []struct {
 		K     string
@@ -68,7 +72,7 @@
 	}
 }
 
-// malformed tells whether a transaction is beyond the limits.
+// malformed reports whether a transaction exceeds the limits or has an invalid key.
 func (s *Store) malformed(t *txn) bool {
 	maxOps := s.limits.TxnOps
 	if maxOps > 0 && (len(t.Then) > maxOps || len(t.Guards) > 4*maxOps) {
@@ -88,6 +92,7 @@
 	return false
 }
 
+// txn commits a transaction, or answers with the guards that failed.
 func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
 	var t txn
 	if json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTxnBytes)).Decode(&t) != nil || s.malformed(&t) {
@@ -134,6 +139,7 @@
 	writeJSON(w, http.StatusOK, object{"FrameCount": s.revision})
 }
 
+// createLease creates a lease.
 func (s *Store) createLease(w http.ResponseWriter, r *http.Request) {
 	var request struct{ TtlMs int64 }
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TtlMs < 100 || request.TtlMs > 600_000 {
@@ -148,6 +154,7 @@
 	writeJSON(w, http.StatusOK, object{"Nectar": s.lastLeaseID})
 }
 
+// extendLease gives a lease its full time again.
 func (s *Store) extendLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
@@ -162,6 +169,7 @@
 	writeJSON(w, http.StatusOK, object{"Nectar": id})
 }
 
+// revokeLease ends a lease before it expires.
 func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
@@ -174,7 +182,7 @@
 	writeJSON(w, http.StatusOK, object{})
 }
 
-// changesSince gathers the changes below a prefix after a revision; ok is false where
+// changesSince returns the changes to keys with a prefix after a revision. ok is false if
 // they are no longer kept.
 func (s *Store) changesSince(prefix string, from uint64) (events []object, ok bool) {
 	events = []object{}
@@ -194,8 +202,8 @@
 	return events, true
 }
 
-// watch waits for changes. During an outage, or for one who is refused, it goes
-// on waiting.
+// watch waits for changes to keys with a prefix. During an outage, or while the controller
+// is refused, it keeps waiting without an answer.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, endpoint *Front) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("From"), 10, 64)
@@ -218,7 +226,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(100 * time.Millisecond): // leases end
+		case <-time.After(100 * time.Millisecond): // check for expired leases
 		case <-timeout:
 			timedOut = true
 		case <-r.Context().Done():
--- a/internal/standin/taskregistry.go
+++ b/internal/standin/taskregistry.go
@@ -8,44 +8,43 @@
 	"time"
 )
 
-// Job is what a worker must know of a job: the user's description.
+// Job is the part of a user's job description that workers need.
 type Job struct {
 	NameId, Comb, Colony, Shape, Rank, Wax string
 	Cells                                  int
 	Cpus, Accelerators, MemGb, ImageGb     float64
 	ForageS, CapIntervalS, CapS            float64
-	// AskedMs is when its user first tried to submit it, by the clock of a scale run; 0:
-	// not told.
+	// AskedMs is when its user first tried to submit it, by the clock of a scale run; 0 if
+	// it is not known.
 	AskedMs int64
-	// Residual: its tasks are taken to have run for a while when they start.
+	// Residual: its tasks count as having run for some time already when they start.
 	Residual bool
 }
 
-// Run is one attempt of a task on a machine, for checkers and reports.
+// Run is one attempt of a task on a machine, for checks and reports.
 type Run struct {
 	Task, Machine      string
 	Attempt            uint64
-	StartedAt, EndedAt time.Time // Ended is zero while it runs
+	StartedAt, EndedAt time.Time // EndedAt is zero while it runs
 	Cause              string
 	job                *Job
 }
 
-// Depot is what lives outside the machines: descriptions of jobs, results and
-// saved progress, and what is where, which proves or disproves that a task never
-// runs twice at a time.
+// Depot keeps what outlives a machine: job descriptions, results and saved progress. It also
+// records which task runs on which machine, and so detects a task that runs on two machines
+// at a time and a team that exceeds its limit.
 type Depot struct {
-	// Look finds the description of a job that nobody has uploaded, nil if there
-	// is none.
+	// Look returns the description of a job that is not known yet, nil if there is none.
 	Look func(name string) []byte
-	// Factor is how much longer than estimated a task runs; nil: 1.
+	// Factor returns a task's run time divided by its estimate; nil means 1.
 	Factor func(j *Job, task string) float64
-	// AttemptFails tells whether an attempt of a task ends with an error; nil: never.
+	// AttemptFails reports whether an attempt of a task ends with an error; nil means never.
 	AttemptFails func(task, machine string) bool
-	// Started hears of each task that comes onto a machine; nil: nobody asks.
+	// Started is called for each task that starts to run; it may be nil.
 	Started func(j *Job, at time.Time)
-	// LimitCPUs are the teams' limits; a team without one has none.
+	// LimitCPUs are the teams' CPU limits; a team without an entry has no limit.
 	LimitCPUs map[string]float64
-	// Brief: attempts that have ended are forgotten, for runs with very many.
+	// Brief: no list of attempts is kept, to save memory in runs with very many.
 	Brief bool
 
 	mu         sync.Mutex
@@ -55,16 +54,16 @@
 	machineOf  map[string]string // task -> machine
 	runs       []*Run
 	violations []string
-	usedCPUs   map[string]float64 // CPUs on machines, by team
+	usedCPUs   map[string]float64 // CPUs of running tasks, by team
 }
 
-// NewDepot returns an empty depot.
+// NewDepot returns an empty registry.
 func NewDepot() *Depot {
 	return &Depot{jobs: map[string]*Job{}, completed: map[string]bool{}, saved: map[string]time.Duration{},
 		machineOf: map[string]string{}, usedCPUs: map[string]float64{}}
 }
 
-// job returns a job's description, nil if it has not been submitted.
+// job returns a job's description, or nil if the job has not been submitted.
 func (d *Depot) job(name string) *Job {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,6 +82,7 @@
 	return &j
 }
 
+// runTimeFactor returns a task's run time divided by its estimate.
 func (d *Depot) runTimeFactor(j *Job, task string) float64 {
 	if d.Factor == nil {
 		return 1
@@ -90,16 +90,18 @@
 	return d.Factor(j, task)
 }
 
+// attemptFails reports whether an attempt of a task is to end with an error.
 func (d *Depot) attemptFails(task, machine string) bool {
 	return d.AttemptFails != nil && d.AttemptFails(task, machine)
 }
 
-// startRun notes that a task is on a machine, and returns what it had saved.
+// startRun records that a task starts to run on a machine. It returns the task's saved
+// progress and whether the task has already completed.
 func (d *Depot) startRun(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, completed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if other, ok := d.machineOf[task]; ok && other != machine {
-		d.violations = append(d.violations, fmt.Sprintf("%s starts on %s while it is on %s", task, machine, other))
+		d.violations = append(d.violations, fmt.Sprintf("task %s starts on %s while it runs on %s", task, machine, other))
 	}
 	d.machineOf[task] = machine
 	r = &Run{Task: task, Machine: machine, Attempt: attempt, StartedAt: time.Now(), job: j}
@@ -108,7 +110,8 @@
 	}
 	d.usedCPUs[j.Colony] += j.Cpus
 	if limit := d.LimitCPUs[j.Colony]; limit > 0 && d.usedCPUs[j.Colony] > limit+1e-6 {
-		d.violations = append(d.violations, fmt.Sprintf("%s uses %.1f CPUs with %s, more than %.1f", j.Colony, d.usedCPUs[j.Colony], task,
+		d.violations = append(d.violations, fmt.Sprintf("team %s uses %.1f CPUs with task %s, above its limit of %.1f",
+			j.Colony, d.usedCPUs[j.Colony], task,
 			limit))
 	}
 	if d.Started != nil {
@@ -117,7 +120,7 @@
 	return r, d.saved[task], d.completed[task]
 }
 
-// endRun notes that a task has left its machine.
+// endRun records that a task no longer runs on its machine.
 func (d *Depot) endRun(r *Run, cause string, progress time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,14 +135,15 @@
 	d.saved[r.Task] = max(d.saved[r.Task], progress)
 }
 
-// Broken tells of tasks that ran on two machines at a time.
+// Broken describes the violations so far: a task that ran on two machines at a time, or a
+// team above its limit.
 func (d *Depot) Broken() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.violations...)
 }
 
-// OnMachines counts the tasks that are on machines now.
+// OnMachines returns the number of tasks that are running now.
 func (d *Depot) OnMachines() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,7 +161,7 @@
 	return out
 }
 
-// Running counts the tasks of a job that are on machines now.
+// Running returns the number of a job's tasks that are running now.
 func (d *Depot) Running(job string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -17,20 +17,20 @@
 	LocalGb, PullGbPerS         float64
 	Hourly, MarketPrice, ReadyS float64
 	Yards                       []string
-	Room                        int `json:"-"` // machines of each zone and kind to be had; 0: none
+	Room                        int `json:"-"` // how many can be rented in each zone, spot and ordinary ones each
 }
 
-// Timing of workers, from the platform's settings.
+// Timing is the report interval and the lease of workers, from the platform's settings.
 type Timing struct {
 	Report, Lease time.Duration
 }
 
-// Host is a controller as workers know it.
+// Host is the name and the address of a controller.
 type Host struct{ Name, Addr string }
 
-// Worker is a stand-in of one machine with its worker. Nothing of it waits by looking
-// again and again: a timer fires at the next event of its tasks, and reporting sleeps
-// until there is news, so that thousands fit into one process.
+// Worker is a stand-in for a machine with its worker. Nothing polls: a timer fires at the
+// next event of its tasks, and the report loop sleeps until something changes or the next
+// report is due. So thousands of workers fit into one process.
 type Worker struct {
 	Name, Yard  string
 	Spot        bool
@@ -42,39 +42,39 @@
 	unlisten    func()
 	stats       *Meter
 	stop        context.CancelFunc
-	wake        chan struct{} // holds one element while something may have changed
+	wake        chan struct{} // holds an element if something may have changed
 
 	mu                sync.Mutex
 	dead              bool
-	hungUntil         time.Time // does not run until then
-	inboundLostUntil  time.Time // nothing reaches it until then; what it sends arrives
-	outboundLostUntil time.Time // it reaches no controller until then; commands reach it
-	replayDelays      []time.Duration
+	hungUntil         time.Time       // the machine makes no progress until then
+	inboundLostUntil  time.Time       // nothing reaches the machine until then; its reports arrive
+	outboundLostUntil time.Time       // its reports do not arrive until then; commands reach it
+	replayDelays      []time.Duration // each report is sent again after each of these
 	session           uint64
 	reportSeq         uint64
 	token             uint64
-	tokenReportedAt   time.Time // a higher token last counted as a change
-	attempts          map[string]*attempt
+	tokenReportedAt   time.Time           // when a higher token last counted as a change
+	attempts          map[string]*attempt // by task and number of the attempt
 	images            map[string]bool
-	imageFetches      map[string]time.Time // when they are complete
-	hostIndex         int
-	leaseRenewedAt    time.Time // when the last answered report was sent
-	reclaimedAt       time.Time // the cloud takes the machine then
-	changed           bool
-	timer             *time.Timer // the next event of its tasks
+	imageFetches      map[string]time.Time // when each fetch completes
+	hostIndex         int                  // of the controller to which it reports, modulo the number of hosts
+	leaseRenewedAt    time.Time            // when the last report that was answered was sent
+	reclaimedAt       time.Time            // the cloud reclaims the machine then; zero: not announced
+	changed           bool                 // since the last report
+	timer             *time.Timer          // fires at the next event of its tasks
 }
 
-// newWorker returns a machine that is not up yet.
+// newWorker returns a machine that has not started yet.
 func newWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host, stats *Meter) *Worker {
 	return &Worker{
 		Name: m.Name, Yard: m.Yard, Spot: m.Spot, machineType: m.Kind, timing: t, tasks: tasks, hosts: hosts,
 		hostIndex: m.First, session: 1,
-		attempts: map[string]*attempt{}, images: map[string]bool{}, imageFetches: map[string]time.Time{}, leaseRenewedAt: time.Now(),
-		stats: stats, wake: make(chan struct{}, 1),
+		attempts: map[string]*attempt{}, images: map[string]bool{}, imageFetches: map[string]time.Time{},
+		leaseRenewedAt: time.Now(), stats: stats, wake: make(chan struct{}, 1),
 	}
 }
 
-// StartWorker brings a machine up, with a listener of its own.
+// StartWorker starts a machine that has its own listener.
 func StartWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host) (*Worker, error) {
 	w := newWorker(m, t, tasks, hosts, &Meter{})
 	server, err := startServer(w.handler())
@@ -86,7 +86,7 @@
 	return w, nil
 }
 
-// handler serves what reaches the machine directly.
+// handler serves direct requests to the machine.
 func (w *Worker) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", w.handleCommands)
@@ -98,7 +98,7 @@
 	return mux
 }
 
-// start has the worker report and move its tasks on.
+// start starts the report loop and the timer of the tasks.
 func (w *Worker) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
@@ -108,10 +108,10 @@
 	go w.reportLoop(ctx)
 }
 
-// Addr is where the worker takes commands.
+// Addr returns the address at which the worker accepts commands.
 func (w *Worker) Addr() string { return w.addr }
 
-// Kill ends the machine with all that is on it.
+// Kill stops the machine and its tasks for good.
 func (w *Worker) Kill() {
 	w.stop()
 	w.unlisten()
@@ -124,7 +124,8 @@
 	}
 }
 
-// Hang lets the machine stand still for a while; its tasks make no progress.
+// Hang suspends the machine for some time: it neither reports nor answers, and its tasks make
+// no progress.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,36 +133,37 @@
 	w.timer.Reset(0)
 }
 
-// LoseInbound keeps answers and commands from the machine for a while; its reports arrive.
+// LoseInbound makes answers and commands to the machine get lost for some time. Its reports
+// still arrive.
 func (w *Worker) LoseInbound(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inboundLostUntil = time.Now().Add(d)
 }
 
-// LoseOutbound keeps the machine from reaching any controller for a while; commands reach it.
+// LoseOutbound makes reports of the machine get lost for some time. Commands still reach it.
 func (w *Worker) LoseOutbound(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outboundLostUntil = time.Now().Add(d)
 }
 
-// ReplayReports has each report come again, at every controller, so much later each time.
-// Nobody hears the answers.
+// ReplayReports makes a copy of each report arrive at every controller after each of the
+// delays. The answers to copies are ignored.
 func (w *Worker) ReplayReports(delays ...time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.replayDelays = delays
 }
 
-// receives tells whether anything reaches the machine.
+// receives reports whether answers and commands reach the machine.
 func (w *Worker) receives() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Now().After(w.inboundLostUntil)
 }
 
-// AnnounceReclaim tells the worker that the cloud takes the machine then.
+// AnnounceReclaim notifies the worker that the cloud will reclaim the machine after d.
 func (w *Worker) AnnounceReclaim(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,7 +171,7 @@
 	w.markChanged()
 }
 
-// markChanged notes that the next report has something new to say.
+// markChanged records that there is something new to report and wakes the report loop.
 func (w *Worker) markChanged() {
 	w.changed = true
 	select {
@@ -178,7 +180,7 @@
 	}
 }
 
-// advance moves the machine's tasks on, and sets the timer for what comes next.
+// advance updates the machine's tasks and sets the timer for their next event.
 func (w *Worker) advance() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,7 +196,7 @@
 	w.resetTimer(now)
 }
 
-// minTimerDelay keeps events that are due at once from being looked for without a pause.
+// minTimerDelay prevents a busy loop while an event is already due.
 const minTimerDelay = time.Millisecond
 
 // resetTimer sets the timer for the next event of the machine's tasks.
@@ -219,7 +221,8 @@
 	w.timer.Reset(max(minTimerDelay, next.Sub(now)))
 }
 
-// handleCommands takes what comes straight from a controller.
+// handleCommands executes direct commands from a controller. It refuses them if their token
+// or session is not current.
 func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var request struct {
 		QueenMark, Flight *uint64
@@ -229,7 +232,7 @@
 		writeJSON(rw, http.StatusBadRequest, object{})
 		return
 	}
-	if !w.receives() { // it never came: its sender waits in vain
+	if !w.receives() { // the request is lost: its sender gets no answer
 		<-r.Context().Done()
 		return
 	}
@@ -247,7 +250,8 @@
 	writeJSON(rw, http.StatusOK, w.report(now))
 }
 
-// observeToken takes a token. A higher one counts as a change once per half of the lease.
+// observeToken adopts a higher token. That counts as a change to report at most once per half
+// of the lease.
 func (w *Worker) observeToken(now time.Time, token uint64) {
 	if token <= w.token {
 		return
@@ -259,7 +263,7 @@
 	}
 }
 
-// waitWhileHung waits while the machine hangs.
+// waitWhileHung blocks while the machine is suspended.
 func (w *Worker) waitWhileHung(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
--- a/internal/standin/worker_reports.go
+++ b/internal/standin/worker_reports.go
@@ -12,8 +12,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// replayReport sends the copies of a report, as long as the rig lasts; the machine may have died
-// meanwhile.
+// replayReport sends a copy of a report to every controller after each delay, even if the
+// machine has stopped by then.
 func (w *Worker) replayReport(delays []time.Duration, body []byte) {
 	for _, d := range delays {
 		time.AfterFunc(d, func() {
@@ -28,7 +28,7 @@
 	}
 }
 
-// reportBody is a worker's report.
+// reportBody is the JSON body of a worker's report.
 type reportBody struct {
 	Hive, Addr, Breed, Yard string
 	SwarmBoxes              bool
@@ -37,7 +37,7 @@
 	Cells                   []reportCell
 }
 
-// reportCell is a task in a report.
+// reportCell is one attempt of a task in a report.
 type reportCell struct {
 	Cell  string
 	Brood uint64
@@ -46,6 +46,7 @@
 	Saved bool   `json:",omitempty"`
 }
 
+// report returns the worker's next report.
 func (w *Worker) report(now time.Time) *reportBody {
 	w.reportSeq++
 	r := &reportBody{
@@ -53,7 +54,9 @@
 		Flight: w.session, Buzz: w.reportSeq, QueenMark: w.token, Cells: make([]reportCell, 0, len(w.attempts)),
 	}
 	for _, a := range w.attempts {
-		r.Cells = append(r.Cells, reportCell{Cell: a.task, Brood: a.number, Stage: a.stage, Cause: a.cause, Saved: a.saved})
+		r.Cells = append(r.Cells, reportCell{
+			Cell: a.task, Brood: a.number, Stage: a.stage, Cause: a.cause, Saved: a.saved,
+		})
 	}
 	if !w.reclaimedAt.IsZero() {
 		remaining := max(0, w.reclaimedAt.Sub(now).Seconds())
@@ -62,7 +65,7 @@
 	return r
 }
 
-// reportLoop reports to one controller at a time.
+// reportLoop sends reports to one controller at a time until the machine stops.
 func (w *Worker) reportLoop(ctx context.Context) {
 	client := w.stats.newClient(answerTimeout)
 	defer client.CloseIdleConnections()
@@ -79,12 +82,12 @@
 			w.hostIndex++
 		}
 		w.mu.Unlock()
-		if outboundLost { // a connection that can't be opened
+		if outboundLost { // as if the connection could not be opened
 			w.waitForChange(ctx, time.Second)
 			continue
 		}
 		if err != nil {
-			return // a report of plain values always encodes
+			return // cannot happen: a report holds only plain values
 		}
 		w.replayReport(replayDelays, body)
 		w.stats.Reports.Add(1)
@@ -99,8 +102,8 @@
 // answerTimeout is how long a worker waits for the answer to a report.
 const answerTimeout = 4 * time.Second
 
-// sendReport sends a report and takes its answer; it returns when to report next, and
-// whether to the same controller.
+// sendReport sends a report and processes its answer. It returns how long to wait before the
+// next report and whether that goes to the same controller.
 func (w *Worker) sendReport(ctx context.Context, c *http.Client, h Host, session uint64, sent time.Time,
 	body []byte) (pause time.Duration, sameHost bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.Addr+"/agent/beat", bytes.NewReader(body))
@@ -121,7 +124,7 @@
 		}
 	}
 	if !w.receives() {
-		select { // its patience for an answer
+		select { // the answer is lost: wait for the rest of the timeout
 		case <-ctx.Done():
 		case <-time.After(max(0, answerTimeout-time.Since(sent))):
 		}
@@ -154,15 +157,15 @@
 	return time.Second, false
 }
 
-// jitter is a duration plus or minus a quarter.
+// jitter returns a random duration between 0.75 and 1.25 times d.
 func (w *Worker) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*rand.Float64()))
 }
 
-// minReportPause is how long a worker waits at least before it reports a change.
+// minReportPause is the minimum wait before a worker reports a change.
 const minReportPause = 500 * time.Millisecond
 
-// waitForChange lets a pause go by, or less if something changes meanwhile.
+// waitForChange waits for the pause, or until something changes after minReportPause.
 func (w *Worker) waitForChange(ctx context.Context, pause time.Duration) {
 	end := time.NewTimer(pause)
 	defer end.Stop()
@@ -184,6 +187,7 @@
 	}
 }
 
+// hasChanged reports whether something has changed since the last report.
 func (w *Worker) hasChanged() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -8,21 +8,22 @@
 	"honeylock/internal/config"
 )
 
+// attempt is one attempt of a task on a machine.
 type attempt struct {
 	task          string
 	number        uint64
 	job           *Job
 	stage, cause  string
-	saved         bool
+	saved         bool // its progress was saved when it was stopped
 	run           *Run
-	savedProgress time.Duration // progress at its beginning
-	startedAt     time.Time     // running since
-	remaining     time.Duration // run time still needed then
+	savedProgress time.Duration // progress when it started to run
+	startedAt     time.Time     // when it started to run
+	remaining     time.Duration // run time that was needed at startedAt
 	saveEndsAt    time.Time
-	fails         bool
+	fails         bool // it ends with an error
 }
 
-// progress is the work done so far, in the world's own time.
+// progress returns the run time that the task has completed so far.
 func (a *attempt) progress(now time.Time) time.Duration {
 	if a.startedAt.IsZero() {
 		return a.savedProgress
@@ -30,7 +31,7 @@
 	return a.savedProgress + min(now.Sub(a.startedAt), a.remaining)
 }
 
-// killTasks kills all tasks.
+// killTasks kills all tasks, which lose what they have not saved.
 func (w *Worker) killTasks(now time.Time) {
 	for k, a := range w.attempts {
 		w.endRun(a, now, "killed")
@@ -38,7 +39,8 @@
 	}
 }
 
-// endRun ends a task's stay; what it last saved by itself is kept.
+// endRun records the end of an attempt, with the progress of its last periodic save or, if it
+// saved when it was stopped, with all of its progress.
 func (w *Worker) endRun(a *attempt, now time.Time, cause string) {
 	if a.run == nil || !a.run.EndedAt.IsZero() {
 		return
@@ -54,6 +56,8 @@
 	w.tasks.endRun(a.run, cause, saved)
 }
 
+// advanceTasks applies what is due by now: the expiry of the lease, image fetches, and the ends
+// of tasks.
 func (w *Worker) advanceTasks(now time.Time) {
 	if now.Sub(w.leaseRenewedAt) > w.timing.Lease {
 		w.killTasks(now)
@@ -89,6 +93,8 @@
 	}
 }
 
+// fetchImage starts to fetch an attempt's image, or runs the task if the image is there. An
+// attempt that is to fail does so after a quarter of its run time.
 func (w *Worker) fetchImage(now time.Time, a *attempt) {
 	if !w.images[a.job.Wax] {
 		if _, ok := w.imageFetches[a.job.Wax]; !ok {
@@ -109,18 +115,21 @@
 	}
 }
 
+// exitAttempt ends an attempt; it is reported until a command clears it.
 func (w *Worker) exitAttempt(now time.Time, a *attempt, cause string) {
 	w.endRun(a, now, cause)
 	a.stage, a.cause = "exited", cause
 	w.markChanged()
 }
 
+// command is a command from a controller.
 type command struct {
 	Dance, Cell string
 	Brood       uint64
 	SettleS     float64
 }
 
+// execute executes commands. A command that does not apply to the current state is ignored.
 func (w *Worker) execute(now time.Time, commands []command) {
 	for _, command := range commands {
 		key := fmt.Sprintf("%s#%d", command.Cell, command.Brood)
@@ -140,6 +149,8 @@
 	w.resetTimer(now)
 }
 
+// launch returns a new attempt, which has already exited if its job is unknown, another attempt
+// of the task is on the machine, or the free capacity is too small.
 func (w *Worker) launch(command command) *attempt {
 	name, _, _ := strings.Cut(command.Cell, "/")
 	a := &attempt{task: command.Cell, number: command.Brood, stage: "exited"}
@@ -168,6 +179,7 @@
 	return a
 }
 
+// kill stops an attempt, after saving its progress if the grace period allows that.
 func (w *Worker) kill(now time.Time, a *attempt, graceS float64) {
 	saves := a.job.CapIntervalS > 0 && a.stage == "running" && graceS >= a.job.CapS
 	if !saves {
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// MachineSpec is a machine that is to come up.
+// MachineSpec describes a machine that is to boot.
 type MachineSpec struct {
 	Name, Yard string
 	Spot       bool
 	Kind       Kind
-	First      int // index of the controller that it reports to first
+	First      int // index of the controller to which it reports first
 }
 
-// maxGroupWorkers is how many loopback addresses a group has: those of a /16 without the
-// first and the last of each /24.
+// maxGroupWorkers is the number of loopback addresses of a group: a /16 network without the
+// first and the last address of each /24.
 const maxGroupWorkers = 256 * 254
 
-var errGroupFull = errors.New("the group has no address left")
+var errGroupFull = errors.New("worker group has no free address")
 
-// WorkerGroup runs many workers in one process behind one listener: each has a loopback
-// address of its own, 127.NET.x.y, and all share the port.
+// WorkerGroup runs many workers in one process behind one listener. Each worker has its own
+// loopback address, 127.NETWORK.x.y, and all share one port.
 type WorkerGroup struct {
 	Meter   Meter
 	timing  Timing
@@ -36,14 +36,14 @@
 
 	mu            sync.Mutex
 	nextIndex     int
-	handlersByIP  map[string]http.Handler // by IP
+	handlersByIP  map[string]http.Handler
 	workersByName map[string]*Worker
 }
 
-// NewWorkerGroup begins to listen. network is the second byte of its workers' addresses.
+// NewWorkerGroup starts a group. network is the second byte of its workers' addresses.
 func NewWorkerGroup(network byte, t Timing, tasks *Depot, hosts []Host) (*WorkerGroup, error) {
-	// One socket for the whole loopback range can only be had on the unspecified
-	// address; loopbackListener turns all other connections away.
+	// A single socket can serve the whole loopback range only on the unspecified address;
+	// loopbackListener closes connections to all other addresses.
 	l, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("worker group: %w", err)
@@ -51,11 +51,11 @@
 	g := &WorkerGroup{timing: t, tasks: tasks, hosts: hosts, network: network, port: l.Addr().(*net.TCPAddr).Port,
 		handlersByIP: map[string]http.Handler{}, workersByName: map[string]*Worker{}}
 	g.server = &http.Server{Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = g.server.Serve(&loopbackListener{l, &g.Meter}) }() // it ends with Close
+	go func() { _ = g.server.Serve(&loopbackListener{l, &g.Meter}) }() // returns when Close is called
 	return g, nil
 }
 
-// loopbackListener takes connections to loopback addresses only, and counts their bytes.
+// loopbackListener accepts only connections to loopback addresses and counts their bytes.
 type loopbackListener struct {
 	net.Listener
 	stats *Meter
@@ -75,7 +75,7 @@
 	}
 }
 
-// serve passes a request on to the worker whose address it came to.
+// serve forwards a request to the worker that has its destination address.
 func (g *WorkerGroup) serve(rw http.ResponseWriter, r *http.Request) {
 	a, _ := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	var h http.Handler
@@ -84,19 +84,19 @@
 		h = g.handlersByIP[a.IP.String()]
 		g.mu.Unlock()
 	}
-	if h == nil { // no machine has this address: whoever asks gets no answer
+	if h == nil { // no machine has this address: the client gets no answer
 		<-r.Context().Done()
 		return
 	}
 	h.ServeHTTP(rw, r)
 }
 
-// address is the group's nth loopback address.
+// address returns the group's nth loopback address.
 func (g *WorkerGroup) address(n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", g.network, n/254, n%254+1)
 }
 
-// Boot brings a machine up and returns its address.
+// Boot boots a machine and returns its worker's address.
 func (g *WorkerGroup) Boot(m MachineSpec) (addr string, err error) {
 	w := newWorker(m, g.timing, g.tasks, g.hosts, &g.Meter)
 	g.mu.Lock()
@@ -119,28 +119,28 @@
 	return w.addr, nil
 }
 
-// Worker returns a machine that is up, nil if there is none of that name.
+// Worker returns the running machine with that name, or nil.
 func (g *WorkerGroup) Worker(name string) *Worker {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.workersByName[name]
 }
 
-// End ends a machine with all that is on it.
+// End stops a machine and its tasks; the name may be unknown.
 func (g *WorkerGroup) End(name string) {
 	if w := g.Worker(name); w != nil {
 		w.Kill()
 	}
 }
 
-// Size is how many machines are up.
+// Size returns the number of running machines.
 func (g *WorkerGroup) Size() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.workersByName)
 }
 
-// Close ends all machines and the listener.
+// Close stops all machines and the listener.
 func (g *WorkerGroup) Close() {
 	g.mu.Lock()
 	all := make([]*Worker, 0, len(g.workersByName))
--- a/internal/standin/workerstats.go
+++ b/internal/standin/workerstats.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Meter counts what workers spend on control and what becomes of their reports. It is
-// shared by all workers of a group.
+// Meter counts the workers' traffic with controllers and the outcomes of their reports. All
+// workers of a group share it.
 type Meter struct {
 	Reports    atomic.Int64 // sent
-	Commands   atomic.Int64 // direct calls that were carried out
-	Starts     atomic.Int64 // tasks that came onto a machine
-	Redirected atomic.Int64 // reports answered with another controller's name
-	Unanswered atomic.Int64 // reports without an answer that helps
+	Commands   atomic.Int64 // requests with direct commands that were executed
+	Starts     atomic.Int64 // tasks that started to run
+	Redirected atomic.Int64 // reports that were answered with another controller's name
+	Unanswered atomic.Int64 // reports without a usable answer
 	Dropped    atomic.Int64 // answers with a lower token or for an earlier session
-	Expired    atomic.Int64 // leases that ran out
-	BytesIn    atomic.Int64 // on workers' connections, HTTP included
+	Expired    atomic.Int64 // leases that expired
+	BytesIn    atomic.Int64 // on the workers' connections, including HTTP headers
 	BytesOut   atomic.Int64
 }
 
-// newClient returns a worker's own client: it keeps one connection to a controller.
+// newClient returns an HTTP client for one worker, which keeps one connection to a controller.
 func (m *Meter) newClient(timeout time.Duration) *http.Client {
 	dialer := net.Dialer{Timeout: timeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -36,20 +36,20 @@
 		DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10}}
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes that pass through a connection.
 type countingConn struct {
 	net.Conn
 	stats *Meter
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.stats.BytesIn.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write writes to the connection and counts the bytes.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.stats.BytesOut.Add(int64(n))
