--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -25,7 +25,7 @@
 type Options struct {
 	Controllers     int
 	Types           []standin.Kind
-	InitialMachines []InitialMachines // machines that are up from the beginning
+	InitialMachines []MachineGroup // machines that are up from the beginning
 	Teams           []config.Team
 	Zones           []string
 	Report          time.Duration
@@ -44,8 +44,8 @@
 	Partitionable bool
 }
 
-// InitialMachines is a number of machines of a kind.
-type InitialMachines struct {
+// MachineGroup is a number of machines of a kind.
+type MachineGroup struct {
 	TypeIndex int
 	Zone      string
 	Spot      bool
@@ -54,13 +54,13 @@
 
 // Controller of a cluster.
 type Controller struct {
-	Config  *config.Platform
-	Store   *standin.Front
-	Node    *node.Node
-	OpsAddr string // its operators' door, if there is one
-	options *Options
-	stop    context.CancelFunc
-	proxies []*standin.Proxy
+	Config        *config.Platform
+	StoreEndpoint *standin.Front
+	Node          *node.Node
+	OpsAddr       string // its operators' door, if there is one
+	options       *Options
+	stop          context.CancelFunc
+	proxies       []*standin.Proxy
 }
 
 // Cluster is all that runs.
@@ -97,9 +97,11 @@
 		c.Controllers = append(c.Controllers, controller)
 		hosts = append(hosts, standin.Host{Name: controller.Config.HostName, Addr: controller.Config.Bind})
 	}
-	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: options.Types, ListLag: options.ListLag, Dying: options.ListedAfterLoss,
+	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: options.Types, ListLag: options.ListLag,
+		Dying:  options.ListedAfterLoss,
 		RPS:    options.CloudRPS,
-		Timing: standin.Timing{Report: options.Report, Lease: options.Lease}}, c.Depot, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
+		Timing: standin.Timing{Report: options.Report, Lease: options.Lease}}, c.Depot, hosts,
+		rand.New(rand.NewPCG(options.Seed, 3)))
 	if err != nil {
 		return c, err
 	}
@@ -107,8 +109,9 @@
 		controller.Config.Services.Cloud = c.Cloud.Addr()
 		for _, other := range c.Controllers {
 			if other != controller {
-				controller.Config.Siblings = append(controller.Config.Siblings, config.Sibling{HostName: other.Config.HostName, Zone: other.Config.Zone,
-					Address: other.Config.PeerListen})
+				controller.Config.Siblings = append(controller.Config.Siblings,
+					config.Sibling{HostName: other.Config.HostName, Zone: other.Config.Zone,
+						Address: other.Config.PeerListen})
 			}
 		}
 	}
@@ -122,8 +125,8 @@
 			return c, err
 		}
 	}
-	for _, other := range options.InitialMachines {
-		if err := c.Cloud.Seed(other.TypeIndex, other.Zone, other.Spot, other.Count); err != nil {
+	for _, machines := range options.InitialMachines {
+		if err := c.Cloud.Seed(machines.TypeIndex, machines.Zone, machines.Spot, machines.Count); err != nil {
 			return c, err
 		}
 	}
@@ -137,13 +140,13 @@
 		for i := range k.Config.Siblings {
 			addrs = append(addrs, &k.Config.Siblings[i].Address)
 		}
-		for _, a := range addrs {
-			r, err := standin.NewProxy(*a)
+		for _, addr := range addrs {
+			proxy, err := standin.NewProxy(*addr)
 			if err != nil {
 				return err
 			}
-			k.proxies = append(k.proxies, r)
-			*a = r.Addr()
+			k.proxies = append(k.proxies, proxy)
+			*addr = proxy.Addr()
 		}
 	}
 	return nil
@@ -152,8 +155,8 @@
 // SetPartitioned cuts a controller off from the state service and from all other controllers, in
 // both directions, or ends that. Its workers and users still reach it.
 func (c *Cluster) SetPartitioned(k *Controller, on bool) {
-	for _, r := range k.proxies {
-		r.SetPartitioned(on)
+	for _, proxy := range k.proxies {
+		proxy.SetPartitioned(on)
 	}
 	for _, other := range c.Controllers {
 		for i, sibling := range other.Config.Siblings {
@@ -167,26 +170,28 @@
 // OpenRecord returns a job's open record.
 func (c *Cluster) OpenRecord(name string) []byte { return c.Store.ReadKey("open/" + name) }
 
-func newController(c *Cluster, options *Options, i int) (*Controller, error) {
+func newController(c *Cluster, options *Options, index int) (*Controller, error) {
 	endpoint, err := c.Store.Front()
 	if err != nil {
 		return nil, err
 	}
-	cfg := &config.Platform{HostName: fmt.Sprintf("hive-%d", i), Zone: options.Zones[i%len(options.Zones)]}
+	cfg := &config.Platform{HostName: fmt.Sprintf("hive-%d", index), Zone: options.Zones[index%len(options.Zones)]}
 	for _, a := range []*string{&cfg.Bind, &cfg.PeerListen} {
 		if *a, err = FreeAddr(); err != nil {
 			return nil, err
 		}
 	}
 	cfg.Services.State = endpoint.Addr
-	cluster := &cfg.Cluster
-	cluster.Zones, cluster.Teams = options.Zones, options.Teams
-	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = options.Report.Seconds(), options.Lease.Seconds(), options.Cancel.Seconds()
-	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.ValueKB, cluster.State.TxnOps = options.Limits.RPS, options.Limits.WriteRPS,
+	clusterConfig := &cfg.Cluster
+	clusterConfig.Zones, clusterConfig.Teams = options.Zones, options.Teams
+	clusterConfig.Workers.ReportS, clusterConfig.Workers.LeaseS,
+		clusterConfig.Workers.CancelS = options.Report.Seconds(), options.Lease.Seconds(), options.Cancel.Seconds()
+	clusterConfig.State.RPS, clusterConfig.State.WriteRPS, clusterConfig.State.ValueKB,
+		clusterConfig.State.TxnOps = options.Limits.RPS, options.Limits.WriteRPS,
 		options.Limits.ValueKB, options.Limits.TxnOps
-	cluster.Cloud.RPS, cluster.Cloud.ListLagS = options.CloudRPS, options.ListLag.Seconds()
-	cluster.Resources.MemMB, cluster.Resources.FDLimit = 300, 500
-	return &Controller{Config: cfg, Store: endpoint, options: options}, nil
+	clusterConfig.Cloud.RPS, clusterConfig.Cloud.ListLagS = options.CloudRPS, options.ListLag.Seconds()
+	clusterConfig.Resources.MemMB, clusterConfig.Resources.FDLimit = 300, 500
+	return &Controller{Config: cfg, StoreEndpoint: endpoint, options: options}, nil
 }
 
 // Start runs the controller, with nothing left of an earlier life.
@@ -236,8 +241,8 @@
 func (c *Cluster) Close() {
 	for _, k := range c.Controllers {
 		k.Stop()
-		for _, r := range k.proxies {
-			r.Close()
+		for _, proxy := range k.proxies {
+			proxy.Close()
 		}
 	}
 	if c.Cloud != nil {
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -10,20 +10,21 @@
 // What the README's first command does, for a few seconds: no job is lost, and no
 // task is on two machines at a time.
 func TestTrialClusterLosesNoJob(t *testing.T) {
-	c, err := Start(Trial(3, 4, 20, 3))
+	cluster, err := Start(Trial(3, 4, 20, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	u := NewUsers(c.Addrs(), DefaultWorkload(), 20, 3)
+	defer cluster.Close()
+	users := NewUsers(cluster.Addrs(), DefaultWorkload(), 20, 3)
 	arrivals, stop1 := context.WithTimeout(t.Context(), 4*time.Second)
 	defer stop1()
 	all, stop2 := context.WithTimeout(t.Context(), 50*time.Second)
 	defer stop2()
-	u.Run(arrivals, all)
-	n := u.Counts()
-	if n.Accepted < 8 || n.Open+n.Lost+n.Refused > 0 || n.Done+n.Cancelled != n.Accepted || len(c.Depot.Broken()) > 0 {
-		t.Errorf("%+v %v", n, c.Depot.Broken())
+	users.Run(arrivals, all)
+	counts := users.Counts()
+	if counts.Accepted < 8 || counts.Open+counts.Lost+counts.Refused > 0 ||
+		counts.Done+counts.Cancelled != counts.Accepted || len(cluster.Depot.Broken()) > 0 {
+		t.Errorf("%+v %v", counts, cluster.Depot.Broken())
 	}
 }
 
--- a/internal/dev/parse.go
+++ b/internal/dev/parse.go
@@ -14,14 +14,14 @@
 
 // ParseWorkload reads a workload in protobuf text format and tells all of its
 // mistakes with their fields.
-func ParseWorkload(b []byte) ([]Class, error) {
-	var p devpb.Workload
-	if err := prototext.Unmarshal(b, &p); err != nil {
+func ParseWorkload(text []byte) ([]Class, error) {
+	var workload devpb.Workload
+	if err := prototext.Unmarshal(text, &workload); err != nil {
 		return nil, err
 	}
 	var out []Class
 	var errs []error
-	for i, c := range p.GetClasses() {
+	for i, c := range workload.GetClasses() {
 		errs = append(errs, checkClass(i, c))
 		out = append(out, toClass(c))
 	}
--- a/internal/dev/trialcluster.go
+++ b/internal/dev/trialcluster.go
@@ -50,7 +50,7 @@
 	}
 	for i := range min(workers, 4) {
 		n := (workers + 3 - i) / 4
-		options.InitialMachines = append(options.InitialMachines, InitialMachines{Zone: trialZones[i%2], Spot: i >= 2, Count: n})
+		options.InitialMachines = append(options.InitialMachines, MachineGroup{Zone: trialZones[i%2], Spot: i >= 2, Count: n})
 	}
 	options.Tasks.Factor = func(_ *standin.Job, task string) float64 { return EstimateError(task, seed) }
 	return options
--- a/internal/dev/workload.go
+++ b/internal/dev/workload.go
@@ -118,15 +118,16 @@
 // submission is a job of the class, in the wire's words.
 func (u *Users) submission(id string, c *Class) map[string]any {
 	tasks := max(1, int(float64(c.Tasks)*(0.5+u.rng.Float64())))
-	s := map[string]any{"NameId": id, "Comb": c.Name, "Colony": c.Team, "Shape": "batch", "Rank": c.Rank, "Cells": tasks,
+	submission := map[string]any{"NameId": id, "Comb": c.Name, "Colony": c.Team, "Shape": "batch", "Rank": c.Rank,
+		"Cells":        tasks,
 		"Cpus":         c.CPUs,
 		"Accelerators": 0, "MemGb": c.MemGB, "Wax": c.Image, "ImageGb": c.ImageGB, "Together": false, "Spread": false,
 		"SwarmBoxes": c.Spot,
 		"ForageS":    c.RunS / u.speed, "CapIntervalS": c.SaveEveryS / u.speed, "CapS": c.SaveS / u.speed}
 	if c.DeadlineS > 0 {
-		s["HarvestS"] = c.DeadlineS / u.speed
+		submission["HarvestS"] = c.DeadlineS / u.speed
 	}
-	return s
+	return submission
 }
 
 // runJob is a user's life with one job.
--- a/internal/e2e/consistency_test.go
+++ b/internal/e2e/consistency_test.go
@@ -45,20 +45,20 @@
 }
 
 // checkAll asks all controllers at once, twice, and submits the job once more.
-func (w *answerChecker) checkAll(cl *dev.Cluster, job object) {
+func (w *answerChecker) checkAll(cluster *dev.Cluster, job object) {
 	id := job["NameId"].(string)
 	var requests sync.WaitGroup
 	for range 2 {
-		for _, c := range cl.Controllers {
+		for _, c := range cluster.Controllers {
 			requests.Go(func() { w.request(c, http.MethodGet, "/v1/jobs/"+id, id, nil) })
 		}
 	}
-	requests.Go(func() { w.request(cl.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
+	requests.Go(func() { w.request(cluster.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
 	requests.Wait()
 }
 
 // retryUntilAnswered repeats a request until it is answered, and looks closely then.
-func (w *answerChecker) retryUntilAnswered(cl *dev.Cluster, firstController int, path string, job object) {
+func (w *answerChecker) retryUntilAnswered(cluster *dev.Cluster, firstController int, path string, job object) {
 	id := job["NameId"].(string)
 	var body any
 	if path == "/v1/jobs" {
@@ -66,9 +66,9 @@
 	}
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		firstController++
-		status, _ := w.request(cl.Controllers[firstController%3], http.MethodPost, path, id, body)
+		status, _ := w.request(cluster.Controllers[firstController%3], http.MethodPost, path, id, body)
 		if status == http.StatusOK || status == http.StatusCreated {
-			w.checkAll(cl, job)
+			w.checkAll(cluster, job)
 			return
 		}
 	}
@@ -78,8 +78,8 @@
 // Users ask at all controllers within milliseconds of an answer, repeat submissions, cancel at
 // once or just as the last task ends, while one controller's transactions lose their answers.
 func TestAnswersAreConsistentAcrossControllers(t *testing.T) {
-	cl := startFaultCluster(t, 6)
-	cl.Controllers[1].Store.LoseAnswers(4)
+	cluster := startFaultCluster(t, 6)
+	cluster.Controllers[1].StoreEndpoint.LoseAnswers(4)
 	checker := &answerChecker{t: t, acknowledged: map[string]string{}}
 	var users sync.WaitGroup
 	for i := range 24 {
@@ -87,26 +87,27 @@
 		id := job["NameId"].(string)
 		users.Go(func() {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-			checker.retryUntilAnswered(cl, i, "/v1/jobs", job)
+			checker.retryUntilAnswered(cluster, i, "/v1/jobs", job)
 			switch i % 3 {
 			case 0: // at once
 			case 1: // about when its last task ends
 				time.Sleep(time.Duration(300+40*i) * time.Millisecond)
 			default:
 				for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					if _, st := checker.request(cl.Controllers[i%2], http.MethodGet, "/v1/jobs/"+id, id, nil); st == "done" {
+					if _, stage := checker.request(cluster.Controllers[i%2], http.MethodGet, "/v1/jobs/"+id, id,
+						nil); stage == "done" {
 						break
 					}
 				}
-				checker.checkAll(cl, job)
+				checker.checkAll(cluster, job)
 			}
-			checker.retryUntilAnswered(cl, i+1, "/v1/jobs/"+id+"/withdraw", job)
+			checker.retryUntilAnswered(cluster, i+1, "/v1/jobs/"+id+"/withdraw", job)
 		})
 	}
 	users.Wait()
 	outcomes := map[string]int{}
-	for _, st := range checker.acknowledged {
-		outcomes[st]++
+	for _, stage := range checker.acknowledged {
+		outcomes[stage]++
 	}
 	if outcomes["done"] < 8 || outcomes["aborted"] == 0 || outcomes["accepted"] > 0 || checker.compared < 24*14 {
 		t.Errorf("%v after %d comparisons", outcomes, checker.compared)
@@ -117,24 +118,24 @@
 // elsewhere, none twice at a time, and room comes back.
 func TestMachinesThatReachNoController(t *testing.T) {
 	t.Parallel()
-	cl := startFaultCluster(t, 6)
+	cluster := startFaultCluster(t, 6)
 	job := submission("job-000001", 28)
 	job["ForageS"] = 7.0
-	submitAccepted(t, cl.Controllers[0], job)
-	waitUntil(t, "tasks run", func() bool { return cl.Depot.Running("job-000001") > 20 })
-	isolated := cl.Cloud.Workers()[:2]
+	submitAccepted(t, cluster.Controllers[0], job)
+	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") > 20 })
+	isolated := cluster.Cloud.Workers()[:2]
 	for _, w := range isolated {
 		w.LoseOutbound(12 * time.Second)
 	}
-	k := waitForLeader(t, cl)
-	k.Stop()
+	leader := waitForLeader(t, cluster)
+	leader.Stop()
 	time.Sleep(200 * time.Millisecond)
-	if err := k.Start(); err != nil {
+	if err := leader.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the job", func() bool { return jobStage(k, "job-000001") == "done" })
+	waitUntil(t, "the job", func() bool { return jobStage(leader, "job-000001") == "done" })
 	killed := 0
-	for _, r := range cl.Depot.Runs() {
+	for _, r := range cluster.Depot.Runs() {
 		if r.Cause == "killed" && (r.Machine == isolated[0].Name || r.Machine == isolated[1].Name) {
 			killed++
 		}
@@ -144,17 +145,17 @@
 	}
 	last := submission("job-000002", 24)
 	last["ForageS"] = 2.0
-	submitAccepted(t, k, last)
-	waitUntil(t, "all machines work again", func() bool { return cl.Depot.Running("job-000002") >= 20 })
+	submitAccepted(t, leader, last)
+	waitUntil(t, "all machines work again", func() bool { return cluster.Depot.Running("job-000002") >= 20 })
 }
 
 // What is no job, or can never run, is refused however it is asked, and is never accepted; a
 // known job's name does not make it one.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
-	cl := startFaultCluster(t, 2)
-	k := cl.Controllers[0]
-	submitAccepted(t, k, submission("job-000001", 1))
-	waitUntil(t, "the job", func() bool { return jobStage(k, "job-000001") == "done" })
+	cluster := startFaultCluster(t, 2)
+	controller := cluster.Controllers[0]
+	submitAccepted(t, controller, submission("job-000001", 1))
+	waitUntil(t, "the job", func() bool { return jobStage(controller, "job-000001") == "done" })
 	invalid := map[string]struct {
 		field string
 		value any // nil: left out
@@ -200,26 +201,26 @@
 			job[o.field] = o.value
 		}
 		for i := range 2 {
-			if st, v := call(cl.Controllers[i], http.MethodPost, "/v1/jobs", job); st != o.want {
-				t.Errorf("%s: %d %v, want %d", name, st, v, o.want)
+			if status, v := call(cluster.Controllers[i], http.MethodPost, "/v1/jobs", job); status != o.want {
+				t.Errorf("%s: %d %v, want %d", name, status, v, o.want)
 			}
 		}
 		if id, ok := job["NameId"].(string); ok && id != "job-1" {
-			if st, _ := call(cl.Controllers[2], http.MethodGet, "/v1/jobs/"+id, nil); st != http.StatusNotFound {
-				t.Errorf("%s: a question about it got %d", name, st)
+			if status, _ := call(cluster.Controllers[2], http.MethodGet, "/v1/jobs/"+id, nil); status != http.StatusNotFound {
+				t.Errorf("%s: a question about it got %d", name, status)
 			}
 			job["NameId"] = "job-000001"
-			st, v := call(k, http.MethodPost, "/v1/jobs", job)
-			if st == http.StatusCreated || st == http.StatusOK && v["Stage"] != "done" {
-				t.Errorf("%s, under a known name: %d %v", name, st, v)
+			status, v := call(controller, http.MethodPost, "/v1/jobs", job)
+			if status == http.StatusCreated || status == http.StatusOK && v["Stage"] != "done" {
+				t.Errorf("%s, under a known name: %d %v", name, status, v)
 			}
 		}
 	}
-	st, v := call(k, http.MethodPost, "/v1/jobs/job-000001/withdraw", nil)
-	if st != http.StatusOK || v["Stage"] != "done" {
-		t.Errorf("a job that is done, cancelled: %d %v", st, v)
+	status, v := call(controller, http.MethodPost, "/v1/jobs/job-000001/withdraw", nil)
+	if status != http.StatusOK || v["Stage"] != "done" {
+		t.Errorf("a job that is done, cancelled: %d %v", status, v)
 	}
-	if b := cl.OpenRecord("job-000001"); b != nil {
+	if b := cluster.OpenRecord("job-000001"); b != nil {
 		t.Errorf("an open record of a job that is done: %s", b)
 	}
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -22,28 +22,28 @@
 const operatorToken = "a token of the tests"
 
 // startOperated starts a cluster of n machines with operators' doors.
-func startOperated(t *testing.T, n int, seed uint64) (*dev.Cluster, *client.Operators) {
+func startOperated(t *testing.T, workers int, seed uint64) (*dev.Cluster, *client.Operators) {
 	t.Helper()
-	o := defaultOptions()
-	o.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
-	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: n}}
-	o.Tasks = standin.NewDepot()
-	o.Tasks.Factor = func(_ *standin.Job, task string) float64 {
+	options := defaultOptions()
+	options.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: workers}}
+	options.Tasks = standin.NewDepot()
+	options.Tasks.Factor = func(_ *standin.Job, task string) float64 {
 		return 0.9 + (dev.EstimateError(task, seed)-0.6)/4.5 // 0.9 to 1.1
 	}
-	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
-	return startOperatedWith(t, o)
+	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	return startOperatedWith(t, options)
 }
 
 // startOperatedWith starts a cluster with operators' doors.
-func startOperatedWith(t *testing.T, o dev.Options) (*dev.Cluster, *client.Operators) {
+func startOperatedWith(t *testing.T, options dev.Options) (*dev.Cluster, *client.Operators) {
 	t.Helper()
-	c := startWith(t, o)
-	ops, err := client.NewOperators(c.OpsAddrs(), operatorToken, "")
+	cluster := startWith(t, options)
+	ops, err := client.NewOperators(cluster.OpsAddrs(), operatorToken, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, ops
+	return cluster, ops
 }
 
 func discardMessage(string) {}
@@ -56,39 +56,39 @@
 	}
 }
 
-func requestForecast(t *testing.T, ops *client.Operators, path, plan string) (f node.ForecastReply) {
+func requestForecast(t *testing.T, ops *client.Operators, path, plan string) (reply node.ForecastReply) {
 	t.Helper()
-	if err := ops.Ask(t.Context(), path, []byte(plan), &f, func() bool { return f.Done >= 1 }); err != nil {
+	if err := ops.Ask(t.Context(), path, []byte(plan), &reply, func() bool { return reply.Done >= 1 }); err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return reply
 }
 
 // submitLoad fills a cluster of 5 machines: a class that teaches how long tasks take, 20
 // tasks that take all CPUs, and 30 that wait for them.
-func submitLoad(t *testing.T, c *dev.Cluster) {
+func submitLoad(t *testing.T, cluster *dev.Cluster) {
 	t.Helper()
-	k := c.Controllers[0]
+	controller := cluster.Controllers[0]
 	job := func(id string, tasks int, run float64) object {
 		s := submission(id, tasks)
 		s["ForageS"], s["ImageGb"] = run, 0.01
 		return s
 	}
-	submitAccepted(t, k, job("job-000001", 20, 3))
-	waitUntil(t, "the first job", func() bool { return jobStage(k, "job-000001") == "done" })
-	submitAccepted(t, k, job("job-000002", 20, 9))
-	waitUntil(t, "the second job runs", func() bool { return c.Depot.Running("job-000002") == 20 })
-	submitAccepted(t, k, job("job-000003", 30, 6))
+	submitAccepted(t, controller, job("job-000001", 20, 3))
+	waitUntil(t, "the first job", func() bool { return jobStage(controller, "job-000001") == "done" })
+	submitAccepted(t, controller, job("job-000002", 20, 9))
+	waitUntil(t, "the second job runs", func() bool { return cluster.Depot.Running("job-000002") == 20 })
+	submitAccepted(t, controller, job("job-000003", 30, 6))
 }
 
 // completionTimes waits for jobs and tells how long after a time they were done.
-func completionTimes(t *testing.T, c *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
+func completionTimes(t *testing.T, cluster *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
 	t.Helper()
 	last := map[string]time.Time{}
 	for _, id := range ids {
-		waitUntil(t, id, func() bool { return jobStage(c.Controllers[0], id) == "done" })
+		waitUntil(t, id, func() bool { return jobStage(cluster.Controllers[0], id) == "done" })
 	}
-	for _, r := range c.Depot.Runs() {
+	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
 		if r.Cause == "done" && r.EndedAt.After(last[id]) {
 			last[id] = r.EndedAt
@@ -126,7 +126,8 @@
 			applyPlan(t, ops, drainTwoOfFive)
 			withPlan := completionTimes(t, with, startedAt, "job-000002", "job-000003")
 			wg.Wait()
-			if len(forecast.Delayed) != 1 || forecast.Delayed[0].Job != "job-000003" || forecast.Delayed[0].Why != "waits for room" {
+			if len(forecast.Delayed) != 1 || forecast.Delayed[0].Job != "job-000003" ||
+				forecast.Delayed[0].Why != "waits for room" {
 				t.Fatalf("%+v, want job-000003 to wait for room", forecast)
 			}
 			delayed := forecast.Delayed[0]
@@ -139,7 +140,8 @@
 			if deviation := withPlan["job-000002"] - baseline["job-000002"]; math.Abs(deviation) > toleranceSeconds {
 				t.Errorf("job-000002 was %.1f s late, none was foreseen", deviation)
 			}
-			t.Logf("job-000003: foreseen to end in %v s, late by %v s; ended after %.1f s, without the plan %.1f s", delayed.EndS,
+			t.Logf("job-000003: foreseen to end in %v s, late by %v s; ended after %.1f s, without the plan %.1f s",
+				delayed.EndS,
 				delayed.DelayS,
 				withPlan["job-000003"], baseline["job-000003"])
 		})
@@ -158,12 +160,12 @@
 // on, a new forecast knows of the loss, and it is right.
 func TestMachineAndLeaderLostDuringDrain(t *testing.T) {
 	t.Parallel()
-	c, ops := startOperated(t, 5, 7)
-	submitLoad(t, c)
+	cluster, ops := startOperated(t, 5, 7)
+	submitLoad(t, cluster)
 	applyPlan(t, ops, strings.Replace(drainTwoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
 	waitUntil(t, "both are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
-	c.Cloud.Lose("m-000001")
-	for _, k := range c.Controllers {
+	cluster.Cloud.Lose("m-000001")
+	for _, k := range cluster.Controllers {
 		if isLeader(k) {
 			k.Stop()
 			defer func() { _ = k.Start() }()
@@ -177,12 +179,12 @@
 	if math.Abs(duration-forecast.TookS[1]) > 2*toleranceSeconds {
 		t.Errorf("the rest took %.1f s, %v were foreseen", duration, forecast.TookS)
 	}
-	if n := len(c.Cloud.Workers()); n != 3 {
+	if n := len(cluster.Cloud.Workers()); n != 3 {
 		t.Errorf("%d machines are left", n)
 	}
 	for _, id := range []string{"job-000002", "job-000003"} {
 		waitUntil(t, id, func() bool {
-			return jobStage(c.Controllers[0], id) == "done" || jobStage(c.Controllers[1], id) == "done"
+			return jobStage(cluster.Controllers[0], id) == "done" || jobStage(cluster.Controllers[1], id) == "done"
 		})
 	}
 	var entries []audit.Entry
@@ -193,22 +195,22 @@
 }
 
 func isLeader(k *dev.Controller) bool {
-	st, _ := call(k, http.MethodGet, "/metrics", nil)
-	return st == http.StatusOK && metricValue(k, "honeylock_leading") == "1"
+	status, _ := call(k, http.MethodGet, "/metrics", nil)
+	return status == http.StatusOK && metricValue(k, "honeylock_leading") == "1"
 }
 
 // The operators' door: who may do what, what is refused, and what is repeated.
 func TestOperatorEndpoint(t *testing.T) {
 	t.Parallel()
-	c, ops := startOperated(t, 2, 1)
-	submitAccepted(t, c.Controllers[0], submission("job-000001", 1))
+	cluster, ops := startOperated(t, 2, 1)
+	submitAccepted(t, cluster.Controllers[0], submission("job-000001", 1))
 	waitUntil(t, "both machines are known", func() bool {
 		var out node.Outcome
 		plan := `name: "a" machines { names: "m-000001" names: "m-000002" } after: PATCH`
 		return ops.Change(t.Context(), "drains", []byte(plan), &out, discardMessage) == nil
 	})
 	request := func(method, path, bearer, id, body string) (int, string) {
-		req, _ := http.NewRequestWithContext(context.Background(), method, "http://"+c.OpsAddrs()[1]+"/ops/v1/"+path,
+		req, _ := http.NewRequestWithContext(context.Background(), method, "http://"+cluster.OpsAddrs()[1]+"/ops/v1/"+path,
 			strings.NewReader(body))
 		if bearer != "" {
 			req.Header.Set("Authorization", "Bearer "+bearer)
@@ -240,7 +242,8 @@
 		{"GET", "drains/b", operatorToken, "", "", 404, `"b"`},
 		{"GET", "nothing", operatorToken, "", "", 404, ""},
 		{"POST", "drains", operatorToken, "", `name: "B"`, 400, "name: "},
-		{"POST", "drains", operatorToken, "", `name: "b" machines { all: true }`, 409, `m-000001 is wanted by plan "a" and by "b"`},
+		{"POST", "drains", operatorToken, "", `name: "b" machines { all: true }`, 409,
+			`m-000001 is wanted by plan "a" and by "b"`},
 		{"POST", "drains", operatorToken, "", `name: "b" machines { names: "m-000099" }`, 409, "m-000099 is no machine"},
 		{"POST", "drains/a/pause", operatorToken, "again", "", 200, "paused"},
 		{"POST", "drains/a/pause", operatorToken, "again", "", 200, "paused"},
--- a/internal/e2e/jobs_test.go
+++ b/internal/e2e/jobs_test.go
@@ -31,35 +31,35 @@
 }
 
 // startCluster starts three controllers with their stand-ins and n workers.
-func startCluster(t *testing.T, n int) *dev.Cluster {
+func startCluster(t *testing.T, workers int) *dev.Cluster {
 	t.Helper()
-	o := defaultOptions()
-	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: n}}
-	return startWith(t, o)
+	options := defaultOptions()
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: workers}}
+	return startWith(t, options)
 }
 
 // startWith starts a cluster that is closed with the test, which fails if a task ran twice.
-func startWith(t *testing.T, o dev.Options) *dev.Cluster {
+func startWith(t *testing.T, options dev.Options) *dev.Cluster {
 	t.Helper()
-	c, err := dev.Start(o)
+	c, err := dev.Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		c.Close()
-		if b := c.Depot.Broken(); len(b) > 0 {
-			t.Error(b)
+		if violations := c.Depot.Broken(); len(violations) > 0 {
+			t.Error(violations)
 		}
 	})
 	return c
 }
 
-func call(c *dev.Controller, method, path string, body any) (int, map[string]any) {
+func call(controller *dev.Controller, method, path string, body any) (int, map[string]any) {
 	b, _ := json.Marshal(body)
 	if s, ok := body.(string); ok {
 		b = []byte(s)
 	}
-	req, _ := http.NewRequest(method, "http://"+c.Config.Bind+path, bytes.NewReader(b))
+	req, _ := http.NewRequest(method, "http://"+controller.Config.Bind+path, bytes.NewReader(b))
 	res, err := (&http.Client{Timeout: 3 * time.Second}).Do(req)
 	if err != nil {
 		return 0, nil
@@ -71,8 +71,8 @@
 }
 
 // metricValue is the value of one of a controller's metrics.
-func metricValue(c *dev.Controller, name string) string {
-	res, err := http.Get("http://" + c.Config.Bind + "/metrics")
+func metricValue(controller *dev.Controller, name string) string {
+	res, err := http.Get("http://" + controller.Config.Bind + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -97,8 +97,9 @@
 	t.Fatalf("%s: not within 40 s", condition)
 }
 
-func submission(id string, tasks int) object {
-	return object{"NameId": id, "Comb": "train", "Colony": "vision", "Shape": "batch", "Rank": "standard", "Cells": tasks, "Cpus": 2, "Accelerators": 0,
+func submission(name string, tasks int) object {
+	return object{"NameId": name, "Comb": "train", "Colony": "vision", "Shape": "batch", "Rank": "standard",
+		"Cells": tasks, "Cpus": 2, "Accelerators": 0,
 		"MemGb": 1, "Wax": "img", "ImageGb": 1, "Together": false, "Spread": false, "SwarmBoxes": false, "ForageS": 0.5,
 		"CapIntervalS": 0, "CapS": 0}
 }
@@ -106,42 +107,47 @@
 func submitAccepted(t *testing.T, c *dev.Controller, job object) {
 	t.Helper()
 	waitUntil(t, "submission", func() bool {
-		st, _ := call(c, http.MethodPost, "/v1/jobs", job)
-		return st == http.StatusCreated || st == http.StatusOK
+		status, _ := call(c, http.MethodPost, "/v1/jobs", job)
+		return status == http.StatusCreated || status == http.StatusOK
 	})
 }
 
-func jobStage(c *dev.Controller, id string) any {
-	_, v := call(c, http.MethodGet, "/v1/jobs/"+id, nil)
+func jobStage(c *dev.Controller, name string) any {
+	_, v := call(c, http.MethodGet, "/v1/jobs/"+name, nil)
 	return v["Stage"]
 }
 
 func TestJobsSurviveLossOfControllers(t *testing.T) {
-	cl := startCluster(t, 4)
-	cs := cl.Controllers
-	submitAccepted(t, cs[0], submission("job-000001", 20))
-	waitUntil(t, "first job", func() bool { return jobStage(cs[1], "job-000001") == "done" })
-	if st, v := call(cs[2], http.MethodPost, "/v1/jobs", submission("job-000001", 20)); st != http.StatusOK || v["Stage"] != "done" {
-		t.Errorf("a repeated submission got %d %v", st, v)
+	cluster := startCluster(t, 4)
+	controllers := cluster.Controllers
+	submitAccepted(t, controllers[0], submission("job-000001", 20))
+	waitUntil(t, "first job", func() bool { return jobStage(controllers[1], "job-000001") == "done" })
+	if status, v := call(controllers[2], http.MethodPost, "/v1/jobs",
+		submission("job-000001", 20)); status != http.StatusOK || v["Stage"] != "done" {
+		t.Errorf("a repeated submission got %d %v", status, v)
 	}
 
-	submitAccepted(t, cs[1], submission("job-000002", 40))
+	submitAccepted(t, controllers[1], submission("job-000002", 40))
 	// Every controller is killed in turn and started again.
-	for i, c := range cs {
+	for i, c := range controllers {
 		c.Stop()
-		other := cs[(i+1)%3]
+		other := controllers[(i+1)%3]
 		submitAccepted(t, other, submission(fmt.Sprintf("job-%06d", 10+i), 6))
 		time.Sleep(300 * time.Millisecond)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the controller is back", func() bool { st, _ := call(c, http.MethodGet, "/healthz", nil); return st == http.StatusOK })
+		waitUntil(t, "the controller is back", func() bool {
+			status,
+				_ := call(c, http.MethodGet, "/healthz", nil)
+			return status == http.StatusOK
+		})
 	}
 	for _, id := range []string{"job-000002", "job-000010", "job-000011", "job-000012"} {
-		waitUntil(t, id, func() bool { return jobStage(cs[0], id) == "done" })
+		waitUntil(t, id, func() bool { return jobStage(controllers[0], id) == "done" })
 	}
 	starts := map[string]int{}
-	for _, r := range cl.Depot.Runs() {
+	for _, r := range cluster.Depot.Runs() {
 		if starts[r.Task]++; starts[r.Task] > 3 {
 			t.Errorf("%s started %d times", r.Task, starts[r.Task])
 		}
@@ -149,20 +155,20 @@
 	// Tasks that must share a zone run too.
 	together := submission("job-000030", 6)
 	together["Together"] = true
-	submitAccepted(t, cs[2], together)
-	waitUntil(t, "the job in one zone", func() bool { return jobStage(cs[1], "job-000030") == "done" })
+	submitAccepted(t, controllers[2], together)
+	waitUntil(t, "the job in one zone", func() bool { return jobStage(controllers[1], "job-000030") == "done" })
 
 	// A job that runs for ever is cancelled through another controller.
-	svc := submission("job-000020", 2)
-	svc["Shape"] = "daemon"
-	submitAccepted(t, cs[0], svc)
-	waitUntil(t, "the service starts", func() bool { return cl.Depot.Running("job-000020") == 2 })
+	service := submission("job-000020", 2)
+	service["Shape"] = "daemon"
+	submitAccepted(t, controllers[0], service)
+	waitUntil(t, "the service starts", func() bool { return cluster.Depot.Running("job-000020") == 2 })
 	waitUntil(t, "cancel", func() bool {
-		st, v := call(cs[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
-		return st == http.StatusOK && v["Stage"] == "aborted"
+		status, v := call(controllers[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
+		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
-	waitUntil(t, "its tasks go", func() bool { return cl.Depot.Running("job-000020") == 0 })
-	for _, c := range cs {
+	waitUntil(t, "its tasks go", func() bool { return cluster.Depot.Running("job-000020") == 0 })
+	for _, c := range controllers {
 		if s := jobStage(c, "job-000020"); s != "aborted" {
 			t.Errorf("%s says %v of a cancelled job", c.Config.HostName, s)
 		}
@@ -170,8 +176,8 @@
 }
 
 func TestStatusCodesForUsers(t *testing.T) {
-	cs := startCluster(t, 1).Controllers
-	submitAccepted(t, cs[0], submission("job-000001", 1))
+	controllers := startCluster(t, 1).Controllers
+	submitAccepted(t, controllers[0], submission("job-000001", 1))
 	with := func(k string, v any) object {
 		s := submission("job-000099", 1)
 		s[k] = v
@@ -196,35 +202,35 @@
 		"cancel nothing":   {http.MethodPost, "/v1/jobs/job-000098/withdraw", nil, http.StatusNotFound},
 		"metrics":          {http.MethodGet, "/metrics", nil, http.StatusOK},
 	} {
-		if st, v := call(cs[0], c.method, c.path, c.body); st != c.want {
-			t.Errorf("%s: %d %v, want %d", name, st, v, c.want)
+		if status, v := call(controllers[0], c.method, c.path, c.body); status != c.want {
+			t.Errorf("%s: %d %v, want %d", name, status, v, c.want)
 		}
 	}
 	big := submission("job-000097", 13)
 	big["Shape"] = "daemon" // 26 CPUs for ever, above the limit of 24
-	if st, _ := call(cs[0], http.MethodPost, "/v1/jobs", big); st != http.StatusUnprocessableEntity {
-		t.Errorf("a service above its team's limit got %d", st)
+	if status, _ := call(controllers[0], http.MethodPost, "/v1/jobs", big); status != http.StatusUnprocessableEntity {
+		t.Errorf("a service above its team's limit got %d", status)
 	}
 }
 
 // A controller that the state service alone refuses passes users' requests on:
 // for the seconds until the load balancer has noticed they would all fail.
 func TestRefusedControllerForwardsRequests(t *testing.T) {
-	cs := startCluster(t, 1).Controllers
-	for _, c := range cs {
+	controllers := startCluster(t, 1).Controllers
+	for _, c := range controllers {
 		submitAccepted(t, c, submission("job-000001", 1))
 	}
-	for i, c := range cs { // the leader is one of them
-		c.Store.SetRefusing(true)
+	for i, c := range controllers { // the leader is one of them
+		c.StoreEndpoint.SetRefusing(true)
 		id := fmt.Sprintf("job-%06d", 10+i)
 		waitUntil(t, "submission", func() bool {
-			st, _ := call(c, http.MethodPost, "/v1/jobs", submission(id, 1))
-			return st == http.StatusCreated || st == http.StatusOK
+			status, _ := call(c, http.MethodPost, "/v1/jobs", submission(id, 1))
+			return status == http.StatusCreated || status == http.StatusOK
 		})
-		if st, _ := call(cs[(i+1)%3], http.MethodGet, "/v1/jobs/"+id, nil); st != http.StatusOK {
-			t.Errorf("the job is known to a sibling as %d", st)
+		if status, _ := call(controllers[(i+1)%3], http.MethodGet, "/v1/jobs/"+id, nil); status != http.StatusOK {
+			t.Errorf("the job is known to a sibling as %d", status)
 		}
-		c.Store.SetRefusing(false)
+		c.StoreEndpoint.SetRefusing(false)
 		time.Sleep(2 * time.Second)
 	}
 }
@@ -237,38 +243,43 @@
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
-	o := defaultOptions()
-	o.Controllers, o.Limits.RPS, o.Limits.WriteRPS = 1, 1e6, 1e6
-	cl, err := dev.Start(o)
+	options := defaultOptions()
+	options.Controllers, options.Limits.RPS, options.Limits.WriteRPS = 1, 1e6, 1e6
+	cluster, err := dev.Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer cl.Close()
-	c := cl.Controllers[0]
-	c.Stop()
-	c.Config.Services.State = unresponsive.Addr().String()
-	if err := c.Start(); err != nil {
+	defer cluster.Close()
+	controller := cluster.Controllers[0]
+	controller.Stop()
+	controller.Config.Services.State = unresponsive.Addr().String()
+	if err := controller.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the port is open", func() bool { st, _ := call(c, http.MethodGet, "/metrics", nil); return st == http.StatusOK })
+	waitUntil(t, "the port is open", func() bool {
+		status, _ := call(controller, http.MethodGet, "/metrics", nil)
+		return status == http.StatusOK
+	})
 	answers := make(chan int, 150)
 	for range 150 {
 		go func() {
-			st, _ := call(c, http.MethodGet, "/v1/jobs/job-000001", nil)
-			answers <- st
+			status, _ := call(controller, http.MethodGet, "/v1/jobs/job-000001", nil)
+			answers <- status
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
 	sentAt := time.Now()
-	if st, _ := call(c, http.MethodPost, "/agent/beat", object{"Hive": "m-000001", "Breed": "g8", "Yard": "a", "Flight": 1, "Buzz": 1}); st != http.StatusMisdirectedRequest || time.Since(sentAt) > time.Second {
-		t.Errorf("a worker got %d after %v", st, time.Since(sentAt))
+	if status, _ := call(controller, http.MethodPost, "/agent/beat",
+		object{"Hive": "m-000001", "Breed": "g8", "Yard": "a", "Flight": 1,
+			"Buzz": 1}); status != http.StatusMisdirectedRequest || time.Since(sentAt) > time.Second {
+		t.Errorf("a worker got %d after %v", status, time.Since(sentAt))
 	}
 	if n := len(answers); n < 50 {
 		t.Errorf("%d of 150 users were answered at once", n)
 	}
 	for range 150 {
-		if st := <-answers; st != http.StatusServiceUnavailable {
-			t.Errorf("a user got %d", st)
+		if status := <-answers; status != http.StatusServiceUnavailable {
+			t.Errorf("a user got %d", status)
 		}
 	}
 }
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -75,19 +75,19 @@
 // A leader that is told to stop gives its key up at once; another need not wait for its lease.
 func TestLeaderResignsOnStop(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, 1)
-	submitAccepted(t, c.Controllers[0], submission("job-000001", 1))
-	for _, k := range c.Controllers {
+	cluster := startCluster(t, 1)
+	submitAccepted(t, cluster.Controllers[0], submission("job-000001", 1))
+	for _, k := range cluster.Controllers {
 		if isLeader(k) {
 			k.Stop()
 			k.Node.ResignLeadership()
-			if v := c.Store.ReadKey("leader"); strings.Contains(string(v), k.Config.HostName) {
+			if v := cluster.Store.ReadKey("leader"); strings.Contains(string(v), k.Config.HostName) {
 				t.Errorf("the key is still there: %s", v)
 			}
 			defer func() { _ = k.Start() }()
 		}
 	}
-	waitUntil(t, "another leads", func() bool { return slices.ContainsFunc(c.Controllers, isLeader) })
+	waitUntil(t, "another leads", func() bool { return slices.ContainsFunc(cluster.Controllers, isLeader) })
 }
 
 // TestLimitsHoldAcrossControllers: three controllers never have more of a team's tasks on
@@ -95,18 +95,18 @@
 // is lowered holds under the next leader too, stops nothing, and is taken back at once.
 func TestLimitsHoldAcrossControllers(t *testing.T) {
 	t.Parallel()
-	o := defaultOptions()
-	o.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}}                         // 12 tasks
-	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // room for 32
-	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
-	c, ops := startOperatedWith(t, o)
+	options := defaultOptions()
+	options.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}}                      // 12 tasks
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // room for 32
+	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	cluster, ops := startOperatedWith(t, options)
 	for i, id := range []string{"job-000001", "job-000002", "job-000003"} {
 		s := submission(id, 200)
 		s["ForageS"], s["ImageGb"] = 1.5, 0.01
-		submitAccepted(t, c.Controllers[i], s)
+		submitAccepted(t, cluster.Controllers[i], s)
 	}
 	running := func() int {
-		return c.Depot.Running("job-000001") + c.Depot.Running("job-000002") + c.Depot.Running("job-000003")
+		return cluster.Depot.Running("job-000001") + cluster.Depot.Running("job-000002") + cluster.Depot.Running("job-000003")
 	}
 	waitUntil(t, "the limit is used", func() bool { return running() == 12 })
 	team := func() (r node.TeamReply) {
@@ -121,7 +121,7 @@
 		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
 	})
 	stopLeader := func() (restart func() error) {
-		for _, k := range c.Controllers {
+		for _, k := range cluster.Controllers {
 			if isLeader(k) {
 				k.Stop()
 				return k.Start
@@ -131,7 +131,7 @@
 		return nil
 	}
 	restart := stopLeader()
-	c.Cloud.Lose(c.Cloud.Workers()[0].Name)
+	cluster.Cloud.Lose(cluster.Cloud.Workers()[0].Name)
 	waitUntil(t, "the limit is used under the next leader", func() bool { return running() == 12 })
 	if err := restart(); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,8 @@
 		!strings.Contains(err.Error(), "above the platform's limit of 24") {
 		t.Errorf("a limit above the platform's: %v", err)
 	}
-	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 8 guarantee_cpus: 4`), &out, discardMessage); err != nil {
+	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 8 guarantee_cpus: 4`), &out,
+		discardMessage); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, "what is above the lower limit has ended", func() bool { return running() <= 4 })
@@ -150,7 +151,7 @@
 	restart = stopLeader()
 	waitUntil(t, "it is used under the next leader", func() bool { return running() == 4 })
 	time.Sleep(2 * time.Second)
-	if concurrent := maxConcurrent(c.Depot.Runs(), loweredAt); concurrent > 4 {
+	if concurrent := maxConcurrent(cluster.Depot.Runs(), loweredAt); concurrent > 4 {
 		t.Errorf("%d tasks at once under a limit of 4", concurrent)
 	}
 	if r := team(); r.Limit != 8 || r.Guarantee != 4 || !strings.HasPrefix(r.Changed, "by dev") {
@@ -165,12 +166,12 @@
 	if err := restart(); err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range c.Depot.Runs() {
+	for _, r := range cluster.Depot.Runs() {
 		if r.Cause == "stopped" {
 			t.Errorf("%s was stopped on %s: a lower limit stops nothing", r.Task, r.Machine)
 		}
 	}
-	if concurrent := maxConcurrent(c.Depot.Runs(), time.Time{}); concurrent != 12 {
+	if concurrent := maxConcurrent(cluster.Depot.Runs(), time.Time{}); concurrent != 12 {
 		t.Errorf("%d tasks at once under a limit of 12", concurrent)
 	}
 }
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -17,57 +17,60 @@
 // needs a cancelled job is cancelled, what names nothing is refused.
 func TestPipelineSurvivesLossOfLeader(t *testing.T) {
 	t.Parallel()
-	o := defaultOptions()
-	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: 4}}
-	o.Limits.ValueKB, o.Limits.TxnOps = 2, 5
-	c := startWith(t, o)
-	ks := c.Controllers
+	options := defaultOptions()
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}}
+	options.Limits.ValueKB, options.Limits.TxnOps = 2, 5
+	cluster := startWith(t, options)
+	controllers := cluster.Controllers
 	job := func(id string, tasks int, run float64, awaits ...string) object {
 		s := submission(id, tasks)
 		s["ForageS"], s["ImageGb"], s["Awaits"] = run, 0.01, awaits
 		return s
 	}
-	submitAccepted(t, ks[0], job("job-000001", 4, 2))
-	submitAccepted(t, ks[1], job("job-000002", 6, 1, "job-000001"))
-	submitAccepted(t, ks[2], job("job-000003", 2, 1, "job-000001", "job-000002"))
-	submitAccepted(t, ks[0], job("job-000004", 1, 60))
-	submitAccepted(t, ks[1], job("job-000005", 2, 1, "job-000004"))
-	submitAccepted(t, ks[2], job("job-000006", 2, 1, "job-000005", "job-000001"))
-	st, v := call(ks[0], http.MethodPost, "/v1/jobs", job("job-000007", 1, 1, "job-000099"))
-	if st != http.StatusUnprocessableEntity {
-		t.Errorf("a job that names nothing got %d %v", st, v)
-	}
-	waitUntil(t, "the first job runs", func() bool { return c.Depot.Running("job-000001") > 0 })
-	waitUntil(t, "an answer about a job that waits", func() bool { return jobStage(ks[1], "job-000002") == "queued" })
-	for _, k := range ks {
+	submitAccepted(t, controllers[0], job("job-000001", 4, 2))
+	submitAccepted(t, controllers[1], job("job-000002", 6, 1, "job-000001"))
+	submitAccepted(t, controllers[2], job("job-000003", 2, 1, "job-000001", "job-000002"))
+	submitAccepted(t, controllers[0], job("job-000004", 1, 60))
+	submitAccepted(t, controllers[1], job("job-000005", 2, 1, "job-000004"))
+	submitAccepted(t, controllers[2], job("job-000006", 2, 1, "job-000005", "job-000001"))
+	status, v := call(controllers[0], http.MethodPost, "/v1/jobs", job("job-000007", 1, 1, "job-000099"))
+	if status != http.StatusUnprocessableEntity {
+		t.Errorf("a job that names nothing got %d %v", status, v)
+	}
+	waitUntil(t, "the first job runs", func() bool { return cluster.Depot.Running("job-000001") > 0 })
+	waitUntil(t, "an answer about a job that waits", func() bool {
+		return jobStage(controllers[1],
+			"job-000002") == "queued"
+	})
+	for _, k := range controllers {
 		if isLeader(k) {
 			k.Stop()
 			defer func() { _ = k.Start() }()
 		}
 	}
 	healthy := func() *dev.Controller {
-		for _, k := range ks {
-			if st, _ := call(k, http.MethodGet, "/healthz", nil); st == http.StatusOK {
+		for _, k := range controllers {
+			if status, _ := call(k, http.MethodGet, "/healthz", nil); status == http.StatusOK {
 				return k
 			}
 		}
-		return ks[0]
+		return controllers[0]
 	}
 	waitUntil(t, "the cancellation", func() bool {
-		st, v := call(healthy(), http.MethodPost, "/v1/jobs/job-000004/withdraw", nil)
-		return st == http.StatusOK && v["Stage"] == "aborted"
+		status, v := call(healthy(), http.MethodPost, "/v1/jobs/job-000004/withdraw", nil)
+		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
 	for _, id := range []string{"job-000005", "job-000006"} {
 		waitUntil(t, id+" is cancelled with it", func() bool { return jobStage(healthy(), id) == "aborted" })
 	}
 	// It is named once more, after its cancellation.
-	st, v = call(healthy(), http.MethodPost, "/v1/jobs", job("job-000008", 1, 1, "job-000004"))
-	if st != http.StatusCreated || v["Stage"] != "aborted" {
-		t.Errorf("a job that names a cancelled one got %d %v", st, v)
+	status, v = call(healthy(), http.MethodPost, "/v1/jobs", job("job-000008", 1, 1, "job-000004"))
+	if status != http.StatusCreated || v["Stage"] != "aborted" {
+		t.Errorf("a job that names a cancelled one got %d %v", status, v)
 	}
 	waitUntil(t, "the chain", func() bool { return jobStage(healthy(), "job-000003") == "done" })
 	var startedAt, endedAt = map[string]time.Time{}, map[string]time.Time{}
-	for _, r := range c.Depot.Runs() {
+	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
 		if b, ok := startedAt[id]; !ok || r.StartedAt.Before(b) {
 			startedAt[id] = r.StartedAt
@@ -116,23 +119,23 @@
 func TestReplacementKeepsDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	const budget = 3
-	o := defaultOptions()
-	o.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
-	o.Types[0].ReadyS, o.Types[0].Room = 1, 30
-	o.InitialMachines = []dev.InitialMachines{{Zone: "a", Count: 8}}
-	o.Settings = func(string) (*config.Settings, error) {
-		s, err := dev.Operated(operatorToken)
-		s.Budgets = []config.Budget{{Team: "vision", Tasks: budget}}
-		return s, err
-	}
-	c, ops := startOperatedWith(t, o)
+	options := defaultOptions()
+	options.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
+	options.Types[0].ReadyS, options.Types[0].Room = 1, 30
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 8}}
+	options.Settings = func(string) (*config.Settings, error) {
+		job, err := dev.Operated(operatorToken)
+		job.Budgets = []config.Budget{{Team: "vision", Tasks: budget}}
+		return job, err
+	}
+	cluster, ops := startOperatedWith(t, options)
 	waitForMembers(t, ops, 8) // a plan names the machines that the leader knows
-	s := submission("job-000001", 20)
-	s["ForageS"], s["ImageGb"], s["CapIntervalS"], s["CapS"] = 45, 0.01, 1, 0.1
-	submitAccepted(t, c.Controllers[0], s)
-	waitUntil(t, "all tasks run", func() bool { return c.Depot.Running("job-000001") == 20 })
+	job := submission("job-000001", 20)
+	job["ForageS"], job["ImageGb"], job["CapIntervalS"], job["CapS"] = 45, 0.01, 1, 0.1
+	submitAccepted(t, cluster.Controllers[0], job)
+	waitUntil(t, "all tasks run", func() bool { return cluster.Depot.Running("job-000001") == 20 })
 	var oldMachines []string
-	for _, w := range c.Cloud.Workers() {
+	for _, w := range cluster.Cloud.Workers() {
 		oldMachines = append(oldMachines, w.Name)
 	}
 	applyPlan(t, ops, `name: "renew" machines { all: true } at_once: 4 rent_first: true running: MOVE_SAVED
@@ -143,13 +146,13 @@
 		}
 	}()
 	waitUntil(t, "the first wave is over", func() bool { return planStatus(t, ops, "renew").Counts["finished"] >= 2 })
-	for _, k := range c.Controllers {
+	for _, k := range cluster.Controllers {
 		if isLeader(k) {
 			k.Stop()
 			defer func() { _ = k.Start() }()
 		}
 	}
-	c.Cloud.Lose(oldMachines[7])
+	cluster.Cloud.Lose(oldMachines[7])
 	deadline := time.Now().Add(90 * time.Second)
 	for planStatus(t, ops, "renew").Phase != "done" {
 		if time.Now().After(deadline) {
@@ -158,7 +161,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	var remaining []string
-	for _, w := range c.Cloud.Workers() {
+	for _, w := range cluster.Cloud.Workers() {
 		if slices.Contains(oldMachines, w.Name) {
 			remaining = append(remaining, w.Name)
 		}
@@ -166,10 +169,13 @@
 	if len(remaining) > 0 {
 		t.Errorf("%v are still there: %+v", remaining, planStatus(t, ops, "renew").Steps)
 	}
-	if interrupted := maxInterrupted(c.Depot.Runs()); interrupted > budget || interrupted == 0 {
+	if interrupted := maxInterrupted(cluster.Depot.Runs()); interrupted > budget || interrupted == 0 {
 		t.Errorf("%d tasks were out of work at a time, the budget is %d", interrupted, budget)
 	}
 	waitUntil(t, "the job", func() bool {
-		return slices.ContainsFunc(c.Controllers, func(k *dev.Controller) bool { return jobStage(k, "job-000001") == "done" })
+		return slices.ContainsFunc(cluster.Controllers, func(k *dev.Controller) bool {
+			return jobStage(k,
+				"job-000001") == "done"
+		})
 	})
 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -28,14 +28,14 @@
 
 // startServer serves a handler on a free loopback port.
 func startServer(h http.Handler) (*loopbackServer, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &loopbackServer{l.Addr().String(), &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
-	go func() { _ = d.server.Serve(l) }() // returns when close is called
-	return d, nil
+	server := &loopbackServer{listener.Addr().String(), &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}}
+	go func() { _ = server.server.Serve(listener) }() // returns when close is called
+	return server, nil
 }
 
 // close stops the server and closes its connections.
-func (d *loopbackServer) close() { _ = d.server.Close() }
+func (s *loopbackServer) close() { _ = s.server.Close() }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -95,70 +95,70 @@
 
 // Counts returns the number of this controller's requests, including those that were
 // refused because of the rate limit.
-func (f *Front) Counts() EndpointCounts {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.counts
+func (e *Front) Counts() EndpointCounts {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.counts
 }
 
 // count records a request.
-func (f *Front) count(r *http.Request, refused bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.counts.Requests++
+func (e *Front) count(r *http.Request, refused bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts.Requests++
 	if refused {
-		f.counts.Refused++
+		e.counts.Refused++
 	}
 	if r.URL.Path == "/watch" {
-		f.counts.Watches++
+		e.counts.Watches++
 	}
 }
 
 // SetRefusing makes the store answer all requests of this controller with 503, or stops that.
-func (f *Front) SetRefusing(on bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.refusing = on
+func (e *Front) SetRefusing(on bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.refusing = on
 }
 
 // Slow delays every answer to this controller.
-func (f *Front) Slow(delay time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.delay = delay
+func (e *Front) Slow(delay time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.delay = delay
 }
 
 // LoseAnswers makes the store commit one of every interval transactions of this controller
 // without answering it; 0 ends that.
-func (f *Front) LoseAnswers(interval int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.lostAnswerInterval = interval
+func (e *Front) LoseAnswers(interval int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lostAnswerInterval = interval
 }
 
 // loseNextAnswer counts a transaction and reports whether its answer is to be lost.
-func (f *Front) loseNextAnswer() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.transactions++
-	return f.lostAnswerInterval > 0 && f.transactions%f.lostAnswerInterval == 0
+func (e *Front) loseNextAnswer() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.transactions++
+	return e.lostAnswerInterval > 0 && e.transactions%e.lostAnswerInterval == 0
 }
 
 // faults reports whether requests are refused and by how much answers are delayed.
-func (f *Front) faults() (bool, time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.refusing, f.delay
+func (e *Front) faults() (bool, time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.refusing, e.delay
 }
 
 // Front opens a new address at which a controller can reach the store.
 func (s *Store) Front() (*Front, error) {
-	f := &Front{}
+	endpoint := &Front{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.get)
 	mux.HandleFunc("GET /store", s.list)
 	mux.HandleFunc("POST /txn", func(w http.ResponseWriter, r *http.Request) {
-		if !f.loseNextAnswer() {
+		if !endpoint.loseNextAnswer() {
 			s.txn(w, r)
 			return
 		}
@@ -168,17 +168,17 @@
 	mux.HandleFunc("POST /grants", s.createLease)
 	mux.HandleFunc("POST /grants/{id}/extend", s.extendLease)
 	mux.HandleFunc("DELETE /grants/{id}", s.revokeLease)
-	watch := func(w http.ResponseWriter, r *http.Request) { s.watch(w, r, f) }
+	watch := func(w http.ResponseWriter, r *http.Request) { s.watch(w, r, endpoint) }
 	mux.HandleFunc("GET /watch", watch)
-	d, err := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		refusing, delay := f.faults()
+	server, err := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		refusing, delay := endpoint.faults()
 		time.Sleep(delay)
 		if refusing || s.hasOutage() {
 			writeJSON(w, http.StatusServiceUnavailable, object{})
 			return
 		}
 		allowed := s.requestLimiter.Allow()
-		f.count(r, !allowed)
+		endpoint.count(r, !allowed)
 		switch {
 		case !allowed:
 			writeJSON(w, http.StatusTooManyRequests, object{})
@@ -189,11 +189,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in store: %w", err)
 	}
-	f.Addr = d.addr
+	endpoint.Addr = server.addr
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.servers = append(s.servers, d)
-	return f, nil
+	s.servers = append(s.servers, server)
+	return endpoint, nil
 }
 
 // StoreCounts is the size of the store's data and the number of changes so far.
--- a/internal/standin/taskregistry.go
+++ b/internal/standin/taskregistry.go
@@ -64,13 +64,13 @@
 }
 
 // job returns a job's description, or nil if the job has not been submitted.
-func (d *Depot) job(name string) *Job {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if j := d.jobs[name]; j != nil || d.Look == nil {
+func (reg *Depot) job(name string) *Job {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if j := reg.jobs[name]; j != nil || reg.Look == nil {
 		return j
 	}
-	raw := d.Look(name)
+	raw := reg.Look(name)
 	if raw == nil {
 		return nil
 	}
@@ -78,95 +78,95 @@
 	if json.Unmarshal(raw, &j) != nil {
 		return nil
 	}
-	d.jobs[name] = &j
+	reg.jobs[name] = &j
 	return &j
 }
 
 // runTimeFactor returns a task's run time divided by its estimate.
-func (d *Depot) runTimeFactor(j *Job, task string) float64 {
-	if d.Factor == nil {
+func (reg *Depot) runTimeFactor(j *Job, task string) float64 {
+	if reg.Factor == nil {
 		return 1
 	}
-	return d.Factor(j, task)
+	return reg.Factor(j, task)
 }
 
 // attemptFails reports whether an attempt of a task is to end with an error.
-func (d *Depot) attemptFails(task, machine string) bool {
-	return d.AttemptFails != nil && d.AttemptFails(task, machine)
+func (reg *Depot) attemptFails(task, machine string) bool {
+	return reg.AttemptFails != nil && reg.AttemptFails(task, machine)
 }
 
 // startRun records that a task starts to run on a machine. It returns the task's saved
 // progress and whether the task has already completed.
-func (d *Depot) startRun(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, completed bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if other, ok := d.machineOf[task]; ok && other != machine {
-		d.violations = append(d.violations, fmt.Sprintf("task %s starts on %s while it runs on %s", task, machine, other))
+func (reg *Depot) startRun(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, completed bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if other, ok := reg.machineOf[task]; ok && other != machine {
+		reg.violations = append(reg.violations, fmt.Sprintf("task %s starts on %s while it runs on %s", task, machine, other))
 	}
-	d.machineOf[task] = machine
+	reg.machineOf[task] = machine
 	r = &Run{Task: task, Machine: machine, Attempt: attempt, StartedAt: time.Now(), job: j}
-	if !d.Brief {
-		d.runs = append(d.runs, r)
+	if !reg.Brief {
+		reg.runs = append(reg.runs, r)
 	}
-	d.usedCPUs[j.Colony] += j.Cpus
-	if limit := d.LimitCPUs[j.Colony]; limit > 0 && d.usedCPUs[j.Colony] > limit+1e-6 {
-		d.violations = append(d.violations, fmt.Sprintf("team %s uses %.1f CPUs with task %s, above its limit of %.1f",
-			j.Colony, d.usedCPUs[j.Colony], task,
+	reg.usedCPUs[j.Colony] += j.Cpus
+	if limit := reg.LimitCPUs[j.Colony]; limit > 0 && reg.usedCPUs[j.Colony] > limit+1e-6 {
+		reg.violations = append(reg.violations, fmt.Sprintf("team %s uses %.1f CPUs with task %s, above its limit of %.1f",
+			j.Colony, reg.usedCPUs[j.Colony], task,
 			limit))
 	}
-	if d.Started != nil {
-		d.Started(j, r.StartedAt)
+	if reg.Started != nil {
+		reg.Started(j, r.StartedAt)
 	}
-	return r, d.saved[task], d.completed[task]
+	return r, reg.saved[task], reg.completed[task]
 }
 
 // endRun records that a task no longer runs on its machine.
-func (d *Depot) endRun(r *Run, cause string, progress time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (reg *Depot) endRun(r *Run, cause string, progress time.Duration) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	r.EndedAt, r.Cause = time.Now(), cause
-	d.usedCPUs[r.job.Colony] -= r.job.Cpus
-	if d.machineOf[r.Task] == r.Machine {
-		delete(d.machineOf, r.Task)
+	reg.usedCPUs[r.job.Colony] -= r.job.Cpus
+	if reg.machineOf[r.Task] == r.Machine {
+		delete(reg.machineOf, r.Task)
 	}
 	if cause == "done" {
-		d.completed[r.Task] = true
+		reg.completed[r.Task] = true
 	}
-	d.saved[r.Task] = max(d.saved[r.Task], progress)
+	reg.saved[r.Task] = max(reg.saved[r.Task], progress)
 }
 
 // Broken describes the violations so far: a task that ran on two machines at a time, or a
 // team above its limit.
-func (d *Depot) Broken() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]string(nil), d.violations...)
+func (reg *Depot) Broken() []string {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return append([]string(nil), reg.violations...)
 }
 
 // OnMachines returns the number of tasks that are running now.
-func (d *Depot) OnMachines() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.machineOf)
+func (reg *Depot) OnMachines() int {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return len(reg.machineOf)
 }
 
 // Runs returns all attempts so far, the earliest first.
-func (d *Depot) Runs() []Run {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := make([]Run, len(d.runs))
-	for i, r := range d.runs {
+func (reg *Depot) Runs() []Run {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	out := make([]Run, len(reg.runs))
+	for i, r := range reg.runs {
 		out[i] = *r
 	}
 	return out
 }
 
 // Running returns the number of a job's tasks that are running now.
-func (d *Depot) Running(job string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (reg *Depot) Running(job string) int {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	n := 0
-	for t := range d.machineOf {
+	for t := range reg.machineOf {
 		if strings.HasPrefix(t, job+"/") {
 			n++
 		}
--- a/internal/standin/worker_reports.go
+++ b/internal/standin/worker_reports.go
@@ -49,20 +49,20 @@
 // report returns the worker's next report.
 func (w *Worker) report(now time.Time) *reportBody {
 	w.reportSeq++
-	r := &reportBody{
+	body := &reportBody{
 		Hive: w.Name, Addr: w.addr, Breed: w.machineType.Label, Yard: w.Yard, SwarmBoxes: w.Spot,
 		Flight: w.session, Buzz: w.reportSeq, QueenMark: w.token, Cells: make([]reportCell, 0, len(w.attempts)),
 	}
 	for _, a := range w.attempts {
-		r.Cells = append(r.Cells, reportCell{
+		body.Cells = append(body.Cells, reportCell{
 			Cell: a.task, Brood: a.number, Stage: a.stage, Cause: a.cause, Saved: a.saved,
 		})
 	}
 	if !w.reclaimedAt.IsZero() {
 		remaining := max(0, w.reclaimedAt.Sub(now).Seconds())
-		r.SmokeS = &remaining
+		body.SmokeS = &remaining
 	}
-	return r
+	return body
 }
 
 // reportLoop sends reports to one controller at a time until the machine stops.
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -66,10 +66,10 @@
 		w.stats.Expired.Add(1)
 		w.markChanged()
 	}
-	for img, end := range w.imageFetches {
+	for image, end := range w.imageFetches {
 		if !now.Before(end) {
-			w.images[img] = true
-			delete(w.imageFetches, img)
+			w.images[image] = true
+			delete(w.imageFetches, image)
 		}
 	}
 	for _, a := range w.attempts {
@@ -131,16 +131,16 @@
 
 // execute executes commands. A command that does not apply to the current state is ignored.
 func (w *Worker) execute(now time.Time, commands []command) {
-	for _, command := range commands {
-		key := fmt.Sprintf("%s#%d", command.Cell, command.Brood)
+	for _, cmd := range commands {
+		key := fmt.Sprintf("%s#%d", cmd.Cell, cmd.Brood)
 		a := w.attempts[key]
 		switch {
-		case command.Dance == "launch" && a == nil:
-			w.attempts[key] = w.launch(command)
+		case cmd.Dance == "launch" && a == nil:
+			w.attempts[key] = w.launch(cmd)
 			w.markChanged()
-		case command.Dance == "kill" && a != nil && a.stage != "exited":
-			w.kill(now, a, command.SettleS)
-		case command.Dance == "clear" && a != nil && a.stage == "exited":
+		case cmd.Dance == "kill" && a != nil && a.stage != "exited":
+			w.kill(now, a, cmd.SettleS)
+		case cmd.Dance == "clear" && a != nil && a.stage == "exited":
 			delete(w.attempts, key)
 			w.markChanged()
 		}
@@ -151,9 +151,9 @@
 
 // launch returns a new attempt, which has already exited if its job is unknown, another attempt
 // of the task is on the machine, or the free capacity is too small.
-func (w *Worker) launch(command command) *attempt {
-	name, _, _ := strings.Cut(command.Cell, "/")
-	a := &attempt{task: command.Cell, number: command.Brood, stage: "exited"}
+func (w *Worker) launch(cmd command) *attempt {
+	name, _, _ := strings.Cut(cmd.Cell, "/")
+	a := &attempt{task: cmd.Cell, number: cmd.Brood, stage: "exited"}
 	a.job = w.tasks.job(name)
 	if a.job == nil {
 		a.cause = "unknown"
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -44,14 +44,14 @@
 func NewWorkerGroup(network byte, t Timing, tasks *Depot, hosts []Host) (*WorkerGroup, error) {
 	// A single socket can serve the whole loopback range only on the unspecified address;
 	// loopbackListener closes connections to all other addresses.
-	l, err := net.Listen("tcp4", "0.0.0.0:0")
+	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("worker group: %w", err)
 	}
-	g := &WorkerGroup{timing: t, tasks: tasks, hosts: hosts, network: network, port: l.Addr().(*net.TCPAddr).Port,
+	g := &WorkerGroup{timing: t, tasks: tasks, hosts: hosts, network: network, port: listener.Addr().(*net.TCPAddr).Port,
 		handlersByIP: map[string]http.Handler{}, workersByName: map[string]*Worker{}}
 	g.server = &http.Server{Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = g.server.Serve(&loopbackListener{l, &g.Meter}) }() // returns when Close is called
+	go func() { _ = g.server.Serve(&loopbackListener{listener, &g.Meter}) }() // returns when Close is called
 	return g, nil
 }
 
--- a/internal/standin/workerstats.go
+++ b/internal/standin/workerstats.go
@@ -23,14 +23,14 @@
 }
 
 // newClient returns an HTTP client for one worker, which keeps one connection to a controller.
-func (m *Meter) newClient(timeout time.Duration) *http.Client {
+func (s *Meter) newClient(timeout time.Duration) *http.Client {
 	dialer := net.Dialer{Timeout: timeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &countingConn{c, m}, nil
+		return &countingConn{c, s}, nil
 	}
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1,
 		DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10}}
