--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole cluster in one process on loopback: controllers as
-// they are deployed, against stand-ins of all else. It is for trying things out
-// and for tests; its figures say nothing about speed.
+// Package dev runs a whole cluster in one process on loopback: controllers as they are
+// deployed, with stand-ins for everything else. It is meant for experiments and tests; its
+// figures say nothing about performance.
 package dev
 
 import (
@@ -21,30 +21,30 @@
 	"honeylock/internal/standin"
 )
 
-// Options of a cluster.
+// Options are the options of a cluster.
 type Options struct {
 	Controllers     int
 	Types           []standin.Kind
-	InitialMachines []MachineGroup // machines that are up from the beginning
+	InitialMachines []MachineGroup // machines that run from the start
 	Teams           []config.Team
 	Zones           []string
 	Report          time.Duration
 	Lease           time.Duration
 	Cancel          time.Duration
 	ListLag         time.Duration
-	ListedAfterLoss time.Duration
+	ListedAfterLoss time.Duration // how long a failed machine is still listed, in addition to ListLag
 	CloudRPS        float64
 	Limits          standin.StoreLimits
-	Settings        func(host string) (*config.Settings, error) // nil: defaults
+	Settings        func(host string) (*config.Settings, error) // nil: the defaults
 	Log             *slog.Logger
 	Seed            uint64
 	Tasks           *standin.Depot
-	// Partitionable: what a controller says to the state service and to its siblings passes
-	// relays, so that it can be cut off from both.
+	// Partitionable: a controller's connections to the state service and to other controllers
+	// pass through proxies, so that SetPartitioned can interrupt them.
 	Partitionable bool
 }
 
-// MachineGroup is a number of machines of a kind.
+// MachineGroup is a number of machines of one type in one zone.
 type MachineGroup struct {
 	TypeIndex int
 	Zone      string
@@ -52,18 +52,18 @@
 	Count     int
 }
 
-// Controller of a cluster.
+// Controller is one controller of a cluster.
 type Controller struct {
 	Config        *config.Platform
 	StoreEndpoint *standin.Front
 	Node          *node.Node
-	OpsAddr       string // its operators' door, if there is one
+	OpsAddr       string // of its operators' endpoint; empty if it has none
 	options       *Options
 	stop          context.CancelFunc
 	proxies       []*standin.Proxy
 }
 
-// Cluster is all that runs.
+// Cluster is a running cluster.
 type Cluster struct {
 	Store       *standin.Store
 	Cloud       *standin.Cloud
@@ -71,7 +71,7 @@
 	Controllers []*Controller
 }
 
-// Start brings a cluster up.
+// Start starts a cluster.
 func Start(options Options) (c *Cluster, err error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -80,7 +80,7 @@
 	if c.Depot == nil {
 		c.Depot = standin.NewDepot()
 	}
-	if c.Depot.Look == nil { // users of this cluster upload nothing: what they submit is in the store
+	if c.Depot.Look == nil { // the store contains the descriptions of all submitted jobs
 		c.Depot.Look = c.OpenRecord
 	}
 	defer func() {
@@ -97,11 +97,10 @@
 		c.Controllers = append(c.Controllers, controller)
 		hosts = append(hosts, standin.Host{Name: controller.Config.HostName, Addr: controller.Config.Bind})
 	}
-	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: options.Types, ListLag: options.ListLag,
-		Dying:  options.ListedAfterLoss,
-		RPS:    options.CloudRPS,
-		Timing: standin.Timing{Report: options.Report, Lease: options.Lease}}, c.Depot, hosts,
-		rand.New(rand.NewPCG(options.Seed, 3)))
+	c.Cloud, err = standin.NewCloud(standin.CloudParams{
+		Kinds: options.Types, ListLag: options.ListLag, Dying: options.ListedAfterLoss, RPS: options.CloudRPS,
+		Timing: standin.Timing{Report: options.Report, Lease: options.Lease},
+	}, c.Depot, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
 	if err != nil {
 		return c, err
 	}
@@ -109,9 +108,9 @@
 		controller.Config.Services.Cloud = c.Cloud.Addr()
 		for _, other := range c.Controllers {
 			if other != controller {
-				controller.Config.Siblings = append(controller.Config.Siblings,
-					config.Sibling{HostName: other.Config.HostName, Zone: other.Config.Zone,
-						Address: other.Config.PeerListen})
+				controller.Config.Siblings = append(controller.Config.Siblings, config.Sibling{
+					HostName: other.Config.HostName, Zone: other.Config.Zone, Address: other.Config.PeerListen,
+				})
 			}
 		}
 	}
@@ -133,7 +132,8 @@
 	return c, nil
 }
 
-// addProxies puts a relay on each way from a controller to the state service and to a sibling.
+// addProxies routes each controller's connections to the state service and to every other
+// controller through a proxy.
 func (c *Cluster) addProxies() error {
 	for _, k := range c.Controllers {
 		addrs := []*string{&k.Config.Services.State}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// SetPartitioned cuts a controller off from the state service and from all other controllers, in
-// both directions, or ends that. Its workers and users still reach it.
+// SetPartitioned starts or ends a network partition between a controller and both the state
+// service and all other controllers. Its workers and users still reach it.
 func (c *Cluster) SetPartitioned(k *Controller, on bool) {
 	for _, proxy := range k.proxies {
 		proxy.SetPartitioned(on)
@@ -161,15 +161,16 @@
 	for _, other := range c.Controllers {
 		for i, sibling := range other.Config.Siblings {
 			if other != k && sibling.HostName == k.Config.HostName {
-				other.proxies[i+1].SetPartitioned(on) // the first is to the state service
+				other.proxies[i+1].SetPartitioned(on) // the first proxy is to the state service
 			}
 		}
 	}
 }
 
-// OpenRecord returns a job's open record.
+// OpenRecord returns a job's open record from the store, or nil.
 func (c *Cluster) OpenRecord(name string) []byte { return c.Store.ReadKey("open/" + name) }
 
+// newController returns a controller that is not started yet.
 func newController(c *Cluster, options *Options, index int) (*Controller, error) {
 	endpoint, err := c.Store.Front()
 	if err != nil {
@@ -194,7 +195,7 @@
 	return &Controller{Config: cfg, StoreEndpoint: endpoint, options: options}, nil
 }
 
-// Start runs the controller, with nothing left of an earlier life.
+// Start starts the controller as a new process would: nothing is kept from an earlier run.
 func (k *Controller) Start() error {
 	settings := config.DefaultSettings()
 	if k.options.Settings != nil {
@@ -209,7 +210,7 @@
 	return k.serve(ctx, settings, log)
 }
 
-// serve runs a controller's doors and its node until the context ends.
+// serve runs the controller's endpoints and its node until the context ends.
 func (k *Controller) serve(ctx context.Context, settings *config.Settings, log *slog.Logger) error {
 	rng := rand.New(rand.NewPCG(k.options.Seed, rand.Uint64()))
 	k.Node = node.New(k.Config, settings, log, rng)
@@ -230,14 +231,14 @@
 	return nil
 }
 
-// Stop kills the controller.
+// Stop stops the controller as if its process were killed.
 func (k *Controller) Stop() {
 	if k.stop != nil {
 		k.stop()
 	}
 }
 
-// Close ends everything.
+// Close stops the whole cluster.
 func (c *Cluster) Close() {
 	for _, k := range c.Controllers {
 		k.Stop()
@@ -251,7 +252,7 @@
 	c.Store.Close()
 }
 
-// Addrs are the users' doors.
+// Addrs returns the addresses of the endpoints for users.
 func (c *Cluster) Addrs() []string {
 	var out []string
 	for _, k := range c.Controllers {
@@ -260,7 +261,7 @@
 	return out
 }
 
-// OpsAddrs are the operators' doors.
+// OpsAddrs returns the addresses of the endpoints for operators.
 func (c *Cluster) OpsAddrs() []string {
 	var out []string
 	for _, k := range c.Controllers {
@@ -271,8 +272,7 @@
 	return out
 }
 
-// Operated returns settings with an operators' door on a free port, behind one
-// token.
+// Operated returns settings with an operators' endpoint on a free port that accepts one token.
 func Operated(token string) (*config.Settings, error) {
 	s := config.DefaultSettings()
 	addr, err := FreeAddr()
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// What the README's first command does, for a few seconds: no job is lost, and no
-// task is on two machines at a time.
+// TestTrialClusterLosesNoJob runs the trial cluster of the README's first command for a few
+// seconds: no job is lost, and no task runs on two machines at a time.
 func TestTrialClusterLosesNoJob(t *testing.T) {
 	cluster, err := Start(Trial(3, 4, 20, 3))
 	if err != nil {
@@ -24,14 +24,15 @@
 	counts := users.Counts()
 	if counts.Accepted < 8 || counts.Open+counts.Lost+counts.Refused > 0 ||
 		counts.Done+counts.Cancelled != counts.Accepted || len(cluster.Depot.Broken()) > 0 {
-		t.Errorf("%+v %v", counts, cluster.Depot.Broken())
+		t.Errorf("counts %+v, violations %v", counts, cluster.Depot.Broken())
 	}
 }
 
+// TestParseWorkloadNamesInvalidFields checks that the error names a field that is missing.
 func TestParseWorkloadNamesInvalidFields(t *testing.T) {
 	valid := `classes { name: "a" team: "batch" rank: "idle" image: "i" tasks: 3 cpus: 1 mem_gb: 1 run_s: 5 per_minute: 2 }`
 	if cs, err := ParseWorkload([]byte(valid)); err != nil || len(cs) != 1 || cs[0].Tasks != 3 || cs[0].RunS != 5 {
-		t.Fatalf("%+v %v", cs, err)
+		t.Fatalf("classes %+v, error %v", cs, err)
 	}
 	for from, field := range map[string]string{`team: "batch"`: "classes[0].team", `rank: "idle"`: "classes[0].rank",
 		`tasks: 3`: "classes[0].tasks",
@@ -39,13 +40,13 @@
 		`image: "i"`: "classes[0].image"} {
 		if _, err := ParseWorkload([]byte(strings.Replace(valid, from, "", 1))); err == nil ||
 			!strings.Contains(err.Error(), field) {
-			t.Errorf("without %s: %v", from, err)
+			t.Errorf("without %s: error %v", from, err)
 		}
 	}
 }
 
-// A cluster was given the port of another one's controller that was stopped just then, and
-// answered operators for it.
+// TestFreeAddrReturnsNoAddressTwice guards against a cluster that gets the port of a controller of
+// another cluster while that is stopped, and then answers operators in its place.
 func TestFreeAddrReturnsNoAddressTwice(t *testing.T) {
 	returned := map[string]bool{}
 	for range 2000 {
@@ -54,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if returned[addr] {
-			t.Fatalf("%s is given a second time, after %d others", addr, len(returned)-1)
+			t.Fatalf("%s was returned a second time, after %d others", addr, len(returned)-1)
 		}
 		returned[addr] = true
 	}
--- a/internal/dev/parse.go
+++ b/internal/dev/parse.go
@@ -12,8 +12,7 @@
 	"honeylock/internal/wire"
 )
 
-// ParseWorkload reads a workload in protobuf text format and tells all of its
-// mistakes with their fields.
+// ParseWorkload parses a workload in protobuf text format. The error names every invalid field.
 func ParseWorkload(text []byte) ([]Class, error) {
 	var workload devpb.Workload
 	if err := prototext.Unmarshal(text, &workload); err != nil {
@@ -28,6 +27,7 @@
 	return out, errors.Join(errs...)
 }
 
+// toClass converts a class from its protobuf message.
 func toClass(c *devpb.Class) Class {
 	return Class{
 		Name: c.GetName(), Team: c.GetTeam(), Rank: c.GetRank(), Image: c.GetImage(), Tasks: int(c.GetTasks()),
@@ -37,11 +37,13 @@
 	}
 }
 
+// Upper bounds of the fields of a class.
 const (
 	maxAmount = 1e6
 	maxTasks  = 10_000
 )
 
+// checkClass checks the fields of the class with an index.
 func checkClass(i int, c *devpb.Class) error {
 	var errs []error
 	check := func(ok bool, field string, v any, want string) {
--- a/internal/dev/ports.go
+++ b/internal/dev/ports.go
@@ -8,26 +8,26 @@
 	"sync"
 )
 
-// Ports that clusters listen on: below those that outgoing connections get. One that was
-// free when it was chosen was now and then taken by a connection before its controller
-// listened, or while it was restarted, and the controller could not be reached.
+// Clusters listen on ports below the range of ephemeral ports. An outgoing connection could
+// otherwise take a port before its controller listens, or while the controller is restarted,
+// and the controller could then not be reached.
 const (
 	firstPort       = 10_240
 	portCount       = 20_000
 	maxPortAttempts = 50
 )
 
-// allocatedPorts are those that this process has given away. The port of a controller that is
-// stopped is free until it is started again: given to another cluster of the same process,
-// it answered for a cluster that it was not of.
+// allocatedPorts are the ports that this process has allocated. The port of a stopped controller
+// looks free until it is started again; if another cluster of this process got that port, its
+// controller would answer requests for the wrong cluster.
 var allocatedPorts = struct {
 	mu    sync.Mutex
 	taken map[int]bool
 }{taken: map[int]bool{}}
 
-var errNoPort = errors.New("those that were tried are given away")
+var errNoPort = errors.New("all ports that were tried are already allocated")
 
-// FreeAddr returns a loopback address that was free just now. It returns none twice.
+// FreeAddr returns a loopback address that is free. It never returns an address twice.
 func FreeAddr() (string, error) {
 	allocatedPorts.mu.Lock()
 	defer allocatedPorts.mu.Unlock()
--- a/internal/dev/trialcluster.go
+++ b/internal/dev/trialcluster.go
@@ -9,14 +9,14 @@
 	"honeylock/internal/standin"
 )
 
-// Teams and zones of a trial cluster.
+// The teams and zones of a trial cluster.
 var (
 	trialTeams = []config.Team{{Name: "batch", CPUs: 16, CPUsMax: 200}, {Name: "office", CPUs: 24, CPUsMax: 200}}
 	trialZones = []string{"east", "west"}
 )
 
-// DefaultWorkload is a small month end: payslips with deadlines, transfer
-// batches that matter most, and tidying that can wait.
+// DefaultWorkload returns the jobs of a payroll at the end of a month: payslips with deadlines,
+// transfers of a higher rank, and cleanup jobs of the lowest rank.
 func DefaultWorkload() []Class {
 	return []Class{
 		{
@@ -34,19 +34,21 @@
 	}
 }
 
-// Trial returns the options of a trial cluster: machines with 8 CPUs in two
-// zones, half of them up at the start spot ones, and a cloud that has as many
-// again. A pace above 1 makes boots, fetches and runs that many times shorter.
+// Trial returns the options of a trial cluster with machines of 8 CPUs in two zones. It starts with
+// a number of workers, half of them on spot machines; the cloud rents out that many machines in
+// each zone, of spot and of ordinary ones each. Boots, image fetches and runs take 1/speed of their
+// normal time.
 func Trial(controllers, workers int, speed float64, seed uint64) Options {
-	machineType := standin.Kind{Label: "k8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 0.5 * speed, Hourly: 0.5,
-		MarketPrice: 0.2,
-		ReadyS:      20 / speed, Yards: trialZones, Room: workers}
+	machineType := standin.Kind{
+		Label: "k8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 0.5 * speed, Hourly: 0.5, MarketPrice: 0.2,
+		ReadyS: 20 / speed, Yards: trialZones, Room: workers,
+	}
 	options := Options{
 		Controllers: controllers, Zones: trialZones, Teams: trialTeams, Types: []standin.Kind{machineType},
 		Report: 500 * time.Millisecond, Lease: 10 * time.Second, Cancel: 40 * time.Second, ListLag: time.Second,
-		ListedAfterLoss: 3 * time.Second,
-		CloudRPS:        10, Limits: standin.StoreLimits{RPS: 300, WriteRPS: 120, ValueKB: 16,
-			TxnOps: 16}, Seed: seed, Tasks: standin.NewDepot(),
+		ListedAfterLoss: 3 * time.Second, CloudRPS: 10,
+		Limits: standin.StoreLimits{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 16},
+		Seed:   seed, Tasks: standin.NewDepot(),
 	}
 	for i := range min(workers, 4) {
 		n := (workers + 3 - i) / 4
@@ -56,8 +58,8 @@
 	return options
 }
 
-// EstimateError is by how much a task's estimate is wrong: 0.6 to 1.5 times, the same for
-// a task whenever it runs.
+// EstimateError returns a task's run time divided by its estimate: 0.6 to 1.5, always the same for
+// the same task and seed.
 func EstimateError(task string, seed uint64) float64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%s", seed, task)
--- a/internal/dev/workload.go
+++ b/internal/dev/workload.go
@@ -13,26 +13,26 @@
 	"honeylock/internal/wire"
 )
 
-// Class of a workload's jobs. Times are in life; the pace makes them shorter.
+// Class is a class of a workload's jobs. Its times are those at a speed of 1.
 type Class struct {
 	Name, Team, Rank, Image string
-	Tasks                   int // on average
+	Tasks                   int // of a job, on average
 	CPUs, MemGB, ImageGB    float64
 	RunS, SaveEveryS, SaveS float64
-	DeadlineS               float64 // 0: none
+	DeadlineS               float64 // 0: no deadline
 	PerMinute               float64
 	AtStart                 int
 	Spot                    bool
-	CancelledFraction       float64 // part that its user cancels
+	CancelledFraction       float64 // of the jobs; their users cancel them
 }
 
-// Counts of a workload's jobs.
+// Counts are the counts of a workload's jobs by outcome.
 type Counts struct {
 	Accepted, Done, Cancelled, Open, Refused, Lost int
 	Losses                                         []string
 }
 
-// Users submit a workload's jobs, poll them and cancel some.
+// Users simulates users that submit a workload's jobs, poll them and cancel some.
 type Users struct {
 	newClient  func() (*client.Users, error)
 	classes    []Class
@@ -43,7 +43,7 @@
 	open       map[string]bool
 	counts     Counts
 	pending    sync.WaitGroup
-	// OnAccepted gets every job as it is accepted.
+	// OnAccepted is called for every accepted job; it may be nil.
 	OnAccepted func(Submitted)
 }
 
@@ -54,7 +54,7 @@
 	At    time.Time
 }
 
-// NewUsers returns the users of a workload.
+// NewUsers returns the users of a workload, who send their requests to the addresses.
 func NewUsers(addrs []string, classes []Class, speed float64, seed uint64) *Users {
 	u := &Users{classes: classes, speed: max(speed, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
 		lastNumber: 100}
@@ -66,8 +66,7 @@
 	return u
 }
 
-// Run submits until arrive ends, then follows what is open until ctx ends or all
-// of it has ended.
+// Run submits jobs until arrivals ends. It returns when all jobs have ended or ctx ends.
 func (u *Users) Run(arrivals, ctx context.Context) {
 	for i := range u.classes {
 		c := &u.classes[i]
@@ -82,6 +81,7 @@
 	u.pending.Wait()
 }
 
+// submitArrivals submits jobs of a class at random times until arrivals ends.
 func (u *Users) submitArrivals(arrivals, ctx context.Context, c *Class) {
 	defer u.pending.Done()
 	mean := float64(time.Minute) / c.PerMinute / u.speed
@@ -98,6 +98,7 @@
 	}
 }
 
+// submitJob starts a user with one job of a class.
 func (u *Users) submitJob(ctx context.Context, c *Class) {
 	u.mu.Lock()
 	u.lastNumber++
@@ -106,7 +107,7 @@
 	cancelled := u.rng.Float64() < c.CancelledFraction
 	u.mu.Unlock()
 	if err != nil {
-		return // plain values always encode
+		return // cannot happen: a submission holds only plain values
 	}
 	u.pending.Add(1)
 	go func() {
@@ -115,7 +116,7 @@
 	}()
 }
 
-// submission is a job of the class, in the wire's words.
+// submission returns the JSON fields of a job of the class.
 func (u *Users) submission(id string, c *Class) map[string]any {
 	tasks := max(1, int(float64(c.Tasks)*(0.5+u.rng.Float64())))
 	submission := map[string]any{"NameId": id, "Comb": c.Name, "Colony": c.Team, "Shape": "batch", "Rank": c.Rank,
@@ -130,7 +131,7 @@
 	return submission
 }
 
-// runJob is a user's life with one job.
+// runJob submits a job, cancels it if asked to, and polls it until it ends.
 func (u *Users) runJob(ctx context.Context, id, class string, body []byte, cancelled bool) {
 	user, err := u.newClient()
 	if err != nil {
@@ -165,12 +166,12 @@
 			u.counts.Done++
 		}
 		if !cancelled && state.Stage == "aborted" {
-			u.recordLoss("%s was called cancelled, which nobody asked for", id)
+			u.recordLoss("%s was reported as cancelled, but nobody cancelled it", id)
 		}
 	})
 }
 
-// checkUnknown counts an accepted job that is answered as if it were unknown.
+// checkUnknown records an accepted job as lost if a request for it was refused.
 func (u *Users) checkUnknown(ctx context.Context, id string, err error) {
 	var refused *client.Refused
 	if ctx.Err() != nil || err == nil || !errors.As(err, &refused) {
@@ -179,23 +180,25 @@
 	u.update(func() {
 		if u.open[id] {
 			delete(u.open, id)
-			u.recordLoss("%s was accepted, then answered with %d", id, refused.Status)
+			u.recordLoss("%s was accepted, but later refused with status %d", id, refused.Status)
 		}
 	})
 }
 
+// recordLoss records a lost job; u.mu is held.
 func (u *Users) recordLoss(format string, args ...any) {
 	u.counts.Lost++
 	u.counts.Losses = append(u.counts.Losses, fmt.Sprintf(format, args...))
 }
 
+// update calls f while it holds u.mu.
 func (u *Users) update(f func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f()
 }
 
-// Counts so far.
+// Counts returns the counts so far.
 func (u *Users) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/e2e/consistency_test.go
+++ b/internal/e2e/consistency_test.go
@@ -10,16 +10,16 @@
 	"honeylock/internal/dev"
 )
 
-// answerChecker checks what users are told of jobs: an answer to a question that was asked after
-// somebody had been told of a job's acceptance or end is never older than that.
+// answerChecker checks that answers to users never go back in time: once an answer has acknowledged
+// that a job was accepted or has ended, later requests must not get an older state.
 type answerChecker struct {
 	t            *testing.T
 	mu           sync.Mutex
-	acknowledged map[string]string // accepted, done or aborted
-	compared     int               // answers that were compared with something
+	acknowledged map[string]string // by job: accepted, done or aborted
+	compared     int               // answers that were compared with an acknowledged state
 }
 
-// request asks a controller once, and compares its answer with what had been told before.
+// request sends one request and compares its answer with what was acknowledged before it.
 func (w *answerChecker) request(c *dev.Controller, method, path, job string, body any) (status int, stage string) {
 	w.mu.Lock()
 	before := w.acknowledged[job]
@@ -32,7 +32,7 @@
 		w.compared++
 		ended := before == "done" || before == "aborted"
 		if status != http.StatusOK || ended && stage != before {
-			w.t.Errorf("%s %s: %d %q after %q", method, path, status, stage, before)
+			w.t.Errorf("%s %s: status %d, stage %q after %q was acknowledged", method, path, status, stage, before)
 		}
 	}
 	switch {
@@ -44,7 +44,7 @@
 	return status, stage
 }
 
-// checkAll asks all controllers at once, twice, and submits the job once more.
+// checkAll polls all controllers concurrently, twice each, and submits the job once more.
 func (w *answerChecker) checkAll(cluster *dev.Cluster, job object) {
 	id := job["NameId"].(string)
 	var requests sync.WaitGroup
@@ -57,7 +57,7 @@
 	requests.Wait()
 }
 
-// retryUntilAnswered repeats a request until it is answered, and looks closely then.
+// retryUntilAnswered repeats a request until it succeeds, then checks all controllers' answers.
 func (w *answerChecker) retryUntilAnswered(cluster *dev.Cluster, firstController int, path string, job object) {
 	id := job["NameId"].(string)
 	var body any
@@ -72,11 +72,12 @@
 			return
 		}
 	}
-	w.t.Errorf("%s: no answer", path)
+	w.t.Errorf("%s: not answered within 30 s", path)
 }
 
-// Users ask at all controllers within milliseconds of an answer, repeat submissions, cancel at
-// once or just as the last task ends, while one controller's transactions lose their answers.
+// TestAnswersAreConsistentAcrossControllers: users poll all controllers within milliseconds of an
+// answer, repeat submissions, and cancel at once or just as the last task ends, while the answers
+// to some of one controller's transactions are lost.
 func TestAnswersAreConsistentAcrossControllers(t *testing.T) {
 	cluster := startFaultCluster(t, 6)
 	cluster.Controllers[1].StoreEndpoint.LoseAnswers(4)
@@ -90,7 +91,7 @@
 			checker.retryUntilAnswered(cluster, i, "/v1/jobs", job)
 			switch i % 3 {
 			case 0: // at once
-			case 1: // about when its last task ends
+			case 1: // about when the last task ends
 				time.Sleep(time.Duration(300+40*i) * time.Millisecond)
 			default:
 				for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -110,12 +111,13 @@
 		outcomes[stage]++
 	}
 	if outcomes["done"] < 8 || outcomes["aborted"] == 0 || outcomes["accepted"] > 0 || checker.compared < 24*14 {
-		t.Errorf("%v after %d comparisons", outcomes, checker.compared)
+		t.Errorf("outcomes %v after %d comparisons", outcomes, checker.compared)
 	}
 }
 
-// Machines reach no controller while commands reach them: they lose their leases, their tasks run
-// elsewhere, none twice at a time, and room comes back.
+// TestMachinesThatReachNoController: reports of two machines are lost while commands still reach
+// them. Their leases expire, their tasks run elsewhere, none on two machines at a time, and the
+// machines are used again afterwards.
 func TestMachinesThatReachNoController(t *testing.T) {
 	t.Parallel()
 	cluster := startFaultCluster(t, 6)
@@ -141,16 +143,16 @@
 		}
 	}
 	if killed == 0 {
-		t.Error("no task was lost with its machine's lease: the test shows nothing")
+		t.Error("no task was killed when its machine's lease expired, so this test checked nothing")
 	}
 	last := submission("job-000002", 24)
 	last["ForageS"] = 2.0
 	submitAccepted(t, leader, last)
-	waitUntil(t, "all machines work again", func() bool { return cluster.Depot.Running("job-000002") >= 20 })
+	waitUntil(t, "all machines are used again", func() bool { return cluster.Depot.Running("job-000002") >= 20 })
 }
 
-// What is no job, or can never run, is refused however it is asked, and is never accepted; a
-// known job's name does not make it one.
+// TestInvalidSubmissionsAreRejected: a submission that is malformed or can never run is refused by
+// every controller and leaves no job, also if it has the name of a known job.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	cluster := startFaultCluster(t, 2)
 	controller := cluster.Controllers[0]
@@ -158,10 +160,10 @@
 	waitUntil(t, "the job", func() bool { return jobStage(controller, "job-000001") == "done" })
 	invalid := map[string]struct {
 		field string
-		value any // nil: left out
+		value any // nil: the field is left out
 		want  int
 	}{
-		"too large a task":       {"Cpus", 9, http.StatusUnprocessableEntity},
+		"task too large":         {"Cpus", 9, http.StatusUnprocessableEntity},
 		"too much memory":        {"MemGb", 33, http.StatusUnprocessableEntity},
 		"an accelerator":         {"Accelerators", 1, http.StatusUnprocessableEntity},
 		"unknown team":           {"Colony", "nobody", http.StatusUnprocessableEntity},
@@ -171,12 +173,12 @@
 		"no tasks":               {"Cells", 0, http.StatusBadRequest},
 		"too many tasks":         {"Cells", 100_001, http.StatusBadRequest},
 		"half a task":            {"Cells", 1.5, http.StatusBadRequest},
-		"less than nothing":      {"Cpus", -1, http.StatusBadRequest},
-		"no type at all":         {"Breeds", []string{}, http.StatusBadRequest},
+		"negative CPUs":          {"Cpus", -1, http.StatusBadRequest},
+		"empty list of types":    {"Breeds", []string{}, http.StatusBadRequest},
 		"unknown rank":           {"Rank", "first", http.StatusBadRequest},
 		"unknown shape":          {"Shape", "round", http.StatusBadRequest},
-		"a deadline of nothing":  {"HarvestS", 0, http.StatusBadRequest},
-		"a name of another form": {"NameId", "job-1", http.StatusBadRequest},
+		"zero deadline":          {"HarvestS", 0, http.StatusBadRequest},
+		"malformed name":         {"NameId", "job-1", http.StatusBadRequest},
 	}
 	for _, f := range []string{"NameId", "Comb", "Colony", "Shape", "Rank", "Cells", "Cpus", "Accelerators", "MemGb",
 		"Wax", "ImageGb", "Together", "Spread", "SwarmBoxes", "ForageS", "CapIntervalS", "CapS"} {
@@ -202,25 +204,25 @@
 		}
 		for i := range 2 {
 			if status, v := call(cluster.Controllers[i], http.MethodPost, "/v1/jobs", job); status != o.want {
-				t.Errorf("%s: %d %v, want %d", name, status, v, o.want)
+				t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, o.want)
 			}
 		}
 		if id, ok := job["NameId"].(string); ok && id != "job-1" {
 			if status, _ := call(cluster.Controllers[2], http.MethodGet, "/v1/jobs/"+id, nil); status != http.StatusNotFound {
-				t.Errorf("%s: a question about it got %d", name, status)
+				t.Errorf("%s: poll of the refused job: status %d, want 404", name, status)
 			}
 			job["NameId"] = "job-000001"
 			status, v := call(controller, http.MethodPost, "/v1/jobs", job)
 			if status == http.StatusCreated || status == http.StatusOK && v["Stage"] != "done" {
-				t.Errorf("%s, under a known name: %d %v", name, status, v)
+				t.Errorf("%s, with the name of a known job: status %d, answer %v", name, status, v)
 			}
 		}
 	}
 	status, v := call(controller, http.MethodPost, "/v1/jobs/job-000001/withdraw", nil)
 	if status != http.StatusOK || v["Stage"] != "done" {
-		t.Errorf("a job that is done, cancelled: %d %v", status, v)
+		t.Errorf("cancellation of a completed job: status %d, answer %v", status, v)
 	}
 	if b := cluster.OpenRecord("job-000001"); b != nil {
-		t.Errorf("an open record of a job that is done: %s", b)
+		t.Errorf("a completed job has an open record: %s", b)
 	}
 }
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e tests whole controllers over loopback, against stand-ins of the
-// state service, the cloud and the workers that keep to the protocols.
+// Package e2e contains end-to-end tests of whole controllers on loopback, with stand-ins for the
+// state service, the cloud and the workers.
 package e2e
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -21,7 +21,7 @@
 
 const operatorToken = "a token of the tests"
 
-// startOperated starts a cluster of n machines with operators' doors.
+// startOperated starts a cluster with a number of workers and operators' endpoints.
 func startOperated(t *testing.T, workers int, seed uint64) (*dev.Cluster, *client.Operators) {
 	t.Helper()
 	options := defaultOptions()
@@ -35,7 +35,7 @@
 	return startOperatedWith(t, options)
 }
 
-// startOperatedWith starts a cluster with operators' doors.
+// startOperatedWith starts a cluster and returns a client of its operators' endpoints.
 func startOperatedWith(t *testing.T, options dev.Options) (*dev.Cluster, *client.Operators) {
 	t.Helper()
 	cluster := startWith(t, options)
@@ -46,8 +46,10 @@
 	return cluster, ops
 }
 
+// discardMessage ignores the client's messages to the operator.
 func discardMessage(string) {}
 
+// applyPlan applies a drain plan.
 func applyPlan(t *testing.T, ops *client.Operators, plan string) {
 	t.Helper()
 	var out node.Outcome
@@ -56,6 +58,7 @@
 	}
 }
 
+// requestForecast waits for a forecast that is complete.
 func requestForecast(t *testing.T, ops *client.Operators, path, plan string) (reply node.ForecastReply) {
 	t.Helper()
 	if err := ops.Ask(t.Context(), path, []byte(plan), &reply, func() bool { return reply.Done >= 1 }); err != nil {
@@ -64,8 +67,8 @@
 	return reply
 }
 
-// submitLoad fills a cluster of 5 machines: a class that teaches how long tasks take, 20
-// tasks that take all CPUs, and 30 that wait for them.
+// submitLoad fills a cluster of 5 machines: a first job from which the run times of its class are
+// estimated, then 20 tasks that use all CPUs, and 30 that wait for them.
 func submitLoad(t *testing.T, cluster *dev.Cluster) {
 	t.Helper()
 	controller := cluster.Controllers[0]
@@ -81,7 +84,7 @@
 	submitAccepted(t, controller, job("job-000003", 30, 6))
 }
 
-// completionTimes waits for jobs and tells how long after a time they were done.
+// completionTimes waits for jobs and returns how many seconds after a time each of them ended.
 func completionTimes(t *testing.T, cluster *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
 	t.Helper()
 	last := map[string]time.Time{}
@@ -101,13 +104,15 @@
 	return out
 }
 
+// drainTwoOfFive is a plan that patches two of five machines.
 const drainTwoOfFive = `name: "p" machines { names: "m-000001" names: "m-000002" } at_once: 2 after: PATCH patch_s: 600`
 
-// toleranceSeconds of a forecast, in seconds: its steps, reports and late room.
+// toleranceSeconds is the tolerance of a forecast: its time steps, the report interval and the
+// delay until free capacity is known.
 const toleranceSeconds = 3.5
 
-// TestForecastMatchesOutcome compares a forecast with two clusters under the
-// same load: one with the plan, one without.
+// TestForecastMatchesOutcome compares a forecast with two clusters under the same load: one with
+// the plan, one without.
 func TestForecastMatchesOutcome(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -128,19 +133,20 @@
 			wg.Wait()
 			if len(forecast.Delayed) != 1 || forecast.Delayed[0].Job != "job-000003" ||
 				forecast.Delayed[0].Why != "waits for room" {
-				t.Fatalf("%+v, want job-000003 to wait for room", forecast)
+				t.Fatalf("forecast %+v, want only job-000003 to be delayed because it waits for room", forecast)
 			}
 			delayed := forecast.Delayed[0]
-			if deviation := withPlan["job-000003"]; math.Abs(deviation-delayed.EndS[1]) > toleranceSeconds {
-				t.Errorf("it ended after %.1f s, %v were foreseen", deviation, delayed.EndS)
+			if endedAfter := withPlan["job-000003"]; math.Abs(endedAfter-delayed.EndS[1]) > toleranceSeconds {
+				t.Errorf("job-000003 ended after %.1f s; the forecast was %v s", endedAfter, delayed.EndS)
 			}
-			if deviation := withPlan["job-000003"] - baseline["job-000003"]; math.Abs(deviation-delayed.DelayS[1]) > 2*toleranceSeconds {
-				t.Errorf("it was %.1f s late, %v were foreseen", deviation, delayed.DelayS)
+			if delay := withPlan["job-000003"] - baseline["job-000003"]; math.Abs(delay-delayed.DelayS[1]) >
+				2*toleranceSeconds {
+				t.Errorf("job-000003 was delayed by %.1f s; the forecast was %v s", delay, delayed.DelayS)
 			}
-			if deviation := withPlan["job-000002"] - baseline["job-000002"]; math.Abs(deviation) > toleranceSeconds {
-				t.Errorf("job-000002 was %.1f s late, none was foreseen", deviation)
+			if delay := withPlan["job-000002"] - baseline["job-000002"]; math.Abs(delay) > toleranceSeconds {
+				t.Errorf("job-000002 was delayed by %.1f s; the forecast was no delay", delay)
 			}
-			t.Logf("job-000003: foreseen to end in %v s, late by %v s; ended after %.1f s, without the plan %.1f s",
+			t.Logf("job-000003: forecast to end after %v s, delayed by %v s; ended after %.1f s, without the plan %.1f s",
 				delayed.EndS,
 				delayed.DelayS,
 				withPlan["job-000003"], baseline["job-000003"])
@@ -148,6 +154,7 @@
 	}
 }
 
+// planStatus returns the status of a drain plan.
 func planStatus(t *testing.T, ops *client.Operators, name string) (s node.PlanStatus) {
 	t.Helper()
 	if err := ops.Get(t.Context(), "drains/"+name, &s); err != nil {
@@ -156,14 +163,14 @@
 	return s
 }
 
-// A machine dies half way through its drain, and the leader with it: the plan goes
-// on, a new forecast knows of the loss, and it is right.
+// TestMachineAndLeaderLostDuringDrain: a machine fails while it is drained, and the leader is
+// killed. The plan continues, and a new forecast takes the loss into account and is right.
 func TestMachineAndLeaderLostDuringDrain(t *testing.T) {
 	t.Parallel()
 	cluster, ops := startOperated(t, 5, 7)
 	submitLoad(t, cluster)
 	applyPlan(t, ops, strings.Replace(drainTwoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
-	waitUntil(t, "both are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
+	waitUntil(t, "both machines are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
 	cluster.Cloud.Lose("m-000001")
 	for _, k := range cluster.Controllers {
 		if isLeader(k) {
@@ -177,10 +184,10 @@
 	waitUntil(t, "the plan is done", func() bool { return planStatus(t, ops, "p").Phase == "done" })
 	duration := time.Since(startedAt).Seconds()
 	if math.Abs(duration-forecast.TookS[1]) > 2*toleranceSeconds {
-		t.Errorf("the rest took %.1f s, %v were foreseen", duration, forecast.TookS)
+		t.Errorf("the rest of the plan took %.1f s; the forecast was %v s", duration, forecast.TookS)
 	}
 	if n := len(cluster.Cloud.Workers()); n != 3 {
-		t.Errorf("%d machines are left", n)
+		t.Errorf("%d machines are left, want 3", n)
 	}
 	for _, id := range []string{"job-000002", "job-000003"} {
 		waitUntil(t, id, func() bool {
@@ -190,16 +197,18 @@
 	var entries []audit.Entry
 	if err := ops.Get(t.Context(), "audit", &entries); err != nil || len(entries) != 1 || entries[0].Who != "dev" ||
 		entries[0].What != "drain apply" {
-		t.Errorf("%+v %v", entries, err)
+		t.Errorf("audit log %+v, error %v", entries, err)
 	}
 }
 
+// isLeader reports whether a controller is the leader.
 func isLeader(k *dev.Controller) bool {
 	status, _ := call(k, http.MethodGet, "/metrics", nil)
 	return status == http.StatusOK && metricValue(k, "honeylock_leading") == "1"
 }
 
-// The operators' door: who may do what, what is refused, and what is repeated.
+// TestOperatorEndpoint checks authorization, refusals, and requests that are repeated with the
+// same ID.
 func TestOperatorEndpoint(t *testing.T) {
 	t.Parallel()
 	cluster, ops := startOperated(t, 2, 1)
@@ -227,7 +236,7 @@
 		_ = json.NewDecoder(res.Body).Decode(&e)
 		return res.StatusCode, e.Error + e.Outcome
 	}
-	waitUntil(t, "this door's controller has joined the leader", func() bool {
+	waitUntil(t, "the controller of this endpoint has joined the leader", func() bool {
 		status, _ := request("GET", "drains", operatorToken, "", "")
 		return status == http.StatusOK
 	})
@@ -256,7 +265,7 @@
 	} {
 		status, message := request(x.method, x.path, x.bearer, x.id, x.body)
 		if status != x.want || !strings.Contains(message, x.why) {
-			t.Errorf("%s %s %s: %d %q, want %d %q", x.method, x.path, x.body, status, message, x.want, x.why)
+			t.Errorf("%s %s %s: status %d, message %q, want %d, %q", x.method, x.path, x.body, status, message, x.want, x.why)
 		}
 	}
 	var entries []audit.Entry
@@ -270,6 +279,6 @@
 		}
 	}
 	if paused != 1 || entries[0].Outcome != `plan "a" is cancelled` {
-		t.Errorf("%+v", entries)
+		t.Errorf("audit log %+v", entries)
 	}
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -9,7 +9,8 @@
 	"honeylock/internal/dev"
 )
 
-// startFaultCluster is a cluster with short leases and a limit that never holds.
+// startFaultCluster starts a cluster with short leases, a team limit above its capacity, and
+// controllers that can be partitioned.
 func startFaultCluster(t *testing.T, machines int) *dev.Cluster {
 	options := defaultOptions()
 	options.Lease, options.Cancel, options.Partitionable = 5*time.Second, 25*time.Second, true
@@ -18,14 +19,15 @@
 	return startWith(t, options)
 }
 
-// twoZoneMachines are so many machines in two zones.
+// twoZoneMachines returns machines that are spread over two zones.
 func twoZoneMachines(machines int) []dev.MachineGroup {
 	return []dev.MachineGroup{{Zone: "a", Count: machines / 2}, {Zone: "b", Count: machines - machines/2}}
 }
 
+// waitForLeader waits until a controller leads and returns it.
 func waitForLeader(t *testing.T, cluster *dev.Cluster) (leader *dev.Controller) {
 	t.Helper()
-	waitUntil(t, "somebody leads", func() bool {
+	waitUntil(t, "a controller leads", func() bool {
 		for _, c := range cluster.Controllers {
 			if metricValue(c, "honeylock_leading") == "1" {
 				leader = c
@@ -37,8 +39,8 @@
 	return leader
 }
 
-// Nothing reaches two of ten machines, from before the leader ends to the end; what they
-// held, and all that was accepted before, runs elsewhere.
+// TestJobsCompleteDespiteUnreachableMachines: answers and commands to two of ten machines are lost
+// from before a restart of the leader on. Their tasks and all accepted jobs complete elsewhere.
 func TestJobsCompleteDespiteUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	cluster := startFaultCluster(t, 10)
@@ -64,15 +66,15 @@
 		for _, w := range unreachable {
 			if key := w.Name + " " + r.Task; r.Machine == w.Name {
 				if attempts[key]++; attempts[key] > 1 {
-					t.Errorf("%s was tried there more than once", key)
+					t.Errorf("%s: more than one attempt on an unreachable machine", key)
 				}
 			}
 		}
 	}
 }
 
-// A machine ends, and copies of its reports go on at every controller for longer than its
-// lease: its tasks run elsewhere once that is over.
+// TestReplayedReportsDoNotExtendLease: a machine fails, and copies of its reports arrive at every
+// controller for longer than its lease. Its tasks run elsewhere once its lease has expired.
 func TestReplayedReportsDoNotExtendLease(t *testing.T) {
 	t.Parallel()
 	cluster := startFaultCluster(t, 4)
@@ -92,12 +94,13 @@
 	began := time.Now()
 	waitUntil(t, "the job", func() bool { return jobStage(cluster.Controllers[1], "job-000001") == "done" })
 	if d := time.Since(began); d > 25*time.Second {
-		t.Errorf("it took %v", d)
+		t.Errorf("the job took %v after the machine failed, want at most 25 s", d)
 	}
 }
 
-// The leader loses the state service and the others, not its workers: another one leads,
-// its users are told at once to go elsewhere, and all is well afterwards.
+// TestLeaderPartitionedWithItsWorkers: the leader loses the state service and the other controllers,
+// but not its workers. Another controller leads, the old leader refuses users at once, and after
+// the partition it serves again.
 func TestLeaderPartitionedWithItsWorkers(t *testing.T) {
 	cluster := startFaultCluster(t, 6)
 	job := submission("job-000001", 60)
@@ -105,14 +108,14 @@
 	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") > 10 })
 	leader := waitForLeader(t, cluster)
 	cluster.SetPartitioned(leader, true)
-	waitUntil(t, "it fails its health checks", func() bool {
+	waitUntil(t, "the partitioned controller fails its health checks", func() bool {
 		status, _ := call(leader, http.MethodGet, "/healthz", nil)
 		return status == http.StatusServiceUnavailable
 	})
 	began := time.Now()
 	if status, _ := call(leader, http.MethodGet, "/v1/jobs/job-000001", nil); status != http.StatusServiceUnavailable ||
 		time.Since(began) > time.Second {
-		t.Errorf("a user got %d after %v", status, time.Since(began))
+		t.Errorf("user's request at the partitioned controller: status %d after %v", status, time.Since(began))
 	}
 	var other *dev.Controller
 	for _, c := range cluster.Controllers {
@@ -125,10 +128,13 @@
 		waitUntil(t, id, func() bool { return jobStage(other, id) == "done" })
 	}
 	cluster.SetPartitioned(leader, false)
-	waitUntil(t, "it is well again", func() bool { return jobStage(leader, "job-000002") == "done" })
+	waitUntil(t, "the controller serves again after the partition", func() bool {
+		return jobStage(leader, "job-000002") == "done"
+	})
 }
 
-// Controllers that end are back within a tenth of a second: the leader, twice, and all.
+// TestFastControllerRestarts: controllers are killed and started again within 0.1 s, first the
+// leader, then the leader twice in a row, then all of them.
 func TestFastControllerRestarts(t *testing.T) {
 	cluster := startFaultCluster(t, 6)
 	restart := func(controllers ...*dev.Controller) {
--- a/internal/e2e/jobs_test.go
+++ b/internal/e2e/jobs_test.go
@@ -18,6 +18,7 @@
 
 type object = map[string]any
 
+// defaultOptions are the options of a cluster with three controllers and no machines.
 func defaultOptions() dev.Options {
 	return dev.Options{
 		Controllers: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}},
@@ -30,7 +31,7 @@
 	}
 }
 
-// startCluster starts three controllers with their stand-ins and n workers.
+// startCluster starts a cluster with three controllers and a number of workers.
 func startCluster(t *testing.T, workers int) *dev.Cluster {
 	t.Helper()
 	options := defaultOptions()
@@ -38,7 +39,8 @@
 	return startWith(t, options)
 }
 
-// startWith starts a cluster that is closed with the test, which fails if a task ran twice.
+// startWith starts a cluster and closes it after the test. The test fails if a task ran on two
+// machines at a time.
 func startWith(t *testing.T, options dev.Options) *dev.Cluster {
 	t.Helper()
 	c, err := dev.Start(options)
@@ -54,6 +56,7 @@
 	return c
 }
 
+// call sends a request to a controller and returns its status, or 0 without an answer.
 func call(controller *dev.Controller, method, path string, body any) (int, map[string]any) {
 	b, _ := json.Marshal(body)
 	if s, ok := body.(string); ok {
@@ -70,7 +73,7 @@
 	return res.StatusCode, v
 }
 
-// metricValue is the value of one of a controller's metrics.
+// metricValue returns the value of one of a controller's metrics.
 func metricValue(controller *dev.Controller, name string) string {
 	res, err := http.Get("http://" + controller.Config.Bind + "/metrics")
 	if err != nil {
@@ -86,7 +89,7 @@
 	return ""
 }
 
-// waitUntil retries f until it holds.
+// waitUntil polls a condition until it holds, and fails the test after 40 s.
 func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -94,9 +97,10 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not within 40 s", condition)
+	t.Fatalf("condition did not hold within 40 s: %s", condition)
 }
 
+// submission returns the JSON fields of a job.
 func submission(name string, tasks int) object {
 	return object{"NameId": name, "Comb": "train", "Colony": "vision", "Shape": "batch", "Rank": "standard",
 		"Cells": tasks, "Cpus": 2, "Accelerators": 0,
@@ -104,6 +108,7 @@
 		"CapIntervalS": 0, "CapS": 0}
 }
 
+// submitAccepted submits a job until it is accepted.
 func submitAccepted(t *testing.T, c *dev.Controller, job object) {
 	t.Helper()
 	waitUntil(t, "submission", func() bool {
@@ -112,11 +117,14 @@
 	})
 }
 
+// jobStage returns the stage of a job in a controller's answer.
 func jobStage(c *dev.Controller, name string) any {
 	_, v := call(c, http.MethodGet, "/v1/jobs/"+name, nil)
 	return v["Stage"]
 }
 
+// TestJobsSurviveLossOfControllers checks that jobs complete while each controller is killed and
+// restarted in turn, and that a cancellation reaches all controllers.
 func TestJobsSurviveLossOfControllers(t *testing.T) {
 	cluster := startCluster(t, 4)
 	controllers := cluster.Controllers
@@ -124,11 +132,11 @@
 	waitUntil(t, "first job", func() bool { return jobStage(controllers[1], "job-000001") == "done" })
 	if status, v := call(controllers[2], http.MethodPost, "/v1/jobs",
 		submission("job-000001", 20)); status != http.StatusOK || v["Stage"] != "done" {
-		t.Errorf("a repeated submission got %d %v", status, v)
+		t.Errorf("repeated submission: status %d, answer %v", status, v)
 	}
 
 	submitAccepted(t, controllers[1], submission("job-000002", 40))
-	// Every controller is killed in turn and started again.
+	// Each controller is killed in turn and started again.
 	for i, c := range controllers {
 		c.Stop()
 		other := controllers[(i+1)%3]
@@ -137,7 +145,7 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the controller is back", func() bool {
+		waitUntil(t, "the restarted controller is healthy", func() bool {
 			status,
 				_ := call(c, http.MethodGet, "/healthz", nil)
 			return status == http.StatusOK
@@ -152,13 +160,13 @@
 			t.Errorf("%s started %d times", r.Task, starts[r.Task])
 		}
 	}
-	// Tasks that must share a zone run too.
+	// Tasks that must run in the same zone.
 	together := submission("job-000030", 6)
 	together["Together"] = true
 	submitAccepted(t, controllers[2], together)
 	waitUntil(t, "the job in one zone", func() bool { return jobStage(controllers[1], "job-000030") == "done" })
 
-	// A job that runs for ever is cancelled through another controller.
+	// A service is cancelled through another controller than the one that accepted it.
 	service := submission("job-000020", 2)
 	service["Shape"] = "daemon"
 	submitAccepted(t, controllers[0], service)
@@ -167,14 +175,15 @@
 		status, v := call(controllers[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
 		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
-	waitUntil(t, "its tasks go", func() bool { return cluster.Depot.Running("job-000020") == 0 })
+	waitUntil(t, "the cancelled tasks end", func() bool { return cluster.Depot.Running("job-000020") == 0 })
 	for _, c := range controllers {
 		if s := jobStage(c, "job-000020"); s != "aborted" {
-			t.Errorf("%s says %v of a cancelled job", c.Config.HostName, s)
+			t.Errorf("%s reports stage %v of a cancelled job", c.Config.HostName, s)
 		}
 	}
 }
 
+// TestStatusCodesForUsers checks the status codes of users' valid and invalid requests.
 func TestStatusCodesForUsers(t *testing.T) {
 	controllers := startCluster(t, 1).Controllers
 	submitAccepted(t, controllers[0], submission("job-000001", 1))
@@ -188,39 +197,40 @@
 		body         any
 		want         int
 	}{
-		"not JSON":         {http.MethodPost, "/v1/jobs", "x", http.StatusBadRequest},
-		"not an object":    {http.MethodPost, "/v1/jobs", []int{}, http.StatusBadRequest},
-		"no CPUs":          {http.MethodPost, "/v1/jobs", with("Cpus", 0), http.StatusBadRequest},
-		"too large a body": {http.MethodPost, "/v1/jobs", with("Extra", string(make([]byte, 70_000))), http.StatusBadRequest},
-		"unknown team":     {http.MethodPost, "/v1/jobs", with("Colony", "x"), http.StatusUnprocessableEntity},
-		"fits no machine":  {http.MethodPost, "/v1/jobs", with("MemGb", 64), http.StatusUnprocessableEntity},
-		"no such type":     {http.MethodPost, "/v1/jobs", with("Breeds", []string{"z"}), http.StatusUnprocessableEntity},
-		"no such zone":     {http.MethodPost, "/v1/jobs", with("Yard", "z"), http.StatusUnprocessableEntity},
-		"above the limit":  {http.MethodPost, "/v1/jobs", with("Cpus", 25), http.StatusUnprocessableEntity},
-		"poll of nothing":  {http.MethodGet, "/v1/jobs/job-000098", nil, http.StatusNotFound},
-		"poll of no id":    {http.MethodGet, "/v1/jobs/x", nil, http.StatusNotFound},
-		"cancel nothing":   {http.MethodPost, "/v1/jobs/job-000098/withdraw", nil, http.StatusNotFound},
-		"metrics":          {http.MethodGet, "/metrics", nil, http.StatusOK},
+		"not JSON":           {http.MethodPost, "/v1/jobs", "x", http.StatusBadRequest},
+		"not an object":      {http.MethodPost, "/v1/jobs", []int{}, http.StatusBadRequest},
+		"no CPUs":            {http.MethodPost, "/v1/jobs", with("Cpus", 0), http.StatusBadRequest},
+		"body too large":     {http.MethodPost, "/v1/jobs", with("Extra", string(make([]byte, 70_000))), http.StatusBadRequest},
+		"unknown team":       {http.MethodPost, "/v1/jobs", with("Colony", "x"), http.StatusUnprocessableEntity},
+		"fits no machine":    {http.MethodPost, "/v1/jobs", with("MemGb", 64), http.StatusUnprocessableEntity},
+		"no such type":       {http.MethodPost, "/v1/jobs", with("Breeds", []string{"z"}), http.StatusUnprocessableEntity},
+		"no such zone":       {http.MethodPost, "/v1/jobs", with("Yard", "z"), http.StatusUnprocessableEntity},
+		"above the limit":    {http.MethodPost, "/v1/jobs", with("Cpus", 25), http.StatusUnprocessableEntity},
+		"unknown job":        {http.MethodGet, "/v1/jobs/job-000098", nil, http.StatusNotFound},
+		"invalid job name":   {http.MethodGet, "/v1/jobs/x", nil, http.StatusNotFound},
+		"cancel unknown job": {http.MethodPost, "/v1/jobs/job-000098/withdraw", nil, http.StatusNotFound},
+		"metrics":            {http.MethodGet, "/metrics", nil, http.StatusOK},
 	} {
 		if status, v := call(controllers[0], c.method, c.path, c.body); status != c.want {
-			t.Errorf("%s: %d %v, want %d", name, status, v, c.want)
+			t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, c.want)
 		}
 	}
 	big := submission("job-000097", 13)
-	big["Shape"] = "daemon" // 26 CPUs for ever, above the limit of 24
+	big["Shape"] = "daemon" // needs 26 CPUs at a time, above the limit of 24
 	if status, _ := call(controllers[0], http.MethodPost, "/v1/jobs", big); status != http.StatusUnprocessableEntity {
-		t.Errorf("a service above its team's limit got %d", status)
+		t.Errorf("service above its team's limit: status %d, want 422", status)
 	}
 }
 
-// A controller that the state service alone refuses passes users' requests on:
-// for the seconds until the load balancer has noticed they would all fail.
+// TestRefusedControllerForwardsRequests checks that a controller forwards users' requests if the
+// state service refuses only this controller. Otherwise they would fail for the seconds until the
+// load balancer notices.
 func TestRefusedControllerForwardsRequests(t *testing.T) {
 	controllers := startCluster(t, 1).Controllers
 	for _, c := range controllers {
 		submitAccepted(t, c, submission("job-000001", 1))
 	}
-	for i, c := range controllers { // the leader is one of them
+	for i, c := range controllers { // one of them is the leader
 		c.StoreEndpoint.SetRefusing(true)
 		id := fmt.Sprintf("job-%06d", 10+i)
 		waitUntil(t, "submission", func() bool {
@@ -228,17 +238,17 @@
 			return status == http.StatusCreated || status == http.StatusOK
 		})
 		if status, _ := call(controllers[(i+1)%3], http.MethodGet, "/v1/jobs/"+id, nil); status != http.StatusOK {
-			t.Errorf("the job is known to a sibling as %d", status)
+			t.Errorf("poll of the job at another controller: status %d", status)
 		}
 		c.StoreEndpoint.SetRefusing(false)
 		time.Sleep(2 * time.Second)
 	}
 }
 
-// With the state service silent, users' requests pile up: more than a few are
-// told at once to come back, and workers are answered all the while.
+// TestOverloadShedsUserRequestsNotReports checks that, while the state service does not answer and
+// users' requests accumulate, most of these are refused at once and workers still get answers.
 func TestOverloadShedsUserRequestsNotReports(t *testing.T) {
-	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections, answers nothing
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,14 +282,14 @@
 	if status, _ := call(controller, http.MethodPost, "/agent/beat",
 		object{"Hive": "m-000001", "Breed": "g8", "Yard": "a", "Flight": 1,
 			"Buzz": 1}); status != http.StatusMisdirectedRequest || time.Since(sentAt) > time.Second {
-		t.Errorf("a worker got %d after %v", status, time.Since(sentAt))
+		t.Errorf("worker's report: status %d after %v", status, time.Since(sentAt))
 	}
 	if n := len(answers); n < 50 {
-		t.Errorf("%d of 150 users were answered at once", n)
+		t.Errorf("%d of 150 requests were answered at once, want at least 50", n)
 	}
 	for range 150 {
 		if status := <-answers; status != http.StatusServiceUnavailable {
-			t.Errorf("a user got %d", status)
+			t.Errorf("user's request: status %d, want 503", status)
 		}
 	}
 }
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -13,14 +13,14 @@
 	"honeylock/internal/standin"
 )
 
-// waitForMembers waits until all controllers are members, and have so many machines: workers that
-// turned to one that had just started come a second later.
+// waitForMembers waits until all controllers are members and own a number of machines in total. A
+// worker whose first report reaches a controller that is still starting retries a second later.
 func waitForMembers(t *testing.T, ops *client.Operators, machines int) {
 	t.Helper()
 	var members []node.MemberReply
 	defer func() {
 		if t.Failed() {
-			t.Logf("%+v", members)
+			t.Logf("members: %+v", members)
 		}
 	}()
 	waitUntil(t, "all controllers and machines are known", func() bool {
@@ -38,8 +38,8 @@
 	})
 }
 
-// maxConcurrent is the most tasks that were on machines at a time, from then on, by what the
-// workers did.
+// maxConcurrent returns the maximum number of tasks that ran at a time since from, according to the
+// workers.
 func maxConcurrent(runs []standin.Run, from time.Time) int {
 	type step struct {
 		at time.Time
@@ -72,7 +72,8 @@
 	return maxCount
 }
 
-// A leader that is told to stop gives its key up at once; another need not wait for its lease.
+// TestLeaderResignsOnStop checks that a leader that is stopped deletes its key at once, so that
+// another controller can lead without waiting for the lease to expire.
 func TestLeaderResignsOnStop(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, 1)
@@ -82,22 +83,22 @@
 			k.Stop()
 			k.Node.ResignLeadership()
 			if v := cluster.Store.ReadKey("leader"); strings.Contains(string(v), k.Config.HostName) {
-				t.Errorf("the key is still there: %s", v)
+				t.Errorf("the leader's key still exists: %s", v)
 			}
 			defer func() { _ = k.Start() }()
 		}
 	}
-	waitUntil(t, "another leads", func() bool { return slices.ContainsFunc(cluster.Controllers, isLeader) })
+	waitUntil(t, "another controller leads", func() bool { return slices.ContainsFunc(cluster.Controllers, isLeader) })
 }
 
-// TestLimitsHoldAcrossControllers: three controllers never have more of a team's tasks on
-// machines than its limit, while the leader is killed and machines are lost; a limit that
-// is lowered holds under the next leader too, stops nothing, and is taken back at once.
+// TestLimitsHoldAcrossControllers: three controllers never run more of a team's tasks than its
+// limit allows, while the leader is killed and a machine fails. A lowered limit still holds under
+// the next leader and stops no task, and raising it again takes effect at once.
 func TestLimitsHoldAcrossControllers(t *testing.T) {
 	t.Parallel()
 	options := defaultOptions()
 	options.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}}                      // 12 tasks
-	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // room for 32
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // capacity for 32 tasks
 	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
 	cluster, ops := startOperatedWith(t, options)
 	for i, id := range []string{"job-000001", "job-000002", "job-000003"} {
@@ -116,7 +117,8 @@
 		return r
 	}
 	waitForMembers(t, ops, 8)
-	waitUntil(t, "the limit holds the team", func() bool { // tasks end at once, and others take their place
+	// The condition is polled because tasks end and others start all the time.
+	waitUntil(t, "the team is blocked by its limit", func() bool {
 		r := team()
 		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
 	})
@@ -127,7 +129,7 @@
 				return k.Start
 			}
 		}
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 		return nil
 	}
 	restart := stopLeader()
@@ -140,35 +142,35 @@
 	var out node.Outcome
 	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 30`), &out, discardMessage); err == nil ||
 		!strings.Contains(err.Error(), "above the platform's limit of 24") {
-		t.Errorf("a limit above the platform's: %v", err)
+		t.Errorf("limit above the platform's limit: error %v", err)
 	}
 	if err := ops.Change(t.Context(), "teams/vision", []byte(`limit_cpus: 8 guarantee_cpus: 4`), &out,
 		discardMessage); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "what is above the lower limit has ended", func() bool { return running() <= 4 })
+	waitUntil(t, "tasks above the lower limit have ended", func() bool { return running() <= 4 })
 	loweredAt := time.Now()
 	restart = stopLeader()
-	waitUntil(t, "it is used under the next leader", func() bool { return running() == 4 })
+	waitUntil(t, "the lower limit is used under the next leader", func() bool { return running() == 4 })
 	time.Sleep(2 * time.Second)
 	if concurrent := maxConcurrent(cluster.Depot.Runs(), loweredAt); concurrent > 4 {
 		t.Errorf("%d tasks at once under a limit of 4", concurrent)
 	}
 	if r := team(); r.Limit != 8 || r.Guarantee != 4 || !strings.HasPrefix(r.Changed, "by dev") {
-		t.Errorf("the next leader has %+v", r)
+		t.Errorf("team at the next leader: %+v", r)
 	}
 	if err := ops.Change(t.Context(), "teams/vision/unset", nil, &out, discardMessage); err != nil {
 		t.Fatal(err)
 	}
 	raisedAt := time.Now()
 	waitUntil(t, "the platform's limit is used again", func() bool { return running() == 12 })
-	t.Logf("used %.1f s after it was raised", time.Since(raisedAt).Seconds())
+	t.Logf("limit used %.1f s after it was raised", time.Since(raisedAt).Seconds())
 	if err := restart(); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range cluster.Depot.Runs() {
 		if r.Cause == "stopped" {
-			t.Errorf("%s was stopped on %s: a lower limit stops nothing", r.Task, r.Machine)
+			t.Errorf("%s was stopped on %s; a lower limit must not stop tasks", r.Task, r.Machine)
 		}
 	}
 	if concurrent := maxConcurrent(cluster.Depot.Runs(), time.Time{}); concurrent != 12 {
--- a/internal/e2e/openchecks_test.go
+++ b/internal/e2e/openchecks_test.go
@@ -11,8 +11,8 @@
 	"honeylock/internal/dev"
 )
 
-// pollJobs has users ask all controllers about all jobs for a while, and returns how many of
-// their questions were answered.
+// pollJobs polls all jobs at all controllers for some time. It returns the number of polls that
+// were answered and the number of all polls.
 func pollJobs(cluster *dev.Cluster, ids []string, d time.Duration) (answered, all int) {
 	var answeredCount, askedCount atomic.Int64
 	var users sync.WaitGroup
@@ -32,7 +32,7 @@
 	return int(answeredCount.Load()), int(askedCount.Load())
 }
 
-// storeRequests are those of each controller to the state service so far.
+// storeRequests returns the number of each controller's requests to the state service so far.
 func storeRequests(cluster *dev.Cluster) (out []int) {
 	for _, c := range cluster.Controllers {
 		out = append(out, c.StoreEndpoint.Counts().Requests)
@@ -40,9 +40,9 @@
 	return out
 }
 
-// What users ask of any controller is compared by the leader, so that it costs the same
-// whatever the number of controllers; refused by the state service alone, the leader is no
-// hindrance: the others compare by themselves.
+// TestLeaderChecksOpenJobsForAll: the leader checks for all controllers whether polled jobs are
+// still open, which costs the state service the same number of requests for any number of
+// controllers. While the state service refuses the leader, the other controllers check themselves.
 func TestLeaderChecksOpenJobsForAll(t *testing.T) {
 	options := defaultOptions()
 	options.Controllers, options.InitialMachines = 5, twoZoneMachines(2)
@@ -50,7 +50,7 @@
 	var ids []string
 	for i := range 20 {
 		job := submission(fmt.Sprintf("job-%06d", 500+i), 1)
-		job["Cpus"], job["ForageS"] = 8, 600 // most wait, the rest runs on
+		job["Cpus"], job["ForageS"] = 8, 600 // most jobs wait, and the others keep running
 		ids = append(ids, job["NameId"].(string))
 		submitAccepted(t, cluster.Controllers[i%5], job)
 	}
@@ -59,22 +59,22 @@
 	answered, all := pollJobs(cluster, ids, 6*time.Second)
 	after := storeRequests(cluster)
 	if answered < all*98/100 {
-		t.Errorf("%d of %d questions were answered", answered, all)
+		t.Errorf("%d of %d polls were answered", answered, all)
 	}
 	total := 0
 	for i := range after {
 		sent := after[i] - before[i]
 		total += sent
 		if cluster.Controllers[i] != currentLeader && sent > 25 {
-			t.Errorf("%s asked the state service %d times in 6 s", cluster.Controllers[i].Config.HostName, sent)
+			t.Errorf("%s sent %d requests to the state service in 6 s", cluster.Controllers[i].Config.HostName, sent)
 		}
 	}
 	if total > 6*30 {
-		t.Errorf("%d requests in 6 s for %d questions", total, all)
+		t.Errorf("%d requests to the state service in 6 s for %d polls", total, all)
 	}
 	currentLeader.StoreEndpoint.SetRefusing(true)
-	time.Sleep(time.Second) // questions that were under way
+	time.Sleep(time.Second) // let checks that are already under way end
 	if answered, all = pollJobs(cluster, ids, 2*time.Second); answered < all*70/100 {
-		t.Errorf("%d of %d questions were answered while the leader is refused", answered, all)
+		t.Errorf("%d of %d polls were answered while the leader is refused", answered, all)
 	}
 }
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// The gap: the state service refuses the leader alone, another controller confirms a
-// cancellation, then the service is out for all, for longer than a cancellation may take, while
-// workers report to the old leader. The cancelled tasks are gone in time, all others go on.
+// TestCancellationCompletesDuringOutage: the state service refuses only the leader, another
+// controller confirms a cancellation, and then the service is unavailable to all controllers for
+// longer than a cancellation may take, while workers report to the old leader. The cancelled tasks
+// end in time, and all other tasks continue.
 func TestCancellationCompletesDuringOutage(t *testing.T) {
 	t.Parallel()
 	options := defaultOptions()
@@ -22,7 +23,9 @@
 		service["Shape"] = "daemon"
 		submitAccepted(t, cluster.Controllers[0], service)
 	}
-	waitUntil(t, "all tasks run", func() bool { return cluster.Depot.Running("job-000001")+cluster.Depot.Running("job-000002") == 16 })
+	waitUntil(t, "all tasks run", func() bool {
+		return cluster.Depot.Running("job-000001")+cluster.Depot.Running("job-000002") == 16
+	})
 	leader := waitForLeader(t, cluster)
 	other := cluster.Controllers[0]
 	if other == leader {
@@ -36,7 +39,7 @@
 	cluster.Store.SetOutage(true)
 	time.Sleep(options.Cancel)
 	if n := cluster.Depot.Running("job-000001"); n > 0 {
-		t.Errorf("%d cancelled tasks are there", n)
+		t.Errorf("%d cancelled tasks still run", n)
 	}
 	time.Sleep(options.Lease)
 	starts := 0
@@ -46,7 +49,7 @@
 		}
 	}
 	if n := cluster.Depot.Running("job-000002"); n != 8 || starts != 8 {
-		t.Errorf("%d of 8 tasks run that nobody cancelled, after %d starts", n, starts)
+		t.Errorf("%d of the 8 tasks that were not cancelled run, after %d starts", n, starts)
 	}
 	cluster.Store.SetOutage(false)
 	leader.StoreEndpoint.SetRefusing(false)
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -12,9 +12,9 @@
 	"honeylock/internal/standin"
 )
 
-// TestPipelineSurvivesLossOfLeader: a chain runs in order across three controllers
-// whose leader is killed in its midst, within the small limits of the state service; what
-// needs a cancelled job is cancelled, what names nothing is refused.
+// TestPipelineSurvivesLossOfLeader: jobs that depend on each other run in order although the leader
+// is killed meanwhile and the state service has small limits. Jobs that depend on a cancelled job
+// are cancelled, and one that depends on an unknown job is refused.
 func TestPipelineSurvivesLossOfLeader(t *testing.T) {
 	t.Parallel()
 	options := defaultOptions()
@@ -35,10 +35,10 @@
 	submitAccepted(t, controllers[2], job("job-000006", 2, 1, "job-000005", "job-000001"))
 	status, v := call(controllers[0], http.MethodPost, "/v1/jobs", job("job-000007", 1, 1, "job-000099"))
 	if status != http.StatusUnprocessableEntity {
-		t.Errorf("a job that names nothing got %d %v", status, v)
+		t.Errorf("job that depends on an unknown job: status %d, answer %v", status, v)
 	}
 	waitUntil(t, "the first job runs", func() bool { return cluster.Depot.Running("job-000001") > 0 })
-	waitUntil(t, "an answer about a job that waits", func() bool {
+	waitUntil(t, "a job with an open dependency is reported as queued", func() bool {
 		return jobStage(controllers[1],
 			"job-000002") == "queued"
 	})
@@ -63,12 +63,12 @@
 	for _, id := range []string{"job-000005", "job-000006"} {
 		waitUntil(t, id+" is cancelled with it", func() bool { return jobStage(healthy(), id) == "aborted" })
 	}
-	// It is named once more, after its cancellation.
+	// A job that depends on a job that is already cancelled.
 	status, v = call(healthy(), http.MethodPost, "/v1/jobs", job("job-000008", 1, 1, "job-000004"))
 	if status != http.StatusCreated || v["Stage"] != "aborted" {
-		t.Errorf("a job that names a cancelled one got %d %v", status, v)
+		t.Errorf("job that depends on a cancelled job: status %d, answer %v", status, v)
 	}
-	waitUntil(t, "the chain", func() bool { return jobStage(healthy(), "job-000003") == "done" })
+	waitUntil(t, "the last job of the chain is done", func() bool { return jobStage(healthy(), "job-000003") == "done" })
 	var startedAt, endedAt = map[string]time.Time{}, map[string]time.Time{}
 	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
@@ -80,17 +80,17 @@
 		}
 	}
 	if startedAt["job-000002"].Before(endedAt["job-000001"]) || startedAt["job-000003"].Before(endedAt["job-000002"]) {
-		t.Errorf("began %v, ended %v", startedAt, endedAt)
+		t.Errorf("dependencies were not respected: started at %v, ended at %v", startedAt, endedAt)
 	}
 	for _, id := range []string{"job-000005", "job-000006", "job-000008"} {
 		if _, ok := startedAt[id]; ok {
-			t.Errorf("%s has run", id)
+			t.Errorf("%s ran although a dependency was cancelled", id)
 		}
 	}
 }
 
-// maxInterrupted is the most tasks that were out of work at a time because somebody stopped
-// them, by what the workers did.
+// maxInterrupted returns the maximum number of tasks that were interrupted at a time, which means
+// stopped and not running again yet, according to the workers.
 func maxInterrupted(runs []standin.Run) int {
 	type step struct {
 		at time.Time
@@ -98,7 +98,7 @@
 	}
 	var steps []step
 	last := map[string]standin.Run{}
-	for _, r := range runs { // the earliest first
+	for _, r := range runs { // in order of their start
 		if previous, ok := last[r.Task]; ok && previous.Cause == "stopped" {
 			steps = append(steps, step{previous.EndedAt, 1}, step{r.StartedAt, -1})
 		}
@@ -113,9 +113,9 @@
 	return maxCount
 }
 
-// TestReplacementKeepsDisruptionBudget: under load all machines are replaced in waves,
-// with the leader killed and a machine lost on the way; never is more of the team's work
-// out than its budget says, counted from the workers' side, and nothing is lost.
+// TestReplacementKeepsDisruptionBudget: all machines are replaced in waves under load, while the
+// leader is killed and a machine fails. According to the workers, no more of the team's tasks are
+// interrupted at a time than its disruption budget allows, and no task is lost.
 func TestReplacementKeepsDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	const budget = 3
@@ -129,7 +129,7 @@
 		return job, err
 	}
 	cluster, ops := startOperatedWith(t, options)
-	waitForMembers(t, ops, 8) // a plan names the machines that the leader knows
+	waitForMembers(t, ops, 8) // a plan covers only the machines that the leader knows
 	job := submission("job-000001", 20)
 	job["ForageS"], job["ImageGb"], job["CapIntervalS"], job["CapS"] = 45, 0.01, 1, 0.1
 	submitAccepted(t, cluster.Controllers[0], job)
@@ -142,7 +142,7 @@
 		waves { machines: 1 soak_s: 1 }`)
 	defer func() {
 		if t.Failed() {
-			t.Logf("the plan: %+v", planStatus(t, ops, "renew"))
+			t.Logf("plan status: %+v", planStatus(t, ops, "renew"))
 		}
 	}()
 	waitUntil(t, "the first wave is over", func() bool { return planStatus(t, ops, "renew").Counts["finished"] >= 2 })
@@ -156,7 +156,7 @@
 	deadline := time.Now().Add(90 * time.Second)
 	for planStatus(t, ops, "renew").Phase != "done" {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within 90 s: %+v", planStatus(t, ops, "renew"))
+			t.Fatalf("plan is not done within 90 s: %+v", planStatus(t, ops, "renew"))
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -167,10 +167,10 @@
 		}
 	}
 	if len(remaining) > 0 {
-		t.Errorf("%v are still there: %+v", remaining, planStatus(t, ops, "renew").Steps)
+		t.Errorf("old machines %v still run: %+v", remaining, planStatus(t, ops, "renew").Steps)
 	}
 	if interrupted := maxInterrupted(cluster.Depot.Runs()); interrupted > budget || interrupted == 0 {
-		t.Errorf("%d tasks were out of work at a time, the budget is %d", interrupted, budget)
+		t.Errorf("at most %d tasks were interrupted at a time; the budget is %d", interrupted, budget)
 	}
 	waitUntil(t, "the job", func() bool {
 		return slices.ContainsFunc(cluster.Controllers, func(k *dev.Controller) bool {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -140,7 +140,8 @@
 	}
 	t.Cleanup(cloud.Close)
 	rent := func(name string) (int, map[string]any) {
-		return request(t, "POST", cloud.Addr(), "/rentals", `{"Hire":"`+name+`","Breed":"k","Yard":"a","SwarmBoxes":false,"Count":3}`)
+		return request(t, "POST", cloud.Addr(), "/rentals",
+			`{"Hire":"`+name+`","Breed":"k","Yard":"a","SwarmBoxes":false,"Count":3}`)
 	}
 	_, first := rent("r-1")
 	_, repeated := rent("r-1")
@@ -160,11 +161,12 @@
 	}
 	sendCommands(`{"QueenMark":5,"Flight":1,"Dances":[{"Dance":"launch","Cell":"job-000001/0","Brood":1},{"Dance":"launch","Cell":"job-000001/1","Brood":2}]}`)
 	time.Sleep(200 * time.Millisecond)
-	if status, attempts := sendCommands(`{"QueenMark":5,"Flight":1}`); status != 200 || !strings.Contains(attempts, "running") ||
-		!strings.Contains(attempts, "no_room") {
+	if status, attempts := sendCommands(`{"QueenMark":5,"Flight":1}`); status != 200 ||
+		!strings.Contains(attempts, "running") || !strings.Contains(attempts, "no_room") {
 		t.Errorf("status %d, attempts %s", status, attempts)
 	}
-	if status, _ := sendCommands(`{"QueenMark":4,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1}]}`); status != 409 {
+	if status, _ := sendCommands(
+		`{"QueenMark":4,"Flight":1,"Dances":[{"Dance":"kill","Cell":"job-000001/0","Brood":1}]}`); status != 409 {
 		t.Errorf("status %d for an old token, want 409", status)
 	}
 	if status, _ := sendCommands(`{"QueenMark":6}`); status != 400 {
