--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -135,17 +135,17 @@
 // addProxies routes each controller's connections to the state service and to every other
 // controller through a proxy.
 func (c *Cluster) addProxies() error {
-	for _, k := range c.Controllers {
-		addrs := []*string{&k.Config.Services.State}
-		for i := range k.Config.Siblings {
-			addrs = append(addrs, &k.Config.Siblings[i].Address)
+	for _, controller := range c.Controllers {
+		addrs := []*string{&controller.Config.Services.State}
+		for i := range controller.Config.Siblings {
+			addrs = append(addrs, &controller.Config.Siblings[i].Address)
 		}
 		for _, addr := range addrs {
 			proxy, err := standin.NewProxy(*addr)
 			if err != nil {
 				return err
 			}
-			k.proxies = append(k.proxies, proxy)
+			controller.proxies = append(controller.proxies, proxy)
 			*addr = proxy.Addr()
 		}
 	}
@@ -154,13 +154,13 @@
 
 // SetPartitioned starts or ends a network partition between a controller and both the state
 // service and all other controllers. Its workers and users still reach it.
-func (c *Cluster) SetPartitioned(k *Controller, on bool) {
-	for _, proxy := range k.proxies {
+func (c *Cluster) SetPartitioned(controller *Controller, on bool) {
+	for _, proxy := range controller.proxies {
 		proxy.SetPartitioned(on)
 	}
 	for _, other := range c.Controllers {
 		for i, sibling := range other.Config.Siblings {
-			if other != k && sibling.HostName == k.Config.HostName {
+			if other != controller && sibling.HostName == controller.Config.HostName {
 				other.proxies[i+1].SetPartitioned(on) // the first proxy is to the state service
 			}
 		}
@@ -196,53 +196,53 @@
 }
 
 // Start starts the controller as a new process would: nothing is kept from an earlier run.
-func (k *Controller) Start() error {
+func (c *Controller) Start() error {
 	settings := config.DefaultSettings()
-	if k.options.Settings != nil {
+	if c.options.Settings != nil {
 		var err error
-		if settings, err = k.options.Settings(k.Config.HostName); err != nil {
-			return fmt.Errorf("settings of %s: %w", k.Config.HostName, err)
+		if settings, err = c.options.Settings(c.Config.HostName); err != nil {
+			return fmt.Errorf("settings of %s: %w", c.Config.HostName, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k.stop = cancel
-	log := k.options.Log.With("host", k.Config.HostName)
-	return k.serve(ctx, settings, log)
+	c.stop = cancel
+	log := c.options.Log.With("host", c.Config.HostName)
+	return c.serve(ctx, settings, log)
 }
 
 // serve runs the controller's endpoints and its node until the context ends.
-func (k *Controller) serve(ctx context.Context, settings *config.Settings, log *slog.Logger) error {
-	rng := rand.New(rand.NewPCG(k.options.Seed, rand.Uint64()))
-	k.Node = node.New(k.Config, settings, log, rng)
+func (c *Controller) serve(ctx context.Context, settings *config.Settings, log *slog.Logger) error {
+	rng := rand.New(rand.NewPCG(c.options.Seed, rand.Uint64()))
+	c.Node = node.New(c.Config, settings, log, rng)
 	registry := prometheus.NewRegistry()
-	k.Node.Register(registry)
-	go server.New(k.Node, k.Config.Cluster.Resources.FDLimit, log, registry).Serve(ctx, k.Config.Bind, log)
-	go k.Node.ServePeers(ctx, k.Config.PeerListen)
-	go k.Node.Run(ctx)
+	c.Node.Register(registry)
+	go server.New(c.Node, c.Config.Cluster.Resources.FDLimit, log, registry).Serve(ctx, c.Config.Bind, log)
+	go c.Node.ServePeers(ctx, c.Config.PeerListen)
+	go c.Node.Run(ctx)
 	if settings.Operator == nil {
 		return nil
 	}
-	operators, err := ops.New(k.Node, settings.Operator, log, registry)
+	operators, err := ops.New(c.Node, settings.Operator, log, registry)
 	if err != nil {
 		return err
 	}
-	k.OpsAddr = settings.Operator.Listen
-	go operators.Serve(ctx, k.OpsAddr)
+	c.OpsAddr = settings.Operator.Listen
+	go operators.Serve(ctx, c.OpsAddr)
 	return nil
 }
 
 // Stop stops the controller as if its process were killed.
-func (k *Controller) Stop() {
-	if k.stop != nil {
-		k.stop()
+func (c *Controller) Stop() {
+	if c.stop != nil {
+		c.stop()
 	}
 }
 
 // Close stops the whole cluster.
 func (c *Cluster) Close() {
-	for _, k := range c.Controllers {
-		k.Stop()
-		for _, proxy := range k.proxies {
+	for _, controller := range c.Controllers {
+		controller.Stop()
+		for _, proxy := range controller.proxies {
 			proxy.Close()
 		}
 	}
@@ -255,8 +255,8 @@
 // Addrs returns the addresses of the endpoints for users.
 func (c *Cluster) Addrs() []string {
 	var out []string
-	for _, k := range c.Controllers {
-		out = append(out, k.Config.Bind)
+	for _, controller := range c.Controllers {
+		out = append(out, controller.Config.Bind)
 	}
 	return out
 }
@@ -264,9 +264,9 @@
 // OpsAddrs returns the addresses of the endpoints for operators.
 func (c *Cluster) OpsAddrs() []string {
 	var out []string
-	for _, k := range c.Controllers {
-		if k.OpsAddr != "" {
-			out = append(out, k.OpsAddr)
+	for _, controller := range c.Controllers {
+		if controller.OpsAddr != "" {
+			out = append(out, controller.OpsAddr)
 		}
 	}
 	return out
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -16,11 +16,11 @@
 	}
 	defer cluster.Close()
 	users := NewUsers(cluster.Addrs(), DefaultWorkload(), 20, 3)
-	arrivals, stop1 := context.WithTimeout(t.Context(), 4*time.Second)
-	defer stop1()
-	all, stop2 := context.WithTimeout(t.Context(), 50*time.Second)
-	defer stop2()
-	users.Run(arrivals, all)
+	arrivals, stopArrivals := context.WithTimeout(t.Context(), 4*time.Second)
+	defer stopArrivals()
+	deadline, stopDeadline := context.WithTimeout(t.Context(), 50*time.Second)
+	defer stopDeadline()
+	users.Run(arrivals, deadline)
 	counts := users.Counts()
 	if counts.Accepted < 8 || counts.Open+counts.Lost+counts.Refused > 0 ||
 		counts.Done+counts.Cancelled != counts.Accepted || len(cluster.Depot.Broken()) > 0 {
@@ -31,8 +31,9 @@
 // TestParseWorkloadNamesInvalidFields checks that the error names a field that is missing.
 func TestParseWorkloadNamesInvalidFields(t *testing.T) {
 	valid := `classes { name: "a" team: "batch" rank: "idle" image: "i" tasks: 3 cpus: 1 mem_gb: 1 run_s: 5 per_minute: 2 }`
-	if cs, err := ParseWorkload([]byte(valid)); err != nil || len(cs) != 1 || cs[0].Tasks != 3 || cs[0].RunS != 5 {
-		t.Fatalf("classes %+v, error %v", cs, err)
+	if classes, err := ParseWorkload([]byte(valid)); err != nil || len(classes) != 1 || classes[0].Tasks != 3 ||
+		classes[0].RunS != 5 {
+		t.Fatalf("classes %+v, error %v", classes, err)
 	}
 	for from, field := range map[string]string{`team: "batch"`: "classes[0].team", `rank: "idle"`: "classes[0].rank",
 		`tasks: 3`: "classes[0].tasks",
--- a/internal/dev/parse.go
+++ b/internal/dev/parse.go
@@ -28,12 +28,13 @@
 }
 
 // toClass converts a class from its protobuf message.
-func toClass(c *devpb.Class) Class {
+func toClass(class *devpb.Class) Class {
 	return Class{
-		Name: c.GetName(), Team: c.GetTeam(), Rank: c.GetRank(), Image: c.GetImage(), Tasks: int(c.GetTasks()),
-		CPUs: c.GetCpus(), MemGB: c.GetMemGb(), ImageGB: c.GetImageGb(), RunS: c.GetRunS(), SaveEveryS: c.GetSaveEveryS(),
-		SaveS: c.GetSaveS(), DeadlineS: c.GetDeadlineS(), PerMinute: c.GetPerMinute(), AtStart: int(c.GetAtStart()),
-		Spot: c.GetSpot(), CancelledFraction: c.GetWithdrawn(),
+		Name: class.GetName(), Team: class.GetTeam(), Rank: class.GetRank(), Image: class.GetImage(),
+		Tasks: int(class.GetTasks()), CPUs: class.GetCpus(), MemGB: class.GetMemGb(), ImageGB: class.GetImageGb(),
+		RunS: class.GetRunS(), SaveEveryS: class.GetSaveEveryS(), SaveS: class.GetSaveS(),
+		DeadlineS: class.GetDeadlineS(), PerMinute: class.GetPerMinute(), AtStart: int(class.GetAtStart()),
+		Spot: class.GetSpot(), CancelledFraction: class.GetWithdrawn(),
 	}
 }
 
@@ -44,35 +45,36 @@
 )
 
 // checkClass checks the fields of the class with an index.
-func checkClass(i int, c *devpb.Class) error {
+func checkClass(index int, class *devpb.Class) error {
 	var errs []error
 	check := func(ok bool, field string, v any, want string) {
 		if !ok {
-			errs = append(errs, fmt.Errorf("classes[%d].%s = %v: %s", i, field, v, want))
+			errs = append(errs, fmt.Errorf("classes[%d].%s = %v: %s", index, field, v, want))
 		}
 	}
-	check(len(c.GetName()) > 0 && len(c.GetName()) <= 200, "name", c.GetName(), "must be 1 to 200 bytes")
-	knownTeam := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == c.GetTeam() })
-	check(knownTeam, "team", c.GetTeam(), "must be batch or office")
-	_, knownRank := wire.Rank(c.GetRank())
-	check(knownRank, "rank", c.GetRank(), "must be idle, standard, urgent or prod")
-	check(c.GetImage() != "", "image", c.GetImage(), "must be given")
-	check(c.GetTasks() >= 1 && c.GetTasks() <= maxTasks, "tasks", c.GetTasks(), "must be from 1 to 10000")
-	check(c.GetAtStart() >= 0 && c.GetAtStart() <= maxTasks, "at_start", c.GetAtStart(), "must be from 0 to 10000")
-	check(c.GetWithdrawn() >= 0 && c.GetWithdrawn() <= 1, "withdrawn", c.GetWithdrawn(), "must be from 0 to 1")
+	check(len(class.GetName()) > 0 && len(class.GetName()) <= 200, "name", class.GetName(), "must be 1 to 200 bytes")
+	knownTeam := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == class.GetTeam() })
+	check(knownTeam, "team", class.GetTeam(), "must be batch or office")
+	_, knownRank := wire.Rank(class.GetRank())
+	check(knownRank, "rank", class.GetRank(), "must be idle, standard, urgent or prod")
+	check(class.GetImage() != "", "image", class.GetImage(), "must be given")
+	check(class.GetTasks() >= 1 && class.GetTasks() <= maxTasks, "tasks", class.GetTasks(), "must be from 1 to 10000")
+	check(class.GetAtStart() >= 0 && class.GetAtStart() <= maxTasks, "at_start", class.GetAtStart(),
+		"must be from 0 to 10000")
+	check(class.GetWithdrawn() >= 0 && class.GetWithdrawn() <= 1, "withdrawn", class.GetWithdrawn(), "must be from 0 to 1")
 	checkPositive := func(field string, v float64) {
 		check(v > 0 && v <= maxAmount, field, v, "must be above 0 and at most 1000000")
 	}
-	checkPositive("cpus", c.GetCpus())
-	checkPositive("mem_gb", c.GetMemGb())
-	checkPositive("run_s", c.GetRunS())
+	checkPositive("cpus", class.GetCpus())
+	checkPositive("mem_gb", class.GetMemGb())
+	checkPositive("run_s", class.GetRunS())
 	checkNotNegative := func(field string, v float64) {
 		check(v >= 0 && v <= maxAmount, field, v, "must be from 0 to 1000000")
 	}
-	checkNotNegative("image_gb", c.GetImageGb())
-	checkNotNegative("save_every_s", c.GetSaveEveryS())
-	checkNotNegative("save_s", c.GetSaveS())
-	checkNotNegative("deadline_s", c.GetDeadlineS())
-	checkNotNegative("per_minute", c.GetPerMinute())
+	checkNotNegative("image_gb", class.GetImageGb())
+	checkNotNegative("save_every_s", class.GetSaveEveryS())
+	checkNotNegative("save_s", class.GetSaveS())
+	checkNotNegative("deadline_s", class.GetDeadlineS())
+	checkNotNegative("per_minute", class.GetPerMinute())
 	return errors.Join(errs...)
 }
--- a/internal/dev/workload.go
+++ b/internal/dev/workload.go
@@ -56,55 +56,57 @@
 
 // NewUsers returns the users of a workload, who send their requests to the addresses.
 func NewUsers(addrs []string, classes []Class, speed float64, seed uint64) *Users {
-	u := &Users{classes: classes, speed: max(speed, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
-		lastNumber: 100}
-	u.newClient = func() (*client.Users, error) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return client.NewUsers(addrs, rand.New(rand.NewPCG(u.rng.Uint64(), 1)))
+	users := &Users{
+		classes: classes, speed: max(speed, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
+		lastNumber: 100,
+	}
+	users.newClient = func() (*client.Users, error) {
+		users.mu.Lock()
+		defer users.mu.Unlock()
+		return client.NewUsers(addrs, rand.New(rand.NewPCG(users.rng.Uint64(), 1)))
 	}
-	return u
+	return users
 }
 
 // Run submits jobs until arrivals ends. It returns when all jobs have ended or ctx ends.
 func (u *Users) Run(arrivals, ctx context.Context) {
 	for i := range u.classes {
-		c := &u.classes[i]
-		for range c.AtStart {
-			u.submitJob(ctx, c)
+		class := &u.classes[i]
+		for range class.AtStart {
+			u.submitJob(ctx, class)
 		}
-		if c.PerMinute > 0 {
+		if class.PerMinute > 0 {
 			u.pending.Add(1)
-			go u.submitArrivals(arrivals, ctx, c)
+			go u.submitArrivals(arrivals, ctx, class)
 		}
 	}
 	u.pending.Wait()
 }
 
 // submitArrivals submits jobs of a class at random times until arrivals ends.
-func (u *Users) submitArrivals(arrivals, ctx context.Context, c *Class) {
+func (u *Users) submitArrivals(arrivals, ctx context.Context, class *Class) {
 	defer u.pending.Done()
-	mean := float64(time.Minute) / c.PerMinute / u.speed
+	mean := float64(time.Minute) / class.PerMinute / u.speed
 	for {
 		u.mu.Lock()
-		d := time.Duration(u.rng.ExpFloat64() * mean)
+		delay := time.Duration(u.rng.ExpFloat64() * mean)
 		u.mu.Unlock()
 		select {
 		case <-arrivals.Done():
 			return
-		case <-time.After(d):
-			u.submitJob(ctx, c)
+		case <-time.After(delay):
+			u.submitJob(ctx, class)
 		}
 	}
 }
 
 // submitJob starts a user with one job of a class.
-func (u *Users) submitJob(ctx context.Context, c *Class) {
+func (u *Users) submitJob(ctx context.Context, class *Class) {
 	u.mu.Lock()
 	u.lastNumber++
 	id := fmt.Sprintf("job-%06d", u.lastNumber)
-	body, err := json.Marshal(u.submission(id, c))
-	cancelled := u.rng.Float64() < c.CancelledFraction
+	body, err := json.Marshal(u.submission(id, class))
+	cancelled := u.rng.Float64() < class.CancelledFraction
 	u.mu.Unlock()
 	if err != nil {
 		return // cannot happen: a submission holds only plain values
@@ -112,21 +114,21 @@
 	u.pending.Add(1)
 	go func() {
 		defer u.pending.Done()
-		u.runJob(ctx, id, c.Name, body, cancelled)
+		u.runJob(ctx, id, class.Name, body, cancelled)
 	}()
 }
 
 // submission returns the JSON fields of a job of the class.
-func (u *Users) submission(id string, c *Class) map[string]any {
-	tasks := max(1, int(float64(c.Tasks)*(0.5+u.rng.Float64())))
-	submission := map[string]any{"NameId": id, "Comb": c.Name, "Colony": c.Team, "Shape": "batch", "Rank": c.Rank,
-		"Cells":        tasks,
-		"Cpus":         c.CPUs,
-		"Accelerators": 0, "MemGb": c.MemGB, "Wax": c.Image, "ImageGb": c.ImageGB, "Together": false, "Spread": false,
-		"SwarmBoxes": c.Spot,
-		"ForageS":    c.RunS / u.speed, "CapIntervalS": c.SaveEveryS / u.speed, "CapS": c.SaveS / u.speed}
-	if c.DeadlineS > 0 {
-		submission["HarvestS"] = c.DeadlineS / u.speed
+func (u *Users) submission(id string, class *Class) map[string]any {
+	tasks := max(1, int(float64(class.Tasks)*(0.5+u.rng.Float64())))
+	submission := map[string]any{
+		"NameId": id, "Comb": class.Name, "Colony": class.Team, "Shape": "batch", "Rank": class.Rank, "Cells": tasks,
+		"Cpus": class.CPUs, "Accelerators": 0, "MemGb": class.MemGB, "Wax": class.Image, "ImageGb": class.ImageGB,
+		"Together": false, "Spread": false, "SwarmBoxes": class.Spot, "ForageS": class.RunS / u.speed,
+		"CapIntervalS": class.SaveEveryS / u.speed, "CapS": class.SaveS / u.speed,
+	}
+	if class.DeadlineS > 0 {
+		submission["HarvestS"] = class.DeadlineS / u.speed
 	}
 	return submission
 }
@@ -202,7 +204,7 @@
 func (u *Users) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	c := u.counts
-	c.Open = len(u.open)
-	return c
+	counts := u.counts
+	counts.Open = len(u.open)
+	return counts
 }
--- a/internal/e2e/consistency_test.go
+++ b/internal/e2e/consistency_test.go
@@ -180,31 +180,31 @@
 		"zero deadline":          {"HarvestS", 0, http.StatusBadRequest},
 		"malformed name":         {"NameId", "job-1", http.StatusBadRequest},
 	}
-	for _, f := range []string{"NameId", "Comb", "Colony", "Shape", "Rank", "Cells", "Cpus", "Accelerators", "MemGb",
+	for _, field := range []string{"NameId", "Comb", "Colony", "Shape", "Rank", "Cells", "Cpus", "Accelerators", "MemGb",
 		"Wax", "ImageGb", "Together", "Spread", "SwarmBoxes", "ForageS", "CapIntervalS", "CapS"} {
-		invalid["without "+f] = struct {
+		invalid["without "+field] = struct {
 			field string
 			value any
 			want  int
-		}{f, nil, http.StatusBadRequest}
-		invalid["a wrong type of "+f] = struct {
+		}{field, nil, http.StatusBadRequest}
+		invalid["a wrong type of "+field] = struct {
 			field string
 			value any
 			want  int
-		}{f, object{}, http.StatusBadRequest}
+		}{field, object{}, http.StatusBadRequest}
 	}
 	n := 0
-	for name, o := range invalid {
+	for name, test := range invalid {
 		n++
 		job := submission(fmt.Sprintf("job-%06d", 500+n), 2)
-		if o.value == nil {
-			delete(job, o.field)
+		if test.value == nil {
+			delete(job, test.field)
 		} else {
-			job[o.field] = o.value
+			job[test.field] = test.value
 		}
 		for i := range 2 {
-			if status, v := call(cluster.Controllers[i], http.MethodPost, "/v1/jobs", job); status != o.want {
-				t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, o.want)
+			if status, v := call(cluster.Controllers[i], http.MethodPost, "/v1/jobs", job); status != test.want {
+				t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, test.want)
 			}
 		}
 		if id, ok := job["NameId"].(string); ok && id != "job-1" {
@@ -222,7 +222,7 @@
 	if status != http.StatusOK || v["Stage"] != "done" {
 		t.Errorf("cancellation of a completed job: status %d, answer %v", status, v)
 	}
-	if b := cluster.OpenRecord("job-000001"); b != nil {
-		t.Errorf("a completed job has an open record: %s", b)
+	if record := cluster.OpenRecord("job-000001"); record != nil {
+		t.Errorf("a completed job has an open record: %s", record)
 	}
 }
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -73,9 +73,9 @@
 	t.Helper()
 	controller := cluster.Controllers[0]
 	job := func(id string, tasks int, run float64) object {
-		s := submission(id, tasks)
-		s["ForageS"], s["ImageGb"] = run, 0.01
-		return s
+		fields := submission(id, tasks)
+		fields["ForageS"], fields["ImageGb"] = run, 0.01
+		return fields
 	}
 	submitAccepted(t, controller, job("job-000001", 20, 3))
 	waitUntil(t, "the first job", func() bool { return jobStage(controller, "job-000001") == "done" })
@@ -87,21 +87,21 @@
 // completionTimes waits for jobs and returns how many seconds after a time each of them ended.
 func completionTimes(t *testing.T, cluster *dev.Cluster, since time.Time, ids ...string) map[string]float64 {
 	t.Helper()
-	last := map[string]time.Time{}
+	endedAt := map[string]time.Time{}
 	for _, id := range ids {
 		waitUntil(t, id, func() bool { return jobStage(cluster.Controllers[0], id) == "done" })
 	}
 	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
-		if r.Cause == "done" && r.EndedAt.After(last[id]) {
-			last[id] = r.EndedAt
+		if r.Cause == "done" && r.EndedAt.After(endedAt[id]) {
+			endedAt[id] = r.EndedAt
 		}
 	}
-	out := map[string]float64{}
-	for id, at := range last {
-		out[id] = at.Sub(since).Seconds()
+	seconds := map[string]float64{}
+	for id, at := range endedAt {
+		seconds[id] = at.Sub(since).Seconds()
 	}
-	return out
+	return seconds
 }
 
 // drainTwoOfFive is a plan that patches two of five machines.
@@ -155,12 +155,12 @@
 }
 
 // planStatus returns the status of a drain plan.
-func planStatus(t *testing.T, ops *client.Operators, name string) (s node.PlanStatus) {
+func planStatus(t *testing.T, ops *client.Operators, name string) (status node.PlanStatus) {
 	t.Helper()
-	if err := ops.Get(t.Context(), "drains/"+name, &s); err != nil {
+	if err := ops.Get(t.Context(), "drains/"+name, &status); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return status
 }
 
 // TestMachineAndLeaderLostDuringDrain: a machine fails while it is drained, and the leader is
@@ -172,10 +172,10 @@
 	applyPlan(t, ops, strings.Replace(drainTwoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
 	waitUntil(t, "both machines are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
 	cluster.Cloud.Lose("m-000001")
-	for _, k := range cluster.Controllers {
-		if isLeader(k) {
-			k.Stop()
-			defer func() { _ = k.Start() }()
+	for _, controller := range cluster.Controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			defer func() { _ = controller.Start() }()
 		}
 	}
 	waitUntil(t, "the loss is known", func() bool { return planStatus(t, ops, "p").Counts["gone"] == 1 })
@@ -186,8 +186,8 @@
 	if math.Abs(duration-forecast.TookS[1]) > 2*toleranceSeconds {
 		t.Errorf("the rest of the plan took %.1f s; the forecast was %v s", duration, forecast.TookS)
 	}
-	if n := len(cluster.Cloud.Workers()); n != 3 {
-		t.Errorf("%d machines are left, want 3", n)
+	if remaining := len(cluster.Cloud.Workers()); remaining != 3 {
+		t.Errorf("%d machines are left, want 3", remaining)
 	}
 	for _, id := range []string{"job-000002", "job-000003"} {
 		waitUntil(t, id, func() bool {
@@ -202,9 +202,9 @@
 }
 
 // isLeader reports whether a controller is the leader.
-func isLeader(k *dev.Controller) bool {
-	status, _ := call(k, http.MethodGet, "/metrics", nil)
-	return status == http.StatusOK && metricValue(k, "honeylock_leading") == "1"
+func isLeader(controller *dev.Controller) bool {
+	status, _ := call(controller, http.MethodGet, "/metrics", nil)
+	return status == http.StatusOK && metricValue(controller, "honeylock_leading") == "1"
 }
 
 // TestOperatorEndpoint checks authorization, refusals, and requests that are repeated with the
@@ -240,7 +240,7 @@
 		status, _ := request("GET", "drains", operatorToken, "", "")
 		return status == http.StatusOK
 	})
-	for _, x := range []struct {
+	for _, test := range []struct {
 		method, path, bearer, id, body string
 		want                           int
 		why                            string
@@ -263,9 +263,10 @@
 		{"POST", "drains/a/cancel", operatorToken, "", "", 200, "cancelled"},
 		{"POST", "drains/a/resume", operatorToken, "", "", 409, "cancelled"},
 	} {
-		status, message := request(x.method, x.path, x.bearer, x.id, x.body)
-		if status != x.want || !strings.Contains(message, x.why) {
-			t.Errorf("%s %s %s: status %d, message %q, want %d, %q", x.method, x.path, x.body, status, message, x.want, x.why)
+		status, message := request(test.method, test.path, test.bearer, test.id, test.body)
+		if status != test.want || !strings.Contains(message, test.why) {
+			t.Errorf("%s %s %s: status %d, message %q, want %d, %q", test.method, test.path, test.body, status, message,
+				test.want, test.why)
 		}
 	}
 	var entries []audit.Entry
--- a/internal/e2e/jobs_test.go
+++ b/internal/e2e/jobs_test.go
@@ -22,12 +22,13 @@
 func defaultOptions() dev.Options {
 	return dev.Options{
 		Controllers: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}},
-		Types: []standin.Kind{{Label: "g8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 20, Hourly: 1, MarketPrice: 0.3,
-			ReadyS: 10,
-			Yards:  []string{"a", "b"}}},
+		Types: []standin.Kind{{
+			Label: "g8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 20, Hourly: 1, MarketPrice: 0.3, ReadyS: 10,
+			Yards: []string{"a", "b"},
+		}},
 		Report: 300 * time.Millisecond, Lease: 10 * time.Second, Cancel: 40 * time.Second, ListLag: time.Second,
-		ListedAfterLoss: time.Second,
-		CloudRPS:        10, Limits: standin.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}, Seed: 1,
+		ListedAfterLoss: time.Second, CloudRPS: 10,
+		Limits: standin.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 16}, Seed: 1,
 	}
 }
 
@@ -58,11 +59,11 @@
 
 // call sends a request to a controller and returns its status, or 0 without an answer.
 func call(controller *dev.Controller, method, path string, body any) (int, map[string]any) {
-	b, _ := json.Marshal(body)
+	encoded, _ := json.Marshal(body)
 	if s, ok := body.(string); ok {
-		b = []byte(s)
+		encoded = []byte(s)
 	}
-	req, _ := http.NewRequest(method, "http://"+controller.Config.Bind+path, bytes.NewReader(b))
+	req, _ := http.NewRequest(method, "http://"+controller.Config.Bind+path, bytes.NewReader(encoded))
 	res, err := (&http.Client{Timeout: 3 * time.Second}).Do(req)
 	if err != nil {
 		return 0, nil
@@ -188,19 +189,20 @@
 	controllers := startCluster(t, 1).Controllers
 	submitAccepted(t, controllers[0], submission("job-000001", 1))
 	with := func(k string, v any) object {
-		s := submission("job-000099", 1)
-		s[k] = v
-		return s
+		fields := submission("job-000099", 1)
+		fields[k] = v
+		return fields
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		method, path string
 		body         any
 		want         int
 	}{
-		"not JSON":           {http.MethodPost, "/v1/jobs", "x", http.StatusBadRequest},
-		"not an object":      {http.MethodPost, "/v1/jobs", []int{}, http.StatusBadRequest},
-		"no CPUs":            {http.MethodPost, "/v1/jobs", with("Cpus", 0), http.StatusBadRequest},
-		"body too large":     {http.MethodPost, "/v1/jobs", with("Extra", string(make([]byte, 70_000))), http.StatusBadRequest},
+		"not JSON":      {http.MethodPost, "/v1/jobs", "x", http.StatusBadRequest},
+		"not an object": {http.MethodPost, "/v1/jobs", []int{}, http.StatusBadRequest},
+		"no CPUs":       {http.MethodPost, "/v1/jobs", with("Cpus", 0), http.StatusBadRequest},
+		"body too large": {http.MethodPost, "/v1/jobs", with("Extra", string(make([]byte, 70_000))),
+			http.StatusBadRequest},
 		"unknown team":       {http.MethodPost, "/v1/jobs", with("Colony", "x"), http.StatusUnprocessableEntity},
 		"fits no machine":    {http.MethodPost, "/v1/jobs", with("MemGb", 64), http.StatusUnprocessableEntity},
 		"no such type":       {http.MethodPost, "/v1/jobs", with("Breeds", []string{"z"}), http.StatusUnprocessableEntity},
@@ -211,8 +213,8 @@
 		"cancel unknown job": {http.MethodPost, "/v1/jobs/job-000098/withdraw", nil, http.StatusNotFound},
 		"metrics":            {http.MethodGet, "/metrics", nil, http.StatusOK},
 	} {
-		if status, v := call(controllers[0], c.method, c.path, c.body); status != c.want {
-			t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, c.want)
+		if status, v := call(controllers[0], test.method, test.path, test.body); status != test.want {
+			t.Errorf("%s: status %d, answer %v, want status %d", name, status, v, test.want)
 		}
 	}
 	big := submission("job-000097", 13)
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -42,8 +42,8 @@
 // workers.
 func maxConcurrent(runs []standin.Run, from time.Time) int {
 	type step struct {
-		at time.Time
-		by int
+		at    time.Time
+		delta int
 	}
 	var steps []step
 	for _, r := range runs {
@@ -62,11 +62,11 @@
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
-		return a.by - b.by
+		return a.delta - b.delta
 	})
 	running, maxCount := 0, 0
 	for _, s := range steps {
-		running += s.by
+		running += s.delta
 		maxCount = max(maxCount, running)
 	}
 	return maxCount
@@ -78,14 +78,14 @@
 	t.Parallel()
 	cluster := startCluster(t, 1)
 	submitAccepted(t, cluster.Controllers[0], submission("job-000001", 1))
-	for _, k := range cluster.Controllers {
-		if isLeader(k) {
-			k.Stop()
-			k.Node.ResignLeadership()
-			if v := cluster.Store.ReadKey("leader"); strings.Contains(string(v), k.Config.HostName) {
+	for _, controller := range cluster.Controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			controller.Node.ResignLeadership()
+			if v := cluster.Store.ReadKey("leader"); strings.Contains(string(v), controller.Config.HostName) {
 				t.Errorf("the leader's key still exists: %s", v)
 			}
-			defer func() { _ = k.Start() }()
+			defer func() { _ = controller.Start() }()
 		}
 	}
 	waitUntil(t, "another controller leads", func() bool { return slices.ContainsFunc(cluster.Controllers, isLeader) })
@@ -102,9 +102,9 @@
 	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
 	cluster, ops := startOperatedWith(t, options)
 	for i, id := range []string{"job-000001", "job-000002", "job-000003"} {
-		s := submission(id, 200)
-		s["ForageS"], s["ImageGb"] = 1.5, 0.01
-		submitAccepted(t, cluster.Controllers[i], s)
+		fields := submission(id, 200)
+		fields["ForageS"], fields["ImageGb"] = 1.5, 0.01
+		submitAccepted(t, cluster.Controllers[i], fields)
 	}
 	running := func() int {
 		return cluster.Depot.Running("job-000001") + cluster.Depot.Running("job-000002") + cluster.Depot.Running("job-000003")
@@ -123,10 +123,10 @@
 		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
 	})
 	stopLeader := func() (restart func() error) {
-		for _, k := range cluster.Controllers {
-			if isLeader(k) {
-				k.Stop()
-				return k.Start
+		for _, controller := range cluster.Controllers {
+			if isLeader(controller) {
+				controller.Stop()
+				return controller.Start
 			}
 		}
 		t.Fatal("no controller leads")
--- a/internal/e2e/openchecks_test.go
+++ b/internal/e2e/openchecks_test.go
@@ -13,31 +13,30 @@
 
 // pollJobs polls all jobs at all controllers for some time. It returns the number of polls that
 // were answered and the number of all polls.
-func pollJobs(cluster *dev.Cluster, ids []string, d time.Duration) (answered, all int) {
-	var answeredCount, askedCount atomic.Int64
+func pollJobs(cluster *dev.Cluster, ids []string, duration time.Duration) (answered, all int) {
+	var answeredCount, pollCount atomic.Int64
 	var users sync.WaitGroup
 	for i, id := range ids {
 		users.Go(func() {
-			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-				askedCount.Add(1)
-				if status, _ := call(cluster.Controllers[(i+int(askedCount.Load()))%len(cluster.Controllers)], http.MethodGet,
-					"/v1/jobs/"+id,
-					nil); status == http.StatusOK {
+			for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+				pollCount.Add(1)
+				if status, _ := call(cluster.Controllers[(i+int(pollCount.Load()))%len(cluster.Controllers)],
+					http.MethodGet, "/v1/jobs/"+id, nil); status == http.StatusOK {
 					answeredCount.Add(1)
 				}
 			}
 		})
 	}
 	users.Wait()
-	return int(answeredCount.Load()), int(askedCount.Load())
+	return int(answeredCount.Load()), int(pollCount.Load())
 }
 
 // storeRequests returns the number of each controller's requests to the state service so far.
-func storeRequests(cluster *dev.Cluster) (out []int) {
+func storeRequests(cluster *dev.Cluster) (counts []int) {
 	for _, c := range cluster.Controllers {
-		out = append(out, c.StoreEndpoint.Counts().Requests)
+		counts = append(counts, c.StoreEndpoint.Counts().Requests)
 	}
-	return out
+	return counts
 }
 
 // TestLeaderChecksOpenJobsForAll: the leader checks for all controllers whether polled jobs are
@@ -54,7 +53,7 @@
 		ids = append(ids, job["NameId"].(string))
 		submitAccepted(t, cluster.Controllers[i%5], job)
 	}
-	currentLeader := waitForLeader(t, cluster)
+	leader := waitForLeader(t, cluster)
 	before := storeRequests(cluster)
 	answered, all := pollJobs(cluster, ids, 6*time.Second)
 	after := storeRequests(cluster)
@@ -65,14 +64,14 @@
 	for i := range after {
 		sent := after[i] - before[i]
 		total += sent
-		if cluster.Controllers[i] != currentLeader && sent > 25 {
+		if cluster.Controllers[i] != leader && sent > 25 {
 			t.Errorf("%s sent %d requests to the state service in 6 s", cluster.Controllers[i].Config.HostName, sent)
 		}
 	}
 	if total > 6*30 {
 		t.Errorf("%d requests to the state service in 6 s for %d polls", total, all)
 	}
-	currentLeader.StoreEndpoint.SetRefusing(true)
+	leader.StoreEndpoint.SetRefusing(true)
 	time.Sleep(time.Second) // let checks that are already under way end
 	if answered, all = pollJobs(cluster, ids, 2*time.Second); answered < all*70/100 {
 		t.Errorf("%d of %d polls were answered while the leader is refused", answered, all)
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -22,10 +22,10 @@
 	options.Limits.ValueKB, options.Limits.TxnOps = 2, 5
 	cluster := startWith(t, options)
 	controllers := cluster.Controllers
-	job := func(id string, tasks int, run float64, awaits ...string) object {
-		s := submission(id, tasks)
-		s["ForageS"], s["ImageGb"], s["Awaits"] = run, 0.01, awaits
-		return s
+	job := func(id string, tasks int, run float64, dependencies ...string) object {
+		fields := submission(id, tasks)
+		fields["ForageS"], fields["ImageGb"], fields["Awaits"] = run, 0.01, dependencies
+		return fields
 	}
 	submitAccepted(t, controllers[0], job("job-000001", 4, 2))
 	submitAccepted(t, controllers[1], job("job-000002", 6, 1, "job-000001"))
@@ -42,16 +42,16 @@
 		return jobStage(controllers[1],
 			"job-000002") == "queued"
 	})
-	for _, k := range controllers {
-		if isLeader(k) {
-			k.Stop()
-			defer func() { _ = k.Start() }()
+	for _, controller := range controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			defer func() { _ = controller.Start() }()
 		}
 	}
 	healthy := func() *dev.Controller {
-		for _, k := range controllers {
-			if status, _ := call(k, http.MethodGet, "/healthz", nil); status == http.StatusOK {
-				return k
+		for _, controller := range controllers {
+			if status, _ := call(controller, http.MethodGet, "/healthz", nil); status == http.StatusOK {
+				return controller
 			}
 		}
 		return controllers[0]
@@ -72,7 +72,7 @@
 	var startedAt, endedAt = map[string]time.Time{}, map[string]time.Time{}
 	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
-		if b, ok := startedAt[id]; !ok || r.StartedAt.Before(b) {
+		if earliest, ok := startedAt[id]; !ok || r.StartedAt.Before(earliest) {
 			startedAt[id] = r.StartedAt
 		}
 		if r.EndedAt.After(endedAt[id]) {
@@ -93,8 +93,8 @@
 // stopped and not running again yet, according to the workers.
 func maxInterrupted(runs []standin.Run) int {
 	type step struct {
-		at time.Time
-		by int
+		at    time.Time
+		delta int
 	}
 	var steps []step
 	last := map[string]standin.Run{}
@@ -107,7 +107,7 @@
 	slices.SortFunc(steps, func(a, b step) int { return a.at.Compare(b.at) })
 	interrupted, maxCount := 0, 0
 	for _, s := range steps {
-		interrupted += s.by
+		interrupted += s.delta
 		maxCount = max(maxCount, interrupted)
 	}
 	return maxCount
@@ -146,10 +146,10 @@
 		}
 	}()
 	waitUntil(t, "the first wave is over", func() bool { return planStatus(t, ops, "renew").Counts["finished"] >= 2 })
-	for _, k := range cluster.Controllers {
-		if isLeader(k) {
-			k.Stop()
-			defer func() { _ = k.Start() }()
+	for _, controller := range cluster.Controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			defer func() { _ = controller.Start() }()
 		}
 	}
 	cluster.Cloud.Lose(oldMachines[7])
@@ -173,8 +173,8 @@
 		t.Errorf("at most %d tasks were interrupted at a time; the budget is %d", interrupted, budget)
 	}
 	waitUntil(t, "the job", func() bool {
-		return slices.ContainsFunc(cluster.Controllers, func(k *dev.Controller) bool {
-			return jobStage(k,
+		return slices.ContainsFunc(cluster.Controllers, func(controller *dev.Controller) bool {
+			return jobStage(controller,
 				"job-000001") == "done"
 		})
 	})
