--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -32,7 +32,7 @@
 // next event of its tasks, and the report loop sleeps until something changes or the next
 // report is due. So thousands of workers fit into one process.
 type Worker struct {
-	Name, Yard  string
+	Name, Zone  string
 	Spot        bool
 	machineType Kind
 	timing      Timing
@@ -67,7 +67,7 @@
 // newWorker returns a machine that has not started yet.
 func newWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host, stats *Meter) *Worker {
 	return &Worker{
-		Name: m.Name, Yard: m.Yard, Spot: m.Spot, machineType: m.Kind, timing: t, tasks: tasks, hosts: hosts,
+		Name: m.Name, Zone: m.Yard, Spot: m.Spot, machineType: m.Kind, timing: t, tasks: tasks, hosts: hosts,
 		hostIndex: m.First, session: 1,
 		attempts: map[string]*attempt{}, images: map[string]bool{}, imageFetches: map[string]time.Time{},
 		leaseRenewedAt: time.Now(), stats: stats, wake: make(chan struct{}, 1),
--- a/internal/standin/worker_reports.go
+++ b/internal/standin/worker_reports.go
@@ -50,7 +50,7 @@
 func (w *Worker) report(now time.Time) *reportBody {
 	w.reportSeq++
 	body := &reportBody{
-		Hive: w.Name, Addr: w.addr, Breed: w.machineType.Label, Yard: w.Yard, SwarmBoxes: w.Spot,
+		Hive: w.Name, Addr: w.addr, Breed: w.machineType.Label, Yard: w.Zone, SwarmBoxes: w.Spot,
 		Flight: w.session, Buzz: w.reportSeq, QueenMark: w.token, Cells: make([]reportCell, 0, len(w.attempts)),
 	}
 	for _, a := range w.attempts {
