--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole cluster in one process on loopback: controllers as
-// they are deployed, against stand-ins of all else. It is for trying things out
-// and for tests; its figures say nothing about speed.
+// Package dev runs a whole cluster in one process on loopback: controllers as they are
+// deployed, with stand-ins for everything else. It is meant for experiments and tests; its
+// figures say nothing about performance.
 package dev
 
 import (
@@ -21,49 +21,49 @@
 	"honeylock/internal/standin"
 )
 
-// Options of a cluster.
+// Options are the options of a cluster.
 type Options struct {
-	Controllers int
-	Kinds       []standin.Kind
-	Seeds       []Seed // machines that are up from the beginning
-	Teams       []config.Team
-	Zones       []string
-	Report      time.Duration
-	Lease       time.Duration
-	Cancel      time.Duration
-	ListLag     time.Duration
-	Dying       time.Duration
-	CloudRPS    float64
-	Limits      standin.StoreLimits
-	Settings    func(host string) (*config.Settings, error) // nil: defaults
-	Log         *slog.Logger
-	Seed        uint64
-	Depot       *standin.Depot
-	// Cuttable: what a controller says to the state service and to its siblings passes
-	// relays, so that it can be cut off from both.
-	Cuttable bool
+	Controllers     int
+	Types           []standin.Kind
+	InitialMachines []MachineGroup // machines that run from the start
+	Teams           []config.Team
+	Zones           []string
+	Report          time.Duration
+	Lease           time.Duration
+	Cancel          time.Duration
+	ListLag         time.Duration
+	ListedAfterLoss time.Duration // how long a failed machine is still listed, in addition to ListLag
+	CloudRPS        float64
+	Limits          standin.StoreLimits
+	Settings        func(host string) (*config.Settings, error) // nil: the defaults
+	Log             *slog.Logger
+	Seed            uint64
+	Tasks           *standin.Depot
+	// Partitionable: a controller's connections to the state service and to other controllers
+	// pass through proxies, so that SetPartitioned can interrupt them.
+	Partitionable bool
 }
 
-// Seed is a number of machines of a kind.
-type Seed struct {
-	Kind int
-	Zone string
-	Spot bool
-	N    int
+// MachineGroup is a number of machines of one type in one zone.
+type MachineGroup struct {
+	TypeIndex int
+	Zone      string
+	Spot      bool
+	Count     int
 }
 
-// Controller of a cluster.
+// Controller is one controller of a cluster.
 type Controller struct {
-	Cfg   *config.Platform
-	Front *standin.Front
-	Node  *node.Node
-	Ops   string // its operators' door, if there is one
-	o     *Options
-	stop  context.CancelFunc
-	ways  []*standin.Relay
+	Config        *config.Platform
+	StoreEndpoint *standin.Front
+	Node          *node.Node
+	OpsAddr       string // of its operators' endpoint; empty if it has none
+	options       *Options
+	stop          context.CancelFunc
+	proxies       []*standin.Proxy
 }
 
-// Cluster is all that runs.
+// Cluster is a running cluster.
 type Cluster struct {
 	Store       *standin.Store
 	Cloud       *standin.Cloud
@@ -71,17 +71,17 @@
 	Controllers []*Controller
 }
 
-// Start brings a cluster up.
-func Start(o Options) (c *Cluster, err error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+// Start starts a cluster.
+func Start(options Options) (c *Cluster, err error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	c = &Cluster{Store: standin.NewStore(o.Limits), Depot: o.Depot}
+	c = &Cluster{Store: standin.NewStore(options.Limits), Depot: options.Tasks}
 	if c.Depot == nil {
 		c.Depot = standin.NewDepot()
 	}
-	if c.Depot.Look == nil { // users of this cluster upload nothing: what they submit is in the store
-		c.Depot.Look = c.Find
+	if c.Depot.Look == nil { // the store contains the descriptions of all submitted jobs
+		c.Depot.Look = c.OpenRecord
 	}
 	defer func() {
 		if err != nil {
@@ -89,155 +89,161 @@
 		}
 	}()
 	var hosts []standin.Host
-	for i := range o.Controllers {
-		k, err := newController(c, &o, i)
+	for i := range options.Controllers {
+		controller, err := newController(c, &options, i)
 		if err != nil {
 			return c, err
 		}
-		c.Controllers = append(c.Controllers, k)
-		hosts = append(hosts, standin.Host{Name: k.Cfg.HostName, Addr: k.Cfg.Bind})
+		c.Controllers = append(c.Controllers, controller)
+		hosts = append(hosts, standin.Host{Name: controller.Config.HostName, Addr: controller.Config.Bind})
 	}
-	c.Cloud, err = standin.NewCloud(standin.CloudParams{Kinds: o.Kinds, ListLag: o.ListLag, Dying: o.Dying,
-		RPS:    o.CloudRPS,
-		Timing: standin.Timing{Report: o.Report, Lease: o.Lease}}, c.Depot, hosts, rand.New(rand.NewPCG(o.Seed, 3)))
+	c.Cloud, err = standin.NewCloud(standin.CloudParams{
+		Kinds: options.Types, ListLag: options.ListLag, Dying: options.ListedAfterLoss, RPS: options.CloudRPS,
+		Timing: standin.Timing{Report: options.Report, Lease: options.Lease},
+	}, c.Depot, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
 	if err != nil {
 		return c, err
 	}
-	for _, k := range c.Controllers {
-		k.Cfg.Services.Cloud = c.Cloud.Addr()
-		for _, s := range c.Controllers {
-			if s != k {
-				k.Cfg.Siblings = append(k.Cfg.Siblings, config.Sibling{HostName: s.Cfg.HostName, Zone: s.Cfg.Zone,
-					Address: s.Cfg.PeerListen})
+	for _, controller := range c.Controllers {
+		controller.Config.Services.Cloud = c.Cloud.Addr()
+		for _, other := range c.Controllers {
+			if other != controller {
+				controller.Config.Siblings = append(controller.Config.Siblings, config.Sibling{
+					HostName: other.Config.HostName, Zone: other.Config.Zone, Address: other.Config.PeerListen,
+				})
 			}
 		}
 	}
-	if o.Cuttable {
-		if err := c.relay(); err != nil {
+	if options.Partitionable {
+		if err := c.addProxies(); err != nil {
 			return c, err
 		}
 	}
-	for _, k := range c.Controllers {
-		if err := k.Start(); err != nil {
+	for _, controller := range c.Controllers {
+		if err := controller.Start(); err != nil {
 			return c, err
 		}
 	}
-	for _, s := range o.Seeds {
-		if err := c.Cloud.Seed(s.Kind, s.Zone, s.Spot, s.N); err != nil {
+	for _, machines := range options.InitialMachines {
+		if err := c.Cloud.Seed(machines.TypeIndex, machines.Zone, machines.Spot, machines.Count); err != nil {
 			return c, err
 		}
 	}
 	return c, nil
 }
 
-// relay puts a relay on each way from a controller to the state service and to a sibling.
-func (c *Cluster) relay() error {
-	for _, k := range c.Controllers {
-		addrs := []*string{&k.Cfg.Services.State}
-		for i := range k.Cfg.Siblings {
-			addrs = append(addrs, &k.Cfg.Siblings[i].Address)
+// addProxies routes each controller's connections to the state service and to every other
+// controller through a proxy.
+func (c *Cluster) addProxies() error {
+	for _, controller := range c.Controllers {
+		addrs := []*string{&controller.Config.Services.State}
+		for i := range controller.Config.Siblings {
+			addrs = append(addrs, &controller.Config.Siblings[i].Address)
 		}
-		for _, a := range addrs {
-			r, err := standin.NewRelay(*a)
+		for _, addr := range addrs {
+			proxy, err := standin.NewProxy(*addr)
 			if err != nil {
 				return err
 			}
-			k.ways = append(k.ways, r)
-			*a = r.Addr()
+			controller.proxies = append(controller.proxies, proxy)
+			*addr = proxy.Addr()
 		}
 	}
 	return nil
 }
 
-// CutOff cuts a controller off from the state service and from all other controllers, in
-// both directions, or ends that. Its workers and users still reach it.
-func (c *Cluster) CutOff(k *Controller, on bool) {
-	for _, r := range k.ways {
-		r.Cut(on)
+// SetPartitioned starts or ends a network partition between a controller and both the state
+// service and all other controllers. Its workers and users still reach it.
+func (c *Cluster) SetPartitioned(controller *Controller, on bool) {
+	for _, proxy := range controller.proxies {
+		proxy.SetPartitioned(on)
 	}
-	for _, o := range c.Controllers {
-		for i, s := range o.Cfg.Siblings {
-			if o != k && s.HostName == k.Cfg.HostName {
-				o.ways[i+1].Cut(on) // the first is to the state service
+	for _, other := range c.Controllers {
+		for i, sibling := range other.Config.Siblings {
+			if other != controller && sibling.HostName == controller.Config.HostName {
+				other.proxies[i+1].SetPartitioned(on) // the first proxy is to the state service
 			}
 		}
 	}
 }
 
-// Find returns a job's open record.
-func (c *Cluster) Find(name string) []byte { return c.Store.Peek("open/" + name) }
+// OpenRecord returns a job's open record from the store, or nil.
+func (c *Cluster) OpenRecord(name string) []byte { return c.Store.ReadKey("open/" + name) }
 
-func newController(c *Cluster, o *Options, i int) (*Controller, error) {
-	front, err := c.Store.Front()
+// newController returns a controller that is not started yet.
+func newController(c *Cluster, options *Options, index int) (*Controller, error) {
+	endpoint, err := c.Store.Front()
 	if err != nil {
 		return nil, err
 	}
-	k := &config.Platform{HostName: fmt.Sprintf("hive-%d", i), Zone: o.Zones[i%len(o.Zones)]}
-	for _, a := range []*string{&k.Bind, &k.PeerListen} {
+	cfg := &config.Platform{HostName: fmt.Sprintf("hive-%d", index), Zone: options.Zones[index%len(options.Zones)]}
+	for _, a := range []*string{&cfg.Bind, &cfg.PeerListen} {
 		if *a, err = FreeAddr(); err != nil {
 			return nil, err
 		}
 	}
-	k.Services.State = front.Addr
-	cl := &k.Cluster
-	cl.Zones, cl.Teams = o.Zones, o.Teams
-	cl.Workers.ReportS, cl.Workers.LeaseS, cl.Workers.CancelS = o.Report.Seconds(), o.Lease.Seconds(), o.Cancel.Seconds()
-	cl.State.RPS, cl.State.WriteRPS, cl.State.ValueKB, cl.State.TxnOps = o.Limits.RPS, o.Limits.WriteRPS,
-		o.Limits.ValueKB, o.Limits.TxnOps
-	cl.Cloud.RPS, cl.Cloud.ListLagS = o.CloudRPS, o.ListLag.Seconds()
-	cl.Resources.MemMB, cl.Resources.FDLimit = 300, 500
-	return &Controller{Cfg: k, Front: front, o: o}, nil
+	cfg.Services.State = endpoint.Addr
+	clusterConfig := &cfg.Cluster
+	clusterConfig.Zones, clusterConfig.Teams = options.Zones, options.Teams
+	clusterConfig.Workers.ReportS, clusterConfig.Workers.LeaseS,
+		clusterConfig.Workers.CancelS = options.Report.Seconds(), options.Lease.Seconds(), options.Cancel.Seconds()
+	clusterConfig.State.RPS, clusterConfig.State.WriteRPS, clusterConfig.State.ValueKB,
+		clusterConfig.State.TxnOps = options.Limits.RPS, options.Limits.WriteRPS,
+		options.Limits.ValueKB, options.Limits.TxnOps
+	clusterConfig.Cloud.RPS, clusterConfig.Cloud.ListLagS = options.CloudRPS, options.ListLag.Seconds()
+	clusterConfig.Resources.MemMB, clusterConfig.Resources.FDLimit = 300, 500
+	return &Controller{Config: cfg, StoreEndpoint: endpoint, options: options}, nil
 }
 
-// Start runs the controller, with nothing left of an earlier life.
-func (k *Controller) Start() error {
-	set := config.DefaultSettings()
-	if k.o.Settings != nil {
+// Start starts the controller as a new process would: nothing is kept from an earlier run.
+func (c *Controller) Start() error {
+	settings := config.DefaultSettings()
+	if c.options.Settings != nil {
 		var err error
-		if set, err = k.o.Settings(k.Cfg.HostName); err != nil {
-			return fmt.Errorf("settings of %s: %w", k.Cfg.HostName, err)
+		if settings, err = c.options.Settings(c.Config.HostName); err != nil {
+			return fmt.Errorf("settings of %s: %w", c.Config.HostName, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k.stop = cancel
-	log := k.o.Log.With("host", k.Cfg.HostName)
-	return k.serve(ctx, set, log)
+	c.stop = cancel
+	log := c.options.Log.With("host", c.Config.HostName)
+	return c.serve(ctx, settings, log)
 }
 
-// serve runs a controller's doors and its node until the context ends.
-func (k *Controller) serve(ctx context.Context, set *config.Settings, log *slog.Logger) error {
-	rng := rand.New(rand.NewPCG(k.o.Seed, rand.Uint64()))
-	k.Node = node.New(k.Cfg, set, log, rng)
-	reg := prometheus.NewRegistry()
-	k.Node.Register(reg)
-	go server.New(k.Node, k.Cfg.Cluster.Resources.FDLimit, log, reg).Serve(ctx, k.Cfg.Bind, log)
-	go k.Node.ServePeers(ctx, k.Cfg.PeerListen)
-	go k.Node.Run(ctx)
-	if set.Operator == nil {
+// serve runs the controller's endpoints and its node until the context ends.
+func (c *Controller) serve(ctx context.Context, settings *config.Settings, log *slog.Logger) error {
+	rng := rand.New(rand.NewPCG(c.options.Seed, rand.Uint64()))
+	c.Node = node.New(c.Config, settings, log, rng)
+	registry := prometheus.NewRegistry()
+	c.Node.Register(registry)
+	go server.New(c.Node, c.Config.Cluster.Resources.FDLimit, log, registry).Serve(ctx, c.Config.Bind, log)
+	go c.Node.ServePeers(ctx, c.Config.PeerListen)
+	go c.Node.Run(ctx)
+	if settings.Operator == nil {
 		return nil
 	}
-	door, err := ops.New(k.Node, set.Operator, log, reg)
+	operators, err := ops.New(c.Node, settings.Operator, log, registry)
 	if err != nil {
 		return err
 	}
-	k.Ops = set.Operator.Listen
-	go door.Serve(ctx, k.Ops)
+	c.OpsAddr = settings.Operator.Listen
+	go operators.Serve(ctx, c.OpsAddr)
 	return nil
 }
 
-// Stop kills the controller.
-func (k *Controller) Stop() {
-	if k.stop != nil {
-		k.stop()
+// Stop stops the controller as if its process were killed.
+func (c *Controller) Stop() {
+	if c.stop != nil {
+		c.stop()
 	}
 }
 
-// Close ends everything.
+// Close stops the whole cluster.
 func (c *Cluster) Close() {
-	for _, k := range c.Controllers {
-		k.Stop()
-		for _, r := range k.ways {
-			r.Close()
+	for _, controller := range c.Controllers {
+		controller.Stop()
+		for _, proxy := range controller.proxies {
+			proxy.Close()
 		}
 	}
 	if c.Cloud != nil {
@@ -246,28 +252,27 @@
 	c.Store.Close()
 }
 
-// Addrs are the users' doors.
+// Addrs returns the addresses of the endpoints for users.
 func (c *Cluster) Addrs() []string {
 	var out []string
-	for _, k := range c.Controllers {
-		out = append(out, k.Cfg.Bind)
+	for _, controller := range c.Controllers {
+		out = append(out, controller.Config.Bind)
 	}
 	return out
 }
 
-// OpsAddrs are the operators' doors.
+// OpsAddrs returns the addresses of the endpoints for operators.
 func (c *Cluster) OpsAddrs() []string {
 	var out []string
-	for _, k := range c.Controllers {
-		if k.Ops != "" {
-			out = append(out, k.Ops)
+	for _, controller := range c.Controllers {
+		if controller.OpsAddr != "" {
+			out = append(out, controller.OpsAddr)
 		}
 	}
 	return out
 }
 
-// Operated returns settings with an operators' door on a free port, behind one
-// token.
+// Operated returns settings with an operators' endpoint on a free port that accepts one token.
 func Operated(token string) (*config.Settings, error) {
 	s := config.DefaultSettings()
 	addr, err := FreeAddr()
--- a/internal/dev/parse.go
+++ b/internal/dev/parse.go
@@ -12,65 +12,69 @@
 	"honeylock/internal/wire"
 )
 
-// ParseWorkload reads a workload in protobuf text format and tells all of its
-// mistakes with their fields.
-func ParseWorkload(b []byte) ([]Class, error) {
-	var p devpb.Workload
-	if err := prototext.Unmarshal(b, &p); err != nil {
+// ParseWorkload parses a workload in protobuf text format. The error names every invalid field.
+func ParseWorkload(text []byte) ([]Class, error) {
+	var workload devpb.Workload
+	if err := prototext.Unmarshal(text, &workload); err != nil {
 		return nil, err
 	}
 	var out []Class
 	var errs []error
-	for i, c := range p.GetClasses() {
+	for i, c := range workload.GetClasses() {
 		errs = append(errs, checkClass(i, c))
-		out = append(out, classOf(c))
+		out = append(out, toClass(c))
 	}
 	return out, errors.Join(errs...)
 }
 
-func classOf(c *devpb.Class) Class {
+// toClass converts a class from its protobuf message.
+func toClass(class *devpb.Class) Class {
 	return Class{
-		Name: c.GetName(), Team: c.GetTeam(), Rank: c.GetRank(), Image: c.GetImage(), Tasks: int(c.GetTasks()),
-		CPUs: c.GetCpus(), MemGB: c.GetMemGb(), ImageGB: c.GetImageGb(), RunS: c.GetRunS(), SaveEveryS: c.GetSaveEveryS(),
-		SaveS: c.GetSaveS(), DeadlineS: c.GetDeadlineS(), PerMinute: c.GetPerMinute(), AtStart: int(c.GetAtStart()),
-		Spot: c.GetSpot(), Withdrawn: c.GetWithdrawn(),
+		Name: class.GetName(), Team: class.GetTeam(), Rank: class.GetRank(), Image: class.GetImage(),
+		Tasks: int(class.GetTasks()), CPUs: class.GetCpus(), MemGB: class.GetMemGb(), ImageGB: class.GetImageGb(),
+		RunS: class.GetRunS(), SaveEveryS: class.GetSaveEveryS(), SaveS: class.GetSaveS(),
+		DeadlineS: class.GetDeadlineS(), PerMinute: class.GetPerMinute(), AtStart: int(class.GetAtStart()),
+		Spot: class.GetSpot(), CancelledFraction: class.GetWithdrawn(),
 	}
 }
 
+// Upper bounds of the fields of a class.
 const (
-	mostAmount = 1e6
-	mostTasks  = 10_000
+	maxAmount = 1e6
+	maxTasks  = 10_000
 )
 
-func checkClass(i int, c *devpb.Class) error {
+// checkClass checks the fields of the class with an index.
+func checkClass(index int, class *devpb.Class) error {
 	var errs []error
 	check := func(ok bool, field string, v any, want string) {
 		if !ok {
-			errs = append(errs, fmt.Errorf("classes[%d].%s = %v: %s", i, field, v, want))
+			errs = append(errs, fmt.Errorf("classes[%d].%s = %v: %s", index, field, v, want))
 		}
 	}
-	check(len(c.GetName()) > 0 && len(c.GetName()) <= 200, "name", c.GetName(), "must be 1 to 200 bytes")
-	team := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == c.GetTeam() })
-	check(team, "team", c.GetTeam(), "must be batch or office")
-	_, rank := wire.Rank(c.GetRank())
-	check(rank, "rank", c.GetRank(), "must be idle, standard, urgent or prod")
-	check(c.GetImage() != "", "image", c.GetImage(), "must be given")
-	check(c.GetTasks() >= 1 && c.GetTasks() <= mostTasks, "tasks", c.GetTasks(), "must be from 1 to 10000")
-	check(c.GetAtStart() >= 0 && c.GetAtStart() <= mostTasks, "at_start", c.GetAtStart(), "must be from 0 to 10000")
-	check(c.GetWithdrawn() >= 0 && c.GetWithdrawn() <= 1, "withdrawn", c.GetWithdrawn(), "must be from 0 to 1")
-	above := func(field string, v float64) {
-		check(v > 0 && v <= mostAmount, field, v, "must be above 0 and at most 1000000")
+	check(len(class.GetName()) > 0 && len(class.GetName()) <= 200, "name", class.GetName(), "must be 1 to 200 bytes")
+	knownTeam := slices.ContainsFunc(trialTeams, func(t config.Team) bool { return t.Name == class.GetTeam() })
+	check(knownTeam, "team", class.GetTeam(), "must be batch or office")
+	_, knownRank := wire.Rank(class.GetRank())
+	check(knownRank, "rank", class.GetRank(), "must be idle, standard, urgent or prod")
+	check(class.GetImage() != "", "image", class.GetImage(), "must be given")
+	check(class.GetTasks() >= 1 && class.GetTasks() <= maxTasks, "tasks", class.GetTasks(), "must be from 1 to 10000")
+	check(class.GetAtStart() >= 0 && class.GetAtStart() <= maxTasks, "at_start", class.GetAtStart(),
+		"must be from 0 to 10000")
+	check(class.GetWithdrawn() >= 0 && class.GetWithdrawn() <= 1, "withdrawn", class.GetWithdrawn(), "must be from 0 to 1")
+	checkPositive := func(field string, v float64) {
+		check(v > 0 && v <= maxAmount, field, v, "must be above 0 and at most 1000000")
 	}
-	above("cpus", c.GetCpus())
-	above("mem_gb", c.GetMemGb())
-	above("run_s", c.GetRunS())
-	from := func(field string, v float64) {
-		check(v >= 0 && v <= mostAmount, field, v, "must be from 0 to 1000000")
+	checkPositive("cpus", class.GetCpus())
+	checkPositive("mem_gb", class.GetMemGb())
+	checkPositive("run_s", class.GetRunS())
+	checkNotNegative := func(field string, v float64) {
+		check(v >= 0 && v <= maxAmount, field, v, "must be from 0 to 1000000")
 	}
-	from("image_gb", c.GetImageGb())
-	from("save_every_s", c.GetSaveEveryS())
-	from("save_s", c.GetSaveS())
-	from("deadline_s", c.GetDeadlineS())
-	from("per_minute", c.GetPerMinute())
+	checkNotNegative("image_gb", class.GetImageGb())
+	checkNotNegative("save_every_s", class.GetSaveEveryS())
+	checkNotNegative("save_s", class.GetSaveS())
+	checkNotNegative("deadline_s", class.GetDeadlineS())
+	checkNotNegative("per_minute", class.GetPerMinute())
 	return errors.Join(errs...)
 }
--- a/internal/dev/workload.go
+++ b/internal/dev/workload.go
@@ -13,38 +13,38 @@
 	"honeylock/internal/wire"
 )
 
-// Class of a workload's jobs. Times are in life; the pace makes them shorter.
+// Class is a class of a workload's jobs. Its times are those at a speed of 1.
 type Class struct {
 	Name, Team, Rank, Image string
-	Tasks                   int // on average
+	Tasks                   int // of a job, on average
 	CPUs, MemGB, ImageGB    float64
 	RunS, SaveEveryS, SaveS float64
-	DeadlineS               float64 // 0: none
+	DeadlineS               float64 // 0: no deadline
 	PerMinute               float64
 	AtStart                 int
 	Spot                    bool
-	Withdrawn               float64 // part that its user cancels
+	CancelledFraction       float64 // of the jobs; their users cancel them
 }
 
-// Counts of a workload's jobs.
+// Counts are the counts of a workload's jobs by outcome.
 type Counts struct {
 	Accepted, Done, Cancelled, Open, Refused, Lost int
 	Losses                                         []string
 }
 
-// Users submit a workload's jobs, poll them and cancel some.
+// Users simulates users that submit a workload's jobs, poll them and cancel some.
 type Users struct {
-	client  func() (*client.Users, error)
-	classes []Class
-	pace    float64
-	rng     *rand.Rand
-	mu      sync.Mutex
-	last    int
-	open    map[string]bool
-	c       Counts
-	wg      sync.WaitGroup
-	// Told gets every job as it is accepted.
-	Told func(Submitted)
+	newClient  func() (*client.Users, error)
+	classes    []Class
+	speed      float64
+	rng        *rand.Rand
+	mu         sync.Mutex
+	lastNumber int
+	open       map[string]bool
+	counts     Counts
+	pending    sync.WaitGroup
+	// OnAccepted is called for every accepted job; it may be nil.
+	OnAccepted func(Submitted)
 }
 
 // Submitted is a job that was accepted.
@@ -54,151 +54,157 @@
 	At    time.Time
 }
 
-// NewUsers returns the users of a workload.
-func NewUsers(addrs []string, classes []Class, pace float64, seed uint64) *Users {
-	u := &Users{classes: classes, pace: max(pace, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
-		last: 100}
-	u.client = func() (*client.Users, error) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return client.NewUsers(addrs, rand.New(rand.NewPCG(u.rng.Uint64(), 1)))
+// NewUsers returns the users of a workload, who send their requests to the addresses.
+func NewUsers(addrs []string, classes []Class, speed float64, seed uint64) *Users {
+	users := &Users{
+		classes: classes, speed: max(speed, 0.01), rng: rand.New(rand.NewPCG(seed, 5)), open: map[string]bool{},
+		lastNumber: 100,
+	}
+	users.newClient = func() (*client.Users, error) {
+		users.mu.Lock()
+		defer users.mu.Unlock()
+		return client.NewUsers(addrs, rand.New(rand.NewPCG(users.rng.Uint64(), 1)))
 	}
-	return u
+	return users
 }
 
-// Run submits until arrive ends, then follows what is open until ctx ends or all
-// of it has ended.
-func (u *Users) Run(arrive, ctx context.Context) {
+// Run submits jobs until arrivals ends. It returns when all jobs have ended or ctx ends.
+func (u *Users) Run(arrivals, ctx context.Context) {
 	for i := range u.classes {
-		c := &u.classes[i]
-		for range c.AtStart {
-			u.start(ctx, c)
+		class := &u.classes[i]
+		for range class.AtStart {
+			u.submitJob(ctx, class)
 		}
-		if c.PerMinute > 0 {
-			u.wg.Add(1)
-			go u.arrivals(arrive, ctx, c)
+		if class.PerMinute > 0 {
+			u.pending.Add(1)
+			go u.submitArrivals(arrivals, ctx, class)
 		}
 	}
-	u.wg.Wait()
+	u.pending.Wait()
 }
 
-func (u *Users) arrivals(arrive, ctx context.Context, c *Class) {
-	defer u.wg.Done()
-	mean := float64(time.Minute) / c.PerMinute / u.pace
+// submitArrivals submits jobs of a class at random times until arrivals ends.
+func (u *Users) submitArrivals(arrivals, ctx context.Context, class *Class) {
+	defer u.pending.Done()
+	mean := float64(time.Minute) / class.PerMinute / u.speed
 	for {
 		u.mu.Lock()
-		d := time.Duration(u.rng.ExpFloat64() * mean)
+		delay := time.Duration(u.rng.ExpFloat64() * mean)
 		u.mu.Unlock()
 		select {
-		case <-arrive.Done():
+		case <-arrivals.Done():
 			return
-		case <-time.After(d):
-			u.start(ctx, c)
+		case <-time.After(delay):
+			u.submitJob(ctx, class)
 		}
 	}
 }
 
-func (u *Users) start(ctx context.Context, c *Class) {
+// submitJob starts a user with one job of a class.
+func (u *Users) submitJob(ctx context.Context, class *Class) {
 	u.mu.Lock()
-	u.last++
-	id := fmt.Sprintf("job-%06d", u.last)
-	body, err := json.Marshal(u.submission(id, c))
-	withdraw := u.rng.Float64() < c.Withdrawn
+	u.lastNumber++
+	id := fmt.Sprintf("job-%06d", u.lastNumber)
+	body, err := json.Marshal(u.submission(id, class))
+	cancelled := u.rng.Float64() < class.CancelledFraction
 	u.mu.Unlock()
 	if err != nil {
-		return // plain values always encode
+		return // cannot happen: a submission holds only plain values
 	}
-	u.wg.Add(1)
+	u.pending.Add(1)
 	go func() {
-		defer u.wg.Done()
-		u.follow(ctx, id, c.Name, body, withdraw)
+		defer u.pending.Done()
+		u.runJob(ctx, id, class.Name, body, cancelled)
 	}()
 }
 
-// submission is a job of the class, in the wire's words.
-func (u *Users) submission(id string, c *Class) map[string]any {
-	tasks := max(1, int(float64(c.Tasks)*(0.5+u.rng.Float64())))
-	s := map[string]any{"NameId": id, "Comb": c.Name, "Colony": c.Team, "Shape": "batch", "Rank": c.Rank, "Cells": tasks,
-		"Cpus":         c.CPUs,
-		"Accelerators": 0, "MemGb": c.MemGB, "Wax": c.Image, "ImageGb": c.ImageGB, "Together": false, "Spread": false,
-		"SwarmBoxes": c.Spot,
-		"ForageS":    c.RunS / u.pace, "CapIntervalS": c.SaveEveryS / u.pace, "CapS": c.SaveS / u.pace}
-	if c.DeadlineS > 0 {
-		s["HarvestS"] = c.DeadlineS / u.pace
+// submission returns the JSON fields of a job of the class.
+func (u *Users) submission(id string, class *Class) map[string]any {
+	tasks := max(1, int(float64(class.Tasks)*(0.5+u.rng.Float64())))
+	submission := map[string]any{
+		"NameId": id, "Comb": class.Name, "Colony": class.Team, "Shape": "batch", "Rank": class.Rank, "Cells": tasks,
+		"Cpus": class.CPUs, "Accelerators": 0, "MemGb": class.MemGB, "Wax": class.Image, "ImageGb": class.ImageGB,
+		"Together": false, "Spread": false, "SwarmBoxes": class.Spot, "ForageS": class.RunS / u.speed,
+		"CapIntervalS": class.SaveEveryS / u.speed, "CapS": class.SaveS / u.speed,
+	}
+	if class.DeadlineS > 0 {
+		submission["HarvestS"] = class.DeadlineS / u.speed
 	}
-	return s
+	return submission
 }
 
-// follow is a user's life with one job.
-func (u *Users) follow(ctx context.Context, id, class string, body []byte, withdraw bool) {
-	c, err := u.client()
+// runJob submits a job, cancels it if asked to, and polls it until it ends.
+func (u *Users) runJob(ctx context.Context, id, class string, body []byte, cancelled bool) {
+	user, err := u.newClient()
 	if err != nil {
 		return
 	}
-	if _, _, err := c.Submit(ctx, body); err != nil {
-		u.count(func() { u.c.Refused++ })
+	if _, _, err := user.Submit(ctx, body); err != nil {
+		u.update(func() { u.counts.Refused++ })
 		return
 	}
-	u.count(func() {
-		u.c.Accepted++
+	u.update(func() {
+		u.counts.Accepted++
 		u.open[id] = true
-		if u.Told != nil {
-			u.Told(Submitted{id, class, time.Now()})
+		if u.OnAccepted != nil {
+			u.OnAccepted(Submitted{id, class, time.Now()})
 		}
 	})
-	if withdraw {
-		_, err := c.Withdraw(ctx, id)
-		u.failed(ctx, id, err)
+	if cancelled {
+		_, err := user.Withdraw(ctx, id)
+		u.checkUnknown(ctx, id, err)
 	}
-	every := time.Duration(float64(5*time.Second) / min(u.pace, 10))
-	st, err := c.Wait(ctx, id, every, func(*wire.JobState) {})
+	pollInterval := time.Duration(float64(5*time.Second) / min(u.speed, 10))
+	state, err := user.Wait(ctx, id, pollInterval, func(*wire.JobState) {})
 	if err != nil {
-		u.failed(ctx, id, err)
+		u.checkUnknown(ctx, id, err)
 		return
 	}
-	u.count(func() {
+	u.update(func() {
 		delete(u.open, id)
-		if st.Stage == "aborted" {
-			u.c.Cancelled++
+		if state.Stage == "aborted" {
+			u.counts.Cancelled++
 		} else {
-			u.c.Done++
+			u.counts.Done++
 		}
-		if !withdraw && st.Stage == "aborted" {
-			u.lose("%s was called cancelled, which nobody asked for", id)
+		if !cancelled && state.Stage == "aborted" {
+			u.recordLoss("%s was reported as cancelled, but nobody cancelled it", id)
 		}
 	})
 }
 
-// failed counts an accepted job that is answered as if it were unknown.
-func (u *Users) failed(ctx context.Context, id string, err error) {
-	var r *client.Refused
-	if ctx.Err() != nil || err == nil || !errors.As(err, &r) {
+// checkUnknown records an accepted job as lost if a request for it was refused.
+func (u *Users) checkUnknown(ctx context.Context, id string, err error) {
+	var refused *client.Refused
+	if ctx.Err() != nil || err == nil || !errors.As(err, &refused) {
 		return
 	}
-	u.count(func() {
+	u.update(func() {
 		if u.open[id] {
 			delete(u.open, id)
-			u.lose("%s was accepted, then answered with %d", id, r.Status)
+			u.recordLoss("%s was accepted, but later refused with status %d", id, refused.Status)
 		}
 	})
 }
 
-func (u *Users) lose(format string, args ...any) {
-	u.c.Lost++
-	u.c.Losses = append(u.c.Losses, fmt.Sprintf(format, args...))
+// recordLoss records a lost job; u.mu is held.
+func (u *Users) recordLoss(format string, args ...any) {
+	u.counts.Lost++
+	u.counts.Losses = append(u.counts.Losses, fmt.Sprintf(format, args...))
 }
 
-func (u *Users) count(f func()) {
+// update calls f while it holds u.mu.
+func (u *Users) update(f func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f()
 }
 
-// Counts so far.
+// Counts returns the counts so far.
 func (u *Users) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	c := u.c
-	c.Open = len(u.open)
-	return c
+	counts := u.counts
+	counts.Open = len(u.open)
+	return counts
 }
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -12,164 +12,170 @@
 	"honeylock/internal/standin"
 )
 
-// TestPipelineThroughTheLossOfTheLeader: a chain runs in order across three controllers
-// whose leader is killed in its midst, within the small limits of the state service; what
-// needs a cancelled job is cancelled, what names nothing is refused.
-func TestPipelineThroughTheLossOfTheLeader(t *testing.T) {
+// TestPipelineSurvivesLossOfLeader: jobs that depend on each other run in order although the leader
+// is killed meanwhile and the state service has small limits. Jobs that depend on a cancelled job
+// are cancelled, and one that depends on an unknown job is refused.
+func TestPipelineSurvivesLossOfLeader(t *testing.T) {
 	t.Parallel()
-	o := options()
-	o.Seeds = []dev.Seed{{Zone: "a", N: 4}}
-	o.Limits.ValueKB, o.Limits.TxnOps = 2, 5
-	c := start(t, o)
-	ks := c.Controllers
-	job := func(id string, tasks int, run float64, awaits ...string) object {
-		s := submission(id, tasks)
-		s["ForageS"], s["ImageGb"], s["Awaits"] = run, 0.01, awaits
-		return s
-	}
-	accept(t, ks[0], job("job-000001", 4, 2))
-	accept(t, ks[1], job("job-000002", 6, 1, "job-000001"))
-	accept(t, ks[2], job("job-000003", 2, 1, "job-000001", "job-000002"))
-	accept(t, ks[0], job("job-000004", 1, 60))
-	accept(t, ks[1], job("job-000005", 2, 1, "job-000004"))
-	accept(t, ks[2], job("job-000006", 2, 1, "job-000005", "job-000001"))
-	st, v := call(ks[0], http.MethodPost, "/v1/jobs", job("job-000007", 1, 1, "job-000099"))
-	if st != http.StatusUnprocessableEntity {
-		t.Errorf("a job that names nothing got %d %v", st, v)
-	}
-	until(t, "the first job runs", func() bool { return c.Depot.Running("job-000001") > 0 })
-	until(t, "an answer about a job that waits", func() bool { return stage(ks[1], "job-000002") == "queued" })
-	for _, k := range ks {
-		if leads(k) {
-			k.Stop()
-			defer func() { _ = k.Start() }()
+	options := defaultOptions()
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}}
+	options.Limits.ValueKB, options.Limits.TxnOps = 2, 5
+	cluster := startWith(t, options)
+	controllers := cluster.Controllers
+	job := func(id string, tasks int, run float64, dependencies ...string) object {
+		fields := submission(id, tasks)
+		fields["ForageS"], fields["ImageGb"], fields["Awaits"] = run, 0.01, dependencies
+		return fields
+	}
+	submitAccepted(t, controllers[0], job("job-000001", 4, 2))
+	submitAccepted(t, controllers[1], job("job-000002", 6, 1, "job-000001"))
+	submitAccepted(t, controllers[2], job("job-000003", 2, 1, "job-000001", "job-000002"))
+	submitAccepted(t, controllers[0], job("job-000004", 1, 60))
+	submitAccepted(t, controllers[1], job("job-000005", 2, 1, "job-000004"))
+	submitAccepted(t, controllers[2], job("job-000006", 2, 1, "job-000005", "job-000001"))
+	status, v := call(controllers[0], http.MethodPost, "/v1/jobs", job("job-000007", 1, 1, "job-000099"))
+	if status != http.StatusUnprocessableEntity {
+		t.Errorf("job that depends on an unknown job: status %d, answer %v", status, v)
+	}
+	waitUntil(t, "the first job runs", func() bool { return cluster.Depot.Running("job-000001") > 0 })
+	waitUntil(t, "a job with an open dependency is reported as queued", func() bool {
+		return jobStage(controllers[1],
+			"job-000002") == "queued"
+	})
+	for _, controller := range controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			defer func() { _ = controller.Start() }()
 		}
 	}
-	up := func() *dev.Controller {
-		for _, k := range ks {
-			if st, _ := call(k, http.MethodGet, "/healthz", nil); st == http.StatusOK {
-				return k
+	healthy := func() *dev.Controller {
+		for _, controller := range controllers {
+			if status, _ := call(controller, http.MethodGet, "/healthz", nil); status == http.StatusOK {
+				return controller
 			}
 		}
-		return ks[0]
+		return controllers[0]
 	}
-	until(t, "the cancellation", func() bool {
-		st, v := call(up(), http.MethodPost, "/v1/jobs/job-000004/withdraw", nil)
-		return st == http.StatusOK && v["Stage"] == "aborted"
+	waitUntil(t, "the cancellation", func() bool {
+		status, v := call(healthy(), http.MethodPost, "/v1/jobs/job-000004/withdraw", nil)
+		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
 	for _, id := range []string{"job-000005", "job-000006"} {
-		until(t, id+" is cancelled with it", func() bool { return stage(up(), id) == "aborted" })
+		waitUntil(t, id+" is cancelled with it", func() bool { return jobStage(healthy(), id) == "aborted" })
 	}
-	// It is named once more, after its cancellation.
-	st, v = call(up(), http.MethodPost, "/v1/jobs", job("job-000008", 1, 1, "job-000004"))
-	if st != http.StatusCreated || v["Stage"] != "aborted" {
-		t.Errorf("a job that names a cancelled one got %d %v", st, v)
+	// A job that depends on a job that is already cancelled.
+	status, v = call(healthy(), http.MethodPost, "/v1/jobs", job("job-000008", 1, 1, "job-000004"))
+	if status != http.StatusCreated || v["Stage"] != "aborted" {
+		t.Errorf("job that depends on a cancelled job: status %d, answer %v", status, v)
 	}
-	until(t, "the chain", func() bool { return stage(up(), "job-000003") == "done" })
-	var began, ended = map[string]time.Time{}, map[string]time.Time{}
-	for _, r := range c.Depot.Runs() {
+	waitUntil(t, "the last job of the chain is done", func() bool { return jobStage(healthy(), "job-000003") == "done" })
+	var startedAt, endedAt = map[string]time.Time{}, map[string]time.Time{}
+	for _, r := range cluster.Depot.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
-		if b, ok := began[id]; !ok || r.Began.Before(b) {
-			began[id] = r.Began
+		if earliest, ok := startedAt[id]; !ok || r.StartedAt.Before(earliest) {
+			startedAt[id] = r.StartedAt
 		}
-		if r.Ended.After(ended[id]) {
-			ended[id] = r.Ended
+		if r.EndedAt.After(endedAt[id]) {
+			endedAt[id] = r.EndedAt
 		}
 	}
-	if began["job-000002"].Before(ended["job-000001"]) || began["job-000003"].Before(ended["job-000002"]) {
-		t.Errorf("began %v, ended %v", began, ended)
+	if startedAt["job-000002"].Before(endedAt["job-000001"]) || startedAt["job-000003"].Before(endedAt["job-000002"]) {
+		t.Errorf("dependencies were not respected: started at %v, ended at %v", startedAt, endedAt)
 	}
 	for _, id := range []string{"job-000005", "job-000006", "job-000008"} {
-		if _, ok := began[id]; ok {
-			t.Errorf("%s has run", id)
+		if _, ok := startedAt[id]; ok {
+			t.Errorf("%s ran although a dependency was cancelled", id)
 		}
 	}
 }
 
-// mostOut is the most tasks that were out of work at a time because somebody stopped
-// them, by what the workers did.
-func mostOut(runs []standin.Run) int {
+// maxInterrupted returns the maximum number of tasks that were interrupted at a time, which means
+// stopped and not running again yet, according to the workers.
+func maxInterrupted(runs []standin.Run) int {
 	type step struct {
-		at time.Time
-		by int
+		at    time.Time
+		delta int
 	}
 	var steps []step
 	last := map[string]standin.Run{}
-	for _, r := range runs { // the earliest first
-		if was, ok := last[r.Task]; ok && was.Cause == "stopped" {
-			steps = append(steps, step{was.Ended, 1}, step{r.Began, -1})
+	for _, r := range runs { // in order of their start
+		if previous, ok := last[r.Task]; ok && previous.Cause == "stopped" {
+			steps = append(steps, step{previous.EndedAt, 1}, step{r.StartedAt, -1})
 		}
 		last[r.Task] = r
 	}
 	slices.SortFunc(steps, func(a, b step) int { return a.at.Compare(b.at) })
-	out, most := 0, 0
+	interrupted, maxCount := 0, 0
 	for _, s := range steps {
-		out += s.by
-		most = max(most, out)
+		interrupted += s.delta
+		maxCount = max(maxCount, interrupted)
 	}
-	return most
+	return maxCount
 }
 
-// TestAllMachinesReplacedWithinABudget: under load all machines are replaced in waves,
-// with the leader killed and a machine lost on the way; never is more of the team's work
-// out than its budget says, counted from the workers' side, and nothing is lost.
-func TestAllMachinesReplacedWithinABudget(t *testing.T) {
+// TestReplacementKeepsDisruptionBudget: all machines are replaced in waves under load, while the
+// leader is killed and a machine fails. According to the workers, no more of the team's tasks are
+// interrupted at a time than its disruption budget allows, and no task is lost.
+func TestReplacementKeepsDisruptionBudget(t *testing.T) {
 	t.Parallel()
 	const budget = 3
-	o := options()
-	o.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
-	o.Kinds[0].ReadyS, o.Kinds[0].Room = 1, 30
-	o.Seeds = []dev.Seed{{Zone: "a", N: 8}}
-	o.Settings = func(string) (*config.Settings, error) {
-		s, err := dev.Operated(token)
-		s.Budgets = []config.Budget{{Team: "vision", Tasks: budget}}
-		return s, err
-	}
-	c, ops := opened(t, o)
-	known(t, ops, 8) // a plan names the machines that the leader knows
-	s := submission("job-000001", 20)
-	s["ForageS"], s["ImageGb"], s["CapIntervalS"], s["CapS"] = 45, 0.01, 1, 0.1
-	accept(t, c.Controllers[0], s)
-	until(t, "all tasks run", func() bool { return c.Depot.Running("job-000001") == 20 })
-	var old []string
-	for _, w := range c.Cloud.Workers() {
-		old = append(old, w.Name)
-	}
-	apply(t, ops, `name: "renew" machines { all: true } at_once: 4 rent_first: true running: MOVE_SAVED
+	options := defaultOptions()
+	options.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
+	options.Types[0].ReadyS, options.Types[0].Room = 1, 30
+	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 8}}
+	options.Settings = func(string) (*config.Settings, error) {
+		job, err := dev.Operated(operatorToken)
+		job.Budgets = []config.Budget{{Team: "vision", Tasks: budget}}
+		return job, err
+	}
+	cluster, ops := startOperatedWith(t, options)
+	waitForMembers(t, ops, 8) // a plan covers only the machines that the leader knows
+	job := submission("job-000001", 20)
+	job["ForageS"], job["ImageGb"], job["CapIntervalS"], job["CapS"] = 45, 0.01, 1, 0.1
+	submitAccepted(t, cluster.Controllers[0], job)
+	waitUntil(t, "all tasks run", func() bool { return cluster.Depot.Running("job-000001") == 20 })
+	var oldMachines []string
+	for _, w := range cluster.Cloud.Workers() {
+		oldMachines = append(oldMachines, w.Name)
+	}
+	applyPlan(t, ops, `name: "renew" machines { all: true } at_once: 4 rent_first: true running: MOVE_SAVED
 		waves { machines: 1 soak_s: 1 }`)
 	defer func() {
 		if t.Failed() {
-			t.Logf("the plan: %+v", status(t, ops, "renew"))
+			t.Logf("plan status: %+v", planStatus(t, ops, "renew"))
 		}
 	}()
-	until(t, "the first wave is over", func() bool { return status(t, ops, "renew").Counts["finished"] >= 2 })
-	for _, k := range c.Controllers {
-		if leads(k) {
-			k.Stop()
-			defer func() { _ = k.Start() }()
+	waitUntil(t, "the first wave is over", func() bool { return planStatus(t, ops, "renew").Counts["finished"] >= 2 })
+	for _, controller := range cluster.Controllers {
+		if isLeader(controller) {
+			controller.Stop()
+			defer func() { _ = controller.Start() }()
 		}
 	}
-	c.Cloud.Lose(old[7])
-	end := time.Now().Add(90 * time.Second)
-	for status(t, ops, "renew").Phase != "done" {
-		if time.Now().After(end) {
-			t.Fatalf("not within 90 s: %+v", status(t, ops, "renew"))
+	cluster.Cloud.Lose(oldMachines[7])
+	deadline := time.Now().Add(90 * time.Second)
+	for planStatus(t, ops, "renew").Phase != "done" {
+		if time.Now().After(deadline) {
+			t.Fatalf("plan is not done within 90 s: %+v", planStatus(t, ops, "renew"))
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	var left []string
-	for _, w := range c.Cloud.Workers() {
-		if slices.Contains(old, w.Name) {
-			left = append(left, w.Name)
+	var remaining []string
+	for _, w := range cluster.Cloud.Workers() {
+		if slices.Contains(oldMachines, w.Name) {
+			remaining = append(remaining, w.Name)
 		}
 	}
-	if len(left) > 0 {
-		t.Errorf("%v are still there: %+v", left, status(t, ops, "renew").Steps)
+	if len(remaining) > 0 {
+		t.Errorf("old machines %v still run: %+v", remaining, planStatus(t, ops, "renew").Steps)
 	}
-	if most := mostOut(c.Depot.Runs()); most > budget || most == 0 {
-		t.Errorf("%d tasks were out of work at a time, the budget is %d", most, budget)
+	if interrupted := maxInterrupted(cluster.Depot.Runs()); interrupted > budget || interrupted == 0 {
+		t.Errorf("at most %d tasks were interrupted at a time; the budget is %d", interrupted, budget)
 	}
-	until(t, "the job", func() bool {
-		return slices.ContainsFunc(c.Controllers, func(k *dev.Controller) bool { return stage(k, "job-000001") == "done" })
+	waitUntil(t, "the job", func() bool {
+		return slices.ContainsFunc(cluster.Controllers, func(controller *dev.Controller) bool {
+			return jobStage(controller,
+				"job-000001") == "done"
+		})
 	})
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -14,89 +14,88 @@
 	"honeylock/internal/config"
 )
 
-// rented is a machine as the cloud knows it.
-type rented struct {
-	name, yard string
-	kind       Kind
-	spot       bool
-	since      time.Time
-	up         time.Time // when it boots; zero: never
-	w          *Worker   // nil until then, and where machines run elsewhere
-	addr       string    // "" until then
-	listedAt   time.Time // shows from then on
-	goneAt     time.Time // zero: it is there; the list shows it until then
+// rentedMachine is a machine that was rented from the cloud.
+type rentedMachine struct {
+	name, zone  string
+	machineType Kind
+	spot        bool
+	rentedAt    time.Time
+	bootedAt    time.Time // zero until it has booted
+	worker      *Worker   // nil until it has booted, and if a MachineRunner runs it
+	addr        string    // empty until it has booted
+	listedAt    time.Time // the list shows it from then on
+	unlistedAt  time.Time // the list shows it until then; zero while it is rented
 }
 
-// Cloud is a stand-in of the cloud: it rents machines with limited capacity,
-// boots them after a while, and lists them late.
+// Cloud is a stand-in for the cloud: it rents out machines of limited capacity, boots them
+// after a delay, and lists changes after a lag.
 type Cloud struct {
-	mu     sync.Mutex
-	kinds  []Kind
-	lag    time.Duration
-	dying  time.Duration
-	timing Timing
-	depot  *Depot
-	hosts  []Host
-	rng    *rand.Rand
-	reqs   *rate.Limiter
-	last   int
-	all    map[string]*rented
-	hires  map[string][]string
-	refuse bool
-	shut   map[string]bool // zones without machines to rent
-	stuck  bool            // machines rented from now on never come up
-	runs   Machines
-	calls  int
-	busy   int
-	door   *door
+	mu              sync.Mutex
+	types           []Kind
+	listLag         time.Duration
+	listedAfterLoss time.Duration
+	timing          Timing
+	tasks           *Depot
+	hosts           []Host
+	rng             *rand.Rand
+	requestLimiter  *rate.Limiter
+	lastNumber      int
+	machines        map[string]*rentedMachine
+	rentals         map[string][]string // names of machines by the ID of their rental request
+	noCapacity      bool
+	exhaustedZones  map[string]bool // zones in which no machine can be rented
+	neverBoot       bool            // machines rented from now on never boot
+	runner          MachineRunner
+	calls           int
+	refusedCalls    int
+	server          *loopbackServer
 }
 
-// Machines brings machines up and ends them.
-type Machines interface {
-	// Boot brings a machine up and returns its worker's address.
+// MachineRunner boots and stops machines outside this process.
+type MachineRunner interface {
+	// Boot boots a machine and returns its worker's address.
 	Boot(m MachineSpec) (addr string, err error)
-	// End ends a machine with all that is on it; the name may be unknown.
+	// End stops a machine and its tasks; the name may be unknown.
 	End(name string)
 }
 
-// CloudParams of a cloud.
+// CloudParams are the parameters of a cloud.
 type CloudParams struct {
 	Kinds   []Kind
 	ListLag time.Duration
-	Dying   time.Duration // a machine that stopped is listed for so much longer
+	Dying   time.Duration // how long a failed machine is still listed, in addition to ListLag
 	RPS     float64
 	Timing  Timing
-	Runs    Machines // where machines run; nil: in this process, each with its own listener
+	Runs    MachineRunner // runs the machines; nil: in this process, each with its own listener
 }
 
-// NewCloud returns a cloud whose workers report to the hosts.
-func NewCloud(p CloudParams, d *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
+// NewCloud starts a cloud whose workers report to the hosts.
+func NewCloud(p CloudParams, tasks *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
 	c := &Cloud{
-		kinds:  p.Kinds,
-		lag:    p.ListLag,
-		dying:  p.Dying,
-		timing: p.Timing,
-		depot:  d,
-		hosts:  hosts,
-		rng:    rng,
-		runs:   p.Runs,
-		reqs:   rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))),
-		all:    map[string]*rented{},
-		hires:  map[string][]string{},
-		shut:   map[string]bool{},
+		types:           p.Kinds,
+		listLag:         p.ListLag,
+		listedAfterLoss: p.Dying,
+		timing:          p.Timing,
+		tasks:           tasks,
+		hosts:           hosts,
+		rng:             rng,
+		runner:          p.Runs,
+		requestLimiter:  rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))),
+		machines:        map[string]*rentedMachine{},
+		rentals:         map[string][]string{},
+		exhaustedZones:  map[string]bool{},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter,
-		_ *http.Request) {
-		answer(w, http.StatusOK, object{"Breeds": c.kinds})
+	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, http.StatusOK, object{"Breeds": c.types})
 	})
 	mux.HandleFunc("GET /rentals", c.list)
 	mux.HandleFunc("POST /rentals", c.rent)
-	mux.HandleFunc("POST /rentals/return", c.giveBack)
+	mux.HandleFunc("POST /rentals/return", c.returnMachines)
 	var err error
-	c.door, err = open(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !c.admits() {
-			answer(w, http.StatusTooManyRequests, object{})
+	c.server, err = startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !c.allowRequest() {
+			writeJSON(w, http.StatusTooManyRequests, object{})
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -107,63 +106,63 @@
 	return c, nil
 }
 
-// admits counts a call, and tells whether it is within the cloud's rate.
-func (c *Cloud) admits() bool {
-	allowed := c.reqs.Allow()
+// allowRequest counts a call and reports whether it is within the cloud's rate limit.
+func (c *Cloud) allowRequest() bool {
+	allowed := c.requestLimiter.Allow()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	if !allowed {
-		c.busy++
+		c.refusedCalls++
 	}
 	return allowed
 }
 
-// Calls are the calls so far, and those of them that were refused for the rate.
+// Calls returns the number of calls so far and how many of them exceeded the rate limit.
 func (c *Cloud) Calls() (all, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls, c.busy
+	return c.calls, c.refusedCalls
 }
 
-// Addr is where controllers reach the cloud.
-func (c *Cloud) Addr() string { return c.door.addr }
+// Addr returns the address at which controllers reach the cloud.
+func (c *Cloud) Addr() string { return c.server.addr }
 
-// Close ends the cloud and all its machines.
+// Close stops the cloud and its machines.
 func (c *Cloud) Close() {
-	c.door.close()
+	c.server.close()
 	for _, w := range c.Workers() {
 		w.Kill()
 	}
 }
 
-// Refuse lets the cloud have no capacity, or some again.
-func (c *Cloud) Refuse(on bool) {
+// SetNoCapacity makes the cloud refuse all rentals for lack of capacity, or stops that.
+func (c *Cloud) SetNoCapacity(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuse = on
+	c.noCapacity = on
 }
 
-// Shut lets a zone have no capacity any more.
+// Shut makes the cloud refuse all further rentals in a zone for lack of capacity.
 func (c *Cloud) Shut(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut[zone] = true
+	c.exhaustedZones[zone] = true
 }
 
-// Stick lets machines rented from now on never come up, or come up again.
-func (c *Cloud) Stick(on bool) {
+// SetNeverBoot makes machines that are rented from now on never boot, or stops that.
+func (c *Cloud) SetNeverBoot(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stuck = on
+	c.neverBoot = on
 }
 
-// Seed gives the cluster machines that are up from the beginning.
-func (c *Cloud) Seed(kind int, yard string, spot bool, n int) error {
+// Seed adds machines that have already booted, at the start of a cluster.
+func (c *Cloud) Seed(typeIndex int, zone string, spot bool, count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for range n {
-		m := c.add(c.kinds[kind], yard, spot)
+	for range count {
+		m := c.addMachine(c.types[typeIndex], zone, spot)
 		m.listedAt = time.Time{}
 		if err := c.boot(m); err != nil {
 			return err
@@ -172,48 +171,52 @@
 	return nil
 }
 
-func (c *Cloud) add(k Kind, yard string, spot bool) *rented {
-	c.last++
-	m := &rented{name: fmt.Sprintf("m-%06d", c.last), yard: yard, kind: k, spot: spot, since: time.Now()}
-	m.listedAt = m.since.Add(c.lag)
-	c.all[m.name] = m
+// addMachine records a new machine, which the list shows after its lag.
+func (c *Cloud) addMachine(machineType Kind, zone string, spot bool) *rentedMachine {
+	c.lastNumber++
+	m := &rentedMachine{
+		name: fmt.Sprintf("m-%06d", c.lastNumber), zone: zone, machineType: machineType, spot: spot, rentedAt: time.Now(),
+	}
+	m.listedAt = m.rentedAt.Add(c.listLag)
+	c.machines[m.name] = m
 	return m
 }
 
-func (c *Cloud) boot(m *rented) error {
-	spec := MachineSpec{Name: m.name, Yard: m.yard, Spot: m.spot, Kind: m.kind, First: c.last}
-	if c.runs != nil {
-		addr, err := c.runs.Boot(spec)
+// boot starts a machine's worker.
+func (c *Cloud) boot(m *rentedMachine) error {
+	spec := MachineSpec{Name: m.name, Yard: m.zone, Spot: m.spot, Kind: m.machineType, First: c.lastNumber}
+	if c.runner != nil {
+		addr, err := c.runner.Boot(spec)
 		if err == nil {
-			m.addr, m.up = addr, time.Now()
+			m.addr, m.bootedAt = addr, time.Now()
 		}
 		return err
 	}
-	w, err := StartWorker(spec, c.timing, c.depot, c.hosts)
+	w, err := StartWorker(spec, c.timing, c.tasks, c.hosts)
 	if err != nil {
 		return err
 	}
-	m.w, m.addr, m.up = w, w.Addr(), time.Now()
+	m.worker, m.addr, m.bootedAt = w, w.Addr(), time.Now()
 	return nil
 }
 
-// end ends a machine's worker.
-func (c *Cloud) end(m *rented) {
+// stopMachine stops a machine's worker, if it has booted.
+func (c *Cloud) stopMachine(m *rentedMachine) {
 	switch {
-	case m.w != nil:
-		m.w.Kill()
-	case c.runs != nil && m.addr != "":
-		c.runs.End(m.name)
+	case m.worker != nil:
+		m.worker.Kill()
+	case c.runner != nil && m.addr != "":
+		c.runner.End(m.name)
 	}
 }
 
-// InZone are the names of the machines of a zone that are up, in order; "": of all zones.
+// InZone returns the sorted names of the running machines in a zone, or in all zones for "".
 func (c *Cloud) InZone(zone string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
-	for name, m := range c.all {
-		if m.addr != "" && m.goneAt.IsZero() && (zone == "" || m.yard == zone) {
+	for name, m := range c.machines {
+		if m.addr != "" && m.unlistedAt.IsZero() && (zone == "" || m.zone == zone) {
 			out = append(out, name)
 		}
 	}
@@ -221,128 +224,135 @@
 	return out
 }
 
-// Workers returns the machines that are up, by name.
+// Workers returns the running machines of this process, sorted by name.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Worker
-	for _, m := range c.all {
-		if m.w != nil && m.goneAt.IsZero() {
-			out = append(out, m.w)
+	for _, m := range c.machines {
+		if m.worker != nil && m.unlistedAt.IsZero() {
+			out = append(out, m.worker)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// Lose lets a machine stop with all that is on it; the list shows it for a while.
+// Lose makes a machine and its tasks stop; the cloud lists it for some time after that.
 func (c *Cloud) Lose(name string) {
 	c.mu.Lock()
-	m := c.all[name]
-	if m == nil || !m.goneAt.IsZero() {
+	m := c.machines[name]
+	if m == nil || !m.unlistedAt.IsZero() {
 		c.mu.Unlock()
 		return
 	}
-	m.goneAt = time.Now().Add(c.dying + c.lag)
+	m.unlistedAt = time.Now().Add(c.listedAfterLoss + c.listLag)
 	c.mu.Unlock()
-	c.end(m)
+	c.stopMachine(m)
 }
 
+// rent rents machines, as many as there is capacity for. A repeated request gets the same
+// answer as the first.
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var b struct {
+	var request struct {
 		Hire, Breed, Yard string
 		SwarmBoxes        bool
 		Count             int
 	}
-	if json.NewDecoder(r.Body).Decode(&b) != nil || b.Hire == "" || b.Count < 1 || b.Count > 50 {
-		answer(w, http.StatusBadRequest, object{"error": "malformed"})
+	if json.NewDecoder(r.Body).Decode(&request) != nil || request.Hire == "" || request.Count < 1 || request.Count > 50 {
+		writeJSON(w, http.StatusBadRequest, object{"error": "malformed"})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.hires[b.Hire]; ok {
-		answer(w, http.StatusOK, object{"Hives": got})
+	if earlier, ok := c.rentals[request.Hire]; ok {
+		writeJSON(w, http.StatusOK, object{"Hives": earlier})
 		return
 	}
 	var names []string
-	for _, k := range c.kinds {
-		if k.Label != b.Breed || c.refuse || c.shut[b.Yard] {
+	for _, k := range c.types {
+		if k.Label != request.Breed || c.noCapacity || c.exhaustedZones[request.Yard] {
 			continue
 		}
-		have := 0
-		for _, m := range c.all {
-			if m.kind.Label == k.Label && m.yard == b.Yard && m.spot == b.SwarmBoxes && m.goneAt.IsZero() {
-				have++
+		rentedCount := 0
+		for _, m := range c.machines {
+			if m.machineType.Label == k.Label && m.zone == request.Yard && m.spot == request.SwarmBoxes &&
+				m.unlistedAt.IsZero() {
+				rentedCount++
 			}
 		}
-		for range min(b.Count, k.Room-have) {
-			names = append(names, c.hire(k, b.Yard, b.SwarmBoxes).name)
+		for range min(request.Count, k.Room-rentedCount) {
+			names = append(names, c.rentOne(k, request.Yard, request.SwarmBoxes).name)
 		}
 	}
 	if len(names) == 0 {
-		answer(w, http.StatusServiceUnavailable, object{"error": "no capacity"})
+		writeJSON(w, http.StatusServiceUnavailable, object{"error": "no capacity"})
 		return
 	}
-	c.hires[b.Hire] = names
-	answer(w, http.StatusOK, object{"Hives": names})
+	c.rentals[request.Hire] = names
+	writeJSON(w, http.StatusOK, object{"Hives": names})
 }
 
-// hire rents one machine, which boots later.
-func (c *Cloud) hire(k Kind, yard string, spot bool) *rented {
-	m := c.add(k, yard, spot)
-	if c.stuck {
+// rentOne rents one machine, which boots after 0.6 to 1.5 times its type's boot time.
+func (c *Cloud) rentOne(machineType Kind, zone string, spot bool) *rentedMachine {
+	m := c.addMachine(machineType, zone, spot)
+	if c.neverBoot {
 		return m
 	}
-	ready := config.Seconds(k.ReadyS * (0.6 + 0.9*c.rng.Float64()))
-	time.AfterFunc(ready, func() {
+	bootTime := config.Seconds(machineType.ReadyS * (0.6 + 0.9*c.rng.Float64()))
+	time.AfterFunc(bootTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if m.goneAt.IsZero() && c.all[m.name] == m {
-			_ = c.boot(m) // without a port it is one that never comes up
+		if m.unlistedAt.IsZero() && c.machines[m.name] == m {
+			_ = c.boot(m) // if no port is free, the machine never boots
 		}
 	})
 	return m
 }
 
-func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	var b struct{ Hives []string }
-	if json.NewDecoder(r.Body).Decode(&b) != nil || len(b.Hives) > 100 {
-		answer(w, http.StatusBadRequest, object{"error": "malformed"})
+// returnMachines takes machines back and stops them.
+func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
+	var request struct{ Hives []string }
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Hives) > 100 {
+		writeJSON(w, http.StatusBadRequest, object{"error": "malformed"})
 		return
 	}
 	c.mu.Lock()
-	var dead []*rented
-	for _, n := range b.Hives {
-		if m := c.all[n]; m != nil && m.goneAt.IsZero() {
-			m.goneAt = time.Now().Add(c.lag)
-			dead = append(dead, m)
+	var returned []*rentedMachine
+	for _, n := range request.Hives {
+		if m := c.machines[n]; m != nil && m.unlistedAt.IsZero() {
+			m.unlistedAt = time.Now().Add(c.listLag)
+			returned = append(returned, m)
 		}
 	}
 	c.mu.Unlock()
-	for _, m := range dead {
-		c.end(m)
+	for _, m := range returned {
+		c.stopMachine(m)
 	}
-	answer(w, http.StatusOK, object{})
+	writeJSON(w, http.StatusOK, object{})
 }
 
+// list answers with a page of the machines, as they were known one lag ago.
 func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
 	from := r.URL.Query().Get("From")
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	hives := []object{}
-	for n, m := range c.all {
-		if n <= from || now.Before(m.listedAt) || !m.goneAt.IsZero() && now.After(m.goneAt) {
+	machines := []object{}
+	for name, m := range c.machines {
+		if name <= from || now.Before(m.listedAt) || !m.unlistedAt.IsZero() && now.After(m.unlistedAt) {
 			continue
 		}
-		h := object{"NameId": n, "Addr": "", "Breed": m.kind.Label, "Yard": m.yard, "SwarmBoxes": m.spot, "Stage": "starting",
-			"HeldS": now.Add(-c.lag).Sub(m.since).Seconds()}
+		machine := object{
+			"NameId": name, "Addr": "", "Breed": m.machineType.Label, "Yard": m.zone, "SwarmBoxes": m.spot,
+			"Stage": "starting", "HeldS": now.Add(-c.listLag).Sub(m.rentedAt).Seconds(),
+		}
 		if m.addr != "" {
-			h["Stage"], h["Addr"] = "running", m.addr
+			machine["Stage"], machine["Addr"] = "running", m.addr
 		}
-		hives = append(hives, h)
+		machines = append(machines, machine)
 	}
-	sort.Slice(hives, func(i, j int) bool { return hives[i]["NameId"].(string) < hives[j]["NameId"].(string) })
-	cut := min(len(hives), 500)
-	answer(w, http.StatusOK, object{"Hives": hives[:cut], "Truncated": cut < len(hives)})
+	sort.Slice(machines, func(i, j int) bool { return machines[i]["NameId"].(string) < machines[j]["NameId"].(string) })
+	pageSize := min(len(machines), 500)
+	writeJSON(w, http.StatusOK, object{"Hives": machines[:pageSize], "Truncated": pageSize < len(machines)})
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -14,53 +14,56 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreLimits are the state service's limits; 0 means none.
+// StoreLimits are the limits of the state service; 0 means no limit.
 type StoreLimits struct {
 	RPS, WriteRPS float64
 	ValueKB       float64
 	TxnOps        int
 }
 
-// keptChanges is how many changes a watch can look back.
-const keptChanges = 10_000
+// maxKeptChanges is the number of past changes that a watch can still read.
+const maxKeptChanges = 10_000
 
+// entry is a key with its value, the revision of its last change and its lease.
 type entry struct {
-	key   string
-	value json.RawMessage
-	frame uint64
-	lease uint64
+	key      string
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
+// change is one put or delete in the history that watches read.
 type change struct {
-	key   string
-	value json.RawMessage // nil: dropped
-	frame uint64
+	key      string
+	value    json.RawMessage // nil: the key was deleted
+	revision uint64
 }
 
+// lease is a lease that keys can be bound to; they are deleted when it expires.
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is a stand-in of the state service.
+// Store is a stand-in for the state service.
 type Store struct {
-	mu      sync.Mutex
-	limits  StoreLimits
-	reqs    *rate.Limiter
-	writes  *rate.Limiter
-	rev     uint64
-	keys    *btree.BTreeG[entry]
-	leases  map[uint64]*lease
-	lastID  uint64
-	changes []change
-	oldest  uint64 // changes after this revision are kept
-	changed chan struct{}
-	out     bool
-	doors   []*door
-	counts  StoreCounts
+	mu                sync.Mutex
+	limits            StoreLimits
+	requestLimiter    *rate.Limiter
+	writeLimiter      *rate.Limiter
+	revision          uint64
+	keys              *btree.BTreeG[entry]
+	leases            map[uint64]*lease
+	lastLeaseID       uint64
+	changes           []change
+	compactedRevision uint64 // only changes after this revision are still kept
+	changed           chan struct{}
+	outage            bool
+	servers           []*loopbackServer
+	counts            StoreCounts
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store with the given limits.
 func NewStore(l StoreLimits) *Store {
 	limiter := func(r float64) *rate.Limiter {
 		if r <= 0 {
@@ -68,112 +71,117 @@
 		}
 		return rate.NewLimiter(rate.Limit(r), max(1, int(math.Ceil(r))))
 	}
-	return &Store{limits: l, reqs: limiter(l.RPS), writes: limiter(l.WriteRPS), rev: 1, leases: map[uint64]*lease{},
-		keys: btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
+	return &Store{limits: l, requestLimiter: limiter(l.RPS), writeLimiter: limiter(l.WriteRPS), revision: 1,
+		leases: map[uint64]*lease{},
+		keys:   btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
 }
 
-// Front is one controller's way to the store, which may refuse it, or be slow.
+// Front is the address at which one controller reaches the store. Faults can be injected
+// for this controller alone.
 type Front struct {
-	Addr    string
-	mu      sync.Mutex
-	refuses bool
-	slow    time.Duration
-	loses   int // of so many transactions one gets no answer; 0: none
-	txns    int
-	counts  FrontCounts
+	Addr               string
+	mu                 sync.Mutex
+	refusing           bool
+	delay              time.Duration
+	lostAnswerInterval int // one of this many transactions gets no answer; 0: none
+	transactions       int
+	counts             EndpointCounts
 }
 
-// FrontCounts are one controller's requests so far.
-type FrontCounts struct {
+// EndpointCounts counts the requests of one controller.
+type EndpointCounts struct {
 	Requests, Refused, Watches int
 }
 
-// Counts of this controller's requests; those refused for the rate are among them.
-func (f *Front) Counts() FrontCounts {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.counts
+// Counts returns the number of this controller's requests, including those that were
+// refused because of the rate limit.
+func (e *Front) Counts() EndpointCounts {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.counts
 }
 
-func (f *Front) count(r *http.Request, refused bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.counts.Requests++
+// count records a request.
+func (e *Front) count(r *http.Request, refused bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts.Requests++
 	if refused {
-		f.counts.Refused++
+		e.counts.Refused++
 	}
 	if r.URL.Path == "/watch" {
-		f.counts.Watches++
+		e.counts.Watches++
 	}
 }
 
-// Refuse lets the store answer this controller alone with 503, or no longer.
-func (f *Front) Refuse(on bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.refuses = on
+// SetRefusing makes the store answer all requests of this controller with 503, or stops that.
+func (e *Front) SetRefusing(on bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.refusing = on
 }
 
 // Slow delays every answer to this controller.
-func (f *Front) Slow(d time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.slow = d
+func (e *Front) Slow(delay time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.delay = delay
 }
 
-// Lose has one of every n transactions of this controller carried out at once, and its answer
-// lost; 0: none.
-func (f *Front) Lose(n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.loses = n
+// LoseAnswers makes the store commit one of every interval transactions of this controller
+// without answering it; 0 ends that.
+func (e *Front) LoseAnswers(interval int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lostAnswerInterval = interval
 }
 
-// lost tells whether a transaction's answer is lost.
-func (f *Front) lost() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.txns++
-	return f.loses > 0 && f.txns%f.loses == 0
+// loseNextAnswer counts a transaction and reports whether its answer is to be lost.
+func (e *Front) loseNextAnswer() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.transactions++
+	return e.lostAnswerInterval > 0 && e.transactions%e.lostAnswerInterval == 0
 }
 
-func (f *Front) fault() (bool, time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.refuses, f.slow
+// faults reports whether requests are refused and by how much answers are delayed.
+func (e *Front) faults() (bool, time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.refusing, e.delay
 }
 
-// Front opens a way to the store.
+// Front opens a new address at which a controller can reach the store.
 func (s *Store) Front() (*Front, error) {
-	f := &Front{}
+	endpoint := &Front{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.get)
 	mux.HandleFunc("GET /store", s.list)
 	mux.HandleFunc("POST /txn", func(w http.ResponseWriter, r *http.Request) {
-		if !f.lost() {
+		if !endpoint.loseNextAnswer() {
 			s.txn(w, r)
 			return
 		}
 		s.txn(httptest.NewRecorder(), r)
-		<-r.Context().Done() // until its asker has lost patience
+		<-r.Context().Done() // until the client times out
 	})
-	mux.HandleFunc("POST /grants", s.grant)
-	mux.HandleFunc("POST /grants/{id}/extend", s.extend)
-	mux.HandleFunc("DELETE /grants/{id}", s.end)
-	watch := func(w http.ResponseWriter, r *http.Request) { s.watch(w, r, f) }
+	mux.HandleFunc("POST /grants", s.createLease)
+	mux.HandleFunc("POST /grants/{id}/extend", s.extendLease)
+	mux.HandleFunc("DELETE /grants/{id}", s.revokeLease)
+	watch := func(w http.ResponseWriter, r *http.Request) { s.watch(w, r, endpoint) }
 	mux.HandleFunc("GET /watch", watch)
-	d, err := open(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		refuses, slow := f.fault()
-		time.Sleep(slow)
-		if refuses || s.isOut() {
-			answer(w, http.StatusServiceUnavailable, object{})
+	server, err := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		refusing, delay := endpoint.faults()
+		time.Sleep(delay)
+		if refusing || s.hasOutage() {
+			writeJSON(w, http.StatusServiceUnavailable, object{})
 			return
 		}
-		allowed := s.reqs.Allow()
-		f.count(r, !allowed)
+		allowed := s.requestLimiter.Allow()
+		endpoint.count(r, !allowed)
 		switch {
 		case !allowed:
-			answer(w, http.StatusTooManyRequests, object{})
+			writeJSON(w, http.StatusTooManyRequests, object{})
 		default:
 			mux.ServeHTTP(w, r)
 		}
@@ -181,21 +189,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in store: %w", err)
 	}
-	f.Addr = d.addr
+	endpoint.Addr = server.addr
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doors = append(s.doors, d)
-	return f, nil
+	s.servers = append(s.servers, server)
+	return endpoint, nil
 }
 
-// StoreCounts is what the store holds and has done so far.
+// StoreCounts is the size of the store's data and the number of changes so far.
 type StoreCounts struct {
 	Keys, Bytes    int
-	Changes        int // puts and deletes that were carried out
-	RefusedChanges int // ... that were refused for the rate
+	Changes        int // puts and deletes that were committed
+	RefusedChanges int // puts and deletes that were refused because of the write rate limit
 }
 
-// Counts of the whole store.
+// Counts returns the counts of the whole store.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,52 +216,54 @@
 	return c
 }
 
-// Close ends all fronts.
+// Close closes all addresses of the store.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.doors {
+	for _, d := range s.servers {
 		d.close()
 	}
 }
 
-// Out begins or ends an outage; at its end every lease has its full time again.
-func (s *Store) Out(on bool) {
+// SetOutage starts or ends an outage for all controllers. At its end every lease gets its
+// full time again.
+func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = on
+	s.outage = on
 	if !on {
 		for _, l := range s.leases {
-			l.end = time.Now().Add(l.ttl)
+			l.expiresAt = time.Now().Add(l.ttl)
 		}
 	}
 }
 
-func (s *Store) isOut() bool {
+// hasOutage reports whether the store is in an outage.
+func (s *Store) hasOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.out
+	return s.outage
 }
 
-// Peek reads a key past all limits; nil if it is absent.
-func (s *Store) Peek(key string) json.RawMessage {
+// ReadKey returns the value of a key without any limits, or nil if it does not exist.
+func (s *Store) ReadKey(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, _ := s.keys.Get(entry{key: key})
 	return e.value
 }
 
-// Poke writes a key past all limits, as another release might have left it.
-func (s *Store) Poke(key string, v json.RawMessage) {
+// WriteKey writes a key without any limits, for example as another release would have left it.
+func (s *Store) WriteKey(key string, v json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
-	s.put(key, v, 0)
-	s.tell()
+	s.revision++
+	s.putKey(key, v, 0)
+	s.notifyWatches()
 }
 
-// Below calls f for every key with the prefix, in order.
-func (s *Store) Below(prefix string, f func(key string, v json.RawMessage)) {
+// ScanPrefix calls f for every key with the prefix, in the order of the keys.
+func (s *Store) ScanPrefix(prefix string, f func(key string, v json.RawMessage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
@@ -265,60 +275,64 @@
 	})
 }
 
-// expire ends the leases whose time is over. While the store is out none ends.
-func (s *Store) expire() {
-	if s.out {
+// expireLeases removes leases that have expired. During an outage no lease expires.
+func (s *Store) expireLeases() {
+	if s.outage {
 		return
 	}
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.end) {
-			s.endLease(id)
+		if now.After(l.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *Store) endLease(id uint64) {
+// removeLease removes a lease and deletes the keys that are bound to it.
+func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
-	var gone []string
+	var expired []string
 	s.keys.Ascend(func(e entry) bool {
 		if e.lease == id {
-			gone = append(gone, e.key)
+			expired = append(expired, e.key)
 		}
 		return true
 	})
-	if len(gone) == 0 {
+	if len(expired) == 0 {
 		return
 	}
-	s.rev++
-	for _, k := range gone {
-		s.drop(k)
+	s.revision++
+	for _, k := range expired {
+		s.deleteKey(k)
 	}
-	s.tell()
+	s.notifyWatches()
 }
 
-func (s *Store) put(key string, v json.RawMessage, lease uint64) {
-	s.keys.ReplaceOrInsert(entry{key, v, s.rev, lease})
-	s.note(change{key, v, s.rev})
+// putKey sets a key at the current revision.
+func (s *Store) putKey(key string, v json.RawMessage, lease uint64) {
+	s.keys.ReplaceOrInsert(entry{key, v, s.revision, lease})
+	s.recordChange(change{key, v, s.revision})
 }
 
-func (s *Store) drop(key string) {
+// deleteKey deletes a key at the current revision, if it exists.
+func (s *Store) deleteKey(key string) {
 	if _, ok := s.keys.Delete(entry{key: key}); ok {
-		s.note(change{key, nil, s.rev})
+		s.recordChange(change{key, nil, s.revision})
 	}
 }
 
-func (s *Store) note(c change) {
+// recordChange appends a change to the history and drops the oldest beyond maxKeptChanges.
+func (s *Store) recordChange(c change) {
 	s.counts.Changes++
 	s.changes = append(s.changes, c)
-	if n := len(s.changes) - keptChanges; n > 0 {
-		s.oldest = s.changes[n-1].frame
-		s.changes = s.changes[n:] // append moves the rest once the room behind is used up
+	if n := len(s.changes) - maxKeptChanges; n > 0 {
+		s.compactedRevision = s.changes[n-1].revision
+		s.changes = s.changes[n:] // append reallocates once the capacity is used up
 	}
 }
 
-// tell wakes the watches.
-func (s *Store) tell() {
+// notifyWatches wakes all waiting watches.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
