--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -85,13 +85,13 @@
 	if err = errors.Join(f.check(), err); err != nil {
 		return err
 	}
-	o := dev.Trial(f.controllers, f.workers, f.speed, f.seed)
+	o := dev.TrialOptions(f.controllers, f.workers, f.speed, f.seed)
 	o.Log = slog.New(slog.DiscardHandler)
 	if level := os.Getenv("LOG_LEVEL"); level != "" {
 		o.Log = logger(os.Stderr, level)
 	}
 	token := rand.Text() // of the operators' servers
-	o.Settings = func(string) (*config.Settings, error) { return dev.Operated(token) }
+	o.Settings = func(string) (*config.Settings, error) { return dev.OperatorSettings(token) }
 	cl, err := dev.Start(o)
 	if err != nil {
 		return failed(err)
@@ -113,7 +113,7 @@
 	}()
 	f.follow(c, users, ended)
 	counts := users.Counts()
-	broken := cl.Depot.Broken()
+	broken := cl.Tasks.Violations()
 	for _, s := range append(counts.Losses, broken...) {
 		fmt.Fprintln(c.ErrOrStderr(), s)
 	}
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -205,8 +205,8 @@
 
 func planLine(s *node.PlanStatus) string {
 	line := s.Phase + ": " + counts(s.Counts)
-	if s.Behind != "" {
-		line += "; longest under way: " + s.Behind
+	if s.SlowestMachine != "" {
+		line += "; longest under way: " + s.SlowestMachine
 	}
 	for _, x := range []string{s.BlockedReason, s.Note} {
 		if x != "" {
@@ -237,7 +237,7 @@
 			formatLimit(float64(b.MaxTasks)),
 			fmt.Sprintf("%g", b.InterruptedCPUs), formatLimit(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS),
 			formatLimit(b.MaxLostCPUS),
-			counts(b.By)})
+			counts(b.InterruptedByCause)})
 	}
 	return table(w, []string{"TEAM", "CLASS", "RUNNING", "OUT", "MOST", "OUT CPUS", "MOST", "LOST CPU S", "MOST", "WHY"},
 		rows)
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -31,7 +31,7 @@
 	}
 	var r node.ForecastReply
 	reported := 0
-	err = o.Ask(c.Context(), path, body, &r, func() bool {
+	err = o.Poll(c.Context(), path, body, &r, func() bool {
 		if tenths := int(r.Done * 10); tenths > reported {
 			reported = tenths
 			fmt.Fprintf(c.ErrOrStderr(), "forecasting: %d%%\n", 10*tenths)
@@ -75,7 +75,7 @@
 	var rows [][]string
 	for _, delayed := range r.Delayed {
 		rows = append(rows, []string{delayed.Job, delayed.Class, formatRange(delayed.DelayS), formatRange(delayed.EndS),
-			delayed.Why, delayed.MissedLimit})
+			delayed.Reason, delayed.MissedLimit})
 	}
 	return table(w, []string{"JOB", "CLASS", "LATER BY", "ENDS IN", "WHY", "PUSHED PAST"}, rows)
 }
--- a/cmd/honeylock/scale.go
+++ b/cmd/honeylock/scale.go
@@ -32,7 +32,7 @@
 }
 
 func scaleRunCommand() *cobra.Command {
-	f := scaleFlags{options: scale.Defaults()}
+	f := scaleFlags{options: scale.DefaultOptions()}
 	c := &cobra.Command{Use: "run", Args: cobra.NoArgs,
 		Short: "Run a fleet of real controllers and simulated workers, and measure it",
 		Long: `Starts the controllers of each region as they are deployed, one process each, and
@@ -186,7 +186,7 @@
 				}
 				reports = append(reports, r)
 			}
-			slopes, err := scale.Slopes(reports)
+			slopes, err := scale.FitSlopes(reports)
 			if err != nil {
 				return failed(err)
 			}
@@ -214,13 +214,14 @@
 	fmt.Fprintln(out, "| role | figure | base | for one more of | | residual: rms, worst | R² | rows |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, s := range slopes {
-		for i, by := range s.By {
+		for i, by := range s.Variables {
 			if i == 0 {
-				fmt.Fprintf(out, "| %s | %s | %.4g | %s | %.4g | %.3g, %.3g | %.3f | %d |\n", s.Role, s.Unit, s.Base, by, s.Each[i],
-					s.RMS, s.Worst, s.R2, s.Rows)
+				fmt.Fprintf(out, "| %s | %s | %.4g | %s | %.4g | %.3g, %.3g | %.3f | %d |\n", s.Role, s.Unit, s.Intercept, by,
+					s.Coefficients[i],
+					s.RMS, s.MaxResidual, s.R2, s.Rows)
 				continue
 			}
-			fmt.Fprintf(out, "| | | | %s | %.4g | | | |\n", by, s.Each[i])
+			fmt.Fprintf(out, "| | | | %s | %.4g | | | |\n", by, s.Coefficients[i])
 		}
 	}
 }
--- a/cmd/honeylock/scale_test.go
+++ b/cmd/honeylock/scale_test.go
@@ -127,15 +127,15 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o := scale.Defaults()
+	o := scale.DefaultOptions()
 	if err := o.LoadSettings(path); err != nil {
 		t.Fatal(err)
 	}
 	if o.Workers != 70 || o.Profile != scale.Ordinary || o.Limits.StateRPS != 99 || o.Controllers != 7 ||
-		len(o.Faults) != 1 || o.Faults[0].Kind != scale.RackGone {
+		len(o.Faults) != 1 || o.Faults[0].Kind != scale.RackLoss {
 		t.Errorf("%+v", o)
 	}
-	if err := o.Check(); err == nil || !strings.Contains(err.Error(), "workers.cancel_s") {
+	if err := o.Validate(); err == nil || !strings.Contains(err.Error(), "workers.cancel_s") {
 		t.Errorf("%v", err)
 	}
 }
--- a/cmd/honeylock/team.go
+++ b/cmd/honeylock/team.go
@@ -80,7 +80,8 @@
 			limit = fmt.Sprintf("%g", t.Limit)
 		}
 		rows = append(rows, []string{t.Team, limit, fmt.Sprintf("%g", t.Guarantee), fmt.Sprintf("%g", t.Used),
-			fmt.Sprintf("%g", t.Borrowed), fmt.Sprintf("%g", t.Unaccounted), fmt.Sprint(t.Waiting), fmt.Sprint(t.Awaiting),
+			fmt.Sprintf("%g", t.Borrowed), fmt.Sprintf("%g", t.Unaccounted), fmt.Sprint(t.TasksWaiting),
+			fmt.Sprint(t.JobsOnHold),
 			t.BlockedBy, t.Changed})
 	}
 	return table(w, []string{"TEAM", "LIMIT", "GUARANTEED", "USED", "BORROWED", "UNSEEN", "WAITING", "AWAITING", "HELD BY",
--- a/internal/client/operators.go
+++ b/internal/client/operators.go
@@ -63,9 +63,9 @@
 	return o.retry(ctx, http.MethodPost, path, rand.Text(), body, out, onRetry)
 }
 
-// Ask repeats a call under one id until done returns true. It is for calls whose answer
+// Poll repeats a call under one id until done returns true. It is for calls whose answer
 // takes a while, such as forecasts.
-func (o *Operators) Ask(ctx context.Context, path string, body []byte, out any, done func() bool) error {
+func (o *Operators) Poll(ctx context.Context, path string, body []byte, out any, done func() bool) error {
 	id := rand.Text()
 	for {
 		if err := o.retry(ctx, http.MethodPost, path, id, body, out, nil); err != nil || done() {
--- a/internal/config/budgets.go
+++ b/internal/config/budgets.go
@@ -12,14 +12,14 @@
 // Budget is the disruption budget of a team, or of one job class of a team. A zero amount
 // sets no limit.
 type Budget struct {
-	Team, Class string // Class "": all classes
-	Tasks       int
-	Share       float64
-	CPUs        float64
-	LostCPUS    float64 // CPU seconds
-	Window      time.Duration
-	Moves       int
-	LastPart    float64
+	Team, Class  string // Class "": all classes
+	Tasks        int
+	Share        float64
+	CPUs         float64
+	LostCPUS     float64 // CPU seconds
+	Window       time.Duration
+	Moves        int
+	LastFraction float64
 }
 
 const (
@@ -63,7 +63,7 @@
 			CPUs:     number("cpus", b.Cpus, smallestPositive, 1e6),
 			LostCPUS: number("lost_cpu_s", b.LostCpuS, smallestPositive, 1e9),
 			Window:   Seconds(number("window_s", b.WindowS, 1, 86400)), Moves: integer("moves", b.Moves, 1000),
-			LastPart: number("last_part", b.LastPart, smallestPositive, 1)}
+			LastFraction: number("last_part", b.LastPart, smallestPositive, 1)}
 		if budget.Team == "" {
 			errs = append(errs, fmt.Errorf("%s: must be given", field("team")))
 		}
@@ -80,7 +80,7 @@
 			budget.Window = Seconds(defaultLossWindowS)
 		}
 		if budget.Tasks == 0 && budget.Share == 0 && budget.CPUs == 0 && budget.LostCPUS == 0 && budget.Moves == 0 &&
-			budget.LastPart == 0 {
+			budget.LastFraction == 0 {
 			errs = append(errs, fmt.Errorf("disruption.budgets[%d]: sets no limit", i))
 		}
 		out = append(out, budget)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -219,24 +219,24 @@
 	return c.State.TxnOps
 }
 
-// Vouched returns how long a leader's confirmation that a job on hold has not been
+// StatusFreshness returns how long a leader's confirmation that a job on hold has not been
 // cancelled allows reporting the job as queued. The bound keeps the cancellation rule: when
 // the answer arrives, a cancellation that it does not reflect is at most cancel_s old.
-func (c *Cluster) Vouched() time.Duration {
+func (c *Cluster) StatusFreshness() time.Duration {
 	return max(100*time.Millisecond, Seconds(c.Workers.CancelS)*9/10-3*time.Second)
 }
 
-// SureLease returns the longest time that a worker's lease can last: it adds the clocks'
+// MaxLease returns the longest time that a worker's lease can last: it adds the clocks'
 // drift (0.05% on either side) and late timers to the lease. After this time a worker has
 // certainly stopped its tasks.
-func (c *Cluster) SureLease() time.Duration {
+func (c *Cluster) MaxLease() time.Duration {
 	return Seconds(c.Workers.LeaseS*1.002) + 250*time.Millisecond
 }
 
 // StalenessBound returns how old a leader's view of the open jobs may be. The cancellation
 // rule bounds it: this time plus one worker's lease must fit into cancel_s.
 func (c *Cluster) StalenessBound() time.Duration {
-	available := Seconds(c.Workers.CancelS) - c.SureLease() - time.Second
+	available := Seconds(c.Workers.CancelS) - c.MaxLease() - time.Second
 	return max(100*time.Millisecond, min(available*9/10, 30*time.Second))
 }
 
@@ -245,5 +245,5 @@
 // state service the leader stays in place by the promises of the other controllers.
 func (c *Cluster) LeaderTTL() time.Duration { return min(3*time.Second, c.StalenessBound()) }
 
-// Promise is how long a member promises the leader not to take over leadership.
-const Promise = 2500 * time.Millisecond
+// PromiseDuration is how long a member promises the leader not to take over leadership.
+const PromiseDuration = 2500 * time.Millisecond
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -109,7 +109,7 @@
 	for _, c := range [][2]float64{{10, 40}, {42, 67}, {5, 8}, {30, 300}, {10, 12}} {
 		var cl Cluster
 		cl.Workers.LeaseS, cl.Workers.CancelS = c[0], c[1]
-		if sum := cl.StalenessBound() + cl.SureLease(); sum >= Seconds(c[1]) {
+		if sum := cl.StalenessBound() + cl.MaxLease(); sum >= Seconds(c[1]) {
 			t.Errorf("lease %v: %v of %v s", c[0], sum, c[1])
 		}
 		if cl.LeaderTTL() < 100*time.Millisecond {
@@ -121,7 +121,7 @@
 func TestOperatorSettings(t *testing.T) {
 	s, err := ParseSettings([]byte("scheduling { sample_size: 3 payback_limit_s: 30 } fleet { idle_return_s: 90 }"))
 	if err != nil || s.SampleSize != 3 || s.PaybackLimit != 30*time.Second || s.IdleReturn != 90*time.Second ||
-		s.DealAhead != DefaultSettings().DealAhead {
+		s.DispatchAhead != DefaultSettings().DispatchAhead {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for _, bad := range []string{"scheduling { sample: 3 }", "scheduling { sample_size: 0 }",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,20 +13,20 @@
 
 // Settings are the operator's settings, with defaults filled in.
 type Settings struct {
-	SampleSize   int
-	PaybackLimit time.Duration
-	DemotionStep float64
-	DealAhead    int
-	IdleReturn   time.Duration
-	RentHorizon  time.Duration
-	Operator     *Operator // nil: no operators' server
-	Budgets      []Budget  // disruption budgets
-	BeginWithin  time.Duration
+	SampleSize    int
+	PaybackLimit  time.Duration
+	DemotionStep  float64
+	DispatchAhead int
+	IdleReturn    time.Duration
+	RentHorizon   time.Duration
+	Operator      *Operator // nil: no operators' server
+	Budgets       []Budget  // disruption budgets
+	BeginWithin   time.Duration
 }
 
 // DefaultSettings returns the values of settings that the operator leaves out.
 func DefaultSettings() *Settings {
-	return &Settings{SampleSize: 2, PaybackLimit: time.Minute, DemotionStep: 2, DealAhead: 16,
+	return &Settings{SampleSize: 2, PaybackLimit: time.Minute, DemotionStep: 2, DispatchAhead: 16,
 		IdleReturn: 240 * time.Second, RentHorizon: 30 * time.Second, BeginWithin: 2 * time.Minute}
 }
 
@@ -77,7 +77,7 @@
 		number("scheduling.payback_limit_s", c.PaybackLimitS, 0, 3600, func(v float64) { s.PaybackLimit = Seconds(v) })
 		number("scheduling.demotion_step", c.DemotionStep, 1, 10, func(v float64) { s.DemotionStep = v })
 		number("scheduling.begin_within_s", c.BeginWithinS, 10, 230, func(v float64) { s.BeginWithin = Seconds(v) })
-		number("scheduling.deal_ahead", optionalFloat(c.DealAhead), 0, 1000, func(v float64) { s.DealAhead = int(v) })
+		number("scheduling.deal_ahead", optionalFloat(c.DealAhead), 0, 1000, func(v float64) { s.DispatchAhead = int(v) })
 	}
 	if c := p.Fleet; c != nil {
 		number("fleet.idle_return_s", c.IdleReturnS, 1, 86400, func(v float64) { s.IdleReturn = Seconds(v) })
--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -130,7 +130,7 @@
 	Task      model.Task
 	Spec      *model.Spec
 	Cause     Cause
-	Ran       time.Duration // run time so far on this machine
+	RunTime   time.Duration // run time so far on this machine
 	Remaining time.Duration // expected rest of the run time
 }
 
@@ -140,7 +140,7 @@
 	if request.Spec.CheckpointInterval > 0 {
 		return request.Spec.CheckpointTime
 	}
-	return request.Ran
+	return request.RunTime
 }
 
 // RequestMove asks all budgets of a task for a move. It returns "" if the move is granted, and counts
@@ -178,7 +178,7 @@
 	if b.MaxMoves > 0 && tracker.moveCounts[request.Task] >= b.MaxMoves {
 		return fmt.Sprintf("%s: a task was moved %d times, and no more often", name, tracker.moveCounts[request.Task])
 	}
-	if whole := request.Ran + request.Remaining; b.LastFraction > 0 &&
+	if whole := request.RunTime + request.Remaining; b.LastFraction > 0 &&
 		request.Remaining < time.Duration(b.LastFraction*float64(whole)) {
 		return fmt.Sprintf("%s: a task is in the last %.0f%% of its run", name, 100*b.LastFraction)
 	}
--- a/internal/core/disruption/disruption_test.go
+++ b/internal/core/disruption/disruption_test.go
@@ -22,7 +22,7 @@
 
 // moveRequest asks for a move of a task in the middle of its run of a minute.
 func moveRequest(index int32, spec *model.Spec) MoveRequest {
-	return MoveRequest{Task: model.Task{Job: spec.ID, Index: index}, Spec: spec, Ran: 30 * time.Second,
+	return MoveRequest{Task: model.Task{Job: spec.ID, Index: index}, Spec: spec, RunTime: 30 * time.Second,
 		Remaining: 30 * time.Second}
 }
 
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -172,7 +172,7 @@
 		return
 	}
 	if e.isEmpty(v.Now, &m) {
-		if p.After == Patch {
+		if p.WhenEmpty == Patch {
 			p.setState(v.Now, i, Patching)
 		} else {
 			p.setState(v.Now, i, Returning)
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -68,7 +68,7 @@
 	h.addJob(model.Spec{ID: 3, Class: 3, Rank: model.Idle}, 1)
 	h.addJob(model.Spec{ID: 4}, 2, 2, 2, 2)
 	h.addJob(model.Spec{ID: 5}, 3, 3, 3)
-	rules := []Rule{{Class: 3, Rank: -1, How: Move}}
+	rules := []Rule{{Class: 3, Rank: -1, LeaveMode: Move}}
 	if err := h.apply(Spec{Machines: []model.MachineID{1}, Default: MoveSaved, Rules: rules}); err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 // it as patched.
 func TestPatchedMachinesAreUncordoned(t *testing.T) {
 	h := threeMachines(t)
-	if err := h.apply(Spec{Machines: []model.MachineID{1, 2}, After: Patch}); err != nil {
+	if err := h.apply(Spec{Machines: []model.MachineID{1, 2}, WhenEmpty: Patch}); err != nil {
 		t.Fatal(err)
 	}
 	if h.engine.Patched(h.now, "p", 1, "m-1") == nil {
@@ -330,7 +330,7 @@
 		t.Error("a cancelled plan continues or can be resumed")
 	}
 	// The name can be used again. No step starts after the latest end.
-	if err := h.apply(Spec{Machines: []model.MachineID{2, 3}, After: Patch,
+	if err := h.apply(Spec{Machines: []model.MachineID{2, 3}, WhenEmpty: Patch,
 		LatestEnd: h.wall.Add(h.now + 4*time.Second)}); err != nil {
 		t.Fatal(err)
 	}
@@ -381,7 +381,7 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if err := h.apply(Spec{Machines: []model.MachineID{1}, After: Patch}); err != nil {
+	if err := h.apply(Spec{Machines: []model.MachineID{1}, WhenEmpty: Patch}); err != nil {
 		t.Fatal(err)
 	}
 	other := Spec{Name: "q", MaxConcurrent: 1, Machines: []model.MachineID{1, 2}}
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -12,30 +12,30 @@
 	"honeylock/internal/core/rollout"
 )
 
-// How says how running tasks leave a machine.
-type How uint8
+// LeaveMode says how running tasks leave a machine.
+type LeaveMode uint8
 
 // Ways for running tasks to leave a machine.
 const (
-	Finish    How = iota // tasks run to their end on the machine
-	MoveSaved            // tasks with checkpoints are saved and moved; the others run to their end
-	Move                 // all tasks are moved; those without checkpoints start over
+	Finish    LeaveMode = iota // tasks run to their end on the machine
+	MoveSaved                  // tasks with checkpoints are saved and moved; the others run to their end
+	Move                       // all tasks are moved; those without checkpoints start over
 )
 
-// After says what happens to a machine once it is empty.
-type After uint8
+// WhenEmpty says what happens to a machine once it is empty.
+type WhenEmpty uint8
 
 // What happens to an empty machine.
 const (
-	Return After = iota // it is returned to the cloud
-	Patch               // it waits until an operator reports it as patched
+	Return WhenEmpty = iota // it is returned to the cloud
+	Patch                   // it waits until an operator reports it as patched
 )
 
 // Rule says how running tasks of a class or rank leave a machine.
 type Rule struct {
-	Class model.Name // model.None: any
-	Rank  int        // -1: any
-	How   How
+	Class     model.Name // model.None: any
+	Rank      int        // -1: any
+	LeaveMode LeaveMode
 }
 
 // Window is a time by which the jobs of some classes must end: a plan must not delay them past it.
@@ -81,11 +81,11 @@
 	MaxPerZone        int     // 0: only MaxConcurrent applies
 	FreeCapacityFloor float64 // fraction of teams' unused guarantees that must stay free on other machines
 	Rules             []Rule  // the first that matches applies
-	Default           How
+	Default           LeaveMode
 	LatestEnd         time.Time // zero: none; no step starts after it
 	Windows           []Window
 	RentFirst         bool
-	After             After
+	WhenEmpty         WhenEmpty
 	Waves             []Wave
 	Gate              *rollout.Gate // checked between waves; nil: none
 }
@@ -124,13 +124,13 @@
 
 // leaveMode says how a task of the job leaves a machine. A service's replica always moves, because it
 // never ends by itself.
-func (s *Spec) leaveMode(spec *model.Spec) How {
+func (s *Spec) leaveMode(spec *model.Spec) LeaveMode {
 	if spec.Daemon {
 		return Move
 	}
 	for _, r := range s.Rules {
 		if (r.Class == model.None || r.Class == spec.Class) && (r.Rank < 0 || r.Rank == int(spec.Rank)) {
-			return r.How
+			return r.LeaveMode
 		}
 	}
 	return s.Default
--- a/internal/core/drain/property_test.go
+++ b/internal/core/drain/property_test.go
@@ -38,8 +38,8 @@
 		}
 		s := Spec{Machines: ids, MaxConcurrent: rapid.IntRange(1, 3).Draw(t, "at once"),
 			MaxPerZone: rapid.IntRange(0, 2).Draw(t, "per zone"),
-			Default:    How(rapid.IntRange(0, 2).Draw(t, "how")), RentFirst: rapid.Bool().Draw(t, "rent first"),
-			After: After(rapid.IntRange(0, 1).Draw(t, "after"))}
+			Default:    LeaveMode(rapid.IntRange(0, 2).Draw(t, "how")), RentFirst: rapid.Bool().Draw(t, "rent first"),
+			WhenEmpty: WhenEmpty(rapid.IntRange(0, 1).Draw(t, "after"))}
 		if err := h.apply(s); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -48,10 +48,10 @@
 
 // MoveRequest asks a disruption budget for a running task to be moved.
 type MoveRequest struct {
-	Task           model.Task
-	Spec           *model.Spec
-	ForPrice       bool          // because its machine costs too much, not for a plan
-	Ran, Remaining time.Duration // run time so far, and the expected rest
+	Task               model.Task
+	Spec               *model.Spec
+	ForPrice           bool          // because its machine costs too much, not for a plan
+	RunTime, Remaining time.Duration // run time so far, and the expected rest
 }
 
 // requestMove asks the disruption budgets for a task to be moved. It returns "" if it may be, else the
@@ -60,7 +60,7 @@
 	if v.RequestMove == nil {
 		return ""
 	}
-	return v.RequestMove(MoveRequest{Task: task.Task, Spec: task.spec, ForPrice: forPrice, Ran: task.RunTime,
+	return v.RequestMove(MoveRequest{Task: task.Task, Spec: task.spec, ForPrice: forPrice, RunTime: task.RunTime,
 		Remaining: v.remainingRunTime(task, medianQuantile)})
 }
 
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -95,13 +95,13 @@
 	var out []model.MachineID
 	for _, s := range p.Steps {
 		replaced[s.Machine] = true
-		if p.After == Patch && s.State == Finished {
+		if p.WhenEmpty == Patch && s.State == Finished {
 			out = append(out, s.Machine)
 		}
 	}
 	began := v.Now - v.Wall.Sub(p.At)
 	for _, id := range sortedIDs(v.Machines) {
-		if p.After != Patch && !replaced[id] && v.Machines[id].KnownSince >= began {
+		if p.WhenEmpty != Patch && !replaced[id] && v.Machines[id].KnownSince >= began {
 			out = append(out, id)
 		}
 	}
--- a/internal/core/drain/waves_test.go
+++ b/internal/core/drain/waves_test.go
@@ -12,7 +12,7 @@
 
 // harnessWithWaves returns a harness with eight machines, and a plan that drains them in waves of one
 // machine, up to a half, and the rest. Its gate waits for more tasks.
-func harnessWithWaves(t *testing.T, after After) *harness {
+func harnessWithWaves(t *testing.T, after WhenEmpty) *harness {
 	t.Helper()
 	h := newHarness()
 	var ids []model.MachineID
@@ -24,7 +24,8 @@
 	h.evaluateGate = func(rollout.Gate, []model.MachineID) rollout.Verdict {
 		return rollout.Verdict{Reason: "0 of 20 tasks"}
 	}
-	s := Spec{Machines: ids, MaxConcurrent: 8, RentFirst: after == Return, After: after, Gate: &rollout.Gate{MinTasks: 20},
+	s := Spec{Machines: ids, MaxConcurrent: 8, RentFirst: after == Return, WhenEmpty: after,
+		Gate:  &rollout.Gate{MinTasks: 20},
 		Waves: []Wave{{Machines: 1, Soak: 5 * time.Second}, {Share: 0.5}}}
 	if err := h.apply(s); err != nil {
 		t.Fatal(err)
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -30,7 +30,7 @@
 type Job struct {
 	Spec            *model.Spec
 	UnfinishedTasks int           // tasks not done
-	Since           time.Duration // when it began to wait
+	WaitingSince    time.Duration // when it began to wait
 }
 
 // Snapshot is the state of the cluster from which a forecast starts.
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -43,7 +43,7 @@
 		s.Machines[m-1].Tasks = append(s.Machines[m-1].Tasks,
 			model.PlacedTask{Task: model.Task{Job: spec.ID, Index: int32(i)}, Stage: model.Running, RunTime: ran})
 	}
-	s.Jobs = append(s.Jobs, Job{Spec: &spec, UnfinishedTasks: int(spec.Tasks), Since: s.Now})
+	s.Jobs = append(s.Jobs, Job{Spec: &spec, UnfinishedTasks: int(spec.Tasks), WaitingSince: s.Now})
 	return &spec
 }
 
@@ -79,7 +79,7 @@
 func TestDelayReasons(t *testing.T) {
 	ids := []model.MachineID{1}
 	for name, c := range map[string]struct {
-		how                drain.How
+		how                drain.LeaveMode
 		checkpointInterval time.Duration
 		image              float64
 		delay              time.Duration
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -175,7 +175,7 @@
 // assignment returns the assignment of a task to the shard.
 func (r *run) assignment(j *job, index int32, zone model.Name) model.Assignment {
 	return model.Assignment{Task: model.Task{Job: j.Spec.ID, Index: index}, Spec: j.Spec, Price: j.price, Zone: zone,
-		WaitingSince: j.Since}
+		WaitingSince: j.WaitingSince}
 }
 
 // totalRunTime returns a task's run time in this run. The quantile is raised for a task that has
@@ -321,7 +321,7 @@
 			jobs = append(jobs, j)
 		}
 	}
-	score := func(j *job) float64 { return j.Spec.Score(j.price, r.now-j.Since) }
+	score := func(j *job) float64 { return j.Spec.Score(j.price, r.now-j.WaitingSince) }
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(score(b), score(a)) })
 	for _, j := range jobs {
 		team := j.Spec.Team
--- a/internal/core/readbatch/cluster_test.go
+++ b/internal/core/readbatch/cluster_test.go
@@ -145,7 +145,7 @@
 		if _, ok := c.unansweredSince[g.Job]; !ok {
 			c.unansweredSince[g.Job] = c.now
 		}
-		m.batcher.Ask(c.now, g, c.now+userTimeout)
+		m.batcher.AddCheck(c.now, g, c.now+userTimeout)
 	}
 	for range c.arrivals(c.jobRate) {
 		c.request(c.randomMember(), ratelimit.Changes, 1)
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -71,8 +71,8 @@
 	unanswered  map[model.JobID]unanswered
 	lastCleanup time.Duration
 	notBefore   time.Duration // no comparison before then, because the last one was refused for the rate
-	// Questions and Comparisons count the checks and the comparisons made for them.
-	Questions, Comparisons uint64
+	// Checks and Comparisons count the checks and the comparisons made for them.
+	Checks, Comparisons uint64
 }
 
 // New returns a Batcher without checks.
@@ -84,10 +84,10 @@
 // SetInterval changes how long checks are collected.
 func (b *Batcher) SetInterval(d time.Duration) { b.params.Interval = d }
 
-// Ask adds a check of a guard. Its answer is of no use after until.
-func (b *Batcher) Ask(now time.Duration, g jobs.Guard, until time.Duration) Waiter {
+// AddCheck adds a check of a guard. Its answer is of no use after until.
+func (b *Batcher) AddCheck(now time.Duration, g jobs.Guard, until time.Duration) Waiter {
 	b.lastWaiter++
-	b.Questions++
+	b.Checks++
 	if b.pending[g] == nil {
 		b.pending[g] = waiterChecks{}
 	}
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -21,12 +21,12 @@
 // be older than the check.
 func TestCheckWaitsForLaterComparison(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
-	first := b.Ask(0, guard(1), time.Second)
+	first := b.AddCheck(0, guard(1), time.Second)
 	if batches, _, next := b.Step(50 * ms); len(batches) != 0 || next != 100*ms {
 		t.Fatalf("%v, next at %v", batches, next)
 	}
 	sent, _, _ := b.Step(100 * ms)
-	second := b.Ask(110*ms, guard(1), time.Second)
+	second := b.AddCheck(110*ms, guard(1), time.Second)
 	if got := b.HandleOutcome(120*ms, sent[0], always(jobs.OK)); len(got) != 1 || got[0].Waiter != first {
 		t.Fatalf("%v", got)
 	}
@@ -44,7 +44,7 @@
 // answer for longest is compared first.
 func TestLongestUnansweredGoesFirst(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 2})
-	b.Ask(0, guard(9), time.Second)
+	b.AddCheck(0, guard(9), time.Second)
 	sent, _, _ := b.Step(100 * ms)
 	if got := b.HandleOutcome(110*ms, sent[0], always(jobs.Busy)); len(got) != 0 {
 		t.Fatalf("%v for a check that can wait", got)
@@ -58,7 +58,7 @@
 	b.Step(1100 * ms)
 	// It is checked again, after others that are checked for the first time.
 	for _, id := range []int{1, 2, 3, 9} {
-		b.Ask(2*time.Second, guard(id), 3*time.Second)
+		b.AddCheck(2*time.Second, guard(id), 3*time.Second)
 	}
 	for id := range b.inFlight {
 		delete(b.inFlight, id) // comparisons in flight
@@ -72,7 +72,7 @@
 // A cancelled waiter gets no answer and causes no comparison.
 func TestCancelledWaiterIsForgotten(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
-	waiter := b.Ask(0, guard(1), time.Second)
+	waiter := b.AddCheck(0, guard(1), time.Second)
 	b.Cancel(guard(1), waiter)
 	if batches, expired, next := b.Step(200 * ms); len(batches)+len(expired) != 0 || next != 0 {
 		t.Errorf("%v %v %v", batches, expired, next)
--- a/internal/core/sim/budgets_test.go
+++ b/internal/core/sim/budgets_test.go
@@ -43,7 +43,7 @@
 		return p
 	}
 	return func(m drain.MoveRequest) string {
-		return d.tracker.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, Ran: m.Ran,
+		return d.tracker.RequestMove(now, disruption.MoveRequest{Task: m.Task, Spec: m.Spec, RunTime: m.RunTime,
 			Remaining: m.Remaining})
 	}
 }
--- a/internal/core/sim/drains_test.go
+++ b/internal/core/sim/drains_test.go
@@ -178,22 +178,23 @@
 		}
 		return
 	}
-	s := &drain.Spec{Name: fmt.Sprintf("p%d", n), MaxConcurrent: 1 + w.rng.IntN(3), Default: drain.How(w.rng.IntN(3)),
-		After: drain.Patch}
+	s := &drain.Spec{Name: fmt.Sprintf("p%d", n), MaxConcurrent: 1 + w.rng.IntN(3),
+		Default:   drain.LeaveMode(w.rng.IntN(3)),
+		WhenEmpty: drain.Patch}
 	for _, m := range w.workers {
 		if !m.returned && w.rng.IntN(3) == 0 {
 			s.Machines = append(s.Machines, m.ID)
 		}
 	}
 	if w.rng.IntN(4) == 0 && w.returnedMachines < len(w.workers)/4 {
-		s.After = drain.Return
+		s.WhenEmpty = drain.Return
 		s.Machines = s.Machines[:min(1, len(s.Machines))]
 	}
 	if e.Check(s, nil, func(id model.MachineID) string { return fmt.Sprint(id) }) == nil {
 		w.plans[s.Name] = s
 		e.Apply(now, time.Unix(0, 0).Add(w.now), s, nil, "op")
 		w.logf("plan %s: machines %v, %d concurrent, how %d, after %d", s.Name, s.Machines, s.MaxConcurrent,
-			s.Default, s.After)
+			s.Default, s.WhenEmpty)
 	}
 }
 
--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -17,12 +17,12 @@
 
 // Job is an open job that may begin, as the dispatcher sees it.
 type Job struct {
-	ID    model.JobID
-	Class model.Name
-	Team  model.Name
-	Tasks int32
-	Since time.Duration // when it began to wait
-	Begun bool          // a task of it has run or is running
+	ID           model.JobID
+	Class        model.Name
+	Team         model.Name
+	Tasks        int32
+	WaitingSince time.Duration // when it began to wait
+	Begun        bool          // a task of it has run or is running
 }
 
 // Kind is the kind of a group of jobs.
@@ -95,19 +95,19 @@
 				s := d.statsFor(group)
 				s.Begun++
 				if known {
-					s.LongestWait = max(s.LongestWait, now-j.Since)
+					s.LongestWait = max(s.LongestWait, now-j.WaitingSince)
 				}
 			}
 		}
 		j.Begun = j.Begun || previous.Begun
-		if !j.Begun && now-j.Since > d.beginWithin {
+		if !j.Begun && now-j.WaitingSince > d.beginWithin {
 			d.overdue = append(d.overdue, j.ID)
 		}
 		current[j.ID] = j
 	}
 	d.jobs = current
 	slices.SortFunc(d.overdue, func(x, y model.JobID) int {
-		return cmp.Or(cmp.Compare(current[x].Since, current[y].Since), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(current[x].WaitingSince, current[y].WaitingSince), cmp.Compare(x, y))
 	})
 }
 
@@ -155,7 +155,7 @@
 			s := all[group]
 			s.Group = group
 			s.Overdue++
-			s.LongestWait = max(s.LongestWait, now-j.Since)
+			s.LongestWait = max(s.LongestWait, now-j.WaitingSince)
 			all[group] = s
 		}
 	}
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -24,7 +24,7 @@
 // Options are the options of a cluster.
 type Options struct {
 	Controllers     int
-	Types           []standin.Kind
+	Types           []standin.MachineType
 	InitialMachines []MachineGroup // machines that run from the start
 	Teams           []config.Team
 	Zones           []string
@@ -38,7 +38,7 @@
 	Settings        func(host string) (*config.Settings, error) // nil: the defaults
 	Log             *slog.Logger
 	Seed            uint64
-	Tasks           *standin.Depot
+	Tasks           *standin.TaskRegistry
 	// Partitionable: a controller's connections to the state service and to other controllers
 	// pass through proxies, so that SetPartitioned can interrupt them.
 	Partitionable bool
@@ -55,7 +55,7 @@
 // Controller is one controller of a cluster.
 type Controller struct {
 	Config        *config.Platform
-	StoreEndpoint *standin.Front
+	StoreEndpoint *standin.StoreEndpoint
 	Node          *node.Node
 	OpsAddr       string // of its operators' endpoint; empty if it has none
 	options       *Options
@@ -67,7 +67,7 @@
 type Cluster struct {
 	Store       *standin.Store
 	Cloud       *standin.Cloud
-	Depot       *standin.Depot
+	Tasks       *standin.TaskRegistry
 	Controllers []*Controller
 }
 
@@ -76,12 +76,12 @@
 	if options.Log == nil {
 		options.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	c = &Cluster{Store: standin.NewStore(options.Limits), Depot: options.Tasks}
-	if c.Depot == nil {
-		c.Depot = standin.NewDepot()
+	c = &Cluster{Store: standin.NewStore(options.Limits), Tasks: options.Tasks}
+	if c.Tasks == nil {
+		c.Tasks = standin.NewTaskRegistry()
 	}
-	if c.Depot.Look == nil { // the store contains the descriptions of all submitted jobs
-		c.Depot.Look = c.OpenRecord
+	if c.Tasks.FindJob == nil { // the store contains the descriptions of all submitted jobs
+		c.Tasks.FindJob = c.OpenRecord
 	}
 	defer func() {
 		if err != nil {
@@ -98,9 +98,9 @@
 		hosts = append(hosts, standin.Host{Name: controller.Config.HostName, Addr: controller.Config.Bind})
 	}
 	c.Cloud, err = standin.NewCloud(standin.CloudParams{
-		Kinds: options.Types, ListLag: options.ListLag, Dying: options.ListedAfterLoss, RPS: options.CloudRPS,
+		Types: options.Types, ListLag: options.ListLag, ListedAfterLoss: options.ListedAfterLoss, RPS: options.CloudRPS,
 		Timing: standin.Timing{Report: options.Report, Lease: options.Lease},
-	}, c.Depot, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
+	}, c.Tasks, hosts, rand.New(rand.NewPCG(options.Seed, 3)))
 	if err != nil {
 		return c, err
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	for _, machines := range options.InitialMachines {
-		if err := c.Cloud.Seed(machines.TypeIndex, machines.Zone, machines.Spot, machines.Count); err != nil {
+		if err := c.Cloud.AddMachines(machines.TypeIndex, machines.Zone, machines.Spot, machines.Count); err != nil {
 			return c, err
 		}
 	}
@@ -172,7 +172,7 @@
 
 // newController returns a controller that is not started yet.
 func newController(c *Cluster, options *Options, index int) (*Controller, error) {
-	endpoint, err := c.Store.Front()
+	endpoint, err := c.Store.NewEndpoint()
 	if err != nil {
 		return nil, err
 	}
@@ -272,8 +272,8 @@
 	return out
 }
 
-// Operated returns settings with an operators' endpoint on a free port that accepts one token.
-func Operated(token string) (*config.Settings, error) {
+// OperatorSettings returns settings with an operators' endpoint on a free port that accepts one token.
+func OperatorSettings(token string) (*config.Settings, error) {
 	s := config.DefaultSettings()
 	addr, err := FreeAddr()
 	s.Operator = &config.Operator{Listen: addr, Access: []config.Access{{Name: "dev", Hash: sha256.Sum256([]byte(token)),
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -10,7 +10,7 @@
 // TestTrialClusterLosesNoJob runs the trial cluster of the README's first command for a few
 // seconds: no job is lost, and no task runs on two machines at a time.
 func TestTrialClusterLosesNoJob(t *testing.T) {
-	cluster, err := Start(Trial(3, 4, 20, 3))
+	cluster, err := Start(TrialOptions(3, 4, 20, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,8 +23,8 @@
 	users.Run(arrivals, deadline)
 	counts := users.Counts()
 	if counts.Accepted < 8 || counts.Open+counts.Lost+counts.Refused > 0 ||
-		counts.Done+counts.Cancelled != counts.Accepted || len(cluster.Depot.Broken()) > 0 {
-		t.Errorf("counts %+v, violations %v", counts, cluster.Depot.Broken())
+		counts.Done+counts.Cancelled != counts.Accepted || len(cluster.Tasks.Violations()) > 0 {
+		t.Errorf("counts %+v, violations %v", counts, cluster.Tasks.Violations())
 	}
 }
 
--- a/internal/dev/trialcluster.go
+++ b/internal/dev/trialcluster.go
@@ -34,27 +34,27 @@
 	}
 }
 
-// Trial returns the options of a trial cluster with machines of 8 CPUs in two zones. It starts with
+// TrialOptions returns the options of a trial cluster with machines of 8 CPUs in two zones. It starts with
 // a number of workers, half of them on spot machines; the cloud rents out that many machines in
 // each zone, of spot and of ordinary ones each. Boots, image fetches and runs take 1/speed of their
 // normal time.
-func Trial(controllers, workers int, speed float64, seed uint64) Options {
-	machineType := standin.Kind{
+func TrialOptions(controllers, workers int, speed float64, seed uint64) Options {
+	machineType := standin.MachineType{
 		Label: "k8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 0.5 * speed, Hourly: 0.5, MarketPrice: 0.2,
-		ReadyS: 20 / speed, Yards: trialZones, Room: workers,
+		ReadyS: 20 / speed, Yards: trialZones, MaxPerZone: workers,
 	}
 	options := Options{
-		Controllers: controllers, Zones: trialZones, Teams: trialTeams, Types: []standin.Kind{machineType},
+		Controllers: controllers, Zones: trialZones, Teams: trialTeams, Types: []standin.MachineType{machineType},
 		Report: 500 * time.Millisecond, Lease: 10 * time.Second, Cancel: 40 * time.Second, ListLag: time.Second,
 		ListedAfterLoss: 3 * time.Second, CloudRPS: 10,
 		Limits: standin.StoreLimits{RPS: 300, WriteRPS: 120, ValueKB: 16, TxnOps: 16},
-		Seed:   seed, Tasks: standin.NewDepot(),
+		Seed:   seed, Tasks: standin.NewTaskRegistry(),
 	}
 	for i := range min(workers, 4) {
 		n := (workers + 3 - i) / 4
 		options.InitialMachines = append(options.InitialMachines, MachineGroup{Zone: trialZones[i%2], Spot: i >= 2, Count: n})
 	}
-	options.Tasks.Factor = func(_ *standin.Job, task string) float64 { return EstimateError(task, seed) }
+	options.Tasks.RunTimeFactor = func(_ *standin.Job, task string) float64 { return EstimateError(task, seed) }
 	return options
 }
 
--- a/internal/e2e/consistency_test.go
+++ b/internal/e2e/consistency_test.go
@@ -124,7 +124,7 @@
 	job := submission("job-000001", 28)
 	job["ForageS"] = 7.0
 	submitAccepted(t, cluster.Controllers[0], job)
-	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") > 20 })
+	waitUntil(t, "tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") > 20 })
 	isolated := cluster.Cloud.Workers()[:2]
 	for _, w := range isolated {
 		w.LoseOutbound(12 * time.Second)
@@ -137,7 +137,7 @@
 	}
 	waitUntil(t, "the job", func() bool { return jobStage(leader, "job-000001") == "done" })
 	killed := 0
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		if r.Cause == "killed" && (r.Machine == isolated[0].Name || r.Machine == isolated[1].Name) {
 			killed++
 		}
@@ -148,7 +148,7 @@
 	last := submission("job-000002", 24)
 	last["ForageS"] = 2.0
 	submitAccepted(t, leader, last)
-	waitUntil(t, "all machines are used again", func() bool { return cluster.Depot.Running("job-000002") >= 20 })
+	waitUntil(t, "all machines are used again", func() bool { return cluster.Tasks.RunningTasks("job-000002") >= 20 })
 }
 
 // TestInvalidSubmissionsAreRejected: a submission that is malformed or can never run is refused by
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -27,11 +27,11 @@
 	options := defaultOptions()
 	options.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
 	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: workers}}
-	options.Tasks = standin.NewDepot()
-	options.Tasks.Factor = func(_ *standin.Job, task string) float64 {
+	options.Tasks = standin.NewTaskRegistry()
+	options.Tasks.RunTimeFactor = func(_ *standin.Job, task string) float64 {
 		return 0.9 + (dev.EstimateError(task, seed)-0.6)/4.5 // 0.9 to 1.1
 	}
-	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	options.Settings = func(string) (*config.Settings, error) { return dev.OperatorSettings(operatorToken) }
 	return startOperatedWith(t, options)
 }
 
@@ -61,7 +61,7 @@
 // requestForecast waits for a forecast that is complete.
 func requestForecast(t *testing.T, ops *client.Operators, path, plan string) (reply node.ForecastReply) {
 	t.Helper()
-	if err := ops.Ask(t.Context(), path, []byte(plan), &reply, func() bool { return reply.Done >= 1 }); err != nil {
+	if err := ops.Poll(t.Context(), path, []byte(plan), &reply, func() bool { return reply.Done >= 1 }); err != nil {
 		t.Fatal(err)
 	}
 	return reply
@@ -80,7 +80,7 @@
 	submitAccepted(t, controller, job("job-000001", 20, 3))
 	waitUntil(t, "the first job", func() bool { return jobStage(controller, "job-000001") == "done" })
 	submitAccepted(t, controller, job("job-000002", 20, 9))
-	waitUntil(t, "the second job runs", func() bool { return cluster.Depot.Running("job-000002") == 20 })
+	waitUntil(t, "the second job runs", func() bool { return cluster.Tasks.RunningTasks("job-000002") == 20 })
 	submitAccepted(t, controller, job("job-000003", 30, 6))
 }
 
@@ -91,7 +91,7 @@
 	for _, id := range ids {
 		waitUntil(t, id, func() bool { return jobStage(cluster.Controllers[0], id) == "done" })
 	}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
 		if r.Cause == "done" && r.EndedAt.After(endedAt[id]) {
 			endedAt[id] = r.EndedAt
@@ -132,7 +132,7 @@
 			withPlan := completionTimes(t, with, startedAt, "job-000002", "job-000003")
 			wg.Wait()
 			if len(forecast.Delayed) != 1 || forecast.Delayed[0].Job != "job-000003" ||
-				forecast.Delayed[0].Why != "waits for room" {
+				forecast.Delayed[0].Reason != "waits for room" {
 				t.Fatalf("forecast %+v, want only job-000003 to be delayed because it waits for room", forecast)
 			}
 			delayed := forecast.Delayed[0]
@@ -171,7 +171,7 @@
 	submitLoad(t, cluster)
 	applyPlan(t, ops, strings.Replace(drainTwoOfFive, "after: PATCH patch_s: 600", "after: RETURN", 1))
 	waitUntil(t, "both machines are being drained", func() bool { return planStatus(t, ops, "p").Counts["draining"] == 2 })
-	cluster.Cloud.Lose("m-000001")
+	cluster.Cloud.FailMachine("m-000001")
 	for _, controller := range cluster.Controllers {
 		if isLeader(controller) {
 			controller.Stop()
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -45,7 +45,7 @@
 	t.Parallel()
 	cluster := startFaultCluster(t, 10)
 	submitAccepted(t, cluster.Controllers[0], submission("job-000001", 120))
-	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") > 20 })
+	waitUntil(t, "tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") > 20 })
 	unreachable := cluster.Cloud.Workers()[:2]
 	for _, w := range unreachable {
 		w.LoseInbound(time.Hour)
@@ -62,7 +62,7 @@
 		waitUntil(t, id, func() bool { return jobStage(leader, id) == "done" })
 	}
 	attempts := map[string]int{}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		for _, w := range unreachable {
 			if key := w.Name + " " + r.Task; r.Machine == w.Name {
 				if attempts[key]++; attempts[key] > 1 {
@@ -89,7 +89,7 @@
 	job := submission("job-000001", 16)
 	job["ForageS"] = 6.0
 	submitAccepted(t, cluster.Controllers[0], job)
-	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") >= 10 })
+	waitUntil(t, "tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") >= 10 })
 	workers[0].Kill()
 	began := time.Now()
 	waitUntil(t, "the job", func() bool { return jobStage(cluster.Controllers[1], "job-000001") == "done" })
@@ -105,7 +105,7 @@
 	cluster := startFaultCluster(t, 6)
 	job := submission("job-000001", 60)
 	submitAccepted(t, cluster.Controllers[0], job)
-	waitUntil(t, "tasks run", func() bool { return cluster.Depot.Running("job-000001") > 10 })
+	waitUntil(t, "tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") > 10 })
 	leader := waitForLeader(t, cluster)
 	cluster.SetPartitioned(leader, true)
 	waitUntil(t, "the partitioned controller fails its health checks", func() bool {
@@ -167,7 +167,7 @@
 		waitUntil(t, id, func() bool { return jobStage(cluster.Controllers[i], id) == "done" })
 	}
 	starts := map[string]int{}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		if starts[r.Task]++; starts[r.Task] > 4 {
 			t.Errorf("%s started %d times", r.Task, starts[r.Task])
 		}
--- a/internal/e2e/jobs_test.go
+++ b/internal/e2e/jobs_test.go
@@ -22,7 +22,7 @@
 func defaultOptions() dev.Options {
 	return dev.Options{
 		Controllers: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}},
-		Types: []standin.Kind{{
+		Types: []standin.MachineType{{
 			Label: "g8", Cpus: 8, MemGb: 32, LocalGb: 50, PullGbPerS: 20, Hourly: 1, MarketPrice: 0.3, ReadyS: 10,
 			Yards: []string{"a", "b"},
 		}},
@@ -50,7 +50,7 @@
 	}
 	t.Cleanup(func() {
 		c.Close()
-		if violations := c.Depot.Broken(); len(violations) > 0 {
+		if violations := c.Tasks.Violations(); len(violations) > 0 {
 			t.Error(violations)
 		}
 	})
@@ -156,7 +156,7 @@
 		waitUntil(t, id, func() bool { return jobStage(controllers[0], id) == "done" })
 	}
 	starts := map[string]int{}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		if starts[r.Task]++; starts[r.Task] > 3 {
 			t.Errorf("%s started %d times", r.Task, starts[r.Task])
 		}
@@ -171,12 +171,12 @@
 	service := submission("job-000020", 2)
 	service["Shape"] = "daemon"
 	submitAccepted(t, controllers[0], service)
-	waitUntil(t, "the service starts", func() bool { return cluster.Depot.Running("job-000020") == 2 })
+	waitUntil(t, "the service starts", func() bool { return cluster.Tasks.RunningTasks("job-000020") == 2 })
 	waitUntil(t, "cancel", func() bool {
 		status, v := call(controllers[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
 		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
-	waitUntil(t, "the cancelled tasks end", func() bool { return cluster.Depot.Running("job-000020") == 0 })
+	waitUntil(t, "the cancelled tasks end", func() bool { return cluster.Tasks.RunningTasks("job-000020") == 0 })
 	for _, c := range controllers {
 		if s := jobStage(c, "job-000020"); s != "aborted" {
 			t.Errorf("%s reports stage %v of a cancelled job", c.Config.HostName, s)
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -99,7 +99,7 @@
 	options := defaultOptions()
 	options.Teams = []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}}                      // 12 tasks
 	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 4}, {Zone: "b", Count: 4}} // capacity for 32 tasks
-	options.Settings = func(string) (*config.Settings, error) { return dev.Operated(operatorToken) }
+	options.Settings = func(string) (*config.Settings, error) { return dev.OperatorSettings(operatorToken) }
 	cluster, ops := startOperatedWith(t, options)
 	for i, id := range []string{"job-000001", "job-000002", "job-000003"} {
 		fields := submission(id, 200)
@@ -107,7 +107,7 @@
 		submitAccepted(t, cluster.Controllers[i], fields)
 	}
 	running := func() int {
-		return cluster.Depot.Running("job-000001") + cluster.Depot.Running("job-000002") + cluster.Depot.Running("job-000003")
+		return cluster.Tasks.RunningTasks("job-000001") + cluster.Tasks.RunningTasks("job-000002") + cluster.Tasks.RunningTasks("job-000003")
 	}
 	waitUntil(t, "the limit is used", func() bool { return running() == 12 })
 	team := func() (r node.TeamReply) {
@@ -120,7 +120,7 @@
 	// The condition is polled because tasks end and others start all the time.
 	waitUntil(t, "the team is blocked by its limit", func() bool {
 		r := team()
-		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.Waiting > 0 && r.BlockedBy == "its limit"
+		return r.Limit == 24 && r.Used == 24 && r.Borrowed == 16 && r.TasksWaiting > 0 && r.BlockedBy == "its limit"
 	})
 	stopLeader := func() (restart func() error) {
 		for _, controller := range cluster.Controllers {
@@ -133,7 +133,7 @@
 		return nil
 	}
 	restart := stopLeader()
-	cluster.Cloud.Lose(cluster.Cloud.Workers()[0].Name)
+	cluster.Cloud.FailMachine(cluster.Cloud.Workers()[0].Name)
 	waitUntil(t, "the limit is used under the next leader", func() bool { return running() == 12 })
 	if err := restart(); err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	restart = stopLeader()
 	waitUntil(t, "the lower limit is used under the next leader", func() bool { return running() == 4 })
 	time.Sleep(2 * time.Second)
-	if concurrent := maxConcurrent(cluster.Depot.Runs(), loweredAt); concurrent > 4 {
+	if concurrent := maxConcurrent(cluster.Tasks.Runs(), loweredAt); concurrent > 4 {
 		t.Errorf("%d tasks at once under a limit of 4", concurrent)
 	}
 	if r := team(); r.Limit != 8 || r.Guarantee != 4 || !strings.HasPrefix(r.Changed, "by dev") {
@@ -168,12 +168,12 @@
 	if err := restart(); err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		if r.Cause == "stopped" {
 			t.Errorf("%s was stopped on %s; a lower limit must not stop tasks", r.Task, r.Machine)
 		}
 	}
-	if concurrent := maxConcurrent(cluster.Depot.Runs(), time.Time{}); concurrent != 12 {
+	if concurrent := maxConcurrent(cluster.Tasks.Runs(), time.Time{}); concurrent != 12 {
 		t.Errorf("%d tasks at once under a limit of 12", concurrent)
 	}
 }
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -24,7 +24,7 @@
 		submitAccepted(t, cluster.Controllers[0], service)
 	}
 	waitUntil(t, "all tasks run", func() bool {
-		return cluster.Depot.Running("job-000001")+cluster.Depot.Running("job-000002") == 16
+		return cluster.Tasks.RunningTasks("job-000001")+cluster.Tasks.RunningTasks("job-000002") == 16
 	})
 	leader := waitForLeader(t, cluster)
 	other := cluster.Controllers[0]
@@ -38,17 +38,17 @@
 	})
 	cluster.Store.SetOutage(true)
 	time.Sleep(options.Cancel)
-	if n := cluster.Depot.Running("job-000001"); n > 0 {
+	if n := cluster.Tasks.RunningTasks("job-000001"); n > 0 {
 		t.Errorf("%d cancelled tasks still run", n)
 	}
 	time.Sleep(options.Lease)
 	starts := 0
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		if strings.HasPrefix(r.Task, "job-000002/") {
 			starts++
 		}
 	}
-	if n := cluster.Depot.Running("job-000002"); n != 8 || starts != 8 {
+	if n := cluster.Tasks.RunningTasks("job-000002"); n != 8 || starts != 8 {
 		t.Errorf("%d of the 8 tasks that were not cancelled run, after %d starts", n, starts)
 	}
 	cluster.Store.SetOutage(false)
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -37,7 +37,7 @@
 	if status != http.StatusUnprocessableEntity {
 		t.Errorf("job that depends on an unknown job: status %d, answer %v", status, v)
 	}
-	waitUntil(t, "the first job runs", func() bool { return cluster.Depot.Running("job-000001") > 0 })
+	waitUntil(t, "the first job runs", func() bool { return cluster.Tasks.RunningTasks("job-000001") > 0 })
 	waitUntil(t, "a job with an open dependency is reported as queued", func() bool {
 		return jobStage(controllers[1],
 			"job-000002") == "queued"
@@ -70,7 +70,7 @@
 	}
 	waitUntil(t, "the last job of the chain is done", func() bool { return jobStage(healthy(), "job-000003") == "done" })
 	var startedAt, endedAt = map[string]time.Time{}, map[string]time.Time{}
-	for _, r := range cluster.Depot.Runs() {
+	for _, r := range cluster.Tasks.Runs() {
 		id, _, _ := strings.Cut(r.Task, "/")
 		if earliest, ok := startedAt[id]; !ok || r.StartedAt.Before(earliest) {
 			startedAt[id] = r.StartedAt
@@ -121,10 +121,10 @@
 	const budget = 3
 	options := defaultOptions()
 	options.Teams = []config.Team{{Name: "vision", CPUs: 200, CPUsMax: 400}}
-	options.Types[0].ReadyS, options.Types[0].Room = 1, 30
+	options.Types[0].ReadyS, options.Types[0].MaxPerZone = 1, 30
 	options.InitialMachines = []dev.MachineGroup{{Zone: "a", Count: 8}}
 	options.Settings = func(string) (*config.Settings, error) {
-		job, err := dev.Operated(operatorToken)
+		job, err := dev.OperatorSettings(operatorToken)
 		job.Budgets = []config.Budget{{Team: "vision", Tasks: budget}}
 		return job, err
 	}
@@ -133,7 +133,7 @@
 	job := submission("job-000001", 20)
 	job["ForageS"], job["ImageGb"], job["CapIntervalS"], job["CapS"] = 45, 0.01, 1, 0.1
 	submitAccepted(t, cluster.Controllers[0], job)
-	waitUntil(t, "all tasks run", func() bool { return cluster.Depot.Running("job-000001") == 20 })
+	waitUntil(t, "all tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") == 20 })
 	var oldMachines []string
 	for _, w := range cluster.Cloud.Workers() {
 		oldMachines = append(oldMachines, w.Name)
@@ -152,7 +152,7 @@
 			defer func() { _ = controller.Start() }()
 		}
 	}
-	cluster.Cloud.Lose(oldMachines[7])
+	cluster.Cloud.FailMachine(oldMachines[7])
 	deadline := time.Now().Add(90 * time.Second)
 	for planStatus(t, ops, "renew").Phase != "done" {
 		if time.Now().After(deadline) {
@@ -169,7 +169,7 @@
 	if len(remaining) > 0 {
 		t.Errorf("old machines %v still run: %+v", remaining, planStatus(t, ops, "renew").Steps)
 	}
-	if interrupted := maxInterrupted(cluster.Depot.Runs()); interrupted > budget || interrupted == 0 {
+	if interrupted := maxInterrupted(cluster.Tasks.Runs()); interrupted > budget || interrupted == 0 {
 		t.Errorf("at most %d tasks were interrupted at a time; the budget is %d", interrupted, budget)
 	}
 	waitUntil(t, "the job", func() bool {
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -13,10 +13,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Until serves on an address until the context ends. If it can't listen or serve it tries
+// Serve serves on an address until the context ends. If it can't listen or serve it tries
 // again, so that the process never exits by itself. It calls wrap with every new listener.
 // label follows "not serving" in the log.
-func Until(ctx context.Context, srv *http.Server, addr, label string, log *slog.Logger,
+func Serve(ctx context.Context, srv *http.Server, addr, label string, log *slog.Logger,
 	wrap func(net.Listener) net.Listener) {
 	go func() {
 		<-ctx.Done()
--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -106,7 +106,7 @@
 // readEnd reads a job's final record. It returns how the job ended, and the wall clock time of its
 // end in milliseconds.
 func (dt *dependencyTracker) readEnd(id model.JobID) (pipeline.FinalState, int64) {
-	item, err := dt.lead.node.state.Get(state.As(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
+	item, err := dt.lead.node.state.Get(state.WithClass(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
 	if errors.Is(err, state.ErrNotFound) {
 		dt.lead.node.log.Debug("a dependency has not ended and is not known to be open", "job", wire.JobName(id))
 		return pipeline.Absent, 0
--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -25,7 +25,7 @@
 		budget := disruption.Budget{Team: team, Class: model.None, MaxTasks: setting.Tasks, MaxShare: setting.Share,
 			MaxCPU: model.Capacity(setting.CPUs, 0, 0).CPU, MaxLostCPU: setting.LostCPUS, Window: setting.Window,
 			MaxMoves:     setting.Moves,
-			LastFraction: setting.LastPart}
+			LastFraction: setting.LastFraction}
 		if setting.Class != "" {
 			budget.Class = n.names.Classes.ID(setting.Class)
 		}
@@ -70,23 +70,23 @@
 			cause = disruption.PriceDrain
 		}
 		return dm.disruptions.RequestMove(now, disruption.MoveRequest{Task: request.Task, Spec: request.Spec, Cause: cause,
-			Ran:       request.Ran,
+			RunTime:   request.RunTime,
 			Remaining: request.Remaining})
 	}
 }
 
 // BudgetStatus is the use of a disruption budget as operators see it.
 type BudgetStatus struct {
-	Team            string         `json:"team"`
-	Class           string         `json:"class,omitempty"`
-	Running         int            `json:"running"`
-	Interrupted     int            `json:"out"`  // tasks
-	MaxTasks        int            `json:"most"` // limit of Interrupted; -1: none
-	InterruptedCPUs float64        `json:"out_cpus"`
-	CPUs            float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
-	LostCPUS        float64        `json:"lost_cpu_s"`                // CPU seconds lost in the budget's window
-	MaxLostCPUS     float64        `json:"most_lost_cpu_s,omitempty"` // limit of LostCPUS; 0: none
-	By              map[string]int `json:"by"`                        // interrupted tasks by cause
+	Team               string         `json:"team"`
+	Class              string         `json:"class,omitempty"`
+	Running            int            `json:"running"`
+	Interrupted        int            `json:"out"`  // tasks
+	MaxTasks           int            `json:"most"` // limit of Interrupted; -1: none
+	InterruptedCPUs    float64        `json:"out_cpus"`
+	CPUs               float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
+	LostCPUS           float64        `json:"lost_cpu_s"`                // CPU seconds lost in the budget's window
+	MaxLostCPUS        float64        `json:"most_lost_cpu_s,omitempty"` // limit of LostCPUS; 0: none
+	InterruptedByCause map[string]int `json:"by"`                        // interrupted tasks by cause
 }
 
 // budgetStatuses returns the use of all disruption budgets.
@@ -99,14 +99,14 @@
 		b := BudgetStatus{Team: dm.lead.node.names.Teams.Name(s.Team), Running: s.Running, Interrupted: s.Tasks,
 			MaxTasks:        s.TaskLimit,
 			InterruptedCPUs: float64(s.CPU) / 1000, CPUs: float64(s.Budget.MaxCPU) / 1000, LostCPUS: s.LostCPU,
-			MaxLostCPUS: s.Budget.MaxLostCPU,
-			By:          map[string]int{}}
+			MaxLostCPUS:        s.Budget.MaxLostCPU,
+			InterruptedByCause: map[string]int{}}
 		if s.Class != model.None {
 			b.Class = dm.lead.node.names.Classes.Name(s.Class)
 		}
 		for c, n := range s.ByCause {
 			if n > 0 {
-				b.By[disruption.Cause(c).Label()] = n
+				b.InterruptedByCause[disruption.Cause(c).Label()] = n
 			}
 		}
 		out = append(out, b)
--- a/internal/node/forecast.go
+++ b/internal/node/forecast.go
@@ -217,7 +217,7 @@
 		JobName: wire.JobName,
 		Shard:   l.node.shardParams()}
 	bootTimes := map[model.Name]time.Duration{}
-	for _, t := range l.node.types {
+	for _, t := range l.node.machineTypes {
 		bootTimes[t.Name] = t.Boot
 	}
 	snapshot.BootTime = func(t model.Name) time.Duration { return bootTimes[t] }
@@ -230,7 +230,7 @@
 	})
 	for _, demand := range l.dispatcher.Demand() {
 		snapshot.Jobs = append(snapshot.Jobs, forecast.Job{Spec: demand.Spec, UnfinishedTasks: int(demand.Unfinished),
-			Since: demand.WaitingSince})
+			WaitingSince: demand.WaitingSince})
 	}
 	return snapshot
 }
@@ -247,7 +247,7 @@
 // shardParams returns the parameters of a shard on this platform.
 func (n *Node) shardParams() shard.Params {
 	cluster := &n.cfg.Cluster
-	return shard.Params{MaxLease: cluster.SureLease(), ReportInterval: config.Seconds(cluster.Workers.ReportS),
+	return shard.Params{MaxLease: cluster.MaxLease(), ReportInterval: config.Seconds(cluster.Workers.ReportS),
 		VictimSample: n.settings.SampleSize,
 		PaybackLimit: n.settings.PaybackLimit, DemotionStep: n.settings.DemotionStep,
 		DirectRetryDelay: config.Seconds(cluster.Workers.ReportS) + 2*time.Second}
--- a/internal/node/forecastreply.go
+++ b/internal/node/forecastreply.go
@@ -31,7 +31,7 @@
 	Class       string     `json:"class"`
 	DelayS      [3]float64 `json:"delay_s"`
 	EndS        [3]float64 `json:"end_s"` // from now, with the plan
-	Why         string     `json:"why"`   // reason for the delay
+	Reason      string     `json:"why"`   // reason for the delay
 	MovedTasks  int        `json:"moved_tasks"`
 	MissedLimit string     `json:"past,omitempty"` // window or deadline that the job misses
 }
@@ -62,7 +62,7 @@
 		delayed := &r.Delayed[i]
 		j := DelayedJob{Job: wire.JobName(delayed.Spec.ID), Class: names.Classes.Name(delayed.Spec.Class),
 			DelayS: toSeconds(delayed.Delay),
-			EndS:   toSeconds(delayed.End), Why: delayed.Reason,
+			EndS:   toSeconds(delayed.End), Reason: delayed.Reason,
 			MovedTasks: delayed.MovedTasks, MissedLimit: missedLimit(delayed)}
 		out.Delayed = append(out.Delayed, j)
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -34,9 +34,9 @@
 	now := n.now()
 	preferred = n.health.stateUnserved(now)
 	if n.lead != nil {
-		for _, k := range n.lead.links {
-			if now-k.stateServedAt < storehealth.UnreachableAfter {
-				return n.siblingAddr(k.host), preferred
+		for _, memberLink := range n.lead.links {
+			if now-memberLink.stateServedAt < storehealth.UnreachableAfter {
+				return n.siblingAddr(memberLink.host), preferred
 			}
 		}
 	} else if n.leader != "" && now-n.leaderStateServedAt < storehealth.UnreachableAfter {
--- a/internal/node/grants_test.go
+++ b/internal/node/grants_test.go
@@ -91,15 +91,15 @@
 	h.takeSent(h.t)
 }
 
-// sendAsk passes a grant request of the member to the leader.
-func (h *leaderHarness) sendAsk(now time.Duration, ask *peerpb.Ask) {
+// sendGrantRequest passes a grant request of the member to the leader.
+func (h *leaderHarness) sendGrantRequest(now time.Duration, ask *peerpb.Ask) {
 	h.lead.handleMessage(now, h.shardID, h.link, &peerpb.Up{Msg: &peerpb.Up_Ask{Ask: ask}})
 }
 
 // reportCancellations lets the member, which answers the given grant, report that it acknowledged these
 // cancellations to users, and that it has reported all of the last minute.
 func (h *leaderHarness) reportCancellations(now time.Duration, grant uint64, jobs ...uint64) {
-	h.sendAsk(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
+	h.sendGrantRequest(now, &peerpb.Ask{Promised: grant, Told: jobs, ToldForUs: time.Minute.Microseconds()})
 }
 
 // addOpenJob adds a job with two tasks to the dispatcher.
@@ -115,7 +115,7 @@
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	now := h.node.now()
-	h.sendAsk(now, &peerpb.Ask{})
+	h.sendGrantRequest(now, &peerpb.Ask{})
 	for _, message := range h.takeSent(t) {
 		if grant := message.GetGrant(); grant.GetForUs() > 0 {
 			t.Errorf("got a grant for %d us before the open jobs were read", grant.GetForUs())
@@ -141,7 +141,7 @@
 			h.lead.dispatchLoop.applyOpenEvents(now, now, []wire.Event{{Delete: openPrefix + wire.JobName(7)}})
 		},
 		"by another controller": func(h *leaderHarness, now time.Duration) {
-			h.sendAsk(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // is answered with grant 1
+			h.sendGrantRequest(now-time.Second, &peerpb.Ask{ToldForUs: time.Minute.Microseconds()}) // is answered with grant 1
 			h.takeSent(h.t)
 			h.reportCancellations(now, 1, 7)
 		},
@@ -155,7 +155,7 @@
 			h.setOpenJobsAsOf(now - 20*time.Second)
 			authorityBefore := h.lead.authorityEnd()
 			applyCancellation(h, now)
-			h.sendAsk(now, &peerpb.Ask{})
+			h.sendGrantRequest(now, &peerpb.Ask{})
 			if h.lead.authorityEnd() <= authorityBefore {
 				t.Fatal("authority was not extended, so the test shows nothing")
 			}
@@ -184,12 +184,12 @@
 	now := h.node.now()
 	viewAge := func() time.Duration { return now - h.lead.dispatchLoop.openJobsView.ValidUntil(0) }
 	h.setOpenJobsAsOf(now - 20*time.Second)
-	h.sendAsk(now-3*time.Second, &peerpb.Ask{}) // grant 1
-	h.sendAsk(now-2*time.Second, &peerpb.Ask{Promised: 1})
+	h.sendGrantRequest(now-3*time.Second, &peerpb.Ask{}) // grant 1
+	h.sendGrantRequest(now-2*time.Second, &peerpb.Ask{Promised: 1})
 	if viewAge() != 20*time.Second {
 		t.Errorf("a member that does not report acknowledgements makes the view %v old", viewAge())
 	}
-	h.sendAsk(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
+	h.sendGrantRequest(now-time.Second, &peerpb.Ask{Promised: 2, ToldForUs: (5 * time.Second).Microseconds()})
 	if viewAge() != 20*time.Second {
 		t.Errorf("a member that started since makes the view %v old", viewAge())
 	}
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -85,11 +85,11 @@
 		txn.Guards = []wire.Guard{{Key: openKey, Version: op.Version}}
 		txn.Then = finalOps(id, jobs.Cancelled)
 	}
-	rev, err := n.state.Txn(state.As(ctx, ratelimit.Changes), txn)
+	rev, err := n.state.Txn(state.WithClass(ctx, ratelimit.Changes), txn)
 	switch {
 	case err == nil:
 		if op.Kind == jobs.Create && op.Stage == "" {
-			n.cacheOpenRecord(id, rev, len(sub.Awaits) > 0)
+			n.cacheOpenRecord(id, rev, len(sub.DependsOn) > 0)
 		}
 		return jobs.Result{}
 	case errors.Is(err, state.ErrConflict):
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -100,9 +100,10 @@
 	l.dispatcher = dispatcher.New(dispatcher.Params{Term: l.term, Teams: n.teamLimits(),
 		ChunkSize: chunkSize(cluster.ValueKB()),
 		BlockSize: legacyBlockSize(cluster.State.ValueKB), ProgressInterval: 2 * time.Second,
-		DispatchAhead: n.settings.DealAhead, MaxLease: cluster.SureLease(), MinOverloadMachines: minOverloadMachines(cluster),
+		DispatchAhead: n.settings.DispatchAhead, MaxLease: cluster.MaxLease(),
+		MinOverloadMachines: minOverloadMachines(cluster),
 		StartWithin:         n.settings.BeginWithin,
-		ReportInterruptions: len(n.settings.Budgets) > 0}, now+max(n.leaseTTL, config.Promise)+time.Second)
+		ReportInterruptions: len(n.settings.Budgets) > 0}, now+max(n.leaseTTL, config.PromiseDuration)+time.Second)
 	l.logCharges()
 	if len(n.cfg.Siblings) == 0 {
 		l.dispatcher.AllControllersJoined(now)
@@ -123,7 +124,7 @@
 		l.applyOldestRelease(release)
 	}
 	l.components = []component{l.dependencies, l.dispatchLoop, l.rentals, l.drains}
-	l.setTypes(n.types)
+	l.setTypes(n.machineTypes)
 	l.ratesDividedAt = -rateDivisionInterval
 	l.divideRate(now) // the stored state is read with the leader's share
 	n.log.Info("leading", "term", l.term, "until", n.election.Deadline()-now)
@@ -187,7 +188,7 @@
 func (l *leadership) readStore() error {
 	var appliers []func(time.Duration) error
 	for _, comp := range l.components {
-		apply, err := comp.read(state.As(l.ctx, ratelimit.Leader))
+		apply, err := comp.read(state.WithClass(l.ctx, ratelimit.Leader))
 		if err != nil {
 			return err
 		}
@@ -301,7 +302,7 @@
 	if !l.loaded {
 		return
 	}
-	writes, _ := l.node.state.Writes()
+	writes, _ := l.node.state.WriteRate()
 	l.writeQuota.SetRate(now, writes*leaderWriteShare)
 	for _, comp := range l.components {
 		comp.tick(now)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -50,7 +50,7 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	httpserve.Until(ctx, peer.NewServer(mux), addr, " other controllers", n.log,
+	httpserve.Serve(ctx, peer.NewServer(mux), addr, " other controllers", n.log,
 		func(l net.Listener) net.Listener { return l })
 }
 
@@ -197,7 +197,7 @@
 		// was sent: count the promise from then, less a margin for drift between the clocks.
 		if sentAt, ok := memberLink.grantsSentAt[msg.Ask.GetPromised()]; ok {
 			memberLink.promisedUntil = max(memberLink.promisedUntil,
-				sentAt+config.Promise-config.Promise/200-50*time.Millisecond)
+				sentAt+config.PromiseDuration-config.PromiseDuration/200-50*time.Millisecond)
 			// All cancellations that it acknowledged before that have been reported by now.
 			memberLink.coverage.Until = max(memberLink.coverage.Until, sentAt)
 			for number := range memberLink.grantsSentAt {
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -173,7 +173,7 @@
 		local.grantRequestSeq++
 		local.grantRequestsSent[local.grantRequestSeq] = now
 		local.lastGrantRequestAt = now
-		demand := n.state.Needs()
+		demand := n.state.Demand()
 		ask := &peerpb.Ask{
 			Seq:            local.grantRequestSeq,
 			Promised:       local.lastGrantNumber,
@@ -234,7 +234,7 @@
 func (n *Node) checkSiblings(ctx context.Context) {
 	dialer := peer.NewDialer()
 	notLeading := map[string]bool{}
-	for ctx.Err() == nil && n.now() < config.Promise {
+	for ctx.Err() == nil && n.now() < config.PromiseDuration {
 		noneLeads := true
 		for _, sibling := range n.cfg.Siblings {
 			if !notLeading[sibling.HostName] {
@@ -393,7 +393,8 @@
 				break
 			}
 			if share := msg.Grant.GetRequestsShare(); share > 0 {
-				n.state.SetPart(ratelimit.Allocation{Requests: share, Writes: msg.Grant.GetWritesShare()}, rateshare.AllocationTTL)
+				n.state.SetAllocation(ratelimit.Allocation{Requests: share, Writes: msg.Grant.GetWritesShare()},
+					rateshare.AllocationTTL)
 			}
 			if sentAt, ok := local.grantRequestsSent[msg.Grant.GetSeq()]; ok {
 				delete(local.grantRequestsSent, msg.Grant.GetSeq())
@@ -404,7 +405,7 @@
 				if age := msg.Grant.GetToldAgeUs(); age > 0 {
 					n.statusFreshness.SetInDoubtKnown(sentAt - time.Duration(age)*time.Microsecond)
 				}
-				n.election.Promise(now + config.Promise)
+				n.election.Promise(now + config.PromiseDuration)
 				grantDuration := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
 				// The margin covers drift between the two clocks, and late timers.
 				local.shard.SetGrant(sentAt + grantDuration - grantDuration/500 - 50*time.Millisecond)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -64,7 +64,7 @@
 	counter("state_invalid", "Requests that the state service took for invalid, most likely for their size.",
 		func() uint64 { return n.state.Invalid() })
 	gauge("state_writes_per_second", "The state service's rate of changes as far as is known.", func() float64 {
-		rate, _ := n.state.Writes()
+		rate, _ := n.state.WriteRate()
 		return rate
 	})
 	gauge("jobs_awaiting", "Open jobs that await others, on the leader.", whileLeading(n, func(l *leadership) float64 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,7 +72,7 @@
 	lastReportAt        time.Duration               // when the last worker report arrived
 	lastLinkHost        string                      // leader host of the last link that ended
 	reportWaiters       map[model.MachineID][]chan struct{}
-	types               []model.MachineType
+	machineTypes        []model.MachineType
 	cachedFinals        map[model.JobID]jobs.Stage
 	openRecords         map[model.JobID]openRecordInfo
 	cancelLog           *cancellog.Log            // cancellations that this controller acknowledged to users
@@ -126,20 +126,20 @@
 		cachedFinals:    map[model.JobID]jobs.Stage{},
 		openRecords:     map[model.JobID]openRecordInfo{},
 		cancelLog:       cancellog.NewLog(0),
-		statusFreshness: pipeline.NewStatusFreshness(cfg.Cluster.Vouched()),
+		statusFreshness: pipeline.NewStatusFreshness(cfg.Cluster.StatusFreshness()),
 		siblingSeenAt:   -time.Hour,
 		reportWaiters:   map[model.MachineID][]chan struct{}{},
 	}
 	n.state = state.New(cfg.Services.State, ratelimit.Params{RequestRate: cfg.Cluster.State.RPS,
 		WriteRate: cfg.Cluster.State.WriteRPS, NextWriteRate: cfg.Cluster.State.Next.WriteRPS,
 		Controllers: 1 + len(cfg.Siblings)}, 1500*time.Millisecond, n.recordOutcome)
-	n.names.Aimed, n.names.Guaranteed = map[model.Name]bool{}, map[model.Name]bool{}
+	n.names.ObjectiveClasses, n.names.GuaranteedTeams = map[model.Name]bool{}, map[model.Name]bool{}
 	for i, t := range cfg.Cluster.Teams {
-		n.names.Guaranteed[model.Name(i)] = t.CPUs > 0 || t.GPUs > 0
+		n.names.GuaranteedTeams[model.Name(i)] = t.CPUs > 0 || t.GPUs > 0
 	}
 	for _, o := range cfg.Cluster.Objectives {
 		if o.Class != "" {
-			n.names.Aimed[n.names.Classes.ID(o.Class)] = true
+			n.names.ObjectiveClasses[n.names.Classes.ID(o.Class)] = true
 		}
 	}
 	n.openChecker = newOpenChecker(n.state, cfg.Cluster.TxnOps(), 1+len(cfg.Siblings))
@@ -149,7 +149,8 @@
 			index++
 		}
 	}
-	n.election = election.New(cfg.HostName, n.leaseTTL, time.Duration(index)*150*time.Millisecond, config.Promise, 0)
+	n.election = election.New(cfg.HostName, n.leaseTTL, time.Duration(index)*150*time.Millisecond,
+		config.PromiseDuration, 0)
 	n.election.SetSiblings(len(cfg.Siblings))
 	return n
 }
@@ -199,7 +200,7 @@
 	ops := n.election.Step(now)
 	n.mu.Unlock()
 	for _, op := range ops {
-		n.electionOp(state.As(ctx, ratelimit.Authority), op)
+		n.electionOp(state.WithClass(ctx, ratelimit.Authority), op)
 	}
 }
 
@@ -238,7 +239,7 @@
 func (n *Node) runElection(ctx context.Context, ops []election.Op) {
 	for _, op := range ops {
 		go func() {
-			result := n.electionOp(state.As(ctx, ratelimit.Authority), op)
+			result := n.electionOp(state.WithClass(ctx, ratelimit.Authority), op)
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			now := n.now()
@@ -291,7 +292,7 @@
 	case election.Renew:
 		// A renewal counts from when it was sent, however late its answer is read, so it may
 		// take the whole lease. Further renewals are sent meanwhile.
-		err := n.state.Extend(state.Patiently(ctx, n.leaseTTL), op.Lease)
+		err := n.state.Extend(state.WithTimeout(ctx, n.leaseTTL), op.Lease)
 		result.OK, result.NotExecuted = err == nil, errors.Is(err, state.ErrNotFound)
 		n.failures.record("failed to renew the leader lease", err)
 	case election.Revoke:
@@ -376,7 +377,7 @@
 		if err != nil {
 			pause = time.Second
 			n.mu.Lock()
-			known := len(n.types) > 0
+			known := len(n.machineTypes) > 0
 			n.mu.Unlock()
 			if !known { // use the copy that a leader stored
 				catalog, err = n.storedCatalog(ctx)
@@ -384,10 +385,10 @@
 		}
 		if err == nil && catalog != nil {
 			n.mu.Lock()
-			n.types = catalog.MachineTypes(n.names)
+			n.machineTypes = catalog.MachineTypes(n.names)
 			l := n.lead
 			if l != nil {
-				l.setTypes(n.types)
+				l.setTypes(n.machineTypes)
 			}
 			n.mu.Unlock()
 			if l != nil && fresh && len(mustEncode(catalog)) <= int(n.cfg.Cluster.ValueKB()*1024) {
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -80,7 +80,7 @@
 func (q *openChecker) stats() openCheckStats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return openCheckStats{compared: q.batcher.Questions, comparisons: q.batcher.Comparisons, forwarded: q.lastID}
+	return openCheckStats{compared: q.batcher.Checks, comparisons: q.batcher.Comparisons, forwarded: q.lastID}
 }
 
 // setLeading sets whether this controller leads and so compares for all controllers.
@@ -199,7 +199,7 @@
 	if d, ok := ctx.Deadline(); ok {
 		until = d.Sub(q.startedAt)
 	}
-	waiter := q.batcher.Ask(now, g, until)
+	waiter := q.batcher.AddCheck(now, g, until)
 	q.waiters[waiter] = checkWaiter{result: result}
 	q.step(now)
 	q.mu.Unlock()
@@ -216,12 +216,12 @@
 }
 
 // compareForSibling adds another controller's question to this controller's next comparison.
-func (q *openChecker) compareForSibling(k *link, id uint64, g jobs.Guard) {
+func (q *openChecker) compareForSibling(memberLink *link, id uint64, g jobs.Guard) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	waiter := q.batcher.Ask(now, g, now+siblingCheckTimeout)
-	q.waiters[waiter] = checkWaiter{link: k, id: id}
+	waiter := q.batcher.AddCheck(now, g, now+siblingCheckTimeout)
+	q.waiters[waiter] = checkWaiter{link: memberLink, id: id}
 	q.step(now)
 }
 
@@ -250,7 +250,7 @@
 	for _, g := range b.Guards {
 		guards = append(guards, wire.Guard{Key: openPrefix + wire.JobName(g.Job), Version: g.Version})
 	}
-	failed, err := q.state.Compare(state.As(context.Background(), ratelimit.Comparisons), guards)
+	failed, err := q.state.Compare(state.WithClass(context.Background(), ratelimit.Comparisons), guards)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
@@ -293,14 +293,14 @@
 // handleQuestions answers another controller's questions. A job that is known to be done needs no
 // comparison, because that never changes. A cancellation is compared all the same: the controller
 // that reports it to a user must first read the final record itself and record that it did.
-func (l *leadership) handleQuestions(k *link, questions []*peerpb.Question) {
+func (l *leadership) handleQuestions(memberLink *link, questions []*peerpb.Question) {
 	for _, question := range questions {
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
 		if l.node.cachedFinals[g.Job] == jobs.Done {
 			answer := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
-			k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
+			memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
 			continue
 		}
-		l.node.openChecker.compareForSibling(k, question.GetId(), g)
+		l.node.openChecker.compareForSibling(memberLink, question.GetId(), g)
 	}
 }
--- a/internal/node/openchecker_test.go
+++ b/internal/node/openchecker_test.go
@@ -33,11 +33,11 @@
 	now := r.node.now()
 	r.setOpenJobsAsOf(now)
 	grantForDemand := func(now time.Duration, demand float64) *peerpb.Grant {
-		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
+		r.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
 		r.lead.ratesDividedAt = now - rateDivisionInterval
 		r.lead.divideRate(now)
 		r.takeSent(t)
-		r.sendAsk(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
+		r.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
 		return r.lastGrant()
 	}
 	noDemand := grantForDemand(now, 0)
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -30,7 +30,7 @@
 // listOpen lists the stored open jobs, and the revision that they were listed at.
 func (dl *dispatchLoop) listOpen() (map[model.JobID]storedJob, uint64, error) {
 	open := map[model.JobID]storedJob{}
-	revision, err := dl.lead.node.state.List(state.As(dl.lead.ctx, ratelimit.Leader), openPrefix,
+	revision, err := dl.lead.node.state.List(state.WithClass(dl.lead.ctx, ratelimit.Leader), openPrefix,
 		func(item *wire.Item) error {
 			id, submission, err := parseOpenRecord(item.Key, item.Value)
 			if err != nil {
@@ -224,7 +224,7 @@
 		return
 	}
 	dl.dispatcher.AddJob(now, spec, stored.version, min(waited, time.Hour), stored.version <= dl.lead.guard.Version)
-	dl.lead.dependencies.addJob(spec, stored.submission.Needs(), since)
+	dl.lead.dependencies.addJob(spec, stored.submission.Dependencies(), since)
 }
 
 // watchOpen applies changes of the open jobs, starting after a revision, until the term ends.
--- a/internal/node/planstatus.go
+++ b/internal/node/planstatus.go
@@ -10,15 +10,15 @@
 
 // PlanStatus is the state of a drain plan as operators see it.
 type PlanStatus struct {
-	Name          string         `json:"name"`
-	Phase         string         `json:"phase,omitempty"`
-	By            string         `json:"by,omitempty"`
-	At            *time.Time     `json:"at,omitempty"`
-	Note          string         `json:"note,omitempty"`
-	Counts        map[string]int `json:"counts"`           // steps by state
-	BlockedReason string         `json:"held,omitempty"`   // why the plan does not continue
-	Behind        string         `json:"behind,omitempty"` // the machine that the plan waits for, and for how long
-	Steps         []PlanStep     `json:"steps,omitempty"`
+	Name           string         `json:"name"`
+	Phase          string         `json:"phase,omitempty"`
+	By             string         `json:"by,omitempty"`
+	At             *time.Time     `json:"at,omitempty"`
+	Note           string         `json:"note,omitempty"`
+	Counts         map[string]int `json:"counts"`           // steps by state
+	BlockedReason  string         `json:"held,omitempty"`   // why the plan does not continue
+	SlowestMachine string         `json:"behind,omitempty"` // the machine that the plan waits for, and for how long
+	Steps          []PlanStep     `json:"steps,omitempty"`
 }
 
 // PlanStep is the state of one machine of a plan.
@@ -38,7 +38,7 @@
 		out.At = &s.At
 	}
 	if s.SlowestMachine != 0 {
-		out.Behind = wire.MachineName(s.SlowestMachine) + " for " + s.SlowestFor.Round(time.Second).String()
+		out.SlowestMachine = wire.MachineName(s.SlowestMachine) + " for " + s.SlowestFor.Round(time.Second).String()
 	}
 	for _, stepStatus := range s.Steps {
 		step := PlanStep{Machine: wire.MachineName(stepStatus.Machine), State: stepStatus.State,
--- a/internal/node/rates.go
+++ b/internal/node/rates.go
@@ -30,11 +30,11 @@
 			requests[i], writes[i] = memberLink.demand.Requests, memberLink.demand.Writes
 		}
 	}
-	ownDemand := n.state.Needs()
+	ownDemand := n.state.Demand()
 	var allocation ratelimit.Allocation
 	allocation.Requests, requests = rateshare.Divide(rateshare.Requests, ownDemand.Requests, requests)
 	allocation.Writes, writes = rateshare.Divide(rateshare.Changes, ownDemand.Writes, writes)
-	n.state.SetPart(allocation, rateshare.AllocationTTL)
+	n.state.SetAllocation(allocation, rateshare.AllocationTTL)
 	for i, memberLink := range links {
 		if memberLink != nil {
 			memberLink.allocation = ratelimit.Allocation{Requests: requests[i], Writes: writes[i]}
--- a/internal/node/storewrites.go
+++ b/internal/node/storewrites.go
@@ -119,7 +119,7 @@
 		txn.Guards = append(txn.Guards, write.guards...)
 		txn.Then = append(txn.Then, write.ops...)
 	}
-	ctx := state.As(l.ctx, requestClass(class))
+	ctx := state.WithClass(l.ctx, requestClass(class))
 	revision, err := n.state.Txn(ctx, txn)
 	if err != nil {
 		n.log.Debug("failed to store writes", "writes", len(batch), "err", err)
--- a/internal/node/teams.go
+++ b/internal/node/teams.go
@@ -125,16 +125,16 @@
 
 // TeamReply is the state of a team as operators see it. Amounts are in CPUs.
 type TeamReply struct {
-	Team        string  `json:"team"`
-	Limit       float64 `json:"limit_cpus"` // 0: none
-	Guarantee   float64 `json:"guarantee_cpus"`
-	Used        float64 `json:"used_cpus"`
-	Borrowed    float64 `json:"borrowed_cpus"`     // beyond the guarantee
-	Unaccounted float64 `json:"unseen_cpus"`       // charged for tasks on machines that are not accounted for
-	Waiting     int     `json:"waiting"`           // tasks that wait to start
-	Awaiting    int     `json:"awaiting"`          // jobs that wait for other jobs
-	BlockedBy   string  `json:"holds"`             // what the team's waiting tasks wait for
-	Changed     string  `json:"changed,omitempty"` // by whom the platform file is overridden, and until when
+	Team         string  `json:"team"`
+	Limit        float64 `json:"limit_cpus"` // 0: none
+	Guarantee    float64 `json:"guarantee_cpus"`
+	Used         float64 `json:"used_cpus"`
+	Borrowed     float64 `json:"borrowed_cpus"`     // beyond the guarantee
+	Unaccounted  float64 `json:"unseen_cpus"`       // charged for tasks on machines that are not accounted for
+	TasksWaiting int     `json:"waiting"`           // tasks that wait to start
+	JobsOnHold   int     `json:"awaiting"`          // jobs that wait for other jobs
+	BlockedBy    string  `json:"holds"`             // what the team's waiting tasks wait for
+	Changed      string  `json:"changed,omitempty"` // by whom the platform file is overridden, and until when
 }
 
 // teamReplies returns the state of all teams, in the platform file's order.
@@ -146,8 +146,8 @@
 		r := TeamReply{Team: dm.lead.node.names.Teams.Name(model.Name(i)), Limit: toCPUs(t.Limit.CPU),
 			Guarantee: toCPUs(t.Guarantee.CPU),
 			Used:      toCPUs(t.Used.CPU), Borrowed: toCPUs(max(0, t.Used.CPU-t.Guarantee.CPU)),
-			Unaccounted: toCPUs(t.Unaccounted.CPU),
-			Waiting:     t.Waiting + t.AwaitingRecovery, Awaiting: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
+			Unaccounted:  toCPUs(t.Unaccounted.CPU),
+			TasksWaiting: t.Waiting + t.AwaitingRecovery, JobsOnHold: t.JobsOnHold, BlockedBy: teamBlockedBy(&t)}
 		if change, ok := dm.teamOverrides.Active(model.Name(i), wall); ok {
 			r.Changed = "by " + change.By
 			if change.UntilMS > 0 {
--- a/internal/node/upgrade_test.go
+++ b/internal/node/upgrade_test.go
@@ -60,7 +60,7 @@
 // Records of release 0.4 are read and written without loss.
 func TestReadRecordsOf04(t *testing.T) {
 	sub := roundTrip[wire.Submission](t, "0.4/open.json")
-	if len(sub.Needs()) != 0 || *sub.NameID != "job-000412" || sub.SubmittedMS != 1790000000123 {
+	if len(sub.Dependencies()) != 0 || *sub.NameID != "job-000412" || sub.SubmittedMS != 1790000000123 {
 		t.Errorf("%+v", sub)
 	}
 	if f := roundTrip[wire.Final](t, "0.4/final.json"); f.Stage != "aborted" || f.AtMS != 0 {
@@ -83,7 +83,7 @@
 // Records of release 0.5 are read and written without loss.
 func TestReadRecordsOfLastRelease(t *testing.T) {
 	sub := roundTrip[wire.Submission](t, "0.5/open.json")
-	if !slices.Equal(sub.Needs(), []model.JobID{398, 405}) || *sub.NameID != "job-000420" {
+	if !slices.Equal(sub.Dependencies(), []model.JobID{398, 405}) || *sub.NameID != "job-000420" {
 		t.Errorf("%+v", sub)
 	}
 	if f := roundTrip[wire.Final](t, "0.5/final.json"); f.Stage != "done" || f.AtMS != 1790000009999 {
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -73,7 +73,7 @@
 		if r.Status == http.StatusNotFound {
 			return Reply{Status: http.StatusBadRequest, Err: fmt.Sprintf(
 				"the job's record takes %d bytes, more than the limit of %d; Awaits names %d jobs", size, maxBytes,
-				len(sub.Awaits))}
+				len(sub.DependsOn))}
 		}
 		return r
 	}
@@ -97,12 +97,12 @@
 	if t.CPUsMax > 0 && *sub.CPUs*count > t.CPUsMax || t.GPUsMax > 0 && *sub.GPUs*count > t.GPUsMax {
 		return false, "above the team's limit"
 	}
-	if len(n.types) == 0 {
+	if len(n.machineTypes) == 0 {
 		return false, ""
 	}
 	perTask := model.Request(*sub.CPUs, *sub.GPUs, *sub.MemGB)
-	for i := range n.types {
-		machineType := &n.types[i]
+	for i := range n.machineTypes {
+		machineType := &n.machineTypes[i]
 		if !perTask.Fits(machineType.Cap) {
 			continue
 		}
@@ -208,10 +208,10 @@
 		}
 		return jobs.New(kind, id, version)
 	}
-	if len(sub.Awaits) == 0 {
+	if len(sub.DependsOn) == 0 {
 		return jobs.New(kind, id, 0) // a submission without dependencies reads nothing first
 	}
-	dependencies := sub.Needs()
+	dependencies := sub.Dependencies()
 	open := make(map[model.JobID]uint64, len(dependencies))
 	for _, dependency := range dependencies {
 		if version, _ := n.cachedOpenRecord(dependency); version != 0 {
@@ -259,7 +259,7 @@
 		n.leaderStateServedAt > served+2500*time.Millisecond
 	// Without the machine types, after a few seconds, it still answers polls and
 	// cancellations, which is better than having no controller at all.
-	return (len(n.types) > 0 || n.now() > 10*time.Second) && !refused && !n.isolatedLocked(n.now())
+	return (len(n.machineTypes) > 0 || n.now() > 10*time.Second) && !refused && !n.isolatedLocked(n.now())
 }
 
 // isolatedLocked reports whether this controller has been cut off for a while from both the state
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -89,7 +89,7 @@
 
 // Serve serves until the context ends. If it can't listen it tries again.
 func (s *Server) Serve(ctx context.Context, addr string) {
-	httpserve.Until(ctx, s.http, addr, " operators", s.log, func(l net.Listener) net.Listener {
+	httpserve.Serve(ctx, s.http, addr, " operators", s.log, func(l net.Listener) net.Listener {
 		s.log.Info("serving operators", "addr", addr, "tls", s.cert != nil)
 		l = netutil.LimitListener(l, maxConns)
 		if s.cert != nil {
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -245,7 +245,7 @@
 func Spec(p *planpb.Plan, n *wire.Names) *drain.Spec {
 	spec := &drain.Spec{Name: p.GetName(), MaxConcurrent: 1, MaxPerZone: int(p.GetAtOncePerZone()),
 		FreeCapacityFloor: p.GetFloor(), RentFirst: p.GetRentFirst(),
-		Default: drain.How(p.GetRunning()), After: drain.After(p.GetAfter())}
+		Default: drain.LeaveMode(p.GetRunning()), WhenEmpty: drain.WhenEmpty(p.GetAfter())}
 	if p.AtOnce != nil {
 		spec.MaxConcurrent = int(*p.AtOnce)
 	}
@@ -253,7 +253,7 @@
 		spec.LatestEnd = t
 	}
 	for _, r := range p.GetRules() {
-		rule := drain.Rule{Class: model.None, Rank: -1, How: drain.How(r.GetRunning())}
+		rule := drain.Rule{Class: model.None, Rank: -1, LeaveMode: drain.LeaveMode(r.GetRunning())}
 		if r.GetClass() != "" {
 			rule.Class = n.Classes.ID(r.GetClass())
 		}
--- a/internal/planfile/planfile_test.go
+++ b/internal/planfile/planfile_test.go
@@ -55,8 +55,8 @@
 	got.LatestEnd = time.Time{}
 	want := &drain.Spec{Name: "month-end", MaxConcurrent: 3, MaxPerZone: 2, FreeCapacityFloor: 0.5,
 		Default: drain.MoveSaved, RentFirst: true,
-		After: drain.Patch,
-		Rules: []drain.Rule{{Class: 1, Rank: -1}, {Class: model.None, Rank: int(model.Idle), How: drain.Move}},
+		WhenEmpty: drain.Patch,
+		Rules:     []drain.Rule{{Class: 1, Rank: -1}, {Class: model.None, Rank: int(model.Idle), LeaveMode: drain.Move}},
 		Windows: []drain.Window{{Classes: []model.Name{1}, Clock: 15 * time.Hour, Location: muscat, Name: "the window"},
 			{Deadline: true, Location: time.UTC, Name: "its deadline"}}}
 	if d := cmp.Diff(want, got, cmp.Comparer(func(a,
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -14,13 +14,13 @@
 const (
 	LeaderKilled         FaultKind = "leader-ends"         // the leader is killed and restarted
 	ControllerKilled     FaultKind = "controller-restarts" // a controller that does not lead is killed and restarted
-	RackGone             FaultKind = "rack-gone"           // rackSize workers of one zone stop at the same time
+	RackLoss             FaultKind = "rack-gone"           // rackSize workers of one zone stop at the same time
 	ZoneLost             FaultKind = "zone-lost"           // a zone's workers and controllers stop for good
 	AllControllersKilled FaultKind = "all-controllers-end" // all controllers are killed at the same time and restarted
 )
 
 // FaultKinds lists all kinds of faults.
-var FaultKinds = []FaultKind{LeaderKilled, ControllerKilled, RackGone, ZoneLost, AllControllersKilled}
+var FaultKinds = []FaultKind{LeaderKilled, ControllerKilled, RackLoss, ZoneLost, AllControllersKilled}
 
 const (
 	restartDelay = 3 * time.Second  // from the kill of a controller to its restart
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -22,7 +22,7 @@
 // hollowWorkers is the hollow process of a region: workers that speak the worker protocol but run no tasks.
 type hollowWorkers struct {
 	spec       RegionSpec
-	registry   *standin.Depot
+	registry   *standin.TaskRegistry
 	group      *standin.WorkerGroup
 	worldAddr  atomic.Pointer[string]
 	urgentWait *histogram
@@ -36,11 +36,12 @@
 
 // ServeHollow runs the workers of a region until the context ends or the parent process exits.
 func ServeHollow(ctx context.Context, spec RegionSpec, in io.Reader, out io.Writer) error {
-	h := &hollowWorkers{spec: spec, registry: standin.NewDepot(), urgentWait: newHistogram(), otherWait: newHistogram()}
-	h.registry.Brief = true
-	h.registry.Look = h.fetchDescription
-	h.registry.Factor = func(job *standin.Job, task string) float64 { return runTimeFactor(spec.Seed, job, task) }
-	h.registry.Started = h.recordStart
+	h := &hollowWorkers{spec: spec, registry: standin.NewTaskRegistry(), urgentWait: newHistogram(),
+		otherWait: newHistogram()}
+	h.registry.DiscardEnded = true
+	h.registry.FindJob = h.fetchDescription
+	h.registry.RunTimeFactor = func(job *standin.Job, task string) float64 { return runTimeFactor(spec.Seed, job, task) }
+	h.registry.OnStart = h.recordStart
 	h.registry.LimitCPUs = map[string]float64{}
 	for _, team := range spec.Teams {
 		h.registry.LimitCPUs[team.Name] = team.CPUsMax
@@ -69,7 +70,7 @@
 		return struct{}{}, nil
 	}))
 	mux.HandleFunc("POST "+pathRunning, controlHandler(func(job NameRequest) (RunningReply, error) {
-		return RunningReply{h.registry.Running(job.Name)}, nil
+		return RunningReply{h.registry.RunningTasks(job.Name)}, nil
 	}))
 	mux.HandleFunc("GET "+pathStats, func(w http.ResponseWriter, r *http.Request) {
 		reset := r.URL.Query().Has("reset")
@@ -147,10 +148,10 @@
 
 // stats returns the counts since the start of the process. reset restarts the quantiles and the peak.
 func (h *hollowWorkers) stats(reset bool) WorkersStats {
-	meter := &h.group.Meter
-	broken := h.registry.Broken()
+	meter := &h.group.Stats
+	broken := h.registry.Violations()
 	stats := WorkersStats{
-		Up: h.group.Size(), Running: h.registry.OnMachines(),
+		Up: h.group.Size(), Running: h.registry.TotalRunning(),
 		Starts: meter.Starts.Load(), Reports: meter.Reports.Load(), Commands: meter.Commands.Load(),
 		Redirected: meter.Redirected.Load(), Unanswered: meter.Unanswered.Load(), Dropped: meter.Dropped.Load(),
 		Expired: meter.Expired.Load(),
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -68,9 +68,9 @@
 	FDs   int // open files
 }
 
-// Defaults returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
+// DefaultOptions returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
 // are those of a large deployment in the users' bench, repeated here so that the package does not depend on it.
-func Defaults() Options {
+func DefaultOptions() Options {
 	return Options{
 		Workers: 392, Controllers: 7, Regions: 1, Zones: 2, Teams: 170,
 		Profile: Peak, TasksPerWorker: 16, TasksPerJob: 1000,
@@ -100,8 +100,8 @@
 	return float64(o.Workers*o.TasksPerWorker) / o.MeanTask().Seconds()
 }
 
-// Check returns all invalid options as one error. Each part names the flag.
-func (o *Options) Check() error {
+// Validate returns all invalid options as one error. Each part names the flag.
+func (o *Options) Validate() error {
 	var errs []error
 	checkInt := func(flag string, v, lowest, highest int) {
 		if v < lowest || v > highest {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := options.Check(); err != nil {
+	if err := options.Validate(); err != nil {
 		return nil, &UsageError{err}
 	}
 	if err := options.checkCapacity(machine); err != nil {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -122,20 +122,20 @@
 
 // Slope is a figure as a linear function of its variables, fitted by least squares.
 type Slope struct {
-	Role, Unit string
-	Base       float64   // intercept: the figure when all variables are 0
-	By         []string  // names of the variables
-	Each       []float64 // coefficient of each variable
-	RMS, Worst float64   // root mean square and largest absolute residual
-	R2         float64
-	Rows       int
+	Role, Unit       string
+	Intercept        float64   // intercept: the figure when all variables are 0
+	Variables        []string  // names of the variables
+	Coefficients     []float64 // coefficient of each variable
+	RMS, MaxResidual float64   // root mean square and largest absolute residual
+	R2               float64
+	Rows             int
 }
 
 // errTooFewWindows is returned when there are too few observations for a fit.
 var errTooFewWindows = errors.New("too few windows: a fit needs at least two more than the figure has variables")
 
-// Slopes fits all figures to the steady windows of the reports.
-func Slopes(reports []*Report) ([]Slope, error) {
+// FitSlopes fits all figures to the steady windows of the reports.
+func FitSlopes(reports []*Report) ([]Slope, error) {
 	observations := steadyObservations(reports)
 	out := make([]Slope, 0, len(figures))
 	for i := range figures {
@@ -182,10 +182,10 @@
 	if err := coefficients.SolveVec(inputs, outputs); err != nil { // least squares by QR decomposition
 		return slope, fmt.Errorf("least squares: %w", err)
 	}
-	slope.Base = coefficients.AtVec(0)
+	slope.Intercept = coefficients.AtVec(0)
 	for j, variable := range f.variables {
-		slope.By = append(slope.By, variable.Name)
-		slope.Each = append(slope.Each, coefficients.AtVec(j+1))
+		slope.Variables = append(slope.Variables, variable.Name)
+		slope.Coefficients = append(slope.Coefficients, coefficients.AtVec(j+1))
 	}
 	var predicted mat.VecDense
 	predicted.MulVec(inputs, &coefficients)
@@ -193,7 +193,7 @@
 	for i := range rows {
 		residual := math.Abs(outputs.AtVec(i) - predicted.AtVec(i))
 		sumOfSquares += residual * residual
-		slope.Worst = max(slope.Worst, residual)
+		slope.MaxResidual = max(slope.MaxResidual, residual)
 	}
 	slope.RMS = math.Sqrt(sumOfSquares / float64(rows))
 	slope.R2 = stat.RSquaredFrom(predicted.RawVector().Data, outputs.RawVector().Data, nil)
@@ -218,9 +218,9 @@
 		figure, slope := &figures[i], &slopes[i]
 		prediction := Prediction{Role: figure.role, Unit: figure.unit}
 		for _, r := range observations {
-			predicted := slope.Base
+			predicted := slope.Intercept
 			for j, variable := range figure.variables {
-				predicted += slope.Each[j] * variable.value(r)
+				predicted += slope.Coefficients[j] * variable.value(r)
 			}
 			prediction.Predicted += predicted / float64(len(observations))
 			prediction.Measured += figure.value(r) / float64(len(observations))
--- a/internal/scale/slopes_test.go
+++ b/internal/scale/slopes_test.go
@@ -40,7 +40,7 @@
 	for i, workers := range []int{100, 217, 450, 800, 1300, 1900} {
 		reports = append(reports, linearReport(workers, 3+i*2, float64(10+(i*i*37)%101)))
 	}
-	slopes, err := Slopes(reports)
+	slopes, err := FitSlopes(reports)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,8 @@
 			continue
 		}
 		found = true
-		if math.Abs(s.Base-0.01) > 1e-6 || math.Abs(s.Each[0]-0.0001) > 1e-7 || math.Abs(s.Each[1]-0.0002) > 1e-6 ||
+		if math.Abs(s.Intercept-0.01) > 1e-6 || math.Abs(s.Coefficients[0]-0.0001) > 1e-7 ||
+			math.Abs(s.Coefficients[1]-0.0002) > 1e-6 ||
 			s.R2 < 0.999 {
 			t.Errorf("%+v", s)
 		}
@@ -67,7 +68,7 @@
 			t.Errorf("%+v", p)
 		}
 	}
-	if _, err := Slopes(reports[:2]); !errors.Is(err, errTooFewWindows) {
+	if _, err := FitSlopes(reports[:2]); !errors.Is(err, errTooFewWindows) {
 		t.Errorf("fit of two reports: %v, want errTooFewWindows", err)
 	}
 }
--- a/internal/scale/window.go
+++ b/internal/scale/window.go
@@ -83,7 +83,7 @@
 func (r *run) injectFault(ctx context.Context, kind FaultKind) error {
 	region := r.regions[0]
 	switch kind {
-	case RackGone:
+	case RackLoss:
 		return callControl(ctx, http.MethodPost, region.worldAddr, pathLose,
 			LoseRequest{Count: rackSize, Zone: region.spec.Zones[0]}, nil)
 	case ZoneLost:
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -15,11 +15,11 @@
 type world struct {
 	spec           RegionSpec
 	store          *standin.Store
-	storeEndpoints []*standin.Front
+	storeEndpoints []*standin.StoreEndpoint
 	cloud          *standin.Cloud
 	users          *users
 	limitChanger   *limitChanger
-	machineType    standin.Kind
+	machineType    standin.MachineType
 
 	mu     sync.Mutex
 	random *rand.Rand
@@ -67,26 +67,28 @@
 	defer w.store.Close()
 	ready := ReadyMessage{}
 	for range spec.Hosts {
-		endpoint, err := w.store.Front()
+		endpoint, err := w.store.NewEndpoint()
 		if err != nil {
 			return err
 		}
-		endpoint.Slow(limits.StateLatency)
+		endpoint.SetDelay(limits.StateLatency)
 		w.storeEndpoints = append(w.storeEndpoints, endpoint)
 		ready.State = append(ready.State, endpoint.Addr)
 	}
 	perZone := (spec.Workers + len(spec.Zones) - 1) / len(spec.Zones)
-	w.machineType = standin.Kind{Label: "hollow", Cpus: spec.workerCPUs(), MemGb: spec.workerCPUs() * taskMemGB / taskCPUs,
+	w.machineType = standin.MachineType{Label: "hollow", Cpus: spec.workerCPUs(),
+		MemGb:   spec.workerCPUs() * taskMemGB / taskCPUs,
 		LocalGb: 50, PullGbPerS: 1, Hourly: 1, MarketPrice: 0.5, ReadyS: 10, Yards: spec.Zones,
-		Room: perZone + spareMachines(perZone)}
+		MaxPerZone: perZone + spareMachines(perZone)}
 	hosts := make([]standin.Host, 0, len(spec.Hosts))
 	for _, host := range spec.Hosts {
 		hosts = append(hosts, standin.Host{Name: host.Name, Addr: host.Bind})
 	}
-	w.cloud, err = standin.NewCloud(standin.CloudParams{Kinds: []standin.Kind{w.machineType}, ListLag: limits.CloudListLag,
-		Dying: limits.CloudListLag, RPS: limits.CloudRPS,
+	w.cloud, err = standin.NewCloud(standin.CloudParams{Types: []standin.MachineType{w.machineType},
+		ListLag:         limits.CloudListLag,
+		ListedAfterLoss: limits.CloudListLag, RPS: limits.CloudRPS,
 		Timing: standin.Timing{Report: spec.Timing.Report, Lease: spec.Timing.Lease},
-		Runs:   remoteMachines{ctx, spec.HollowAddr}}, nil, hosts, rand.New(rand.NewPCG(spec.Seed, 13)))
+		Runner: remoteMachines{ctx, spec.HollowAddr}}, nil, hosts, rand.New(rand.NewPCG(spec.Seed, 13)))
 	if err != nil {
 		return err
 	}
@@ -134,7 +136,7 @@
 // seedMachines starts the initial machines, distributed evenly over the zones.
 func (w *world) seedMachines() error {
 	for i, zone := range w.spec.Zones {
-		if err := w.cloud.Seed(0, zone, false, evenShare(w.spec.Workers, len(w.spec.Zones), i)); err != nil {
+		if err := w.cloud.AddMachines(0, zone, false, evenShare(w.spec.Workers, len(w.spec.Zones), i)); err != nil {
 			return fmt.Errorf("start the machines of %s: %w", zone, err)
 		}
 	}
@@ -143,16 +145,16 @@
 
 // loseMachines stops random machines abruptly, with their tasks, and returns their names.
 func (w *world) loseMachines(request LoseRequest) (names []string, err error) {
-	machines := w.cloud.InZone(request.Zone)
+	machines := w.cloud.RunningInZone(request.Zone)
 	w.mu.Lock()
 	w.random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	w.mu.Unlock()
 	names = machines[:min(request.Count, len(machines))]
 	if request.ForGood {
-		w.cloud.Shut(request.Zone)
+		w.cloud.ExhaustZone(request.Zone)
 	}
 	for _, n := range names {
-		w.cloud.Lose(n)
+		w.cloud.FailMachine(n)
 	}
 	return names, nil
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -92,7 +92,7 @@
 // Serve serves until the context ends. If it can't listen it tries again, so that the
 // process never exits by itself.
 func (s *Server) Serve(ctx context.Context, addr string, log *slog.Logger) {
-	httpserve.Until(ctx, s.http, addr, "", log, func(l net.Listener) net.Listener {
+	httpserve.Serve(ctx, s.http, addr, "", log, func(l net.Listener) net.Listener {
 		log.Info("serving", "addr", addr)
 		return netutil.LimitListener(l, s.limit)
 	})
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -17,7 +17,7 @@
 // rentedMachine is a machine that was rented from the cloud.
 type rentedMachine struct {
 	name, zone  string
-	machineType Kind
+	machineType MachineType
 	spot        bool
 	rentedAt    time.Time
 	bootedAt    time.Time // zero until it has booted
@@ -31,11 +31,11 @@
 // after a delay, and lists changes after a lag.
 type Cloud struct {
 	mu              sync.Mutex
-	types           []Kind
+	types           []MachineType
 	listLag         time.Duration
 	listedAfterLoss time.Duration
 	timing          Timing
-	tasks           *Depot
+	tasks           *TaskRegistry
 	hosts           []Host
 	rng             *rand.Rand
 	requestLimiter  *rate.Limiter
@@ -61,25 +61,25 @@
 
 // CloudParams are the parameters of a cloud.
 type CloudParams struct {
-	Kinds   []Kind
-	ListLag time.Duration
-	Dying   time.Duration // how long a failed machine is still listed, in addition to ListLag
-	RPS     float64
-	Timing  Timing
-	Runs    MachineRunner // runs the machines; nil: in this process, each with its own listener
+	Types           []MachineType
+	ListLag         time.Duration
+	ListedAfterLoss time.Duration // how long a failed machine is still listed, in addition to ListLag
+	RPS             float64
+	Timing          Timing
+	Runner          MachineRunner // runs the machines; nil: in this process, each with its own listener
 }
 
 // NewCloud starts a cloud whose workers report to the hosts.
-func NewCloud(p CloudParams, tasks *Depot, hosts []Host, rng *rand.Rand) (*Cloud, error) {
+func NewCloud(p CloudParams, tasks *TaskRegistry, hosts []Host, rng *rand.Rand) (*Cloud, error) {
 	c := &Cloud{
-		types:           p.Kinds,
+		types:           p.Types,
 		listLag:         p.ListLag,
-		listedAfterLoss: p.Dying,
+		listedAfterLoss: p.ListedAfterLoss,
 		timing:          p.Timing,
 		tasks:           tasks,
 		hosts:           hosts,
 		rng:             rng,
-		runner:          p.Runs,
+		runner:          p.Runner,
 		requestLimiter:  rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))),
 		machines:        map[string]*rentedMachine{},
 		rentals:         map[string][]string{},
@@ -143,8 +143,8 @@
 	c.noCapacity = on
 }
 
-// Shut makes the cloud refuse all further rentals in a zone for lack of capacity.
-func (c *Cloud) Shut(zone string) {
+// ExhaustZone makes the cloud refuse all further rentals in a zone for lack of capacity.
+func (c *Cloud) ExhaustZone(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exhaustedZones[zone] = true
@@ -157,8 +157,8 @@
 	c.neverBoot = on
 }
 
-// Seed adds machines that have already booted, at the start of a cluster.
-func (c *Cloud) Seed(typeIndex int, zone string, spot bool, count int) error {
+// AddMachines adds machines that have already booted, at the start of a cluster.
+func (c *Cloud) AddMachines(typeIndex int, zone string, spot bool, count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range count {
@@ -172,7 +172,7 @@
 }
 
 // addMachine records a new machine, which the list shows after its lag.
-func (c *Cloud) addMachine(machineType Kind, zone string, spot bool) *rentedMachine {
+func (c *Cloud) addMachine(machineType MachineType, zone string, spot bool) *rentedMachine {
 	c.lastNumber++
 	m := &rentedMachine{
 		name: fmt.Sprintf("m-%06d", c.lastNumber), zone: zone, machineType: machineType, spot: spot, rentedAt: time.Now(),
@@ -210,8 +210,8 @@
 	}
 }
 
-// InZone returns the sorted names of the running machines in a zone, or in all zones for "".
-func (c *Cloud) InZone(zone string) []string {
+// RunningInZone returns the sorted names of the running machines in a zone, or in all zones for "".
+func (c *Cloud) RunningInZone(zone string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
@@ -238,8 +238,8 @@
 	return out
 }
 
-// Lose makes a machine and its tasks stop; the cloud lists it for some time after that.
-func (c *Cloud) Lose(name string) {
+// FailMachine makes a machine and its tasks stop; the cloud lists it for some time after that.
+func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	m := c.machines[name]
 	if m == nil || !m.unlistedAt.IsZero() {
@@ -281,7 +281,7 @@
 				rentedCount++
 			}
 		}
-		for range min(request.Count, k.Room-rentedCount) {
+		for range min(request.Count, k.MaxPerZone-rentedCount) {
 			names = append(names, c.rentOne(k, request.Yard, request.SwarmBoxes).name)
 		}
 	}
@@ -294,7 +294,7 @@
 }
 
 // rentOne rents one machine, which boots after 0.6 to 1.5 times its type's boot time.
-func (c *Cloud) rentOne(machineType Kind, zone string, spot bool) *rentedMachine {
+func (c *Cloud) rentOne(machineType MachineType, zone string, spot bool) *rentedMachine {
 	m := c.addMachine(machineType, zone, spot)
 	if c.neverBoot {
 		return m
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -32,11 +32,11 @@
 	return res.StatusCode, v
 }
 
-func newStore(t *testing.T, l StoreLimits) (*Store, *Front) {
+func newStore(t *testing.T, l StoreLimits) (*Store, *StoreEndpoint) {
 	t.Helper()
 	s := NewStore(l)
 	t.Cleanup(s.Close)
-	endpoint, err := s.Front()
+	endpoint, err := s.NewEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,12 +127,12 @@
 // a repeated request in the same way, and that a worker obeys tokens, leases and its capacity
 // and saves the progress of tasks.
 func TestCloudAndWorkerProtocol(t *testing.T) {
-	tasks := NewDepot()
-	tasks.Look = func(string) []byte {
+	tasks := NewTaskRegistry()
+	tasks.FindJob = func(string) []byte {
 		return []byte(`{"Shape":"batch","Wax":"i","Cpus":5,"MemGb":1,"ImageGb":0,"ForageS":60,"CapIntervalS":0.05,"CapS":0.05}`)
 	}
 	cloud, err := NewCloud(CloudParams{
-		Kinds: []Kind{{Label: "k", Cpus: 8, MemGb: 8, PullGbPerS: 1, Yards: []string{"a"}, Room: 2}}, RPS: 100,
+		Types: []MachineType{{Label: "k", Cpus: 8, MemGb: 8, PullGbPerS: 1, Yards: []string{"a"}, MaxPerZone: 2}}, RPS: 100,
 		Timing: Timing{Report: 50 * time.Millisecond, Lease: 700 * time.Millisecond},
 	}, tasks, []Host{{"h", "127.0.0.1:1"}}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -76,9 +76,9 @@
 		keys:   btree.NewG(16, func(a, b entry) bool { return a.key < b.key }), changed: make(chan struct{})}
 }
 
-// Front is the address at which one controller reaches the store. Faults can be injected
+// StoreEndpoint is the address at which one controller reaches the store. Faults can be injected
 // for this controller alone.
-type Front struct {
+type StoreEndpoint struct {
 	Addr               string
 	mu                 sync.Mutex
 	refusing           bool
@@ -95,14 +95,14 @@
 
 // Counts returns the number of this controller's requests, including those that were
 // refused because of the rate limit.
-func (e *Front) Counts() EndpointCounts {
+func (e *StoreEndpoint) Counts() EndpointCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
 // count records a request.
-func (e *Front) count(r *http.Request, refused bool) {
+func (e *StoreEndpoint) count(r *http.Request, refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Requests++
@@ -115,14 +115,14 @@
 }
 
 // SetRefusing makes the store answer all requests of this controller with 503, or stops that.
-func (e *Front) SetRefusing(on bool) {
+func (e *StoreEndpoint) SetRefusing(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.refusing = on
 }
 
-// Slow delays every answer to this controller.
-func (e *Front) Slow(delay time.Duration) {
+// SetDelay delays every answer to this controller.
+func (e *StoreEndpoint) SetDelay(delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.delay = delay
@@ -130,14 +130,14 @@
 
 // LoseAnswers makes the store commit one of every interval transactions of this controller
 // without answering it; 0 ends that.
-func (e *Front) LoseAnswers(interval int) {
+func (e *StoreEndpoint) LoseAnswers(interval int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lostAnswerInterval = interval
 }
 
 // loseNextAnswer counts a transaction and reports whether its answer is to be lost.
-func (e *Front) loseNextAnswer() bool {
+func (e *StoreEndpoint) loseNextAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.transactions++
@@ -145,15 +145,15 @@
 }
 
 // faults reports whether requests are refused and by how much answers are delayed.
-func (e *Front) faults() (bool, time.Duration) {
+func (e *StoreEndpoint) faults() (bool, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.refusing, e.delay
 }
 
-// Front opens a new address at which a controller can reach the store.
-func (s *Store) Front() (*Front, error) {
-	endpoint := &Front{}
+// NewEndpoint opens a new address at which a controller can reach the store.
+func (s *Store) NewEndpoint() (*StoreEndpoint, error) {
+	endpoint := &StoreEndpoint{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.get)
 	mux.HandleFunc("GET /store", s.list)
--- a/internal/standin/store_http.go
+++ b/internal/standin/store_http.go
@@ -204,7 +204,7 @@
 
 // watch waits for changes to keys with a prefix. During an outage, or while the controller
 // is refused, it keeps waiting without an answer.
-func (s *Store) watch(w http.ResponseWriter, r *http.Request, endpoint *Front) {
+func (s *Store) watch(w http.ResponseWriter, r *http.Request, endpoint *StoreEndpoint) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("From"), 10, 64)
 	waitMs, _ := strconv.Atoi(query.Get("WaitMs"))
--- a/internal/standin/taskregistry.go
+++ b/internal/standin/taskregistry.go
@@ -30,22 +30,22 @@
 	job                *Job
 }
 
-// Depot keeps what outlives a machine: job descriptions, results and saved progress. It also
+// TaskRegistry keeps what outlives a machine: job descriptions, results and saved progress. It also
 // records which task runs on which machine, and so detects a task that runs on two machines
 // at a time and a team that exceeds its limit.
-type Depot struct {
-	// Look returns the description of a job that is not known yet, nil if there is none.
-	Look func(name string) []byte
-	// Factor returns a task's run time divided by its estimate; nil means 1.
-	Factor func(j *Job, task string) float64
+type TaskRegistry struct {
+	// FindJob returns the description of a job that is not known yet, nil if there is none.
+	FindJob func(name string) []byte
+	// RunTimeFactor returns a task's run time divided by its estimate; nil means 1.
+	RunTimeFactor func(j *Job, task string) float64
 	// AttemptFails reports whether an attempt of a task ends with an error; nil means never.
 	AttemptFails func(task, machine string) bool
-	// Started is called for each task that starts to run; it may be nil.
-	Started func(j *Job, at time.Time)
+	// OnStart is called for each task that starts to run; it may be nil.
+	OnStart func(j *Job, at time.Time)
 	// LimitCPUs are the teams' CPU limits; a team without an entry has no limit.
 	LimitCPUs map[string]float64
-	// Brief: no list of attempts is kept, to save memory in runs with very many.
-	Brief bool
+	// DiscardEnded: no list of attempts is kept, to save memory in runs with very many.
+	DiscardEnded bool
 
 	mu         sync.Mutex
 	jobs       map[string]*Job
@@ -57,20 +57,20 @@
 	usedCPUs   map[string]float64 // CPUs of running tasks, by team
 }
 
-// NewDepot returns an empty registry.
-func NewDepot() *Depot {
-	return &Depot{jobs: map[string]*Job{}, completed: map[string]bool{}, saved: map[string]time.Duration{},
+// NewTaskRegistry returns an empty registry.
+func NewTaskRegistry() *TaskRegistry {
+	return &TaskRegistry{jobs: map[string]*Job{}, completed: map[string]bool{}, saved: map[string]time.Duration{},
 		machineOf: map[string]string{}, usedCPUs: map[string]float64{}}
 }
 
 // job returns a job's description, or nil if the job has not been submitted.
-func (reg *Depot) job(name string) *Job {
+func (reg *TaskRegistry) job(name string) *Job {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	if j := reg.jobs[name]; j != nil || reg.Look == nil {
+	if j := reg.jobs[name]; j != nil || reg.FindJob == nil {
 		return j
 	}
-	raw := reg.Look(name)
+	raw := reg.FindJob(name)
 	if raw == nil {
 		return nil
 	}
@@ -83,21 +83,22 @@
 }
 
 // runTimeFactor returns a task's run time divided by its estimate.
-func (reg *Depot) runTimeFactor(j *Job, task string) float64 {
-	if reg.Factor == nil {
+func (reg *TaskRegistry) runTimeFactor(j *Job, task string) float64 {
+	if reg.RunTimeFactor == nil {
 		return 1
 	}
-	return reg.Factor(j, task)
+	return reg.RunTimeFactor(j, task)
 }
 
 // attemptFails reports whether an attempt of a task is to end with an error.
-func (reg *Depot) attemptFails(task, machine string) bool {
+func (reg *TaskRegistry) attemptFails(task, machine string) bool {
 	return reg.AttemptFails != nil && reg.AttemptFails(task, machine)
 }
 
 // startRun records that a task starts to run on a machine. It returns the task's saved
 // progress and whether the task has already completed.
-func (reg *Depot) startRun(j *Job, task, machine string, attempt uint64) (r *Run, saved time.Duration, completed bool) {
+func (reg *TaskRegistry) startRun(j *Job, task, machine string,
+	attempt uint64) (r *Run, saved time.Duration, completed bool) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	if other, ok := reg.machineOf[task]; ok && other != machine {
@@ -105,7 +106,7 @@
 	}
 	reg.machineOf[task] = machine
 	r = &Run{Task: task, Machine: machine, Attempt: attempt, StartedAt: time.Now(), job: j}
-	if !reg.Brief {
+	if !reg.DiscardEnded {
 		reg.runs = append(reg.runs, r)
 	}
 	reg.usedCPUs[j.Colony] += j.Cpus
@@ -114,14 +115,14 @@
 			j.Colony, reg.usedCPUs[j.Colony], task,
 			limit))
 	}
-	if reg.Started != nil {
-		reg.Started(j, r.StartedAt)
+	if reg.OnStart != nil {
+		reg.OnStart(j, r.StartedAt)
 	}
 	return r, reg.saved[task], reg.completed[task]
 }
 
 // endRun records that a task no longer runs on its machine.
-func (reg *Depot) endRun(r *Run, cause string, progress time.Duration) {
+func (reg *TaskRegistry) endRun(r *Run, cause string, progress time.Duration) {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	r.EndedAt, r.Cause = time.Now(), cause
@@ -135,23 +136,23 @@
 	reg.saved[r.Task] = max(reg.saved[r.Task], progress)
 }
 
-// Broken describes the violations so far: a task that ran on two machines at a time, or a
+// Violations describes the violations so far: a task that ran on two machines at a time, or a
 // team above its limit.
-func (reg *Depot) Broken() []string {
+func (reg *TaskRegistry) Violations() []string {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return append([]string(nil), reg.violations...)
 }
 
-// OnMachines returns the number of tasks that are running now.
-func (reg *Depot) OnMachines() int {
+// TotalRunning returns the number of tasks that are running now.
+func (reg *TaskRegistry) TotalRunning() int {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	return len(reg.machineOf)
 }
 
 // Runs returns all attempts so far, the earliest first.
-func (reg *Depot) Runs() []Run {
+func (reg *TaskRegistry) Runs() []Run {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	out := make([]Run, len(reg.runs))
@@ -161,8 +162,8 @@
 	return out
 }
 
-// Running returns the number of a job's tasks that are running now.
-func (reg *Depot) Running(job string) int {
+// RunningTasks returns the number of a job's tasks that are running now.
+func (reg *TaskRegistry) RunningTasks(job string) int {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
 	n := 0
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -10,14 +10,14 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Kind is an entry of the cloud's catalog.
-type Kind struct {
+// MachineType is an entry of the cloud's catalog.
+type MachineType struct {
 	Label                       string
 	Cpus, Accelerators, MemGb   float64
 	LocalGb, PullGbPerS         float64
 	Hourly, MarketPrice, ReadyS float64
 	Yards                       []string
-	Room                        int `json:"-"` // how many can be rented in each zone, spot and ordinary ones each
+	MaxPerZone                  int `json:"-"` // how many can be rented in each zone, spot and ordinary ones each
 }
 
 // Timing is the report interval and the lease of workers, from the platform's settings.
@@ -34,13 +34,13 @@
 type Worker struct {
 	Name, Zone  string
 	Spot        bool
-	machineType Kind
+	machineType MachineType
 	timing      Timing
-	tasks       *Depot
+	tasks       *TaskRegistry
 	hosts       []Host
 	addr        string
 	unlisten    func()
-	stats       *Meter
+	stats       *WorkerStats
 	stop        context.CancelFunc
 	wake        chan struct{} // holds an element if something may have changed
 
@@ -65,7 +65,7 @@
 }
 
 // newWorker returns a machine that has not started yet.
-func newWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host, stats *Meter) *Worker {
+func newWorker(m MachineSpec, t Timing, tasks *TaskRegistry, hosts []Host, stats *WorkerStats) *Worker {
 	return &Worker{
 		Name: m.Name, Zone: m.Yard, Spot: m.Spot, machineType: m.Kind, timing: t, tasks: tasks, hosts: hosts,
 		hostIndex: m.First, session: 1,
@@ -75,8 +75,8 @@
 }
 
 // StartWorker starts a machine that has its own listener.
-func StartWorker(m MachineSpec, t Timing, tasks *Depot, hosts []Host) (*Worker, error) {
-	w := newWorker(m, t, tasks, hosts, &Meter{})
+func StartWorker(m MachineSpec, t Timing, tasks *TaskRegistry, hosts []Host) (*Worker, error) {
+	w := newWorker(m, t, tasks, hosts, &WorkerStats{})
 	server, err := startServer(w.handler())
 	if err != nil {
 		return nil, fmt.Errorf("stand-in worker %s: %w", m.Name, err)
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -13,7 +13,7 @@
 type MachineSpec struct {
 	Name, Yard string
 	Spot       bool
-	Kind       Kind
+	Kind       MachineType
 	First      int // index of the controller to which it reports first
 }
 
@@ -26,9 +26,9 @@
 // WorkerGroup runs many workers in one process behind one listener. Each worker has its own
 // loopback address, 127.NETWORK.x.y, and all share one port.
 type WorkerGroup struct {
-	Meter   Meter
+	Stats   WorkerStats
 	timing  Timing
-	tasks   *Depot
+	tasks   *TaskRegistry
 	hosts   []Host
 	network byte
 	port    int
@@ -41,7 +41,7 @@
 }
 
 // NewWorkerGroup starts a group. network is the second byte of its workers' addresses.
-func NewWorkerGroup(network byte, t Timing, tasks *Depot, hosts []Host) (*WorkerGroup, error) {
+func NewWorkerGroup(network byte, t Timing, tasks *TaskRegistry, hosts []Host) (*WorkerGroup, error) {
 	// A single socket can serve the whole loopback range only on the unspecified address;
 	// loopbackListener closes connections to all other addresses.
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
@@ -51,14 +51,14 @@
 	g := &WorkerGroup{timing: t, tasks: tasks, hosts: hosts, network: network, port: listener.Addr().(*net.TCPAddr).Port,
 		handlersByIP: map[string]http.Handler{}, workersByName: map[string]*Worker{}}
 	g.server = &http.Server{Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = g.server.Serve(&loopbackListener{listener, &g.Meter}) }() // returns when Close is called
+	go func() { _ = g.server.Serve(&loopbackListener{listener, &g.Stats}) }() // returns when Close is called
 	return g, nil
 }
 
 // loopbackListener accepts only connections to loopback addresses and counts their bytes.
 type loopbackListener struct {
 	net.Listener
-	stats *Meter
+	stats *WorkerStats
 }
 
 // Accept returns the next connection to a loopback address.
@@ -98,7 +98,7 @@
 
 // Boot boots a machine and returns its worker's address.
 func (g *WorkerGroup) Boot(m MachineSpec) (addr string, err error) {
-	w := newWorker(m, g.timing, g.tasks, g.hosts, &g.Meter)
+	w := newWorker(m, g.timing, g.tasks, g.hosts, &g.Stats)
 	g.mu.Lock()
 	if g.nextIndex >= maxGroupWorkers {
 		g.mu.Unlock()
--- a/internal/standin/workerstats.go
+++ b/internal/standin/workerstats.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Meter counts the workers' traffic with controllers and the outcomes of their reports. All
+// WorkerStats counts the workers' traffic with controllers and the outcomes of their reports. All
 // workers of a group share it.
-type Meter struct {
+type WorkerStats struct {
 	Reports    atomic.Int64 // sent
 	Commands   atomic.Int64 // requests with direct commands that were executed
 	Starts     atomic.Int64 // tasks that started to run
@@ -23,7 +23,7 @@
 }
 
 // newClient returns an HTTP client for one worker, which keeps one connection to a controller.
-func (s *Meter) newClient(timeout time.Duration) *http.Client {
+func (s *WorkerStats) newClient(timeout time.Duration) *http.Client {
 	dialer := net.Dialer{Timeout: timeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, addr)
@@ -39,7 +39,7 @@
 // countingConn counts the bytes that pass through a connection.
 type countingConn struct {
 	net.Conn
-	stats *Meter
+	stats *WorkerStats
 }
 
 // Read reads from the connection and counts the bytes.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -77,16 +77,16 @@
 	return c.limiter.Share(), shed, c.limiter.ServiceRefusals
 }
 
-// Writes returns the service's write rate limit as far as it is known, and whether that
+// WriteRate returns the service's write rate limit as far as it is known, and whether that
 // is the announced lower limit.
-func (c *Client) Writes() (perSecond float64, lowered bool) {
+func (c *Client) WriteRate() (perSecond float64, lowered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.WriteRate()
 }
 
-// SetPart sets this controller's allocation of the service's rate, valid for validFor.
-func (c *Client) SetPart(p ratelimit.Allocation, validFor time.Duration) {
+// SetAllocation sets this controller's allocation of the service's rate, valid for validFor.
+func (c *Client) SetAllocation(p ratelimit.Allocation, validFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Since(c.start)
@@ -94,8 +94,8 @@
 	c.step(now)
 }
 
-// Needs returns the recent demand, as shares of the service's rate.
-func (c *Client) Needs() ratelimit.Allocation {
+// Demand returns the recent demand, as shares of the service's rate.
+func (c *Client) Demand() ratelimit.Allocation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limiter.Demand(time.Since(c.start))
@@ -110,16 +110,16 @@
 
 type timeoutKey struct{}
 
-// Patiently returns a context whose requests have the timeout d instead of the client's.
+// WithTimeout returns a context whose requests have the timeout d instead of the client's.
 // It is for requests whose answers are still useful after the usual timeout.
-func Patiently(ctx context.Context, d time.Duration) context.Context {
+func WithTimeout(ctx context.Context, d time.Duration) context.Context {
 	return context.WithValue(ctx, timeoutKey{}, d)
 }
 
 type classKey struct{}
 
-// As returns a context whose requests belong to a class. The default is Reads.
-func As(ctx context.Context, c ratelimit.Class) context.Context {
+// WithClass returns a context whose requests belong to a class. The default is Reads.
+func WithClass(ctx context.Context, c ratelimit.Class) context.Context {
 	return context.WithValue(ctx, classKey{}, c)
 }
 
@@ -354,7 +354,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Events, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
-	if err := c.admit(As(ctx, ratelimit.Authority), 0); err != nil {
+	if err := c.admit(WithClass(ctx, ratelimit.Authority), 0); err != nil {
 		return nil, err
 	}
 	q := url.Values{"Starts": {prefix}, "From": {strconv.FormatUint(from, 10)},
--- a/internal/wire/dependencies_test.go
+++ b/internal/wire/dependencies_test.go
@@ -17,8 +17,8 @@
 		`null`: nil, `[]`: nil, `["job-000398","job-1234567","job-000398"]`: {398, 1234567},
 	} {
 		s, err := ParseSubmission([]byte(strings.Replace(submissionTemplate, "AWAITS", in, 1)))
-		if err != nil || !slices.Equal(s.Needs(), want) {
-			t.Errorf("%s: %v, %v", in, s.Needs(), err)
+		if err != nil || !slices.Equal(s.Dependencies(), want) {
+			t.Errorf("%s: %v, %v", in, s.Dependencies(), err)
 		}
 	}
 	for in, field := range map[string]string{
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -92,15 +92,15 @@
 // Names holds the tables of one process.
 type Names struct {
 	Teams, Types, Zones, Images, Classes *Table
-	// Aimed are the job classes with a service level objective. If it is empty, all
+	// ObjectiveClasses are the job classes with a service level objective. If it is empty, all
 	// classes are treated alike.
-	Aimed map[model.Name]bool
-	// Guaranteed are the teams with a guarantee.
-	Guaranteed map[model.Name]bool
+	ObjectiveClasses map[model.Name]bool
+	// GuaranteedTeams are the teams with a guarantee.
+	GuaranteedTeams map[model.Name]bool
 }
 
 // IsBestEffort reports whether jobs of a class and team may wait for idle machines:
 // their class has no objective while others have one, and their team has no guarantee.
 func (n *Names) IsBestEffort(class, team model.Name) bool {
-	return len(n.Aimed) > 0 && !n.Aimed[class] && !n.Guaranteed[team]
+	return len(n.ObjectiveClasses) > 0 && !n.ObjectiveClasses[class] && !n.GuaranteedTeams[team]
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -40,7 +40,7 @@
 	CheckpointS *float64 `json:"CapIntervalS"`
 	SaveS       *float64 `json:"CapS"`
 	DeadlineS   *float64 `json:"HarvestS,omitempty"`
-	Awaits      []string `json:"Awaits,omitempty"` // jobs that must be done before any task starts
+	DependsOn   []string `json:"Awaits,omitempty"` // jobs that must be done before any task starts
 	SubmittedMS int64    `json:"SubmittedMs,omitempty"`
 }
 
@@ -139,7 +139,7 @@
 // duplicates.
 func (s *Submission) checkDependencies() error {
 	seen := map[string]bool{}
-	for i, name := range s.Awaits {
+	for i, name := range s.DependsOn {
 		if _, err := ParseJob(name); err != nil {
 			return &FieldError{fmt.Sprintf("Awaits[%d]:", i), err.Error()}
 		}
@@ -148,8 +148,8 @@
 		}
 		seen[name] = true
 	}
-	if len(seen) < len(s.Awaits) {
-		s.Awaits = slices.DeleteFunc(s.Awaits, func(name string) bool {
+	if len(seen) < len(s.DependsOn) {
+		s.DependsOn = slices.DeleteFunc(s.DependsOn, func(name string) bool {
 			first := seen[name]
 			delete(seen, name)
 			return !first
@@ -158,13 +158,13 @@
 	return nil
 }
 
-// Needs returns the jobs that this job depends on.
-func (s *Submission) Needs() []model.JobID {
-	if len(s.Awaits) == 0 {
+// Dependencies returns the jobs that this job depends on.
+func (s *Submission) Dependencies() []model.JobID {
+	if len(s.DependsOn) == 0 {
 		return nil
 	}
-	out := make([]model.JobID, 0, len(s.Awaits))
-	for _, name := range s.Awaits {
+	out := make([]model.JobID, 0, len(s.DependsOn))
+	for _, name := range s.DependsOn {
 		if id, err := ParseJob(name); err == nil { // checkDependencies has checked it
 			out = append(out, id)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -83,7 +83,7 @@
 // An objective for one class must not make the jobs of teams with a guarantee best
 // effort: with a single objective in the cluster, all other classes waited for minutes.
 func TestBestEffortHasNoObjectiveAndNoGuarantee(t *testing.T) {
-	n := &Names{Aimed: map[model.Name]bool{1: true}, Guaranteed: map[model.Name]bool{1: true}}
+	n := &Names{ObjectiveClasses: map[model.Name]bool{1: true}, GuaranteedTeams: map[model.Name]bool{1: true}}
 	for _, c := range []struct {
 		class, team model.Name
 		want        bool
