--- a/internal/core/drain/engine.go
+++ b/internal/core/drain/engine.go
@@ -261,7 +261,7 @@
 			p.setState(now, i, Finished)
 			return nil
 		}
-		return refuse("%s is %s: only a machine in state patching can be reported as patched", machine, p.Steps[i].State)
+		return refuse("%s is %s: only a machine that is patching can be patched", machine, p.Steps[i].State)
 	}
 	return refuse("plan %q has no machine %s", name, machine)
 }
