--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -24,7 +24,7 @@
 		return
 	}
 	l.dispatcher.OnCharge(func(change dispatcher.Charge) {
-		l.node.log.Debug("team charge changed", "task", wire.TaskName(change.Task), "reason", change.Reason.String(),
+		l.node.log.Debug("charge", "task", wire.TaskName(change.Task), "reason", change.Reason.String(),
 			"shard", change.Shard, "zone", l.node.zoneName(change.Zone),
 			"used_cpu", change.Used.CPU, "limit_cpu", change.Limit.CPU, "term", l.term)
 	})
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -368,7 +368,7 @@
 			if msg.Welcome.GetCompares() {
 				n.openChecker.setLeader(sendQueue)
 			}
-			n.log.Info("joined the leader", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.previousMachines))
+			n.log.Info("joined", "leader", host, "term", msg.Welcome.GetTerm(), "remembered", len(n.previousMachines))
 			for id := range n.previousMachines {
 				sendQueue.Send(local.codec.Event(&model.Event{Kind: model.MachineRemembered, Machine: id}))
 			}
