--- a/internal/core/dispatcher/broken.go
+++ b/internal/core/dispatcher/broken.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// probeCount returns how many of n tasks of a broken job may be dispatched: one if none is
+// retryCount returns how many of n tasks of a broken job may be dispatched: one if none is
 // assigned. A daemon has no completed task that could clear its failures, so they are cleared once
 // its probe has run for half of maxRetryDelay after the delay ended.
-func (j *job) probeCount(now time.Duration, n int32) int32 {
+func (j *job) retryCount(now time.Duration, n int32) int32 {
 	if len(j.assignments) == 0 {
 		return min(1, n)
 	}
--- a/internal/core/dispatcher/dispatch.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -130,7 +130,7 @@
 	}
 	count := j.spec.Tasks - j.doneCount - int32(len(j.assignments))
 	if j.failures.broken {
-		return j.probeCount(now, count)
+		return j.retryCount(now, count)
 	}
 	return count
 }
@@ -141,12 +141,12 @@
 	for len(j.requeued) > 0 {
 		index := j.requeued[0]
 		j.requeued = j.requeued[1:]
-		if !j.isDone(index) && !d.isAssigned(j, index) {
+		if !j.isDone(index) && !d.hasCharge(j, index) {
 			return index, true, true
 		}
 	}
 	for ; j.nextIndex < j.spec.Tasks; j.nextIndex++ {
-		if index := j.nextIndex; !j.isDone(index) && !d.isAssigned(j, index) {
+		if index := j.nextIndex; !j.isDone(index) && !d.hasCharge(j, index) {
 			j.nextIndex++
 			return index, false, true
 		}
@@ -387,7 +387,7 @@
 		if count := min(n-fitting, spec.PerTask.Count(m.avail)); count > 0 {
 			if reserve {
 				m.avail = m.avail.Sub(spec.PerTask.Times(count))
-				s.assignedOn[m] = true
+				s.reservedOn[m] = true
 			}
 			fitting += count
 		}
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -35,7 +35,7 @@
 type member struct {
 	id              model.ShardID
 	host            string
-	assignedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
+	reservedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
 	jobs            map[model.JobID]model.TaskCounts
 	candidates      []*machine    // machines with free capacity; valid while dispatching
 	machineKinds    []*machine    // one machine of each kind that the shard has; valid while dispatching
@@ -63,7 +63,7 @@
 	// rejected are the attempts, by number, that were found but not adopted and that must end.
 	rejected            map[uint64]rejectedAttempt
 	members             map[model.ShardID]*member
-	lastID              model.ShardID
+	lastShardID         model.ShardID
 	earlierTermsEnd     time.Duration     // when the authority of all earlier terms' shards has ended
 	usage               []model.Resources // charged to each team, without unaccounted machines
 	orders              []model.Order
@@ -78,7 +78,7 @@
 	avoidedUntil        map[zoneHost]time.Duration // until when a zone is not redirected to a host it failed to reach
 	cordoned            map[model.MachineID]bool
 	machineCounts       map[model.ShardID]int // machines of each shard as of countedAt
-	countedAt           time.Duration
+	machinesCountedAt   time.Duration
 	starvation          *starvation.Detector
 	starvationUpdatedAt time.Duration
 	onCharge            func(Charge)
@@ -139,9 +139,9 @@
 
 // AddShard adds a shard for a controller that has joined, and returns its ID.
 func (d *Dispatcher) AddShard(now time.Duration, host string) model.ShardID {
-	d.lastID++
-	d.members[d.lastID] = &member{id: d.lastID, host: host, joinedAt: now, assignedOn: map[*machine]bool{}}
-	return d.lastID
+	d.lastShardID++
+	d.members[d.lastShardID] = &member{id: d.lastShardID, host: host, joinedAt: now, reservedOn: map[*machine]bool{}}
+	return d.lastShardID
 }
 
 // FirstAttempt returns the first number of the range of attempt numbers reserved for a shard.
@@ -158,7 +158,7 @@
 // UpdateStatus handles a shard's status: the machines that changed since its last status, its task
 // counts per job, and the number of assignments that it had received.
 func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus,
-	jobs map[model.JobID]model.TaskCounts, acked uint64) {
+	jobs map[model.JobID]model.TaskCounts, assignmentsReceived uint64) {
 	m := d.members[id]
 	if m == nil {
 		return
@@ -167,7 +167,7 @@
 	// A status sent before the newest assignments arrived shows capacity that they will take.
 	// Capacity reserved on a machine stays reserved until a status covers all assignments, or a
 	// second has passed.
-	upToDate := acked >= m.assignmentsSent || now-m.statusAt >= time.Second
+	upToDate := assignmentsReceived >= m.assignmentsSent || now-m.statusAt >= time.Second
 	for i := range status {
 		machine := d.machines[status[i].Machine.ID]
 		if machine == nil || machine.owner != id {
@@ -175,16 +175,16 @@
 		}
 		machine.status, machine.statusFrom = status[i], id
 		machine.status.Machine = machine.Machine
-		if !m.assignedOn[machine] {
+		if !m.reservedOn[machine] {
 			machine.avail = machine.status.Avail
 		}
 	}
 	if upToDate {
 		m.statusAt = now
-		for machine := range m.assignedOn {
+		for machine := range m.reservedOn {
 			machine.avail = machine.status.Avail
 		}
-		clear(m.assignedOn)
+		clear(m.reservedOn)
 	}
 }
 
--- a/internal/core/dispatcher/inspect.go
+++ b/internal/core/dispatcher/inspect.go
@@ -17,7 +17,7 @@
 // the task's own charge, or because the whole machine is charged while the attempt is rejected or
 // the machine is unaccounted.
 func (d *Dispatcher) IsCharged(t model.Task, attempt uint64, machine model.MachineID) bool {
-	if j := d.jobs[t.Job]; j != nil && d.isAssigned(j, t.Index) {
+	if j := d.jobs[t.Job]; j != nil && d.hasCharge(j, t.Index) {
 		return true
 	}
 	_, rejected := d.rejected[attempt]
--- a/internal/core/dispatcher/jobs.go
+++ b/internal/core/dispatcher/jobs.go
@@ -270,8 +270,8 @@
 	return model.None
 }
 
-// isAssigned reports whether a task is charged: assigned to a shard, or orphaned.
-func (d *Dispatcher) isAssigned(j *job, index int32) bool { _, ok := j.assignments[index]; return ok }
+// hasCharge reports whether a task is charged: assigned to a shard, or orphaned.
+func (d *Dispatcher) hasCharge(j *job, index int32) bool { _, ok := j.assignments[index]; return ok }
 
 // assign charges a task to its team and to a zone, and records the shard that it is assigned to.
 func (d *Dispatcher) assign(j *job, index int32, zone model.Name, shard model.ShardID, reason ChargeReason) {
--- a/internal/core/dispatcher/overloaded.go
+++ b/internal/core/dispatcher/overloaded.go
@@ -16,16 +16,16 @@
 	overloadFactor = 1.2 // relative to an equal share; Params.MinOverloadMachines is the absolute minimum
 	// A shard that has received no report for this long may have lost the network to its workers.
 	workerReportTimeout = 10 * time.Second
-	// loadCacheInterval is how long counts of machines per shard are reused.
-	loadCacheInterval = 100 * time.Millisecond
+	// machineCountsMaxAge is how long counts of machines per shard are reused.
+	machineCountsMaxAge = 100 * time.Millisecond
 )
 
-// machineLoads returns the number of machines of each shard, counted again every loadCacheInterval.
-func (d *Dispatcher) machineLoads(now time.Duration) map[model.ShardID]int {
-	if d.machineCounts != nil && now-d.countedAt < loadCacheInterval {
+// cachedMachineCounts returns the number of machines of each shard, counted again every loadCacheInterval.
+func (d *Dispatcher) cachedMachineCounts(now time.Duration) map[model.ShardID]int {
+	if d.machineCounts != nil && now-d.machinesCountedAt < machineCountsMaxAge {
 		return d.machineCounts
 	}
-	d.machineCounts, d.countedAt = map[model.ShardID]int{}, now
+	d.machineCounts, d.machinesCountedAt = map[model.ShardID]int{}, now
 	for _, m := range d.machinesByID {
 		if m.owner != 0 && !m.gone && !m.expiryConfirmed {
 			d.machineCounts[m.owner]++
@@ -40,16 +40,16 @@
 	if len(d.members) < 2 || m.releasing {
 		return false
 	}
-	loads := d.machineLoads(now)
+	counts := d.cachedMachineCounts(now)
 	equalShare := float64(len(d.machinesByID)) / float64(len(d.members))
-	if float64(loads[from]) < max(equalShare*overloadFactor, float64(d.params.MinOverloadMachines)) {
+	if float64(counts[from]) < max(equalShare*overloadFactor, float64(d.params.MinOverloadMachines)) {
 		return false
 	}
 	to := d.members[m.owner]
 	if to == nil {
-		to = d.leastLoaded(now, m, loads)
+		to = d.leastLoaded(now, m, counts)
 	}
-	if to == nil || to.id == from || loads[to.id] >= loads[from] || !d.canReach(now, to, m) {
+	if to == nil || to.id == from || counts[to.id] >= counts[from] || !d.canReach(now, to, m) {
 		return false
 	}
 	if m.owner != to.id {
@@ -62,9 +62,9 @@
 
 // leastLoaded returns the shard with the fewest machines among those that the machine's zone can
 // reach.
-func (d *Dispatcher) leastLoaded(now time.Duration, m *machine, loads map[model.ShardID]int) (best *member) {
+func (d *Dispatcher) leastLoaded(now time.Duration, m *machine, counts map[model.ShardID]int) (best *member) {
 	for _, s := range d.sortedMembers() {
-		if d.canReach(now, s, m) && (best == nil || loads[s.id] < loads[best.id]) {
+		if d.canReach(now, s, m) && (best == nil || counts[s.id] < counts[best.id]) {
 			best = s
 		}
 	}
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -220,8 +220,8 @@
 type MessageID struct{ Session, Seq uint64 }
 
 // AtLeast reports whether message n is at least as new as o.
-func (n MessageID) AtLeast(o MessageID) bool {
-	return n.Session > o.Session || n.Session == o.Session && n.Seq >= o.Seq
+func (id MessageID) AtLeast(other MessageID) bool {
+	return id.Session > other.Session || id.Session == other.Session && id.Seq >= other.Seq
 }
 
 // Newer reports whether the report is newer than the message of that session and number.
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -145,9 +145,9 @@
 	s.markAlive(m)
 }
 
-// checkAnswersArrived is called when a fenced worker starts a new session. A session ends if the
+// detectLostAnswers is called when a fenced worker starts a new session. A session ends if the
 // worker gets no answers, so a recent answer of this shard cannot have arrived.
-func (s *Shard) checkAnswersArrived(now time.Duration, m *machine) {
+func (s *Shard) detectLostAnswers(now time.Duration, m *machine) {
 	if m.everAnswered && now-m.answeredAt < s.params.MaxLease/2 {
 		m.inboundLost = true
 	}
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -105,7 +105,7 @@
 func (s *Shard) applyMessage(now time.Duration, m *machine, r *model.Report, isReport bool) {
 	if r.Session > m.session && m.session != 0 && m.fenced {
 		// The worker has killed and forgotten all attempts of its earlier session.
-		s.checkAnswersArrived(now, m)
+		s.detectLostAnswers(now, m)
 		s.loseAllAttempts(now, m)
 		s.restartLease(now, m)
 	}
