--- a/internal/core/dispatcher/blocks.go
+++ b/internal/core/dispatcher/blocks.go
@@ -22,7 +22,7 @@
 type block struct {
 	version uint64 // of the stored record; 0: none
 	dirty   bool   // the record must be written again
-	// writePending tells that a write of the block has not been answered.
+	// writePending is true while a write of the block has no known outcome.
 	writePending bool
 }
 
@@ -92,8 +92,7 @@
 		case b.dirty:
 			ids = append(ids, id)
 			if slices.ContainsFunc(d.machinesInBlock(id), func(m *machine) bool {
-				return !m.recorded && !m.gone &&
-					!m.expiryConfirmed
+				return !m.recorded && !m.gone && !m.expiryConfirmed
 			}) {
 				urgency[id] = -1
 			}
@@ -125,16 +124,14 @@
 // obsoleteBlockWrites appends drops of blocks of other layouts that hold no machine's only record.
 func (d *Dispatcher) obsoleteBlockWrites(out []Write, n int, obsolete []BlockID) []Write {
 	slices.SortFunc(obsolete, func(a, b BlockID) int {
-		return cmp.Or(cmp.Compare(a.Size, b.Size),
-			cmp.Compare(a.Index, b.Index))
+		return cmp.Or(cmp.Compare(a.Size, b.Size), cmp.Compare(a.Index, b.Index))
 	})
 	for _, id := range obsolete {
 		if len(out) >= n {
 			break
 		}
 		if slices.ContainsFunc(d.machinesInBlock(id), func(m *machine) bool {
-			return m.recorded &&
-				m.recordedLayout == id.Size
+			return m.recorded && m.recordedLayout == id.Size
 		}) {
 			continue
 		}
@@ -144,8 +141,9 @@
 	return out
 }
 
-// blockStored handles the outcome of a block's write. After a write without an answer the next one
-// shows what happened, because it carries the same version.
+// blockStored handles the outcome of a block's write. If lost is true, the block has another
+// version, which is passed as revision. After a write without an answer the next one shows what
+// happened, because it carries the same version.
 func (d *Dispatcher) blockStored(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
 	b.writePending = false
@@ -185,7 +183,7 @@
 	}
 }
 
-// blockDropped handles the outcome of dropping a block. lost tells that the block has another
+// blockDropped handles the outcome of dropping a block. If lost is true, the block has another
 // version, which is passed as revision; 0: the block does not exist.
 func (d *Dispatcher) blockDropped(w Write, revision uint64, ok, lost bool) {
 	b := d.blocks[w.Block]
--- a/internal/core/dispatcher/broken.go
+++ b/internal/core/dispatcher/broken.go
@@ -50,7 +50,7 @@
 
 // retryCount returns how many of n tasks of a broken job may be dispatched: one if none is
 // assigned. A daemon has no completed task that could clear its failures, so they are cleared once
-// its probe has run for half of maxRetryDelay after the delay ended.
+// the retried task is still assigned half of maxRetryDelay after the retry delay ended.
 func (j *job) retryCount(now time.Duration, n int32) int32 {
 	if len(j.assignments) == 0 {
 		return min(1, n)
--- a/internal/core/dispatcher/charges.go
+++ b/internal/core/dispatcher/charges.go
@@ -2,7 +2,7 @@
 
 import "honeylock/internal/core/model"
 
-// ChargeReason tells why a task began or ceased to count against its team's limit.
+// ChargeReason is why a task began or ceased to count against its team's limit.
 type ChargeReason uint8
 
 // Reasons why a charge begins, then reasons why it ends.
--- a/internal/core/dispatcher/dispatch.go
+++ b/internal/core/dispatcher/dispatch.go
@@ -53,7 +53,7 @@
 	d.pricesUpdatedAt = now
 	guarantees := NewGuaranteeChecker(d.params.Teams)
 	for _, j := range jobs {
-		if j.ended || j.onHold || j.failures.broken { // the single probe of a broken job uses little of the guarantee
+		if j.ended || j.onHold || j.failures.broken { // a broken job runs one task at a time: little of the guarantee
 			continue
 		}
 		j.withinGuarantee = guarantees.Fits(j.spec, int64(j.spec.Tasks-j.doneCount))
@@ -121,9 +121,9 @@
 	return d.params.Teams[team].Remaining(d.usage[team].Add(unaccounted))
 }
 
-// undispatched returns the number of a job's tasks that may be dispatched now: none while the job
-// is on hold, waits for a retry, or comes from an earlier term and the machines of earlier terms
-// are not all accounted for.
+// undispatched returns the number of a job's tasks that may be dispatched now, before limits. It is
+// 0 while the job is on hold or waits for a retry. It is also 0 for a job of an earlier term until
+// all machines of earlier terms are accounted for, because its tasks may still run there.
 func (d *Dispatcher) undispatched(now time.Duration, j *job) int32 {
 	if j.ended || j.onHold || now < j.blockedUntil || j.fromEarlierTerm && !d.Recovered() {
 		return 0
@@ -136,7 +136,7 @@
 }
 
 // nextTask picks the next task to dispatch: tasks that were freed or returned first, then those
-// that this leader has not dispatched yet. The result redispatched tells that the task was dispatched before.
+// that this leader has not dispatched yet. redispatched is true for the former.
 func (d *Dispatcher) nextTask(j *job) (index int32, redispatched, ok bool) {
 	for len(j.requeued) > 0 {
 		index := j.requeued[0]
@@ -202,7 +202,7 @@
 	return b.count
 }
 
-// batch is a number of a job's tasks that go to one shard.
+// batch is a number of a job's tasks to be assigned to one shard, for pinned jobs in one zone.
 type batch struct {
 	shard *member
 	zone  model.Name
@@ -213,8 +213,8 @@
 // chooses the zone of each task.
 func (j *job) pinned() bool { return j.spec.SameZone || j.spec.Spread }
 
-// planBatches divides up to n tasks over shards and zones, those with the most free capacity first,
-// and reserves that capacity. For a pinned job each batch names a zone, because every task must be
+// planBatches divides up to n tasks over shards and zones, starting with the one that has capacity
+// for most of them, and reserves that capacity. For a pinned job each batch names a zone, because every task must be
 // charged to a zone before a shard places it.
 func planBatches(j *job, n int64, members []*member) []batch {
 	zones := []model.Name{model.None}
@@ -282,8 +282,8 @@
 
 // dispatchAhead dispatches a few tasks for which there is no free capacity, so that shards can find
 // victims to evict for them. Tasks go to shards with suitable machines, in proportion to the number
-// of their ready machines, because a controller that has just restarted owns hardly any.
-// Params.DispatchAhead limits the job's waiting tasks.
+// of their ready machines: an equal division would send as many to a controller that has just
+// restarted and owns hardly any machines. Params.DispatchAhead limits the job's waiting tasks.
 func (d *Dispatcher) dispatchAhead(j *job, n int64, members []*member) {
 	ahead := min(n, int64(d.params.DispatchAhead-d.TaskCounts(j.spec.ID).Waiting))
 	if ahead <= 0 {
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -19,12 +19,12 @@
 // Params are the parameters of a Dispatcher.
 type Params struct {
 	Term                uint64
-	Teams               []Team // indexed by the team's name
-	ChunkSize           int32  // tasks per stored chunk of a job's done set
-	BlockSize           uint64 // machines per stored block of records, in the layout of version 0.4 and earlier
-	ProgressInterval    time.Duration
-	DispatchAhead       int // a job's tasks dispatched beyond the free capacity, to find victims
-	MaxLease            time.Duration
+	Teams               []Team        // indexed by the team's name
+	ChunkSize           int32         // tasks per stored chunk of a job's done set
+	BlockSize           uint64        // machines per stored block of records, in the layout of version 0.4 and earlier
+	ProgressInterval    time.Duration // minimum time between two writes of a job's done set
+	DispatchAhead       int           // a job's tasks dispatched beyond the free capacity, to find victims
+	MaxLease            time.Duration // upper bound of a worker's lease, from the last answer to it
 	MinOverloadMachines int           // a shard with fewer machines is never overloaded
 	StartWithin         time.Duration // time in which a job's first task should start; 0: no limit
 	// ReportInterruptions enables reports of which tasks are interrupted and when they run again.
@@ -46,7 +46,7 @@
 	lastReportAt    time.Duration // when the shard last received a worker's report
 }
 
-// Dispatcher is the state machine of the package.
+// Dispatcher is the leader's state machine that the package comment describes.
 type Dispatcher struct {
 	params Params
 	now    time.Duration // time of the last event or tick
@@ -58,7 +58,7 @@
 	machinesByID     []*machine // machines, by ID
 	blocks           map[BlockID]*block
 	layout           uint64 // size of the blocks that are written; 0: Params.BlockSize
-	// unaccounted are the machines of earlier terms whose contents are not known yet.
+	// unaccounted are the machines of earlier terms that may run tasks unknown to this leader.
 	unaccounted map[model.MachineID]bool
 	// rejected are the attempts, by number, that were found but not adopted and that must end.
 	rejected            map[uint64]rejectedAttempt
@@ -67,7 +67,7 @@
 	earlierTermsEnd     time.Duration     // when the authority of all earlier terms' shards has ended
 	usage               []model.Resources // charged to each team, without unaccounted machines
 	orders              []model.Order
-	deferredEvents      map[model.MachineID][]model.Event // events of shards that were ordered to release the machine
+	deferredEvents      map[model.MachineID][]model.Event // see deferEvent
 	types               map[model.Name]model.MachineType
 	newlyBroken         []model.JobID // jobs newly considered broken
 	freedTasks          []model.Task  // tasks of lost shards that are certainly not running
@@ -156,7 +156,7 @@
 }
 
 // UpdateStatus handles a shard's status: the machines that changed since its last status, its task
-// counts per job, and the number of assignments that it had received.
+// counts per job, and the number of assignments that it had received by then.
 func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus,
 	jobs map[model.JobID]model.TaskCounts, assignmentsReceived uint64) {
 	m := d.members[id]
@@ -325,8 +325,8 @@
 	}
 }
 
-// Demand returns the demand for machines: each open job that may run, with its number of unfinished
-// tasks and of those assigned to shards. The caller applies teams' limits.
+// Demand returns the demand for machines: each open job that may run, with the numbers of its
+// unfinished and of its assigned tasks. The caller applies teams' limits.
 func (d *Dispatcher) Demand() []JobDemand {
 	var out []JobDemand
 	for _, j := range d.sortedJobs() {
@@ -355,7 +355,7 @@
 	Unfinished, Assigned int32
 	WithinGuarantee      bool
 	WaitingSince         time.Duration
-	Overdue              bool // the job should have started
+	Overdue              bool // the job has not started within Params.StartWithin
 }
 
 // SetCordoned cordons or uncordons a machine. A cordoned machine gets no new tasks, whoever owns
--- a/internal/core/dispatcher/job_holds.go
+++ b/internal/core/dispatcher/job_holds.go
@@ -29,7 +29,7 @@
 }
 
 // ReleaseJob lets a job on hold be dispatched. It has waited for machines since the given time.
-// neverStarted tells that a job it depends on was still open in this term. Then no earlier leader
+// neverStarted is true if a job it depends on was still open in this term. Then no earlier leader
 // can have started it, and it need not wait until the machines of earlier terms are accounted for.
 func (d *Dispatcher) ReleaseJob(id model.JobID, since time.Duration, neverStarted bool) {
 	j := d.jobs[id]
--- a/internal/core/dispatcher/jobs.go
+++ b/internal/core/dispatcher/jobs.go
@@ -9,7 +9,8 @@
 	"honeylock/internal/core/model"
 )
 
-// assignment is a task charged to its team's limit: assigned to a shard, or orphaned.
+// assignment is a task that is charged to its team's limit, because it is assigned to a shard or
+// orphaned.
 type assignment struct {
 	zone  model.Name
 	shard model.ShardID
@@ -27,10 +28,10 @@
 // job is an open job, or an ended one with tasks that are still charged.
 type job struct {
 	spec           *model.Spec
-	version        uint64 // of its stored record
-	done           []uint64
+	version        uint64   // of its stored record
+	done           []uint64 // the done set: one bit per completed task
 	doneCount      int32
-	assignments    map[int32]assignment
+	assignments    map[int32]assignment // charged tasks, by index
 	assignedInZone map[model.Name]int32 // assignments by the zone they are charged to
 	nextIndex      int32                // tasks from here on have not been dispatched by this leader
 	// requeued are tasks that were freed or returned by a shard, to be dispatched again.
@@ -38,14 +39,14 @@
 	waitingSince    time.Duration // when it began to wait
 	fromEarlierTerm bool          // accepted before this term: its tasks may be on any machine
 	ended           bool
-	withinGuarantee bool
-	price           float64
+	withinGuarantee bool           // fits into its team's guarantee, see updatePrices
+	price           float64        // of its tasks, see Price
 	dirtyChunks     map[int32]bool // chunks of the done set to be stored
 	// storedChunks are the chunks that may be stored, with their last known versions. Finishing the
 	// job deletes only these: deleting chunks that were never written used up the state service's
 	// write rate in a deployment of four times the usual size.
 	storedChunks map[ChunkID]uint64
-	// writePending tells that a write for the job has not been answered.
+	// writePending is true while a write for the job has no known outcome.
 	writePending bool
 	lastWriteAt  time.Duration
 	// pendingClears are sent once the chunks of their tasks are stored.
@@ -53,7 +54,7 @@
 	failures      jobFailures
 	// blockedUntil is when a task may be dispatched again after a failure.
 	blockedUntil time.Duration
-	// onHold tells that jobs it depends on are not done. The job uses nothing of its team's limit
+	// onHold is true while jobs that it depends on are not done. The job uses nothing of its team's limit
 	// or guarantee, and no machines are rented for it.
 	onHold bool
 	// rank is the highest rank of the job and of those that depend on it.
@@ -61,11 +62,11 @@
 	orphaned    int32         // number of assignments that are in an orphan group
 	started     bool          // a task of it has run, or runs
 	overdue     bool          // no task of it has started within Params.StartWithin
-	expeditedAt time.Duration // when the shards were last told to expedite it
+	expeditedAt time.Duration // when the shards were last ordered to expedite it
 }
 
-// AddJob adds an open job. fromEarlierTerm tells that it was accepted before this term. The stored
-// chunks of its done set follow through AddDoneChunk.
+// AddJob adds an open job that has waited for the given time. fromEarlierTerm is true if it was
+// accepted before this term. The stored chunks of its done set are added by AddDoneChunk.
 func (d *Dispatcher) AddJob(now time.Duration, spec *model.Spec, version uint64, waited time.Duration,
 	fromEarlierTerm bool) {
 	if d.jobs[spec.ID] != nil || int(spec.Team) >= len(d.params.Teams) {
@@ -201,10 +202,10 @@
 	d.order(from, model.Order{Kind: model.KillAttempt, ID: e.Machine, Task: e.Task, Attempt: e.Attempt})
 }
 
-// canAdopt reports whether a found attempt may be adopted: its task is orphaned and may be on that
-// machine, or it is not charged and what earlier owners left on the machine is not known yet. Once
-// the machine is accounted for, the task may have been dispatched elsewhere and returned, so
-// adoption would bypass its team's limit and its job's zone rules.
+// canAdopt reports whether a found attempt may be adopted. Its task must be orphaned and may be on
+// that machine, or must not be charged while the machine is not accounted for. Once the machine is
+// accounted for, the task may have been dispatched elsewhere and returned, so adoption would bypass
+// its team's limit and its job's zone rules.
 func (d *Dispatcher) canAdopt(j *job, index int32, m *machine) bool {
 	a, ok := j.assignments[index]
 	if !ok {
@@ -282,7 +283,7 @@
 	d.reportCharge(j, index, a, reason)
 }
 
-// unassign takes back the charge of a task.
+// unassign ends the charge of a task, if it is charged.
 func (d *Dispatcher) unassign(j *job, index int32, reason ChargeReason) {
 	if a, ok := j.assignments[index]; ok {
 		if a.group != nil {
--- a/internal/core/dispatcher/machine_balance.go
+++ b/internal/core/dispatcher/machine_balance.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	machineBalanceInterval = 3 * time.Second  // moves one machine, or a twentieth of the difference
+	machineBalanceInterval = 3 * time.Second  // each time one machine moves, or a twentieth of the difference
 	minShardAge            = 10 * time.Second // minimum age of every shard before machines are moved
 	// avoidDuration is how long a zone's workers are not redirected to a host that one of them did
 	// not reach.
 	avoidDuration = 2 * time.Minute
 )
 
-// zoneHost is a zone, whose workers may be unable to reach a controller, and that controller's
-// host.
+// zoneHost is a pair of a zone and a controller's host that the zone's workers may be unable to
+// reach.
 type zoneHost struct {
 	zone model.Name
 	host string
 }
 
 // rebalanceMachines moves machines from the shard that owns most to the one that owns fewest,
-// because the loss of a controller costs more the more machines it owns. Workers are told to which
-// host to report. If a worker reports elsewhere, it could not reach that host, and no other worker
-// of its zone is sent there for avoidDuration.
+// because the loss of a controller costs more the more machines it owns. The workers of these
+// machines are redirected to the new owner's host. If a worker reports elsewhere, it could not
+// reach that host, and no worker of its zone is redirected there for avoidDuration.
 func (d *Dispatcher) rebalanceMachines(now time.Duration) {
 	if now < d.nextMachineBalance || !d.Recovered() {
 		return
--- a/internal/core/dispatcher/machines.go
+++ b/internal/core/dispatcher/machines.go
@@ -12,28 +12,27 @@
 // last status.
 type machine struct {
 	model.Machine
-	token    uint64
-	recorded bool // certainly in a stored block
-	// recordedLayout is the layout of the block that holds the machine's record.
-	recordedLayout uint64
-	maybeStored    bool // possibly in a stored block
-	leaseExpired   bool // the owner has not answered its worker for a whole lease
-	// expiryConfirmed tells that the lease is certainly over: no task is on the machine, and none
-	// is placed there. Its record is removed, so a later leader need not account for it.
+	token          uint64 // issued to the present or last owner
+	recorded       bool   // certainly in a stored block
+	recordedLayout uint64 // layout of the block that holds the machine's record
+	maybeStored    bool   // possibly in a stored block
+	leaseExpired   bool   // the owner has not answered its worker for a whole lease
+	// expiryConfirmed is true from the confirmed expiry of the worker's lease until the worker
+	// reports again. No task is on the machine, and none is placed there. Its record is removed, so
+	// a later leader need not account for it.
 	expiryConfirmed bool
-	// gone tells that the machine no longer exists.
-	gone      bool
-	cordoned  bool          // gets no tasks
-	owner     model.ShardID // 0: none
-	nextOwner model.ShardID // the owner after the present one has released the machine
-	releasing bool          // the owner was ordered to release the machine
+	gone            bool          // it no longer exists
+	cordoned        bool          // gets no tasks
+	owner           model.ShardID // 0: none
+	nextOwner       model.ShardID // the owner after the present one has released the machine
+	releasing       bool          // the owner was ordered to release the machine
 	// authorityEnd is the last time at which a shard that was lost as the machine's owner could
 	// have answered its worker.
 	authorityEnd     time.Duration
 	lostAuthorityEnd time.Duration // like authorityEnd, for shards of this term only
 	orphanGroups     []*orphanGroup
 	unanswered       bool                // a direct command to its worker was not answered
-	unreachable      bool                // ... and its report is overdue, while others of its zone report
+	unreachable      bool                // unreachable according to the owner, see model.Event.Held
 	unownedSince     time.Duration       // when it was first seen without an owner; 0: it has one
 	status           model.MachineStatus // as last reported by the owner
 	statusFrom       model.ShardID       // the owner that reported status; 0: none
@@ -42,8 +41,7 @@
 	unfencedOwners   int                 // successive owners that released the machine without having fenced it
 	ownedAt          time.Duration       // when the present owner was assigned
 	redirectedTo     model.ShardID       // the shard that its worker was redirected to; 0: none
-	// redirectedAt is when its worker was redirected.
-	redirectedAt time.Duration
+	redirectedAt     time.Duration       // when its worker was redirected
 }
 
 // AllControllersJoined records that all controllers have joined this term, so no shard acts for an
@@ -213,8 +211,8 @@
 	return true
 }
 
-// UnreachableMachines returns the machines whose workers neither report nor answer, though other
-// workers of their zone report.
+// UnreachableMachines returns the machines whose workers are unreachable according to their owners:
+// they do not answer, though most other workers of their zone report.
 func (d *Dispatcher) UnreachableMachines() (out []model.MachineID) {
 	for _, m := range d.machinesByID {
 		if m.unreachable && m.owner != 0 && !m.gone {
@@ -300,7 +298,7 @@
 		if !d.redirectWorker(now, m, from) {
 			d.assignOwner(m, from)
 		}
-	case m.gone: // its record is being removed; handled at its next report
+	case m.gone: // its record is being removed; a later report adds the machine again
 	case m.owner == from: // the ownership order is on its way
 	case d.redirectWorker(now, m, from):
 	case m.owner == 0:
@@ -310,8 +308,9 @@
 	case m.needsVerification() && !m.fenced && now-m.ownedAt < verificationTimeout:
 		// The owner is verifying whether the worker receives messages.
 	default:
-		// The worker has moved, unless this report is a duplicate; the owner can tell. The owner's
-		// knowledge of the machine must not be lost, so it has to release the machine first.
+		// The worker has moved, unless this report is a replayed copy, which the owner can check. The
+		// owner knows which tasks are on the machine, so the machine changes owners only after the
+		// owner has released it and passed this on.
 		m.nextOwner, m.releasing = from, true
 		d.order(m.owner, model.Order{Kind: model.ReleaseMachine, ID: m.ID, MessageID: e.MessageID})
 	}
--- a/internal/core/dispatcher/overloaded.go
+++ b/internal/core/dispatcher/overloaded.go
@@ -14,13 +14,15 @@
 // there.
 const (
 	overloadFactor = 1.2 // relative to an equal share; Params.MinOverloadMachines is the absolute minimum
-	// A shard that has received no report for this long may have lost the network to its workers.
+	// workerReportTimeout: a shard that has received no report for this long may be partitioned
+	// from the workers.
 	workerReportTimeout = 10 * time.Second
-	// machineCountsMaxAge is how long counts of machines per shard are reused.
+	// machineCountsMaxAge is how long the counts of machines per shard are cached.
 	machineCountsMaxAge = 100 * time.Millisecond
 )
 
-// cachedMachineCounts returns the number of machines of each shard, counted again every loadCacheInterval.
+// cachedMachineCounts returns the number of machines of each shard. The counts are cached for
+// machineCountsMaxAge.
 func (d *Dispatcher) cachedMachineCounts(now time.Duration) map[model.ShardID]int {
 	if d.machineCounts != nil && now-d.machinesCountedAt < machineCountsMaxAge {
 		return d.machineCounts
--- a/internal/core/dispatcher/reachability.go
+++ b/internal/core/dispatcher/reachability.go
@@ -25,8 +25,8 @@
 // before answering it.
 func (m *machine) needsVerification() bool { return m.unfencedOwners >= maxUnfencedOwners }
 
-// recordRelease updates a machine that its owner releases, as told by the owner's event. Held in
-// the event means that the owner never answered the worker.
+// recordRelease updates a machine from its owner's MachineReleased event. Held in the event means
+// that the owner never answered the worker.
 func (m *machine) recordRelease(now time.Duration, e *model.Event) {
 	if !m.fenced {
 		m.unfencedOwners++
@@ -38,9 +38,9 @@
 	}
 }
 
-// deferEvent holds back an event of a shard that was ordered to release its machine, and reports
+// deferEvent stores an event of a shard that was ordered to release its machine, and reports
 // whether it did. Orders that follow from the event would arrive after the release. The event is
-// handled if the shard keeps the machine.
+// handled later if the shard keeps the machine, and dropped otherwise.
 func (d *Dispatcher) deferEvent(e *model.Event) bool {
 	switch e.Kind {
 	case model.WorkerFenced, model.LeaseExpiryConfirmed:
@@ -55,8 +55,8 @@
 	return true
 }
 
-// machineKept handles the message that a shard keeps its machine: the report to another shard was a
-// duplicate. Deferred events are handled now.
+// machineKept handles the event that a shard keeps its machine, because the report to another shard
+// was a replayed copy. Deferred events are handled now.
 func (d *Dispatcher) machineKept(now time.Duration, from model.ShardID, m *machine) {
 	m.releasing, m.nextOwner = false, 0
 	deferred := d.deferredEvents[m.ID]
@@ -75,8 +75,8 @@
 	}
 }
 
-// UnverifiedCount returns the number of machines whose last owners, maxUnfencedOwners or more in
-// succession, could not show that the worker receives messages.
+// UnverifiedCount returns the number of machines that maxUnfencedOwners or more successive owners
+// released without having fenced the worker, and whose present owner has not fenced it either.
 func (d *Dispatcher) UnverifiedCount() (n int) {
 	for _, m := range d.machinesByID {
 		if m.needsVerification() && !m.fenced && !m.gone {
--- a/internal/core/dispatcher/reachability_test.go
+++ b/internal/core/dispatcher/reachability_test.go
@@ -72,7 +72,7 @@
 	return len(d.TakeOrders()) > 0
 }
 
-// A duplicate of a report that arrives at another shard does not change the owner.
+// A replayed copy of a report that arrives at another shard does not change the owner.
 func TestKeptMachineStaysWithItsOwner(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
--- a/internal/core/dispatcher/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -19,7 +19,7 @@
 	expediteInterval   = 10 * time.Second // repeated because shards forget it after a while, and new shards join
 )
 
-// updateStarvation finds the overdue jobs and tells the shards to expedite them.
+// updateStarvation finds the overdue jobs and orders the shards to expedite them.
 func (d *Dispatcher) updateStarvation(now time.Duration, jobs []*job) {
 	if d.params.StartWithin <= 0 || d.starvationUpdatedAt != 0 && now-d.starvationUpdatedAt < starvationInterval {
 		return
--- a/internal/core/dispatcher/starvation_test.go
+++ b/internal/core/dispatcher/starvation_test.go
@@ -7,8 +7,8 @@
 	"honeylock/internal/core/model"
 )
 
-// An overdue job is dispatched before all others, whatever its rank, and the shards are told
-// repeatedly to expedite it until it has started.
+// An overdue job is dispatched before all others, whatever its rank, and the shards are
+// ordered repeatedly to expedite it until it has started.
 func TestOverdueJobIsDispatchedFirst(t *testing.T) {
 	h := newHarness(t, 1000)
 	h.d.params.StartWithin = 60 * time.Second
--- a/internal/core/dispatcher/work_counts.go
+++ b/internal/core/dispatcher/work_counts.go
@@ -12,7 +12,7 @@
 
 // WorkCounts counts the tasks of a team, or of one of its classes (None: all): those that run,
 // those that are orphaned, and those of jobs of earlier terms that are neither done nor known to
-// run. cpu is the CPU of the last two, in thousandths.
+// run. cpu is the CPU that the orphaned and unknown tasks request, in thousandths.
 func (d *Dispatcher) WorkCounts(team, class model.Name) (running, orphaned, unknown int, cpu int64) {
 	for _, j := range d.jobsBySubmission {
 		if j.ended || j.onHold || j.spec.Team != team || class != model.None && class != j.spec.Class {
--- a/internal/core/dispatcher/writes.go
+++ b/internal/core/dispatcher/writes.go
@@ -15,12 +15,12 @@
 	Block        BlockID         // PutBlock, DropBlock
 	Machines     []model.Machine // PutBlock: the full contents of the block
 	Version      uint64          // PutBlock, DropBlock: the block's; PutChunk: the chunk's; FinishJob: the job's
-	Job          model.JobID
-	Chunk        ChunkID
-	JobVersion   uint64 // PutChunk: the version of the job's open record
-	FirstTask    int32  // PutChunk: the task that the first bit stands for
-	Bits         []byte
-	StoredChunks []ChunkID // FinishJob: the chunks that may be stored
+	Job          model.JobID     // PutChunk, FinishJob
+	Chunk        ChunkID         // PutChunk
+	JobVersion   uint64          // PutChunk: the version of the job's open record
+	FirstTask    int32           // PutChunk: the task that the first bit stands for
+	Bits         []byte          // PutChunk: the done bits, see chunkBits
+	StoredChunks []ChunkID       // FinishJob: the chunks that may be stored
 
 	// pendingClears are sent once the chunk is stored.
 	pendingClears []clearRequest
@@ -31,10 +31,10 @@
 
 // Kinds of writes.
 const (
-	PutBlock WriteKind = iota
-	PutChunk
-	FinishJob
-	DropBlock
+	PutBlock  WriteKind = iota // store the machines of a block
+	PutChunk                   // store a chunk of a job's done set
+	FinishJob                  // end a job: replace its open record by a final one, and delete its chunks
+	DropBlock                  // delete a block of another layout
 )
 
 // ChunkID identifies a chunk of a job's done set. A job that fits into one chunk uses chunk 0 of
@@ -125,9 +125,10 @@
 	return doneBits
 }
 
-// WriteDone handles the outcome of a write. lost tells that a FinishJob found the job's record gone
-// because someone else ended the job, or that a PutBlock, PutChunk or DropBlock found its key at
-// another version, which is then passed as revision.
+// WriteDone handles the outcome of a write. If lost is true, a FinishJob found the job's record gone
+// because someone else ended the job, or a PutBlock, PutChunk or DropBlock found its key at another
+// version, which is passed as revision. If neither ok nor lost is true, the write failed or its
+// outcome is unknown.
 //
 // A write without an answer may have been applied, or be applied after newer ones. Chunks are
 // therefore written under their version. A late write without one would overwrite newer done bits,
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,6 +1,7 @@
 // Package fleet decides which machines to rent from the cloud, which to drain because they are
-// expensive, and which to return. It is a state machine of the leader, without input or output:
-// the shards' machine statuses, the demand and the cloud's answers are passed in.
+// expensive, and which to return. It is a state machine of the leader, which does no I/O: the
+// shards' machine statuses, the demand and the cloud's answers are passed in, and the requests to
+// the cloud are returned as actions.
 package fleet
 
 import (
@@ -16,7 +17,7 @@
 type Params struct {
 	Term              uint64
 	TermStart         time.Duration // no machine can have reported to this leader before
-	ListLag           time.Duration
+	ListLag           time.Duration // delay of the cloud's machine list; see UpdateListed
 	IdleReturn        time.Duration // an unneeded machine is returned after this time
 	Horizon           time.Duration // waiting work should be done within this time
 	RetryRefusedAfter time.Duration // a refused kind of machine is requested again after this time
@@ -67,16 +68,16 @@
 	Undrain // place tasks on these machines again
 )
 
-// Fleet is the state machine.
+// Fleet is the state machine that the package comment describes.
 type Fleet struct {
 	params           Params
 	types            []model.MachineType
 	machines         map[model.MachineID]*machineState
-	listed           bool
+	listed           bool // a machine list has been read
 	refusedUntil     map[machineKind]time.Duration
 	renting          map[string]Action // rentals in progress, by request name
 	returnInProgress bool
-	unreachable      []model.MachineID                 // machines to return although their leases may last
+	unreachable      []model.MachineID                 // machines to return before their leases have expired
 	retries          []Action                          // rentals with an unknown outcome, to be requested again
 	gone             map[model.MachineID]time.Duration // returned or gone; the list may contain them for a while
 	requestCount     uint64
@@ -167,8 +168,8 @@
 // listLagMargin is added to twice the list's lag, for clock drift and slow answers.
 const listLagMargin = 5 * time.Second
 
-// RentDone takes the outcome of a rental: the machines, or that it was refused or its outcome is
-// unknown (inDoubt).
+// RentDone takes the outcome of a rental: the rented machines, which may be fewer than requested,
+// or that it was refused, or that its outcome is unknown (inDoubt).
 func (f *Fleet) RentDone(now time.Duration, a Action, rented []model.MachineID, refused, inDoubt bool) {
 	delete(f.renting, a.RequestName)
 	kind := machineKind{a.Type, a.Zone, a.Spot}
--- a/internal/core/model/messages.go
+++ b/internal/core/model/messages.go
@@ -35,8 +35,8 @@
 	Machine Machine // OwnMachine
 	Token   uint64  // OwnMachine, InspectMachine
 	Usable  bool    // OwnMachine, SetUsable: tasks may be placed there
-	// ID is the machine in all kinds about a machine but OwnMachine. RecallTask: the task is
-	// recalled only if it is on this machine; 0: wherever it is.
+	// ID is the machine that the order is about, except in OwnMachine, which uses Machine. In
+	// RecallTask, the task is recalled only if it is on this machine; 0: wherever it is.
 	ID         MachineID
 	Assignment Assignment // AssignTask
 	Task       Task       // RecallTask, ClearAttempt, KillAttempt
@@ -49,8 +49,8 @@
 	// VerifyFirst (OwnMachine): earlier owners could not show that the worker receives messages.
 	// Its reports are answered, which renews its lease, only after it has shown that.
 	VerifyFirst bool
-	// MessageID (ReleaseMachine) is that of the worker's report that another shard received.
-	// Zero: the machine is released in any case.
+	// MessageID (ReleaseMachine) identifies the worker's report that another shard received. The
+	// shard keeps the machine if it has a report at least as new. Zero: it always releases it.
 	MessageID
 }
 
@@ -78,13 +78,13 @@
 	ExpediteJob    // the job is overdue: place its first task before all others
 )
 
-// Objective tells a shard whether a service level objective covers a job, or a job that depends on
-// it. A job without one is best effort.
+// Objective is whether a service level objective covers a job, or a job that depends on it. A job
+// without one is best effort.
 type Objective uint8
 
 // Values of Objective.
 const (
-	ObjectiveUnchanged Objective = iota // leaders of version 0.4 and earlier do not send it
+	ObjectiveUnchanged Objective = iota // sent by leaders of version 0.4 and earlier, which do not know it
 	NoObjective
 	HasObjective
 )
@@ -108,15 +108,17 @@
 	Status  AttemptStatus // AttemptFound
 	Cause   Cause         // TaskReturned, TaskInterrupted
 	Token   uint64        // LeaseExpired, LeaseExpiryConfirmed, MachineInspected, TokenSuperseded
-	// Held has a different meaning for each kind. TaskFinished: the attempt is of a task that is assigned
-	// to this shard. MachineReleased: this shard never answered the worker, so it has launched
-	// nothing there and has not renewed its lease. CommandUnanswered: the worker is unreachable,
-	// that is, it does not report in time either, while most others of its zone do.
-	// TaskInterrupted: the dispatcher had recalled the task.
+	// Held has a different meaning for each kind:
+	//   - TaskFinished: the completed attempt was the current one of a task assigned to this shard.
+	//   - MachineReleased: this shard never answered the worker, so it has launched nothing there and
+	//     has not renewed its lease.
+	//   - CommandUnanswered: the worker is unreachable. Its report is overdue as well, or several
+	//     probes failed, while most other workers of its zone report.
+	//   - TaskInterrupted: the dispatcher had recalled the task.
 	Held   bool
 	Tasks  []Task       // MachineReleased: assigned tasks that are on the machine
 	Placed []PlacedTask // MachineInspected
-	// MessageID (UnownedWorker) is that of the report.
+	// MessageID (UnownedWorker) identifies the report.
 	MessageID
 	// RunTime is, for TaskFinished, how long the task was seen running (0: unknown), and for
 	// TaskInterrupted, how much of its work is lost.
@@ -145,8 +147,8 @@
 	MachineRemembered    // this controller's shard owned the machine in an earlier term
 	RejectedAttemptGone  // an attempt that was found and not adopted no longer runs
 	MachineInspected     // what runs on the machine
-	TaskInterrupted      // a running task has stopped for reasons that are not its own
-	TaskResumed          // a task that was interrupted, or dispatched again, runs
+	TaskInterrupted      // a running task was stopped or lost; it did not exit by itself
+	TaskResumed          // a task that was interrupted, here or before it was dispatched again, runs
 	MachineKept          // the shard keeps the machine, because the worker still reports to it
 )
 
@@ -164,15 +166,15 @@
 type MachineStatus struct {
 	Machine   Machine
 	Avail     Resources
-	Ready     bool // tasks may be placed there now
-	Draining  bool
-	Slots     int
-	IdleSince time.Duration
-	Faulty    bool // considered faulty: tasks keep failing there
+	Ready     bool          // tasks may be placed there now
+	Draining  bool          // it gets no new tasks: a preemption notice, or the worker may not receive messages
+	Slots     int           // attempts on the machine, without those that only wait to be cleared
+	IdleSince time.Duration // when the number of attempts last became zero
+	Faulty    bool          // considered faulty: tasks keep failing there
 }
 
 // BrokenJobMachines is the number of machines on which a job without a completed task must fail
-// until the job is considered broken, rather than the machines faulty.
+// before the job is considered broken and the machines are no longer blamed for its errors.
 const BrokenJobMachines = 2
 
 // TaskCounts counts a job's tasks at a shard.
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -216,15 +216,17 @@
 	Attempts         []AttemptStatus
 }
 
-// MessageID orders the messages of one worker: by session, and by sequence number within one.
+// MessageID identifies a message of a worker. Newer messages have a higher session, or the same
+// session and a higher sequence number.
 type MessageID struct{ Session, Seq uint64 }
 
-// AtLeast reports whether message n is at least as new as o.
+// AtLeast reports whether message id is at least as new as the other one.
 func (id MessageID) AtLeast(other MessageID) bool {
 	return id.Session > other.Session || id.Session == other.Session && id.Seq >= other.Seq
 }
 
-// Newer reports whether the report is newer than the message of that session and number.
+// Newer reports whether the report is newer than the message with the given session and sequence
+// number.
 func (r *Report) Newer(session, seq uint64) bool {
 	return !(MessageID{session, seq}).AtLeast(r.MessageID())
 }
--- a/internal/core/shard/attempt.go
+++ b/internal/core/shard/attempt.go
@@ -65,8 +65,8 @@
 	return spec.CheckpointTime + spec.CheckpointTime/10 + 100*time.Millisecond
 }
 
-// stopAttempt has an attempt killed after a grace period for its checkpoint. A later call may only
-// shorten the grace period. An attempt whose launch was never sent is removed at once.
+// stopAttempt marks an attempt to be killed after a grace period for its checkpoint. A later call
+// may only shorten the grace period. An attempt whose launch was never sent is removed at once.
 func (s *Shard) stopAttempt(now time.Duration, a *attempt, grace time.Duration) {
 	if a.state == exited || a.stopping && grace >= a.grace {
 		return
--- a/internal/core/shard/drain_test.go
+++ b/internal/core/shard/drain_test.go
@@ -9,7 +9,7 @@
 	"honeylock/internal/core/model"
 )
 
-// A machine that becomes unusable gives up tasks whose launch was not sent. Otherwise such a task
+// Tasks on a machine that becomes unusable are returned if their launch was not sent. Otherwise such a task
 // waits forever, and the machine never becomes empty.
 func TestUnusableMachineReturnsUnsentTasks(t *testing.T) {
 	h := newHarness(t)
--- a/internal/core/shard/expedite.go
+++ b/internal/core/shard/expedite.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// expedite has the next task of a job placed before all others.
+// expedite marks a job for expediteDuration: its next task is placed before all others.
 func (s *Shard) expedite(now time.Duration, job model.JobID) {
 	if s.expedited == nil {
 		s.expedited = map[model.JobID]time.Duration{}
@@ -67,8 +67,8 @@
 	s.replanAll = true
 }
 
-// endExpedite is called once a task of a job is placed or the job has ended. It cancels the job's
-// reservations.
+// endExpedite stops expediting a job, once a task of it is placed or the job has ended, and cancels
+// its reservations.
 func (s *Shard) endExpedite(job model.JobID) {
 	if _, ok := s.expedited[job]; !ok {
 		return
--- a/internal/core/shard/reachability.go
+++ b/internal/core/shard/reachability.go
@@ -25,8 +25,9 @@
 	leaseExpired     bool
 	expiryReportedAt time.Duration
 
-	// unreachable: the worker's report is overdue and a direct command failed, while most workers of
-	// its zone report. The dispatcher was informed, and may return the machine to the cloud.
+	// unreachable: a direct command failed, and the worker's report is overdue or minFailedProbes
+	// probes of a worker with inboundLost failed, while most other workers of its zone report. The
+	// dispatcher was informed, and may return the machine to the cloud.
 	unreachable bool
 
 	// inboundLost: the worker reports and is fenced, but does not receive messages. It gets no new
@@ -137,16 +138,17 @@
 	}
 }
 
-// restartLease is called for a worker's session that may just have started. Its lease runs from the
-// start of the session, whether or not a report of it was answered. Otherwise a task that was
-// launched directly would be considered lost while it runs, if no report gets through.
+// restartLease counts a worker's lease from now, because its session may just have started: a lease
+// runs at least from the start of the session, whether or not a report was answered. Otherwise a
+// task that was launched directly would be considered lost while it runs, if no report gets through.
 func (s *Shard) restartLease(now time.Duration, m *machine) {
 	m.answeredAt = max(m.answeredAt, now)
 	s.markAlive(m)
 }
 
 // detectLostAnswers is called when a fenced worker starts a new session. A session ends if the
-// worker gets no answers, so a recent answer of this shard cannot have arrived.
+// worker gets no answers. So if this shard answered it recently, that answer did not arrive, and the
+// worker is considered not to receive messages.
 func (s *Shard) detectLostAnswers(now time.Duration, m *machine) {
 	if m.everAnswered && now-m.answeredAt < s.params.MaxLease/2 {
 		m.inboundLost = true
--- a/internal/core/shard/reachability_test.go
+++ b/internal/core/shard/reachability_test.go
@@ -56,7 +56,7 @@
 		t.Fatal("the machine's lease has not expired")
 	}
 	if a := h.shard.attemptsByJob[1]; len(a) != 0 {
-		t.Errorf("%d tasks were placed on a machine of which only copies arrive", len(a))
+		t.Errorf("%d tasks were placed on a machine whose only reports are replayed copies", len(a))
 	}
 }
 
--- a/internal/core/shard/reports.go
+++ b/internal/core/shard/reports.go
@@ -74,13 +74,13 @@
 	s.markAlive(m)
 	cmds := append(s.killNotOpen(m, r), s.commandsFor(now, m, r.Seq, false)...)
 	// The answer carries the token to a worker that is not fenced yet. The worker usually reports
-	// it soon; if it does not, the token is also sent with a direct command.
+	// the token soon. If it does not, the token is also sent in a direct command.
 	m.needsFlush, m.directNotBefore = !m.fenced, now+tokenReportTime
 	return Answer{OK: true, Token: m.token, Commands: cmds}
 }
 
-// killNotOpen returns kill commands for reported attempts of jobs that are not open and whose
-// tasks are not assigned here. It does not wait until the worker is fenced or until the dispatcher
+// killNotOpen returns kill commands for reported attempts whose jobs are not open and whose tasks
+// are not assigned to this shard. It does not wait until the worker is fenced or until the dispatcher
 // has decided on the found attempts, because each answer renews the worker's lease: with owners
 // that change quickly under load, none may get that far, and a cancelled task would run on.
 func (s *Shard) killNotOpen(m *machine, r *model.Report) []model.Command {
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -320,8 +320,8 @@
 	if assignment.Attempt != 0 {
 		m := s.machines[assignment.Machine]
 		if m == nil {
-			// The dispatcher sends no adoption for a machine that it takes away from the shard.
-			// The task is not placed again, because it could then run twice.
+			// Not expected: the dispatcher sends no adoption for a machine that it takes away from
+			// the shard. The task is not placed again, because it could then run twice.
 			return
 		}
 		if a := m.attempts.get(attemptKey{assignment.Task, assignment.Attempt}); a != nil && a.state == live {
--- a/internal/core/shard/unreachable.go
+++ b/internal/core/shard/unreachable.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// markAlive is called when this shard answers the worker or gets an answer from it. It ends the
-// states leaseExpired and unreachable.
+// markAlive ends the states leaseExpired and unreachable of a worker, and informs the dispatcher if
+// the worker was in one of them. It is called when this shard answers the worker or gets an answer
+// from it.
 func (s *Shard) markAlive(m *machine) {
 	if m.leaseExpired || m.unreachable {
 		m.leaseExpired, m.unreachable = false, false
