--- a/internal/core/dispatcher/broken.go
+++ b/internal/core/dispatcher/broken.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	brokenMachinesAfterSuccess = 4 // for a job with completed tasks; without any: model.BrokenJobMachines
-	minRetryDelay              = 2 * time.Second
+	brokenMachinesAfterSuccess = 4               // for a job with completed tasks; without any: model.BrokenJobMachines
+	minRetryDelay              = 2 * time.Second // the first delay of a broken job; it doubles with each failed retry
 	maxRetryDelay              = 2 * time.Minute
 )
 
--- a/internal/core/dispatcher/broken_test.go
+++ b/internal/core/dispatcher/broken_test.go
@@ -37,21 +37,21 @@
 	if b := h.d.TakeBrokenJobs(); len(b) != 1 || b[0] != 1 {
 		t.Fatalf("broken jobs: %v", b)
 	}
-	var tries []time.Duration
+	var retriedAt []time.Duration
 	for ; now < 5*time.Minute; now += time.Second {
 		h.reportStatus(now, s, 0, 1, 2, 3)
 		h.d.Dispatch(now)
 		for _, o := range h.takeOrders(model.AssignTask) {
-			tries = append(tries, now)
+			retriedAt = append(retriedAt, now)
 			fail(o, 3)
 		}
 	}
-	if n := len(tries); n < 4 || n > 8 {
-		t.Fatalf("retried %d times in five minutes: %v", n, tries)
+	if n := len(retriedAt); n < 4 || n > 8 {
+		t.Fatalf("retried %d times in five minutes: %v", n, retriedAt)
 	}
-	for i := 2; i < len(tries); i++ {
-		if tries[i]-tries[i-1] < tries[i-1]-tries[i-2] {
-			t.Fatalf("the interval between retries shrinks: %v", tries)
+	for i := 2; i < len(retriedAt); i++ {
+		if retriedAt[i]-retriedAt[i-1] < retriedAt[i-1]-retriedAt[i-2] {
+			t.Fatalf("the interval between retries shrinks: %v", retriedAt)
 		}
 	}
 	now += 3 * time.Minute
@@ -59,7 +59,7 @@
 	h.d.Dispatch(now)
 	probe := h.takeOrders(model.AssignTask)
 	if len(probe) != 1 {
-		t.Fatalf("no retry after %v", tries)
+		t.Fatalf("no retry after %v", retriedAt)
 	}
 	h.d.HandleEvent(now, s, model.Event{Kind: model.TaskFinished, Machine: 3, Task: probe[0].Assignment.Task, Attempt: 9,
 		Held: true})
--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -2,6 +2,17 @@
 // guarantees, the shard that each task is assigned to, and the shard that owns each machine. It
 // assigns tasks to shards and recalls them. It is a state machine: its inputs are method calls, and
 // its outputs are the orders and writes that the caller collects.
+//
+// Terms that the package uses:
+//
+//   - A worker is fenced once it has shown the token of its machine's owner, a shard. It then refuses
+//     commands with the lower tokens of earlier owners.
+//   - A machine is accounted for once it is known which tasks earlier owners left there: its worker
+//     is fenced, its lease is certainly over, or the machine is gone.
+//   - A task is charged while it counts against its team's limit, because it is assigned to a shard or
+//     orphaned.
+//   - A task is orphaned if its shard was lost or released its machine. It may still run there until
+//     the machine is accounted for.
 package dispatcher
 
 import (
--- a/internal/core/dispatcher/dispatcher_test.go
+++ b/internal/core/dispatcher/dispatcher_test.go
@@ -16,6 +16,7 @@
 	d *Dispatcher
 }
 
+// newHarness returns a harness whose team has the given CPU limit.
 func newHarness(t *testing.T, limitCPUs float64) *harness {
 	d := New(Params{Term: 3, Teams: []Team{{Limit: model.Capacity(limitCPUs, 0, 0)}}, ChunkSize: 64,
 		BlockSize: 64, DispatchAhead: 2, MaxLease: maxLease, MinOverloadMachines: 8}, 5*time.Second)
@@ -470,7 +471,8 @@
 }
 
 // A machine that is gone stays in memory until its record is written without it. Guards against
-// tasks of a lost shard waiting forever for such a machine, which can never be accounted for.
+// hundreds of tasks of a lost shard waiting forever for such a machine, which can never be accounted
+// for.
 func TestTasksOfLostShardDoNotWaitForRemovedMachine(t *testing.T) {
 	h := newHarness(t, 100)
 	a, b := h.d.AddShard(0, "a"), h.d.AddShard(0, "b")
--- a/internal/core/dispatcher/job_holds_test.go
+++ b/internal/core/dispatcher/job_holds_test.go
@@ -56,18 +56,18 @@
 	h.d.Dispatch(time.Second)
 	h.d.TakeOrders()
 	for i, c := range []struct {
-		rank  model.Rank
-		aimed bool
-		aim   model.Objective
+		rank         model.Rank
+		hasObjective bool
+		objective    model.Objective
 	}{{model.Urgent, true, model.HasObjective}, {model.Standard, false, model.NoObjective}} {
 		now := time.Duration(10+10*i) * time.Second
-		h.d.InheritRank(1, c.rank, c.aimed)
+		h.d.InheritRank(1, c.rank, c.hasObjective)
 		h.d.Dispatch(now)
 		orders := h.takeOrders(model.RepriceJob)
 		if len(orders) == 0 {
 			t.Fatalf("%+v: no order to the shard", c)
 		}
-		if last := orders[len(orders)-1]; last.Price != Price(c.rank, false) || last.Objective != c.aim {
+		if last := orders[len(orders)-1]; last.Price != Price(c.rank, false) || last.Objective != c.objective {
 			t.Errorf("%+v: order %+v", c, last)
 		}
 	}
--- a/internal/core/dispatcher/orphans.go
+++ b/internal/core/dispatcher/orphans.go
@@ -16,6 +16,7 @@
 	tasks    map[model.Task]bool
 }
 
+// newOrphanGroup returns a group without machines and tasks.
 func newOrphanGroup() *orphanGroup {
 	return &orphanGroup{machines: map[model.MachineID]bool{}, tasks: map[model.Task]bool{}}
 }
--- a/internal/core/dispatcher/rebalance_test.go
+++ b/internal/core/dispatcher/rebalance_test.go
@@ -24,8 +24,8 @@
 	h.d.Dispatch(time.Second)
 	h.d.TakeOrders()
 	now := 3 * time.Second
-	little := model.MachineStatus{Machine: model.Machine{ID: 0}, Avail: model.Capacity(2, 0, 64), Ready: true}
-	h.d.UpdateStatus(now, a, []model.MachineStatus{little},
+	nearlyFull := model.MachineStatus{Machine: model.Machine{ID: 0}, Avail: model.Capacity(2, 0, 64), Ready: true}
+	h.d.UpdateStatus(now, a, []model.MachineStatus{nearlyFull},
 		map[model.JobID]model.TaskCounts{1: {Waiting: 9}}, h.d.AssignmentsSent(a))
 	h.reportStatus(now, b, 1, 2, 3) // capacity for twelve tasks
 	h.d.Dispatch(now)
--- a/internal/core/dispatcher/scale_test.go
+++ b/internal/core/dispatcher/scale_test.go
@@ -43,7 +43,7 @@
 }
 
 // Tasks dispatched ahead to find victims follow the numbers of machines. Guards against sending
-// half of them to a controller that has just restarted and owns few machines.
+// half of them to a controller that has just restarted and owns only five machines.
 func TestTasksDispatchedAheadFollowMachineCounts(t *testing.T) {
 	h := newHarness(t, 1e6)
 	h.d.params.DispatchAhead = 12
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -19,6 +19,7 @@
 	return f
 }
 
+// noLimit is a limit function for teams without limits.
 func noLimit(model.Name) model.Resources { return model.Resources{} }
 
 // testDemand returns the demand of a job whose tasks need half a machine of newFleet each.
@@ -115,8 +116,9 @@
 	}
 }
 
-// To a new leader no machine has reported yet, however old the list says it is. It must not return
-// machines for that before they could report, or it returns busy ones.
+// No machine has reported to a new leader yet, however old it is according to the list. The leader
+// must not return machines for that before they could report. Guards against returning a hundred
+// busy machines.
 func TestNewLeaderWaitsForReportsBeforeReturning(t *testing.T) {
 	termStart := time.Hour
 	f := New(Params{Term: 7, TermStart: termStart, ListLag: 10 * time.Second, IdleReturn: time.Minute,
@@ -162,7 +164,7 @@
 }
 
 // No machine is rented for best-effort work at first, as it can wait for idle ones. After a while
-// one is rented, or it would wait for ever where no machine is ever idle.
+// one is rented, or it would wait forever where no machine is ever idle.
 func TestBestEffortRentsOnlyAfterWait(t *testing.T) {
 	f := newFleet()
 	f.params.BestEffortWait = 5 * time.Minute
@@ -250,7 +252,7 @@
 	for _, moving := range []bool{true, false} {
 		f := newFleet()
 		f.Observe(0, status, func(model.MachineID) bool { return false })
-		f.SetDrainPlans(func(id model.MachineID) (drains, wants bool) { return id < drained, id < drained })
+		f.SetDrainPlans(func(id model.MachineID) (draining, scheduled bool) { return id < drained, id < drained })
 		gone := map[model.MachineID]bool{}
 		for at := time.Second; at < 10*time.Minute; at += time.Second {
 			for _, a := range f.Step(at, status, nil, noLimit) {
--- a/internal/core/shard/lease_expiry_test.go
+++ b/internal/core/shard/lease_expiry_test.go
@@ -162,7 +162,7 @@
 // A task that was adopted without a check of its team's limit and its job's zones is returned to the
 // dispatcher when it is lost, because the dispatcher checks both.
 func TestLostAdoptedTaskIsReturnedToDispatcher(t *testing.T) {
-	for name, lose := range map[string]func(*harness){
+	for name, loseTask := range map[string]func(*harness){
 		"its worker starts a new session": func(h *harness) {
 			h.now += maxLease
 			h.shard.HandleReport(h.now, h.message(1, 2, 100, 5))
@@ -178,7 +178,7 @@
 			h.findOneAttempt()
 			h.adopt(1, 77)
 			h.shard.TakeEvents()
-			lose(h)
+			loseTask(h)
 			if e := h.takeEvents(model.TaskReturned); len(e) != 1 || e[0].Task != (model.Task{Job: 1}) {
 				t.Errorf("events %+v, want the task returned", e)
 			}
@@ -205,7 +205,7 @@
 
 // A task whose attempt has ended before it can be adopted was not checked either, so it is returned.
 func TestTaskAdoptedTooLateIsReturnedToDispatcher(t *testing.T) {
-	for name, lose := range map[string]func(*harness){
+	for name, loseAttempt := range map[string]func(*harness){
 		"its worker's lease expired": func(h *harness) { h.expireLease(1) },
 		"it has exited": func(h *harness) {
 			h.report(1, 5, attemptStatus(1, 0, 77, model.Exited, model.CauseStopped))
@@ -214,7 +214,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.findOneAttempt()
-			lose(h)
+			loseAttempt(h)
 			h.shard.TakeEvents()
 			h.adopt(1, 77)
 			if e := h.takeEvents(model.TaskReturned); len(e) != 1 || h.shard.WaitingCount() != 0 {
--- a/internal/core/shard/reachability_test.go
+++ b/internal/core/shard/reachability_test.go
@@ -22,8 +22,8 @@
 	h.shard.Tick(h.now)
 	h.shard.Flush(h.now, 100)
 	for _, d := range h.shard.TakeDirectCommands() {
-		rep, executed := f(d)
-		h.shard.DirectCommandDone(h.now, d, rep, executed)
+		report, executed := f(d)
+		h.shard.DirectCommandDone(h.now, d, report, executed)
 		n++
 	}
 	return n
@@ -107,9 +107,9 @@
 	start, last := h.now, h.now
 	for h.now < start+time.Minute {
 		h.seq++
-		rep := h.message(1, 1+uint64((h.now-start)/maxLease), h.seq, 0)
-		if h.shard.HandleReport(h.now, rep) {
-			h.shard.Answer(h.now, rep)
+		report := h.message(1, 1+uint64((h.now-start)/maxLease), h.seq, 0)
+		if h.shard.HandleReport(h.now, report) {
+			h.shard.Answer(h.now, report)
 			last = h.now
 		}
 		h.now += tokenReportTime
@@ -309,16 +309,16 @@
 	h := newHarness(t)
 	h.runOneTask()
 	h.now += maxLease
-	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, PreemptionNotice: -1}
+	report := &model.Report{Machine: model.Machine{ID: 1}, Session: 2, Seq: 1, Token: 5, PreemptionNotice: -1}
 	for range 2 { // the first report starts the new session's lease
-		rep.Seq++
-		h.shard.HandleReport(h.now, rep)
-		h.shard.Answer(h.now, rep)
+		report.Seq++
+		h.shard.HandleReport(h.now, report)
+		h.shard.Answer(h.now, report)
 		h.shard.Tick(h.now)
 	}
-	rep.Seq++
-	h.shard.HandleReport(h.now, rep)
-	if diff := cmp.Diff([]model.Command{launchCommand(1, 0, 1002)}, h.shard.Answer(h.now, rep).Commands); diff != "" {
+	report.Seq++
+	h.shard.HandleReport(h.now, report)
+	if diff := cmp.Diff([]model.Command{launchCommand(1, 0, 1002)}, h.shard.Answer(h.now, report).Commands); diff != "" {
 		t.Fatalf("want it placed again as a new attempt: %s", diff)
 	}
 }
--- a/internal/core/shard/scale_test.go
+++ b/internal/core/shard/scale_test.go
@@ -76,18 +76,18 @@
 			spec := h.spec(model.JobID(1+i), model.Rank(rng.IntN(3)), float64(1+rng.IntN(4)))
 			spec.Image = model.Name(rng.IntN(4))
 			g := &waitingGroup{job: spec.ID, zone: model.None, spec: spec, price: 1, tasks: []*task{{}}}
-			var plain *machine
+			var scanned *machine
 			for _, m := range h.shard.sortedMachines {
 				if !spec.PerTask.Fits(m.Cap.Sub(m.used)) {
 					continue
 				}
-				if plain == nil || scanLowestRank(m) < scanLowestRank(plain) ||
-					scanLowestRank(m) == scanLowestRank(plain) && preferred(spec, m, plain) {
-					plain = m
+				if scanned == nil || scanLowestRank(m) < scanLowestRank(scanned) ||
+					scanLowestRank(m) == scanLowestRank(scanned) && preferred(spec, m, scanned) {
+					scanned = m
 				}
 			}
-			if got := h.shard.candidates(h.now, g, h.shard.sortedMachines).best(); got != plain {
-				t.Fatalf("seed %d, task %d: %v chosen, %v by a scan", seed, i, got, plain)
+			if got := h.shard.candidates(h.now, g, h.shard.sortedMachines).best(); got != scanned {
+				t.Fatalf("seed %d, task %d: %v chosen, %v by a scan", seed, i, got, scanned)
 			}
 			h.assign(spec, 0, 1)
 			h.shard.Place(h.now)
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,8 +1,9 @@
 // Package shard places tasks on the machines that one controller owns. It
 // decides on placement, eviction and demotion, and issues the commands to the
-// workers that carry these out. It is a deterministic state machine: each input
-// comes with the time of a monotonic clock, and outputs are collected until the
-// caller takes them.
+// workers that carry these out. It gets orders from the leader's dispatcher and
+// reports back with events. It acts only while it has a grant, which the leader
+// renews. It is a deterministic state machine: each input comes with the time of
+// a monotonic clock, and outputs are collected until the caller takes them.
 package shard
 
 import (
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -21,6 +21,7 @@
 	seq   uint64
 }
 
+// newHarness returns a harness whose shard has a grant for an hour and no machines.
 func newHarness(t testing.TB) *harness {
 	h := &harness{t: t, now: time.Second}
 	h.shard = New(Params{MaxLease: maxLease, ReportInterval: time.Second, VictimSample: 2, PaybackLimit: time.Minute,
@@ -108,12 +109,14 @@
 	return out
 }
 
+// attemptStatus returns the status of an attempt for a report.
 func attemptStatus(job model.JobID, index int32, attempt uint64, stage model.Stage,
 	cause model.Cause) model.AttemptStatus {
 	t := model.Task{Job: job, Index: index}
 	return model.AttemptStatus{Task: t, Attempt: attempt, Stage: stage, Cause: cause}
 }
 
+// launchCommand returns the command to launch an attempt.
 func launchCommand(job model.JobID, index int32, attempt uint64) model.Command {
 	return model.Command{Verb: model.Launch, Task: model.Task{Job: job, Index: index}, Attempt: attempt}
 }
@@ -181,9 +184,9 @@
 	h.shard.HandleOrder(h.now, model.Order{Kind: model.RecallTask, Task: model.Task{Job: 1}})
 	h.report(1, 5)
 	h.report(1, 5)
-	evs := h.shard.TakeEvents()
+	events := h.shard.TakeEvents()
 	requested := false
-	for _, e := range evs {
+	for _, e := range events {
 		if e.Kind == model.TaskReturned {
 			t.Fatal("task returned while its launch may still be executed")
 		}
@@ -329,9 +332,9 @@
 	h.ownMachine(2, 5, 8)
 	h.report(1, 5)
 	h.report(2, 5)
-	dear, cheap := h.spec(1, model.Urgent, 2), h.spec(2, model.Idle, 2)
-	cheap.Types, dear.Types = nil, nil
-	h.assign(dear, 0, 100)
+	expensive, cheap := h.spec(1, model.Urgent, 2), h.spec(2, model.Idle, 2)
+	cheap.Types, expensive.Types = nil, nil
+	h.assign(expensive, 0, 100)
 	h.report(1, 5)
 	first := h.shard.tasks[model.Task{Job: 1}].machine().ID
 	other := 3 - first
@@ -362,11 +365,11 @@
 	h := newHarness(t)
 	h.ownMachine(1, 5, 8)
 	h.report(1, 5)
-	saver := h.spec(1, model.Standard, 2)
-	saver.CheckpointInterval, saver.CheckpointTime = 10*time.Second, 3*time.Second
+	checkpointing := h.spec(1, model.Standard, 2)
+	checkpointing.CheckpointInterval, checkpointing.CheckpointTime = 10*time.Second, 3*time.Second
 	quick := h.spec(2, model.Standard, 2)
 	quick.Estimate = 5 * time.Second
-	h.assign(saver, 0, 10)
+	h.assign(checkpointing, 0, 10)
 	h.report(1, 5)
 	h.assign(quick, 0, 10)
 	h.report(1, 5, attemptStatus(1, 0, 1001, model.Running, 0))
@@ -377,11 +380,11 @@
 		PreemptionNotice: 8 * time.Second, Attempts: attempts})
 	h.shard.Tick(h.now)
 	h.seq++
-	rep := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: h.seq, Token: 5,
+	report := &model.Report{Machine: model.Machine{ID: 1}, Session: 1, Seq: h.seq, Token: 5,
 		PreemptionNotice: 8 * time.Second, Attempts: attempts}
-	h.shard.HandleReport(h.now, rep)
-	got := h.shard.Answer(h.now, rep).Commands
-	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < saver.CheckpointTime {
+	h.shard.HandleReport(h.now, report)
+	got := h.shard.Answer(h.now, report).Commands
+	if len(got) != 1 || got[0].Task.Job != 1 || got[0].Grace < checkpointing.CheckpointTime {
 		t.Fatalf("commands %v, want only the task with checkpoints stopped, with time to save", got)
 	}
 }
