--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -2,6 +2,17 @@
 // guarantees, the shard that each task is assigned to, and the shard that owns each machine. It
 // assigns tasks to shards and recalls them. It is a state machine: its inputs are method calls, and
 // its outputs are the orders and writes that the caller collects.
+//
+// Terms that the package uses:
+//
+//   - A worker is fenced once it has shown the token of its machine's owner, a shard. It then refuses
+//     commands with the lower tokens of earlier owners.
+//   - A machine is accounted for once it is known which tasks earlier owners left there: its worker
+//     is fenced, its lease is certainly over, or the machine is gone.
+//   - A task is charged while it counts against its team's limit, because it is assigned to a shard or
+//     orphaned.
+//   - A task is orphaned if its shard was lost or released its machine. It may still run there until
+//     the machine is accounted for.
 package dispatcher
 
 import (
@@ -19,12 +30,12 @@
 // Params are the parameters of a Dispatcher.
 type Params struct {
 	Term                uint64
-	Teams               []Team // indexed by the team's name
-	ChunkSize           int32  // tasks per stored chunk of a job's done set
-	BlockSize           uint64 // machines per stored block of records, in the layout of version 0.4 and earlier
-	ProgressInterval    time.Duration
-	DispatchAhead       int // a job's tasks dispatched beyond the free capacity, to find victims
-	MaxLease            time.Duration
+	Teams               []Team        // indexed by the team's name
+	ChunkSize           int32         // tasks per stored chunk of a job's done set
+	BlockSize           uint64        // machines per stored block of records, in the layout of version 0.4 and earlier
+	ProgressInterval    time.Duration // minimum time between two writes of a job's done set
+	DispatchAhead       int           // a job's tasks dispatched beyond the free capacity, to find victims
+	MaxLease            time.Duration // upper bound of a worker's lease, from the last answer to it
 	MinOverloadMachines int           // a shard with fewer machines is never overloaded
 	StartWithin         time.Duration // time in which a job's first task should start; 0: no limit
 	// ReportInterruptions enables reports of which tasks are interrupted and when they run again.
@@ -35,7 +46,7 @@
 type member struct {
 	id              model.ShardID
 	host            string
-	assignedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
+	reservedOn      map[*machine]bool // machines with capacity reserved since the shard's last up-to-date status
 	jobs            map[model.JobID]model.TaskCounts
 	candidates      []*machine    // machines with free capacity; valid while dispatching
 	machineKinds    []*machine    // one machine of each kind that the shard has; valid while dispatching
@@ -46,7 +57,7 @@
 	lastReportAt    time.Duration // when the shard last received a worker's report
 }
 
-// Dispatcher is the state machine of the package.
+// Dispatcher is the leader's state machine that the package comment describes.
 type Dispatcher struct {
 	params Params
 	now    time.Duration // time of the last event or tick
@@ -58,16 +69,16 @@
 	machinesByID     []*machine // machines, by ID
 	blocks           map[BlockID]*block
 	layout           uint64 // size of the blocks that are written; 0: Params.BlockSize
-	// unaccounted are the machines of earlier terms whose contents are not known yet.
+	// unaccounted are the machines of earlier terms that may run tasks unknown to this leader.
 	unaccounted map[model.MachineID]bool
 	// rejected are the attempts, by number, that were found but not adopted and that must end.
 	rejected            map[uint64]rejectedAttempt
 	members             map[model.ShardID]*member
-	lastID              model.ShardID
+	lastShardID         model.ShardID
 	earlierTermsEnd     time.Duration     // when the authority of all earlier terms' shards has ended
 	usage               []model.Resources // charged to each team, without unaccounted machines
 	orders              []model.Order
-	deferredEvents      map[model.MachineID][]model.Event // events of shards that were ordered to release the machine
+	deferredEvents      map[model.MachineID][]model.Event // see deferEvent
 	types               map[model.Name]model.MachineType
 	newlyBroken         []model.JobID // jobs newly considered broken
 	freedTasks          []model.Task  // tasks of lost shards that are certainly not running
@@ -78,7 +89,7 @@
 	avoidedUntil        map[zoneHost]time.Duration // until when a zone is not redirected to a host it failed to reach
 	cordoned            map[model.MachineID]bool
 	machineCounts       map[model.ShardID]int // machines of each shard as of countedAt
-	countedAt           time.Duration
+	machinesCountedAt   time.Duration
 	starvation          *starvation.Detector
 	starvationUpdatedAt time.Duration
 	onCharge            func(Charge)
@@ -139,9 +150,9 @@
 
 // AddShard adds a shard for a controller that has joined, and returns its ID.
 func (d *Dispatcher) AddShard(now time.Duration, host string) model.ShardID {
-	d.lastID++
-	d.members[d.lastID] = &member{id: d.lastID, host: host, joinedAt: now, assignedOn: map[*machine]bool{}}
-	return d.lastID
+	d.lastShardID++
+	d.members[d.lastShardID] = &member{id: d.lastShardID, host: host, joinedAt: now, reservedOn: map[*machine]bool{}}
+	return d.lastShardID
 }
 
 // FirstAttempt returns the first number of the range of attempt numbers reserved for a shard.
@@ -156,9 +167,9 @@
 }
 
 // UpdateStatus handles a shard's status: the machines that changed since its last status, its task
-// counts per job, and the number of assignments that it had received.
+// counts per job, and the number of assignments that it had received by then.
 func (d *Dispatcher) UpdateStatus(now time.Duration, id model.ShardID, status []model.MachineStatus,
-	jobs map[model.JobID]model.TaskCounts, acked uint64) {
+	jobs map[model.JobID]model.TaskCounts, assignmentsReceived uint64) {
 	m := d.members[id]
 	if m == nil {
 		return
@@ -167,7 +178,7 @@
 	// A status sent before the newest assignments arrived shows capacity that they will take.
 	// Capacity reserved on a machine stays reserved until a status covers all assignments, or a
 	// second has passed.
-	upToDate := acked >= m.assignmentsSent || now-m.statusAt >= time.Second
+	upToDate := assignmentsReceived >= m.assignmentsSent || now-m.statusAt >= time.Second
 	for i := range status {
 		machine := d.machines[status[i].Machine.ID]
 		if machine == nil || machine.owner != id {
@@ -175,16 +186,16 @@
 		}
 		machine.status, machine.statusFrom = status[i], id
 		machine.status.Machine = machine.Machine
-		if !m.assignedOn[machine] {
+		if !m.reservedOn[machine] {
 			machine.avail = machine.status.Avail
 		}
 	}
 	if upToDate {
 		m.statusAt = now
-		for machine := range m.assignedOn {
+		for machine := range m.reservedOn {
 			machine.avail = machine.status.Avail
 		}
-		clear(m.assignedOn)
+		clear(m.reservedOn)
 	}
 }
 
@@ -325,8 +336,8 @@
 	}
 }
 
-// Demand returns the demand for machines: each open job that may run, with its number of unfinished
-// tasks and of those assigned to shards. The caller applies teams' limits.
+// Demand returns the demand for machines: each open job that may run, with the numbers of its
+// unfinished and of its assigned tasks. The caller applies teams' limits.
 func (d *Dispatcher) Demand() []JobDemand {
 	var out []JobDemand
 	for _, j := range d.sortedJobs() {
@@ -355,7 +366,7 @@
 	Unfinished, Assigned int32
 	WithinGuarantee      bool
 	WaitingSince         time.Duration
-	Overdue              bool // the job should have started
+	Overdue              bool // the job has not started within Params.StartWithin
 }
 
 // SetCordoned cordons or uncordons a machine. A cordoned machine gets no new tasks, whoever owns
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,8 +1,9 @@
 // Package shard places tasks on the machines that one controller owns. It
 // decides on placement, eviction and demotion, and issues the commands to the
-// workers that carry these out. It is a deterministic state machine: each input
-// comes with the time of a monotonic clock, and outputs are collected until the
-// caller takes them.
+// workers that carry these out. It gets orders from the leader's dispatcher and
+// reports back with events. It acts only while it has a grant, which the leader
+// renews. It is a deterministic state machine: each input comes with the time of
+// a monotonic clock, and outputs are collected until the caller takes them.
 package shard
 
 import (
@@ -320,8 +321,8 @@
 	if assignment.Attempt != 0 {
 		m := s.machines[assignment.Machine]
 		if m == nil {
-			// The dispatcher sends no adoption for a machine that it takes away from the shard.
-			// The task is not placed again, because it could then run twice.
+			// Not expected: the dispatcher sends no adoption for a machine that it takes away from
+			// the shard. The task is not placed again, because it could then run twice.
 			return
 		}
 		if a := m.attempts.get(attemptKey{assignment.Task, assignment.Attempt}); a != nil && a.state == live {
