--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -321,13 +321,13 @@
 
 // recordWrite returns a transaction that replaces the record at the given version (a nil value
 // deletes it) and stores the audit entries about the change with it.
-func (dm *drainManager) recordWrite(key string, value []byte, version uint64, about []*audit.Entry,
+func (dm *drainManager) recordWrite(key string, value []byte, version uint64, entries []*audit.Entry,
 	onWritten func(writeOutcome)) storeWrite {
 	op := wire.Op{Put: key, Value: value}
 	if value == nil {
 		op = wire.Op{Delete: key}
 	}
-	out := dm.auditWrite(about)
+	out := dm.auditWrite(entries)
 	out.guards = []wire.Guard{{Key: key, Version: version}}
 	out.ops = append([]wire.Op{op}, out.ops...)
 	entriesDone := out.onDone
--- a/internal/node/finalcache.go
+++ b/internal/node/finalcache.go
@@ -44,7 +44,7 @@
 	if _, ok := n.cachedFinals[id]; ok {
 		return
 	}
-	if len(n.finalOrder) >= maxCachedFinals {
+	if len(n.finalOrder) >= maxCachedJobs {
 		delete(n.cachedFinals, n.finalOrder[0])
 		n.finalOrder = n.finalOrder[1:]
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -32,7 +32,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	preferred = n.health.stateUnserved(now)
+	preferred = n.health.stateUnreachable(now)
 	if n.lead != nil {
 		for _, memberLink := range n.lead.links {
 			if now-memberLink.stateServedAt < storehealth.UnreachableAfter {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -57,8 +57,8 @@
 	return h.overload.Lag(now)
 }
 
-// stateUnserved reports whether the state service has not served this controller for a while.
-func (h *processHealth) stateUnserved(now time.Duration) bool {
+// stateUnreachable reports whether the state service has not served this controller for a while.
+func (h *processHealth) stateUnreachable(now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.store.Unreachable(now)
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -118,7 +118,7 @@
 func (n *Node) cacheOpenRecord(id model.JobID, version uint64, hasDependencies bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.openRecords) >= maxCachedFinals {
+	if len(n.openRecords) >= maxCachedJobs {
 		clear(n.openRecords) // the records are read again when needed
 	}
 	n.openRecords[id] = openRecordInfo{version, hasDependencies}
@@ -132,7 +132,7 @@
 		if _, open := n.progress[id]; open || p.version == 0 {
 			continue
 		}
-		if _, ended := n.cachedFinals[id]; !ended && len(n.openRecords) < maxCachedFinals {
+		if _, ended := n.cachedFinals[id]; !ended && len(n.openRecords) < maxCachedJobs {
 			n.openRecords[id] = openRecordInfo{p.version, p.onHold}
 		}
 	}
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -213,10 +213,10 @@
 	return nil
 }
 
-// isolated reports whether this leader has no link to any other controller and has received no worker
+// unreachable reports whether this leader has no link to any other controller and has received no worker
 // report for a while. Since it still leads it reaches the state service, but another controller would
 // serve the workers better.
-func (l *leadership) isolated(now time.Duration) bool {
+func (l *leadership) unreachable(now time.Duration) bool {
 	timeout := max(3*time.Second, config.Seconds(2.5*l.node.cfg.Cluster.Workers.ReportS))
 	return len(l.node.cfg.Siblings) > 0 && len(l.links) == 0 &&
 		now-max(l.node.lastReportAt, l.startedAt, l.memberLostAt) > timeout && l.dispatcher.HasMachines()
@@ -286,7 +286,7 @@
 		l.node.election.Resign(now, time.Second)
 		return
 	}
-	if l.isolated(now) {
+	if l.unreachable(now) {
 		l.node.log.Error("no worker reports and no other controller is connected: resigning leadership", "term", l.term)
 		l.node.election.Resign(now, 4*time.Second)
 		return
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -43,9 +43,9 @@
 }
 
 // newLocalShard builds a shard that numbers its attempts from the given number on.
-func (n *Node) newLocalShard(attempts uint64) *localShard {
+func (n *Node) newLocalShard(firstAttempt uint64) *localShard {
 	local := &localShard{grantRequestsSent: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
-		shard: shard.New(n.shardParams(), attempts, n.rng)}
+		shard: shard.New(n.shardParams(), firstAttempt, n.rng)}
 	local.shard.RestoreImages(n.previousMachines)
 	return local
 }
@@ -260,9 +260,9 @@
 		n.mu.Lock()
 		host := n.election.Holder()
 		leading := n.lead != nil
-		unserved := n.health.stateUnserved(n.now())
+		stateUnreachable := n.health.stateUnreachable(n.now())
 		n.mu.Unlock()
-		if unserved && !leading {
+		if stateUnreachable && !leading {
 			host = n.findLeader(ctx, dialer)
 		}
 		addr := n.siblingAddr(host)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,8 +93,8 @@
 	Reports, Redirected, Stalls uint64
 }
 
-// maxCachedFinals bounds the caches of ended jobs and of open records.
-const maxCachedFinals = 20_000
+// maxCachedJobs bounds the caches of ended jobs and of open records.
+const maxCachedJobs = 20_000
 
 const (
 	tickInterval   = 50 * time.Millisecond
@@ -200,7 +200,7 @@
 	ops := n.election.Step(now)
 	n.mu.Unlock()
 	for _, op := range ops {
-		n.electionOp(state.WithClass(ctx, ratelimit.Authority), op)
+		n.runElectionOp(state.WithClass(ctx, ratelimit.Authority), op)
 	}
 }
 
@@ -239,7 +239,7 @@
 func (n *Node) runElection(ctx context.Context, ops []election.Op) {
 	for _, op := range ops {
 		go func() {
-			result := n.electionOp(state.WithClass(ctx, ratelimit.Authority), op)
+			result := n.runElectionOp(state.WithClass(ctx, ratelimit.Authority), op)
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			now := n.now()
@@ -249,8 +249,8 @@
 	}
 }
 
-// electionOp executes one operation of the election at the state service.
-func (n *Node) electionOp(ctx context.Context, op election.Op) election.Result {
+// runElectionOp executes one operation of the election at the state service.
+func (n *Node) runElectionOp(ctx context.Context, op election.Op) election.Result {
 	result := election.Result{Op: op}
 	switch op.Verb {
 	case election.Read:
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -71,66 +71,66 @@
 // may have, as the state service's protocol defines it.
 const guardsPerOp = 4
 
-func (q *openChecker) now() time.Duration { return time.Since(q.startedAt) }
+func (oc *openChecker) now() time.Duration { return time.Since(oc.startedAt) }
 
 // openCheckStats counts, since the start, the checks that this controller compared, the comparisons
 // that they took, and the checks that it sent to the leader.
 type openCheckStats struct{ compared, comparisons, forwarded uint64 }
 
-func (q *openChecker) stats() openCheckStats {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	return openCheckStats{compared: q.batcher.Checks, comparisons: q.batcher.Comparisons, forwarded: q.lastID}
+func (oc *openChecker) stats() openCheckStats {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	return openCheckStats{compared: oc.batcher.Checks, comparisons: oc.batcher.Comparisons, forwarded: oc.lastID}
 }
 
 // setLeading sets whether this controller leads and so compares for all controllers.
-func (q *openChecker) setLeading(leading bool) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
+func (oc *openChecker) setLeading(leading bool) {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
 	if leading {
-		q.batcher.SetInterval(leaderBatchInterval)
+		oc.batcher.SetInterval(leaderBatchInterval)
 	} else {
-		q.batcher.SetInterval(q.soloInterval)
+		oc.batcher.SetInterval(oc.soloInterval)
 	}
 }
 
 // setLeader sets the link to a leader that compares for other controllers; nil if there is none.
 // Questions that the previous leader has not answered fail, and their callers compare here.
-func (q *openChecker) setLeader(leader *peer.Queue) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.leaderQueue = leader
-	q.route.SetLeaderCompares(leader != nil)
-	for id, result := range q.pending {
-		delete(q.pending, id)
+func (oc *openChecker) setLeader(leader *peer.Queue) {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	oc.leaderQueue = leader
+	oc.route.SetLeaderCompares(leader != nil)
+	for id, result := range oc.pending {
+		delete(oc.pending, id)
 		result <- jobs.Result{Outcome: jobs.Failed}
 	}
 }
 
 // stillOpen checks whether a job's open record still has the given version. The comparison begins
 // after the call, so the answer is as recent as that of a read.
-func (q *openChecker) stillOpen(ctx context.Context, g jobs.Guard) jobs.Result {
-	if res := q.askLeader(ctx, g); res.Outcome != jobs.Failed {
+func (oc *openChecker) stillOpen(ctx context.Context, g jobs.Guard) jobs.Result {
+	if res := oc.askLeader(ctx, g); res.Outcome != jobs.Failed {
 		return res
 	}
-	return q.compareHere(ctx, g)
+	return oc.compareHere(ctx, g)
 }
 
 // askLeader has the leader make the check. The result is Failed if there is no leader to ask, or
 // if it does not answer in time; then the leader is avoided for a while.
-func (q *openChecker) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
+func (oc *openChecker) askLeader(ctx context.Context, g jobs.Guard) jobs.Result {
 	result := make(chan jobs.Result, 1)
-	q.mu.Lock()
-	if !q.route.UseLeader(q.now()) {
-		q.mu.Unlock()
+	oc.mu.Lock()
+	if !oc.route.UseLeader(oc.now()) {
+		oc.mu.Unlock()
 		return jobs.Result{Outcome: jobs.Failed}
 	}
-	q.lastID++
-	id := q.lastID
-	q.pending[id] = result
-	q.leaderQueue.Send(&peerpb.Up{Msg: &peerpb.Up_Questions{Questions: &peerpb.Questions{Questions: []*peerpb.Question{
+	oc.lastID++
+	id := oc.lastID
+	oc.pending[id] = result
+	oc.leaderQueue.Send(&peerpb.Up{Msg: &peerpb.Up_Questions{Questions: &peerpb.Questions{Questions: []*peerpb.Question{
 		{Id: id, Job: uint64(g.Job), Version: g.Version}}}}})
-	q.mu.Unlock()
+	oc.mu.Unlock()
 	timeout := time.NewTimer(leaderAnswerTimeout)
 	defer timeout.Stop()
 	select {
@@ -139,28 +139,28 @@
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if _, waiting := q.pending[id]; waiting {
-		delete(q.pending, id)
-		q.route.LeaderFailed(q.now())
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	if _, waiting := oc.pending[id]; waiting {
+		delete(oc.pending, id)
+		oc.route.LeaderFailed(oc.now())
 	}
 	return jobs.Result{Outcome: jobs.Failed}
 }
 
 // handleAnswers passes the leader's answers to the requests that wait for them.
-func (q *openChecker) handleAnswers(answers []*peerpb.Answer) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
+func (oc *openChecker) handleAnswers(answers []*peerpb.Answer) {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
 	for _, answer := range answers {
-		result := q.pending[answer.GetId()]
+		result := oc.pending[answer.GetId()]
 		if result == nil {
 			continue
 		}
-		delete(q.pending, answer.GetId())
+		delete(oc.pending, answer.GetId())
 		res := jobs.Result{Outcome: outcomesFromPeer[answer.GetOutcome()], Stage: jobs.Stage(answer.GetStage())}
 		if res.Outcome == jobs.Failed {
-			q.route.LeaderFailed(q.now())
+			oc.route.LeaderFailed(oc.now())
 		}
 		result <- res
 	}
@@ -191,70 +191,70 @@
 
 // compareHere makes a check with this controller's own comparison. The result is Busy if the
 // context ends first.
-func (q *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
+func (oc *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
 	result := make(chan jobs.Result, 1)
-	q.mu.Lock()
-	now := q.now()
+	oc.mu.Lock()
+	now := oc.now()
 	until := now + siblingCheckTimeout
 	if d, ok := ctx.Deadline(); ok {
-		until = d.Sub(q.startedAt)
+		until = d.Sub(oc.startedAt)
 	}
-	waiter := q.batcher.AddCheck(now, g, until)
-	q.waiters[waiter] = checkWaiter{result: result}
-	q.step(now)
-	q.mu.Unlock()
+	waiter := oc.batcher.AddCheck(now, g, until)
+	oc.waiters[waiter] = checkWaiter{result: result}
+	oc.step(now)
+	oc.mu.Unlock()
 	select {
 	case res := <-result:
 		return res
 	case <-ctx.Done():
 	}
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.batcher.Cancel(g, waiter)
-	delete(q.waiters, waiter)
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	oc.batcher.Cancel(g, waiter)
+	delete(oc.waiters, waiter)
 	return jobs.Result{Outcome: jobs.Busy}
 }
 
 // compareForSibling adds another controller's question to this controller's next comparison.
-func (q *openChecker) compareForSibling(memberLink *link, id uint64, g jobs.Guard) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	now := q.now()
-	waiter := q.batcher.AddCheck(now, g, now+siblingCheckTimeout)
-	q.waiters[waiter] = checkWaiter{link: memberLink, id: id}
-	q.step(now)
+func (oc *openChecker) compareForSibling(memberLink *link, id uint64, g jobs.Guard) {
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	now := oc.now()
+	waiter := oc.batcher.AddCheck(now, g, now+siblingCheckTimeout)
+	oc.waiters[waiter] = checkWaiter{link: memberLink, id: id}
+	oc.step(now)
 }
 
 // step advances the batcher: it sends the batches that are due, answers the checks that have
 // expired, and schedules the next step. Called under the lock.
-func (q *openChecker) step(now time.Duration) {
-	batches, expired, next := q.batcher.Step(now)
+func (oc *openChecker) step(now time.Duration) {
+	batches, expired, next := oc.batcher.Step(now)
 	for _, b := range batches {
-		go q.sendBatch(b)
+		go oc.sendBatch(b)
 	}
-	q.deliver(expired)
-	if next == 0 || q.nextStepAt != 0 && q.nextStepAt <= next && q.nextStepAt > now {
+	oc.deliver(expired)
+	if next == 0 || oc.nextStepAt != 0 && oc.nextStepAt <= next && oc.nextStepAt > now {
 		return
 	}
-	q.nextStepAt = next
+	oc.nextStepAt = next
 	time.AfterFunc(next-now, func() {
-		q.mu.Lock()
-		defer q.mu.Unlock()
-		q.step(q.now())
+		oc.mu.Lock()
+		defer oc.mu.Unlock()
+		oc.step(oc.now())
 	})
 }
 
 // sendBatch compares a batch in the state service and delivers the results.
-func (q *openChecker) sendBatch(b readbatch.Batch) {
+func (oc *openChecker) sendBatch(b readbatch.Batch) {
 	guards := make([]wire.Guard, 0, len(b.Guards))
 	for _, g := range b.Guards {
 		guards = append(guards, wire.Guard{Key: openPrefix + wire.JobName(g.Job), Version: g.Version})
 	}
-	failed, err := q.state.Compare(state.WithClass(context.Background(), ratelimit.Comparisons), guards)
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	now := q.now()
-	answers := q.batcher.HandleOutcome(now, b, func(g jobs.Guard) jobs.Outcome {
+	failed, err := oc.state.Compare(state.WithClass(context.Background(), ratelimit.Comparisons), guards)
+	oc.mu.Lock()
+	defer oc.mu.Unlock()
+	now := oc.now()
+	answers := oc.batcher.HandleOutcome(now, b, func(g jobs.Guard) jobs.Outcome {
 		switch {
 		case errors.Is(err, state.ErrBusy):
 			return jobs.Busy
@@ -265,28 +265,28 @@
 		}
 		return jobs.OK
 	})
-	q.deliver(answers)
-	q.step(now)
+	oc.deliver(answers)
+	oc.step(now)
 }
 
 // deliver passes answers to their waiters, those of one link in one message. Called under the
 // lock.
-func (q *openChecker) deliver(answers []readbatch.Answer) {
+func (oc *openChecker) deliver(answers []readbatch.Answer) {
 	toSend := map[*link][]*peerpb.Answer{}
 	for _, a := range answers {
-		waiter, ok := q.waiters[a.Waiter]
+		waiter, ok := oc.waiters[a.Waiter]
 		if !ok {
 			continue
 		}
-		delete(q.waiters, a.Waiter)
+		delete(oc.waiters, a.Waiter)
 		if waiter.link != nil {
 			toSend[waiter.link] = append(toSend[waiter.link], answerToPeer(waiter.id, a.Result))
 			continue
 		}
 		waiter.result <- a.Result
 	}
-	for k, batch := range toSend {
-		k.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: batch}}})
+	for memberLink, batch := range toSend {
+		memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: batch}}})
 	}
 }
 
--- a/internal/node/openchecker_test.go
+++ b/internal/node/openchecker_test.go
@@ -12,16 +12,16 @@
 )
 
 // lastGrant returns the last grant that the leader has sent.
-func (r *leaderHarness) lastGrant() *peerpb.Grant {
-	r.t.Helper()
+func (h *leaderHarness) lastGrant() *peerpb.Grant {
+	h.t.Helper()
 	var grant *peerpb.Grant
-	for _, message := range r.takeSent(r.t) {
+	for _, message := range h.takeSent(h.t) {
 		if message.GetGrant() != nil {
 			grant = message.GetGrant()
 		}
 	}
 	if grant == nil {
-		r.t.Fatal("no grant")
+		h.t.Fatal("no grant")
 	}
 	return grant
 }
@@ -29,16 +29,16 @@
 // Each grant carries the member's share of the state service's rate, by its demand. A member that
 // reports no demand, as releases before 0.9, gets an equal share.
 func TestGrantsCarryRateShares(t *testing.T) {
-	r := newLeaderHarness(t)
-	now := r.node.now()
-	r.setOpenJobsAsOf(now)
+	h := newLeaderHarness(t)
+	now := h.node.now()
+	h.setOpenJobsAsOf(now)
 	grantForDemand := func(now time.Duration, demand float64) *peerpb.Grant {
-		r.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
-		r.lead.ratesDividedAt = now - rateDivisionInterval
-		r.lead.divideRate(now)
-		r.takeSent(t)
-		r.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
-		return r.lastGrant()
+		h.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
+		h.lead.ratesDividedAt = now - rateDivisionInterval
+		h.lead.divideRate(now)
+		h.takeSent(t)
+		h.sendGrantRequest(now, &peerpb.Ask{RequestsNeeded: demand, WritesNeeded: demand})
+		return h.lastGrant()
 	}
 	noDemand := grantForDemand(now, 0)
 	if equal := rateshare.TotalShare / 2; noDemand.GetRequestsShare() < equal-1e-9 {
@@ -46,8 +46,8 @@
 	}
 	idle, busy := grantForDemand(now, 0.01), grantForDemand(now, 0.6)
 	for _, g := range []*peerpb.Grant{idle, busy} {
-		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+r.node.stateShare() > rateshare.TotalShare+1e-9 {
-			t.Errorf("share of the member %v, of the leader %v", g, r.node.stateShare())
+		if g.GetRequestsShare() <= 0 || g.GetRequestsShare()+h.node.stateShare() > rateshare.TotalShare+1e-9 {
+			t.Errorf("share of the member %v, of the leader %v", g, h.node.stateShare())
 		}
 	}
 }
@@ -61,12 +61,12 @@
 // The leader answers at once for a job that it knows to be done. For a cancelled job it does not, so
 // that the member reads the final record itself and logs the cancellation before it reports it.
 func TestLeaderAnswersForDoneJobs(t *testing.T) {
-	r := newLeaderHarness(t)
-	r.node.addFinalLocked(7, jobs.Done)
-	r.node.addFinalLocked(8, jobs.Cancelled)
-	r.lead.handleQuestions(r.link, []*peerpb.Question{{Id: 1, Job: 7, Version: 3}, {Id: 2, Job: 8, Version: 3}})
+	h := newLeaderHarness(t)
+	h.node.addFinalLocked(7, jobs.Done)
+	h.node.addFinalLocked(8, jobs.Cancelled)
+	h.lead.handleQuestions(h.link, []*peerpb.Question{{Id: 1, Job: 7, Version: 3}, {Id: 2, Job: 8, Version: 3}})
 	var got []*peerpb.Answer
-	for _, m := range r.takeSent(t) {
+	for _, m := range h.takeSent(t) {
 		got = append(got, m.GetAnswers().GetAnswers()...)
 	}
 	if len(got) != 1 || got[0].GetId() != 1 || got[0].GetStage() != string(jobs.Done) ||
@@ -81,39 +81,39 @@
 	g := jobs.Guard{Job: 7, Version: 3}
 	for _, c := range []struct {
 		name   string
-		answer func(q *openChecker)
+		answer func(oc *openChecker)
 		want   jobs.Outcome
 	}{
-		{"open", func(q *openChecker) {
-			q.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_OPEN}})
+		{"open", func(oc *openChecker) {
+			oc.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_OPEN}})
 		}, jobs.OK},
-		{"over its rate", func(q *openChecker) {
-			q.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_BUSY}})
+		{"over its rate", func(oc *openChecker) {
+			oc.handleAnswers([]*peerpb.Answer{{Id: 1, Outcome: peerpb.Outcome_OUTCOME_BUSY}})
 		}, jobs.Busy},
-		{"refused", func(q *openChecker) { q.handleAnswers([]*peerpb.Answer{{Id: 1}}) }, jobs.Failed},
-		{"the link breaks", func(q *openChecker) { q.setLeader(nil) }, jobs.Failed},
+		{"refused", func(oc *openChecker) { oc.handleAnswers([]*peerpb.Answer{{Id: 1}}) }, jobs.Failed},
+		{"the link breaks", func(oc *openChecker) { oc.setLeader(nil) }, jobs.Failed},
 		{"no answer", func(*openChecker) {}, jobs.Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q := newLeaderHarness(t).node.openChecker
-			q.setLeader(peer.NewQueue())
+			oc := newLeaderHarness(t).node.openChecker
+			oc.setLeader(peer.NewQueue())
 			go func() {
 				for {
-					q.mu.Lock()
-					pending := len(q.pending)
-					q.mu.Unlock()
+					oc.mu.Lock()
+					pending := len(oc.pending)
+					oc.mu.Unlock()
 					if pending > 0 {
 						break
 					}
 				}
-				c.answer(q)
+				c.answer(oc)
 			}()
-			if got := q.askLeader(context.Background(), g); got.Outcome != c.want {
+			if got := oc.askLeader(context.Background(), g); got.Outcome != c.want {
 				t.Errorf("%+v, want outcome %d", got, c.want)
 			}
-			q.mu.Lock()
-			defer q.mu.Unlock()
-			if avoided := !q.route.UseLeader(q.now()); avoided != (c.want == jobs.Failed) {
+			oc.mu.Lock()
+			defer oc.mu.Unlock()
+			if avoided := !oc.route.UseLeader(oc.now()); avoided != (c.want == jobs.Failed) {
 				t.Errorf("leader avoided: %v", avoided)
 			}
 		})
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -315,7 +315,7 @@
 // requests about the open jobs. Another leader may then learn of new submissions. In an outage of the
 // state service no other leader would, so that does not count.
 func (dl *dispatchLoop) openWatchFailing(now time.Duration) bool {
-	if now-dl.openJobsAsOf <= dl.lead.node.cfg.Cluster.StalenessBound() || dl.lead.node.health.stateUnserved(now) {
+	if now-dl.openJobsAsOf <= dl.lead.node.cfg.Cluster.StalenessBound() || dl.lead.node.health.stateUnreachable(now) {
 		dl.openWatchFailingSince = 0
 		return false
 	}
--- a/internal/node/rentals.go
+++ b/internal/node/rentals.go
@@ -88,7 +88,7 @@
 func (rm *rentalManager) runFleet(now time.Duration) {
 	status := rm.lead.dispatcher.MachineStatuses()
 	rm.fleet.Observe(now, status, rm.lead.dispatcher.LeaseExpired)
-	if rm.shouldAbandon() {
+	if rm.shouldReturnUnreachable() {
 		rm.fleet.SetUnreachable(rm.lead.dispatcher.UnreachableMachines())
 	}
 	var demand []fleet.Demand
@@ -118,10 +118,10 @@
 	rm.lead.node.requestCycle()
 }
 
-// shouldAbandon reports whether unreachable machines should be returned: whether a worker's lease
+// shouldReturnUnreachable reports whether unreachable machines should be returned: whether a worker's lease
 // lasts so much longer than it takes to detect that the worker does not answer that its tasks
 // should not wait for the lease to expire.
-func (rm *rentalManager) shouldAbandon() bool {
+func (rm *rentalManager) shouldReturnUnreachable() bool {
 	params := rm.lead.node.shardParams()
 	return params.MaxLease-params.OverdueAfter()-directTimeout > 15*time.Second
 }
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -267,7 +267,7 @@
 // under its grant. In an outage of the state service the other controllers are reachable, and when
 // only the connections between controllers fail, the state service is. Called under the lock.
 func (n *Node) isolatedLocked(now time.Duration) bool {
-	return len(n.cfg.Siblings) > 0 && n.health.stateUnserved(now) && now-n.siblingSeenAt > linkTimeout
+	return len(n.cfg.Siblings) > 0 && n.health.stateUnreachable(now) && now-n.siblingSeenAt > linkTimeout
 }
 
 // isolated is isolatedLocked for callers that do not hold the lock.
