--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -10,10 +10,10 @@
 	"honeylock/internal/wire"
 )
 
-// The decision log shows, by names of jobs and machines, why a task was allowed to start and why it was
-// considered to run nowhere: which shard owned a machine under which token, what was charged to its team,
-// and on which session of the worker the decision was based. Events that are rare in normal operation
-// are logged at info level, the others at debug level.
+// The decision log shows, by names of jobs and machines, why a task was allowed to start and why the
+// leader concluded that it runs nowhere: which shard owned a machine under which token, what was charged
+// to the task's team, and on which session of the worker the decision was based. Events that are rare in
+// normal operation are logged at info level, the others at debug level.
 
 // logEnabled reports whether a level is logged, so that callers can skip preparing a line that is not.
 func (n *Node) logEnabled(level slog.Level) bool { return n.log.Enabled(context.Background(), level) }
--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -24,7 +24,7 @@
 type dependencyTracker struct {
 	lead    *leadership
 	graph   *pipeline.Graph
-	lookups int // reads of final records under way
+	lookups int // reads of final records in flight
 	inDoubt pipeline.InDoubtJobs
 }
 
@@ -59,8 +59,9 @@
 }
 
 // applyDecisions passes the graph's decisions to the dispatcher: jobs that are released, and ranks
-// that jobs inherit from those that depend on them. A released job counts as waiting from now on, or
-// from the end of its last dependency, at most an hour ago, if all of them ended before this term.
+// that jobs inherit from those that depend on them. A released job counts as waiting from now on. If
+// all its dependencies ended before this term, it counts from the last of these ends, but at most from
+// an hour ago.
 func (dt *dependencyTracker) applyDecisions(now time.Duration) {
 	released := dt.graph.TakeReleased()
 	for _, r := range released {
@@ -129,8 +130,8 @@
 	return pipeline.Unknown, 0
 }
 
-// writes returns the cancellations of jobs with a cancelled dependency. They use a quarter of the
-// writes that are allowed at a time, and leave the rest to the jobs that finish.
+// writes returns the cancellations of jobs with a cancelled dependency. They use at most a quarter of
+// the writes that are allowed at a time, and leave the rest to the jobs that finish.
 func (dt *dependencyTracker) writes(now time.Duration, class writequota.Class, maxWrites int) []storeWrite {
 	if class != writequota.FinalRecords {
 		return nil
@@ -139,7 +140,7 @@
 	for _, id := range dt.graph.NextCancellations(now, max(1, maxWrites/4)) {
 		version := dt.lead.dispatcher.JobVersion(id)
 		if version == 0 {
-			dt.graph.CancellationFailed(now, id) // it has ended, and the graph has yet to be updated
+			dt.graph.CancellationFailed(now, id) // the job has ended, and the watch has yet to report that
 			continue
 		}
 		dt.lead.node.log.Debug("job is cancelled because a dependency was cancelled", "job", wire.JobName(id))
@@ -172,8 +173,8 @@
 	return min(dt.lead.dispatchLoop.openJobsAsOf, dt.graph.PropagatedUntil(now))
 }
 
-// queuedConfirmed reports whether a job that waits for dependencies may be reported as queued: no
-// cancellation of one of them that is older than cancel_s can be unknown here. Called under the
+// queuedConfirmed reports whether a job that waits for dependencies may be reported as queued. That
+// requires that every cancellation of a dependency older than cancel_s is known here. Called under the
 // lock.
 func (n *Node) queuedConfirmed(now time.Duration, id model.JobID) bool {
 	if l := n.lead; l != nil && l.loaded {
--- a/internal/node/dispatchloop.go
+++ b/internal/node/dispatchloop.go
@@ -20,15 +20,15 @@
 type dispatchLoop struct {
 	lead       *leadership
 	dispatcher *dispatcher.Dispatcher
-	// openJobsAsOf is when the last answered request about open jobs was sent. A leader that
-	// learns of no cancellations must not go on.
+	// openJobsAsOf is when the newest answered request about the open jobs was sent. A leader
+	// that learns of no cancellations must not go on.
 	openJobsAsOf time.Duration
-	// openJobsView says until when every cancellation that was acknowledged to a user is known:
-	// openJobsAsOf, or later if all controllers report their acknowledgements. It bounds this
-	// leader's authority.
+	// openJobsView holds the time up to which every cancellation that was acknowledged to a user
+	// is known: openJobsAsOf, or later if all controllers report their acknowledgements. It
+	// limits this leader's authority.
 	openJobsView cancellog.OpenJobsView
-	// openWatchFailingSince is since when the state service has served this leader, but not its
-	// requests about open jobs; 0 if it serves both or neither.
+	// openWatchFailingSince is since when the state service has been reachable without answering
+	// this leader's requests about the open jobs; 0 if it answers them or can't be reached.
 	openWatchFailingSince time.Duration
 	progressAsOf          time.Duration // openJobsAsOf when progress was last collected
 	openRevision          uint64        // revision at which the open jobs were listed
@@ -40,7 +40,7 @@
 	dispatchDuration time.Duration
 	lastBroadcast    time.Duration
 	lastLoadLog      time.Duration
-	recovered        bool
+	recovered        bool // all machines of earlier terms are accounted for
 }
 
 // tick advances the dispatcher and the leader's own shard, and sends progress and logs the load at their
@@ -133,8 +133,8 @@
 	}
 }
 
-// collectProgress collects the open jobs' progress. It keeps it for this controller's own users and
-// returns it as a message for the members.
+// collectProgress collects the open jobs' progress. It stores it in the node, for this controller's own
+// users, and returns it as a message for the members.
 func (dl *dispatchLoop) collectProgress() *peerpb.Down {
 	dl.lead.node.progress = map[model.JobID]jobProgress{}
 	open := map[model.JobID]bool{}
@@ -153,8 +153,8 @@
 	return &peerpb.Down{Msg: &peerpb.Down_Progress{Progress: progress}}
 }
 
-// writes returns jobs' ends and machines' records among the most urgent writes, and jobs' progress among
-// the later ones.
+// writes returns jobs' ends and machines' records in the most urgent class, and jobs' progress in its own
+// class.
 func (dl *dispatchLoop) writes(now time.Duration, class writequota.Class, limit int) []storeWrite {
 	var out []storeWrite
 	switch class {
@@ -173,8 +173,8 @@
 // encodeWrite turns a write of the dispatcher into a transaction and handles its outcome.
 func (dl *dispatchLoop) encodeWrite(w dispatcher.Write) storeWrite {
 	out := storeWrite{onDone: func(now time.Duration, o writeOutcome) {
-		// A FinishJob write is lost once the job's open record is gone, a write of a block or
-		// a chunk once its record is at another version.
+		// A lost write can't succeed any more: a FinishJob write if the job's open record is
+		// gone, a write of a block or a chunk if its record is at another version.
 		block := w.Kind == dispatcher.PutBlock || w.Kind == dispatcher.DropBlock
 		lost := o.conflict && (block || w.Kind == dispatcher.PutChunk || o.foundVersion == 0)
 		if o.conflict {
@@ -227,8 +227,8 @@
 	return out
 }
 
-// deleteChunksAfter deletes the chunks that don't fit into the transaction that ends their job, once
-// that is stored. If this leader ends before, the next one deletes them as orphans.
+// deleteChunksAfter makes w, the write that ends a job, delete the chunks that don't fit into its own
+// transaction once that is stored. If the term ends before, the next leader deletes them as orphans.
 func (dl *dispatchLoop) deleteChunksAfter(w *storeWrite, id model.JobID, chunks []dispatcher.ChunkID) {
 	previous := w.onDone
 	w.onDone = func(now time.Duration, o writeOutcome) {
--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -40,15 +40,15 @@
 type teamClass struct{ team, class model.Name }
 
 // updateDisruptions brings the tracker up to date with the dispatcher before the drains advance. It
-// returns the function with which they request to move a task, which returns the reason if a
-// budget refuses; nil if there are no budgets.
+// returns the function with which the drains request to move a task, nil if there are no budgets. That
+// function returns the reason if a budget refuses the move, else "".
 func (dm *drainManager) updateDisruptions(now time.Duration) func(drain.MoveRequest) string {
 	if !dm.disruptions.Enabled() {
 		return nil
 	}
 	l := dm.lead
 	for _, t := range l.dispatcher.TakeFreedTasks() {
-		if spec := l.dispatcher.Spec(t.Job); spec != nil { // how long it had run is not known
+		if spec := l.dispatcher.Spec(t.Job); spec != nil { // its run time is not known: half of the estimate is assumed
 			dm.disruptions.TaskStopped(t, spec, disruption.Lost, spec.Estimate/2)
 		}
 	}
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -34,7 +34,7 @@
 // shorter tasks are too coarse.
 const minReportsToLearn = 5
 
-// auditSlots is the number of operators' changes that the audit log keeps.
+// auditSlots is the number of operators' changes that the audit log keeps, the newest ones.
 const auditSlots = 256
 
 // drainManager is the leader's component that drains machines, for operators' plans and to
@@ -51,8 +51,8 @@
 	forecasts     forecasts
 }
 
-// newDrainManager returns the component with its limits derived from the largest value that
-// the state service stores.
+// newDrainManager returns the component. The largest value that the state service stores limits how
+// many machines a plan may have and how large its record may be.
 func (l *leadership) newDrainManager() *drainManager {
 	cluster := &l.node.cfg.Cluster
 	// In base64, a step takes three bytes for its machine number and two for its state.
@@ -69,7 +69,7 @@
 }
 
 // read lists the stored plans, audit entries and team changes, and returns a function that
-// loads them. Without an operators' endpoint in the settings there are none.
+// loads them. Without an operators' endpoint in the settings nothing is read.
 func (dm *drainManager) read(ctx context.Context) (func(time.Duration) error, error) {
 	var plans []drain.StoredPlan
 	var entries []audit.Entry
@@ -349,8 +349,8 @@
 	return !ok || dm.teamOverrides.Synced(id)
 }
 
-// auditWrite returns a write of audit entries, without conditions on versions: if it is applied
-// late, the worst effect is that an entry older than the newest auditSlots reappears.
+// auditWrite returns a write of audit entries. It needs no guards on versions: the worst effect of a
+// delayed write is that an entry older than the newest auditSlots reappears.
 func (dm *drainManager) auditWrite(entries []*audit.Entry) storeWrite {
 	w := storeWrite{onDone: func(_ time.Duration, o writeOutcome) {
 		if o.err == nil {
--- a/internal/node/forecast.go
+++ b/internal/node/forecast.go
@@ -57,7 +57,7 @@
 // forecastRun is a forecast that is running or complete.
 type forecastRun struct {
 	request, digest string             // of the call that started it
-	forecast        *forecast.Forecast // nil during the survey and after the end
+	forecast        *forecast.Forecast // nil during the survey and once it is complete
 	spec            *drain.Spec
 	result          *forecast.Result // nil until it is complete
 	unreported      int              // machines whose owner did not answer the survey
@@ -65,8 +65,8 @@
 	done            float64 // progress, 0 to 1
 }
 
-// find returns the forecast that an earlier call with the same request ID started, nil if there is
-// none.
+// find returns the forecast that an earlier call with the same request ID and content started, nil if
+// there is none.
 func (f *forecasts) find(c *Call) *forecastRun {
 	for _, run := range f.recent {
 		if run.request == c.Request && run.digest == c.digest() {
@@ -123,9 +123,9 @@
 	return run, nil
 }
 
-// planToForecast returns the plan that a call asks to forecast, either the one in the call or one
-// under way, with a function that starts it in a forecast's own engine and the time that patching
-// a machine takes. A plan under way continues from its stored state.
+// planToForecast returns the plan that a call asks to forecast: the one in the call, or one under way,
+// which continues from its stored state. It also returns a function that starts the plan in the
+// forecast's own engine, and the time that patching a machine takes.
 func (dm *drainManager) planToForecast(now time.Duration,
 	c *Call) (*drain.Spec, forecast.StartPlan, time.Duration, error) {
 	if c.Verb == DrainForecast {
--- a/internal/node/forecast_test.go
+++ b/internal/node/forecast_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A forecast is reported as complete only with its result. Between the end of the last run and the
-// result, it was once reported as complete without content.
+// A forecast is reported as complete only with its result. Between the end of its last run and its
+// result it must not be reported as complete, because the reply would have no content.
 func TestForecastDoneOnlyWithResult(t *testing.T) {
 	n := &Node{cfg: &config.Platform{}, settings: config.DefaultSettings()}
 	n.names = &wire.Names{Teams: wire.NewTable(), Classes: wire.NewTable()}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -14,9 +14,9 @@
 	"honeylock/internal/wire"
 )
 
-// A controller that the state service refuses or that is cut off from it, while another controller
-// is served, forwards users' requests to that one. Otherwise they would all fail until the load
-// balancer has noticed, and on connections that stay open.
+// A controller that the state service refuses, or that is cut off from it, forwards users' requests to
+// another controller that the service still answers. Otherwise all of them would fail until the load
+// balancer notices, and those on connections that stay open even after that.
 
 // forwardedRequest is a user's request that is forwarded to another controller.
 type forwardedRequest struct {
@@ -26,8 +26,8 @@
 }
 
 // forwardTarget returns the address of another controller that the state service serves, "" if none
-// is known. preferred is set if the state service has not served this controller for a while, so
-// that requests should be forwarded at once.
+// is known. preferred is set if this controller could not reach the state service for a while, so that
+// requests should be forwarded without trying here first.
 func (n *Node) forwardTarget() (addr string, preferred bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -10,8 +10,8 @@
 )
 
 // processHealth tracks how far behind this process is, and whether the state service serves it. It has
-// its own lock, so that neither admission of requests nor answers of the state service wait for a long
-// cycle to end.
+// its own lock, so that neither the admission of requests nor the recording of the state service's
+// answers waits for a long cycle to end.
 type processHealth struct {
 	mu       sync.Mutex
 	overload overload.Detector
@@ -57,7 +57,8 @@
 	return h.overload.Lag(now)
 }
 
-// stateUnreachable reports whether the state service has not served this controller for a while.
+// stateUnreachable reports whether no request of this controller has reached the state service for a
+// while.
 func (h *processHealth) stateUnreachable(now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -125,8 +125,9 @@
 }
 
 // cacheRemovedRecords remembers the open records of jobs that the leader reported before but no
-// longer reports. Their users will poll once more, and for a job that the leader has completed it
-// then answers without a request to the state service. Called under the lock.
+// longer reports. Their users will poll once more. With the cached version this controller can then ask
+// the leader, which answers for a job that it has completed without a request to the state service.
+// Called under the lock.
 func (n *Node) cacheRemovedRecords(previous map[model.JobID]jobProgress) {
 	for id, p := range previous {
 		if _, open := n.progress[id]; open || p.version == 0 {
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -38,16 +38,16 @@
 	ctx             context.Context
 	cancel          context.CancelFunc
 	term            uint64
-	guard           wire.Guard
+	guard           wire.Guard // on the leader key: makes every write fail once the term has ended
 	dispatcher      *dispatcher.Dispatcher
-	localID         model.ShardID
-	links           map[model.ShardID]*link
-	siblingReleases map[string]uint32 // releases of the other controllers that have joined in this term, by host
-	loadedSignal    chan struct{}     // closed once the stored state has been read
+	localID         model.ShardID           // of the leader's own shard
+	links           map[model.ShardID]*link // to the members, by their shards
+	siblingReleases map[string]uint32       // releases of the other controllers that have joined in this term, by host
+	loadedSignal    chan struct{}           // closed once the stored state has been read
 	loaded          bool
 	loadedAt        time.Duration
 	startedAt       time.Duration
-	memberLostAt    time.Duration // when the last link to a member was lost
+	memberLostAt    time.Duration // when a link to a member was last lost
 	dispatchLoop    *dispatchLoop
 	dependencies    *dependencyTracker
 	rentals         *rentalManager
@@ -131,13 +131,13 @@
 	return l
 }
 
-// reportsPerCPU is about how many worker reports per second use one core, with all work that they
-// cause.
+// reportsPerCPU is about how many worker reports per second one core can handle, with all the work that
+// they cause.
 const reportsPerCPU = 2000
 
-// minOverloadMachines returns how many machines use about a third of a controller's CPU with their
-// reports. Workers of a shard with fewer machines are not redirected because of load. Without a
-// configured CPU limit one core is assumed.
+// minOverloadMachines returns the number of machines whose reports use about a third of a controller's
+// CPU. Workers of a shard with fewer machines are not redirected because of load. Without a configured
+// CPU limit one core is assumed.
 func minOverloadMachines(cluster *config.Cluster) int {
 	cpu := cluster.Resources.CPU
 	if cpu <= 0 {
@@ -184,7 +184,8 @@
 	}
 }
 
-// readStore lets every component read its records without the lock, then applies all of them under it.
+// readStore lets every component read its stored records without the lock. Once all of them have read
+// theirs, it applies the records under the lock.
 func (l *leadership) readStore() error {
 	var appliers []func(time.Duration) error
 	for _, comp := range l.components {
@@ -213,9 +214,9 @@
 	return nil
 }
 
-// unreachable reports whether this leader has no link to any other controller and has received no worker
-// report for a while. Since it still leads it reaches the state service, but another controller would
-// serve the workers better.
+// unreachable reports whether neither other controllers nor workers seem to reach this leader: it has no
+// link to a member and has received no worker report for a while. Since it still leads it reaches the
+// state service, but another controller would serve the workers better.
 func (l *leadership) unreachable(now time.Duration) bool {
 	timeout := max(3*time.Second, config.Seconds(2.5*l.node.cfg.Cluster.Workers.ReportS))
 	return len(l.node.cfg.Siblings) > 0 && len(l.links) == 0 &&
@@ -223,8 +224,8 @@
 }
 
 // refusedByState reports whether the state service refuses this leader while it serves other
-// controllers. One of them is asked to confirm that first, since a link only shows when the service last
-// answered its member.
+// controllers. One of them is first asked to confirm that it is still served, because a link only shows
+// when the service last answered its member.
 func (l *leadership) refusedByState(now time.Duration) bool {
 	var newest time.Duration
 	var host string
@@ -241,9 +242,9 @@
 	return yield
 }
 
-// confirmRefusal makes another controller send a request to the state service, by forwarding it a user's
-// poll. The poll names a job that can't exist, because for a known job the controller might answer
-// without the state service. Not found is therefore a valid confirmation.
+// confirmRefusal checks that the state service serves another controller, by forwarding a user's poll to
+// it. The poll names a job that can't exist, because the controller might answer for a known job without
+// asking the state service. The answer "not found" therefore confirms it.
 func (l *leadership) confirmRefusal(addr string) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Second)
 	defer cancel()
@@ -273,13 +274,15 @@
 	return min(l.node.election.Deadline(), l.dispatchLoop.openJobsView.ValidUntil(l.node.cfg.Cluster.StalenessBound()))
 }
 
-// tick is called a few times a second. It resigns leadership if another controller would serve better,
-// extends the own shard's grant, and ticks the components.
+// tick is called a few times a second. It resigns leadership if another controller would serve better.
+// Otherwise it extends the own shard's grant, and once the stored state has been read it ticks the
+// components and stores their writes.
 func (l *leadership) tick(now time.Duration) {
 	if l.loaded {
 		l.dispatchLoop.updateOpenJobsView(now)
 	}
 	bound := l.node.cfg.Cluster.StalenessBound()
+	// A new leader has as long as the bound to read the open jobs for the first time.
 	if now > max(l.dispatchLoop.openJobsView.ValidUntil(bound), l.startedAt+bound) ||
 		l.dispatchLoop.openWatchFailing(now) {
 		l.node.log.Error("open jobs not read for too long: resigning leadership", "term", l.term)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -191,14 +191,15 @@
 		}
 		if coverageDuration := time.Duration(msg.Ask.GetToldForUs()) * time.Microsecond; coverageDuration > 0 {
 			memberLink.reportsCancellations, memberLink.coverage.Since = true,
-				now-(coverageDuration-coverageDuration/500) // allow for drift between the clocks
+				now-(coverageDuration-coverageDuration/500) // the member's clock may run faster than this one
 		}
-		// The member made its promise when it received that grant, so not before the grant
-		// was sent: count the promise from then, less a margin for drift between the clocks.
+		// The member made its promise when it received that grant, which was after the grant
+		// was sent. The promise is counted from the sending, less a margin for clock drift.
 		if sentAt, ok := memberLink.grantsSentAt[msg.Ask.GetPromised()]; ok {
 			memberLink.promisedUntil = max(memberLink.promisedUntil,
 				sentAt+config.PromiseDuration-config.PromiseDuration/200-50*time.Millisecond)
-			// All cancellations that it acknowledged before that have been reported by now.
+			// The member has by now reported all cancellations that it acknowledged before the
+			// grant was sent.
 			memberLink.coverage.Until = max(memberLink.coverage.Until, sentAt)
 			for number := range memberLink.grantsSentAt {
 				if number < msg.Ask.GetPromised() {
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	grantRequestInterval = 400 * time.Millisecond
+	grantRequestInterval = 400 * time.Millisecond  // between a member's requests for a new grant
 	linkTimeout          = 2500 * time.Millisecond // a link without messages for this long is closed
-	statusInterval       = 100 * time.Millisecond
-	maxDirectSends       = 48
+	statusInterval       = 100 * time.Millisecond  // between the ticks of a member's shard
+	maxDirectSends       = 48                      // direct commands in flight at a time
 	directTimeout        = 2 * time.Second
 	cycleDelay           = 5 * time.Millisecond // messages that arrive within this delay are handled together
 )
@@ -32,17 +32,18 @@
 	leaderQueue       *peer.Queue // nil on the leader itself, and when the link is lost
 	codec             *peer.Codec
 	lastTick          time.Duration
-	statusDue         bool
-	grantRequestsSent map[uint64]time.Duration
+	statusDue         bool                     // the next tick sends the shard's status to the leader
+	grantRequestsSent map[uint64]time.Duration // when each unanswered grant request was sent, by its number
 	// loggedGrant is whether the shard had a grant when that was last logged.
 	loggedGrant        bool
-	grantRequestSeq    uint64
+	grantRequestSeq    uint64 // number of the newest grant request
 	lastGrantRequestAt time.Duration
-	lastGrantNumber    uint64 // number of the newest grant
+	lastGrantNumber    uint64 // number of the newest grant received
 	cancelsSent        int    // how many entries of the cancellation log were sent to the leader
 }
 
-// newLocalShard builds a shard that numbers its attempts from the given number on.
+// newLocalShard builds a shard that numbers its attempts from firstAttempt on. It knows which images the
+// machines of this controller's previous shard hold.
 func (n *Node) newLocalShard(firstAttempt uint64) *localShard {
 	local := &localShard{grantRequestsSent: map[uint64]time.Duration{}, codec: peer.NewCodec(n.names),
 		shard: shard.New(n.shardParams(), firstAttempt, n.rng)}
@@ -50,8 +51,8 @@
 	return local
 }
 
-// dropLocalShard drops this controller's shard. It remembers the shard's machines, whose workers will
-// report here again, so that the next leader can be told of them.
+// dropLocalShard drops this controller's shard. It remembers the shard's machines, because their workers
+// will report here again and the next leader must learn of them.
 func (n *Node) dropLocalShard() {
 	if n.local != nil {
 		n.localReady, n.localDroppedAt = make(chan struct{}), n.now()
@@ -85,8 +86,8 @@
 	})
 }
 
-// runCycle runs the dispatcher's cycle on the leader. On a member it places waiting tasks and sends the
-// shard's commands to workers and its events to the leader.
+// runCycle runs the dispatch loop's cycle on the leader. On a member it places waiting tasks, and sends
+// the shard's commands to workers and its events to the leader.
 func (n *Node) runCycle(now time.Duration) {
 	if n.lead != nil {
 		n.lead.dispatchLoop.runCycle(now)
@@ -115,8 +116,8 @@
 	}
 }
 
-// sendDirects sends commands directly to workers that should not wait for the workers' next reports.
-// A controller that is behind sends fewer at a time.
+// sendDirects sends those commands directly to the workers that should not wait for the workers' next
+// reports. A controller that is behind has fewer of them in flight at a time.
 func (n *Node) sendDirects(now time.Duration) {
 	local := n.local
 	local.shard.Flush(now, n.health.scaleConcurrency(now, maxDirectSends))
@@ -126,10 +127,10 @@
 	}
 }
 
-// sendDirect sends one direct command and passes the worker's answer to the shard.
+// sendDirect sends the commands for one worker and passes its answer to the shard.
 func (n *Node) sendDirect(local *localShard, command shard.DirectCommand) {
-	// Opening the connection takes time, and the process may stall: a command that was
-	// decided under a grant must not be sent after the grant has expired.
+	// A command that was decided under a grant must not be sent after the grant has expired.
+	// That could happen, because opening the connection takes time and the process may stall.
 	ctx, cancel := context.WithTimeout(context.Background(), command.NotAfter-n.now())
 	defer cancel()
 	rawReport, executed, err := n.workers.Send(ctx, command.Addr, command.Token, command.Session, command.Commands)
@@ -153,8 +154,8 @@
 	}
 }
 
-// tickMember is called a few times a second on a member. It advances the shard, requests grants from
-// the leader and reports the shard's status.
+// tickMember is called a few times a second on a member. Every statusInterval it advances the shard,
+// requests a grant from the leader if that is due, and reports the shard's status if that is due.
 func (n *Node) tickMember(now time.Duration) {
 	local := n.local
 	if now-local.lastTick < statusInterval {
@@ -174,6 +175,7 @@
 		local.grantRequestsSent[local.grantRequestSeq] = now
 		local.lastGrantRequestAt = now
 		demand := n.state.Demand()
+		// ToldForUs is at least 1, because 0 means that the member reports no cancellations.
 		ask := &peerpb.Ask{
 			Seq:            local.grantRequestSeq,
 			Promised:       local.lastGrantNumber,
@@ -218,7 +220,7 @@
 	delete(n.reportWaiters, id)
 }
 
-// siblingAddr returns the address of another controller, "" if the host is none.
+// siblingAddr returns the address of another controller, "" if the host is not one.
 func (n *Node) siblingAddr(host string) string {
 	for _, sibling := range n.cfg.Siblings {
 		if sibling.HostName == host {
@@ -271,6 +273,8 @@
 			continue
 		}
 		err := n.followLeader(ctx, dialer, host, addr)
+		// Failed attempts to join are repeated, so only the loss of a leader that this controller
+		// had joined is logged at info level.
 		n.mu.Lock()
 		level := slog.LevelDebug
 		if n.leader != "" {
@@ -317,7 +321,8 @@
 	go func() { cancel(sendQueue.Run(ctx, requestWriter, nil)) }()
 	watchdog := time.AfterFunc(linkTimeout, func() { cancel(errLinkTimeout) })
 	defer watchdog.Stop()
-	// Hello tells the leader that this controller's previous shard no longer acts.
+	// The Hello that is sent next tells the leader that this controller's previous shard no longer
+	// acts, so that shard is dropped first.
 	n.mu.Lock()
 	if n.lead != nil {
 		n.mu.Unlock()
@@ -399,7 +404,8 @@
 			if sentAt, ok := local.grantRequestsSent[msg.Grant.GetSeq()]; ok {
 				delete(local.grantRequestsSent, msg.Grant.GetSeq())
 				local.lastGrantNumber = msg.Grant.GetNumber()
-				if age := msg.Grant.GetSettledAgeUs(); age > 0 { // counted from when the grant was requested
+				// The ages count from when the grant was requested, like the grant itself; 0 means not reported.
+				if age := msg.Grant.GetSettledAgeUs(); age > 0 {
 					n.statusFreshness.SetPropagated(sentAt - time.Duration(age)*time.Microsecond)
 				}
 				if age := msg.Grant.GetToldAgeUs(); age > 0 {
@@ -407,7 +413,7 @@
 				}
 				n.election.Promise(now + config.PromiseDuration)
 				grantDuration := time.Duration(msg.Grant.GetForUs()) * time.Microsecond
-				// The margin covers drift between the two clocks, and late timers.
+				// The margin allows for drift between the two clocks and for late timers.
 				local.shard.SetGrant(sentAt + grantDuration - grantDuration/500 - 50*time.Millisecond)
 			}
 		case *peerpb.Down_Order:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,21 +62,21 @@
 	names               *wire.Names
 	election            *election.Election
 	lead                *leadership
-	lastLedTerm         uint64                      // the last term that this controller led
-	local               *localShard                 // nil while this controller has no shard
-	localReady          chan struct{}               // closed while a local shard exists
-	localDroppedAt      time.Duration               // when the last local shard was dropped
-	progress            map[model.JobID]jobProgress // of open jobs, as last sent by the leader
-	leader              string                      // host of the connected leader, "" if there is none
-	leaderStateServedAt time.Duration               // when the state service last served the leader
-	lastReportAt        time.Duration               // when the last worker report arrived
-	lastLinkHost        string                      // leader host of the last link that ended
-	reportWaiters       map[model.MachineID][]chan struct{}
+	lastLedTerm         uint64                              // the last term that this controller led
+	local               *localShard                         // nil while this controller has no shard
+	localReady          chan struct{}                       // closed while a local shard exists
+	localDroppedAt      time.Duration                       // when the last local shard was dropped
+	progress            map[model.JobID]jobProgress         // of open jobs, as last sent by the leader
+	leader              string                              // host of the connected leader, "" if there is none
+	leaderStateServedAt time.Duration                       // when the state service last served the leader
+	lastReportAt        time.Duration                       // when the last worker report arrived
+	lastLinkHost        string                              // leader host of the last link that ended
+	reportWaiters       map[model.MachineID][]chan struct{} // reports that wait, see handleReportLater
 	machineTypes        []model.MachineType
 	cachedFinals        map[model.JobID]jobs.Stage
 	openRecords         map[model.JobID]openRecordInfo
 	cancelLog           *cancellog.Log            // cancellations that this controller acknowledged to users
-	statusFreshness     *pipeline.StatusFreshness // from the connected leader
+	statusFreshness     *pipeline.StatusFreshness // as reported by the connected leader
 	siblingSeenAt       time.Duration             // when another controller last answered or sent a message
 	openChecker         *openChecker
 	finalOrder          []model.JobID // keys of cachedFinals, oldest first
@@ -93,12 +93,12 @@
 	Reports, Redirected, Stalls uint64
 }
 
-// maxCachedJobs bounds the caches of ended jobs and of open records.
+// maxCachedJobs limits the number of jobs in each of the caches cachedFinals and openRecords.
 const maxCachedJobs = 20_000
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	stallThreshold = time.Second // a longer gap between ticks counts as a stall of the process
+	stallThreshold = time.Second // after a longer gap between ticks the process did not run, or far too slowly
 )
 
 // MaxDirectConns returns the maximum number of sockets for direct commands to workers, including
@@ -143,7 +143,7 @@
 		}
 	}
 	n.openChecker = newOpenChecker(n.state, cfg.Cluster.TxnOps(), 1+len(cfg.Siblings))
-	index := 0
+	index := 0 // of this controller among all, by host name: staggers their attempts to take a free leader key
 	for _, s := range cfg.Siblings {
 		if s.HostName < cfg.HostName {
 			index++
@@ -210,7 +210,8 @@
 	return n.health.admit(n.now(), kind)
 }
 
-// tick measures how late it is called, then steps the election and the leader's or the member's part.
+// tick measures how late it is called, then steps the election, and ticks the leadership or the member's
+// shard.
 func (n *Node) tick(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -324,7 +325,7 @@
 }
 
 // Bounds of how long a watch of the leader key waits for a change. Each wait is a request to the
-// state service, so it is longer the more controllers there are.
+// state service, so the wait is longer the more controllers there are.
 const (
 	minLeaderWatch = 10 * time.Second
 	maxLeaderWatch = time.Minute
@@ -403,8 +404,8 @@
 }
 
 // catalogInterval returns the time until the catalog is read again. The leader needs current prices
-// and reads about once a minute; the other controllers together read about twice a minute. Jitter
-// keeps them from reading at the same moment.
+// and reads about once a minute. The other controllers together read two or three times a minute if
+// there are several, however many there are. Jitter keeps them from reading at the same moment.
 func (n *Node) catalogInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -20,14 +20,15 @@
 	// leaderBatchInterval is how long the leader collects checks, its own and those of the other
 	// controllers, before it compares them in one request.
 	leaderBatchInterval = 100 * time.Millisecond
-	// maxBatchInterval limits the interval of a controller that compares without a leader. That
-	// interval is leaderBatchInterval times the number of controllers, so that all of them
-	// together compare as often as a leader would. Users wait 2 s for an answer.
+	// maxBatchInterval limits the interval of a controller that compares without a leader,
+	// because users wait 2 s for an answer. The interval is leaderBatchInterval times the number
+	// of controllers, so that all of them together compare as often as a leader would.
 	maxBatchInterval = 600 * time.Millisecond
 	// leaderAnswerTimeout is how long this controller waits for the leader's answer. It leaves
 	// time for the controller to compare by itself.
 	leaderAnswerTimeout = 900 * time.Millisecond
-	// siblingCheckTimeout is how long another controller's check is of use after it arrived.
+	// siblingCheckTimeout is how long after its arrival another controller's question is worth
+	// an answer.
 	siblingCheckTimeout = time.Second
 )
 
@@ -108,7 +109,7 @@
 }
 
 // stillOpen checks whether a job's open record still has the given version. The comparison begins
-// after the call, so the answer is as recent as that of a read.
+// after the call, so its answer is as recent as that of a read would be.
 func (oc *openChecker) stillOpen(ctx context.Context, g jobs.Guard) jobs.Result {
 	if res := oc.askLeader(ctx, g); res.Outcome != jobs.Failed {
 		return res
@@ -189,8 +190,8 @@
 	return a
 }
 
-// compareHere makes a check with this controller's own comparison. The result is Busy if the
-// context ends first.
+// compareHere adds a check to this controller's own next comparison and waits for its result. The
+// result is Busy if the context ends first.
 func (oc *openChecker) compareHere(ctx context.Context, g jobs.Guard) jobs.Result {
 	result := make(chan jobs.Result, 1)
 	oc.mu.Lock()
@@ -291,8 +292,9 @@
 }
 
 // handleQuestions answers another controller's questions. A job that is known to be done needs no
-// comparison, because that never changes. A cancellation is compared all the same: the controller
-// that reports it to a user must first read the final record itself and record that it did.
+// comparison, because that never changes. A job that is known to be cancelled is compared all the same:
+// the controller that reports the cancellation to a user must first read the final record itself and
+// record the cancellation in its own log.
 func (l *leadership) handleQuestions(memberLink *link, questions []*peerpb.Question) {
 	for _, question := range questions {
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -72,8 +72,7 @@
 	chunk     dispatcher.ChunkID
 	firstTask int32 // index of the task of its first bit
 	bits      []byte
-	// version of the record
-	version uint64
+	version   uint64 // of the record
 }
 
 // read reads the machine records, the open jobs and their progress.
@@ -307,13 +306,13 @@
 	dl.lead.node.requestCycle()
 }
 
-// openWatchFailureLimit is how long a leader may be served by the state service without an answer about
-// the open jobs. It covers several requests, each of which may take seconds.
+// openWatchFailureLimit is how long the state service may be reachable without answering a leader's
+// requests about the open jobs. It covers several requests, each of which may take seconds.
 const openWatchFailureLimit = 10 * time.Second
 
-// openWatchFailing reports whether the state service has for long served this leader but not its
-// requests about the open jobs. Another leader may then learn of new submissions. In an outage of the
-// state service no other leader would, so that does not count.
+// openWatchFailing reports whether the state service has long been reachable for this leader without
+// answering its requests about the open jobs. Another leader may then learn of new submissions. In an
+// outage of the state service no leader would, so an outage does not count.
 func (dl *dispatchLoop) openWatchFailing(now time.Duration) bool {
 	if now-dl.openJobsAsOf <= dl.lead.node.cfg.Cluster.StalenessBound() || dl.lead.node.health.stateUnreachable(now) {
 		dl.openWatchFailingSince = 0
--- a/internal/node/rentals.go
+++ b/internal/node/rentals.go
@@ -45,20 +45,22 @@
 
 const (
 	// unaccountedShareEarly and unaccountedShareLate are the largest shares of all machines
-	// that are returned because they are unaccounted: the smaller one once all of them have left
-	// a command unanswered, the larger one once every live worker must have reported. A zone
-	// that is cut off exceeds both, and its leases have to expire.
+	// that are returned because they are unaccounted. The smaller one applies once all of these
+	// machines have left a command unanswered, the larger one once every live worker must have
+	// reported. The machines of a zone that is cut off exceed both, so the leader waits for
+	// their leases to expire.
 	unaccountedShareEarly = 0.02
 	unaccountedShareLate  = 0.15
-	// rentMaxOpenJobsAge is the age of the open jobs, as last read from the state service, beyond
-	// which the leader rents nothing: a machine gets tasks only once its record is stored.
+	// rentMaxOpenJobsAge is how long ago the open jobs may have been read for the leader to rent
+	// machines. A machine gets tasks only once its record is stored, which is not possible while
+	// the state service does not answer.
 	rentMaxOpenJobsAge = 15 * time.Second
 )
 
 // returnUnaccounted returns the machines of earlier terms whose workers neither report nor answer
-// commands, if they are few. All jobs of earlier terms wait until these machines are accounted for.
-// Returning them ends that wait sooner than the expiry of their leases, because a returned machine
-// is certainly gone.
+// commands, if they are few. All jobs of earlier terms wait until these machines are accounted for, and
+// a few machines are worth less than that wait. Returning them ends it sooner than the expiry of their
+// leases would, because a returned machine is certainly gone.
 func (rm *rentalManager) returnUnaccounted(now time.Duration) {
 	if rm.lead.dispatchLoop.recovered || rm.returningUnaccounted {
 		return
@@ -118,9 +120,9 @@
 	rm.lead.node.requestCycle()
 }
 
-// shouldReturnUnreachable reports whether unreachable machines should be returned: whether a worker's lease
-// lasts so much longer than it takes to detect that the worker does not answer that its tasks
-// should not wait for the lease to expire.
+// shouldReturnUnreachable reports whether unreachable machines should be returned before their leases
+// expire. That is so if a lease lasts much longer than it takes to detect that a worker does not answer:
+// then the worker's tasks should not wait for the expiry.
 func (rm *rentalManager) shouldReturnUnreachable() bool {
 	params := rm.lead.node.shardParams()
 	return params.MaxLease-params.OverdueAfter()-directTimeout > 15*time.Second
@@ -190,7 +192,7 @@
 		askedAt := n.now()
 		list, err := n.cloud.List(rm.lead.ctx)
 		if rm.lead.ctx.Err() == nil {
-			n.failures.record("machine list not read", err)
+			n.failures.record("failed to read the list of machines", err)
 		}
 		if err != nil {
 			sleep(rm.lead.ctx, time.Second)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	rejoinGrace = 4 * time.Second        // a controller that lost its shard mostly has a new one by then
+	rejoinGrace = 4 * time.Second        // a controller that lost its shard usually has a new one by then
 	rejoinWait  = 900 * time.Millisecond // how long a report waits for that shard
 )
 
@@ -38,11 +38,12 @@
 	}
 	answer, redirectTo, unowned := n.handleReport(report)
 	if !answer.OK && unowned && (n.lead != nil || n.local.leaderQueue != nil) {
-		// Wait for the leader to say which shard owns the machine.
+		// Wait until the leader has decided which shard owns the machine, which takes a moment.
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if !answer.OK && n.local != nil && n.local.shard.Verifying(n.now(), report.Machine.ID) {
-		// The worker is being asked, to verify that it receives messages. Wait for its answer.
+		// The shard is verifying that the worker receives messages. Wait for the worker's answer,
+		// which usually arrives at once.
 		answer, redirectTo = n.handleReportLater(ctx, report)
 	}
 	if answer.OK {
@@ -51,7 +52,7 @@
 	n.stats.Redirected++
 	if redirectTo == "" && n.local == nil && n.lead == nil && n.now()-n.localDroppedAt >= rejoinGrace {
 		// This controller has had no shard for longer than it takes to join a leader. The
-		// leader can serve the worker, unless the last link to it has ended.
+		// leader can serve the worker, unless the last link that ended was the one to it.
 		if redirectTo = n.election.Holder(); redirectTo == n.cfg.HostName ||
 			redirectTo != n.leader && n.lastLinkHost == redirectTo {
 			redirectTo = ""
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// starvationMetrics export, on the leader, the share of jobs of each class, team and size that have begun
-// and their longest wait.
+// starvationMetrics exports, on the leader, for each class, team and size of jobs the share that have
+// begun and their longest wait.
 type starvationMetrics struct {
 	node                *Node
 	begunShare, longest *prometheus.Desc
--- a/internal/node/storewrites.go
+++ b/internal/node/storewrites.go
@@ -26,7 +26,8 @@
 	writes(now time.Duration, class writequota.Class, limit int) []storeWrite
 }
 
-// storeWrite is a transaction of the leader. Its own guards are added to the guard on the leader key.
+// storeWrite is a write of a component. Its transaction has the guards given here besides the guard on
+// the leader key.
 type storeWrite struct {
 	guards    []wire.Guard
 	ops       []wire.Op
@@ -48,7 +49,8 @@
 // maxWritesPerFlush is the maximum number of writes of one class of a component per flush.
 const maxWritesPerFlush = 32
 
-// flushWrites stores what the components have to store, the most urgent class first, within the quota.
+// flushWrites starts the writes that the components have to make, the most urgent class first, within
+// the quota.
 func (l *leadership) flushWrites(now time.Duration) {
 	for class := writequota.FinalRecords; class <= writequota.OperatorRecords; class++ {
 		for _, comp := range l.components {
@@ -101,8 +103,8 @@
 }
 
 // readVersion reads the version of a key whose guard may have failed, 0 if the key is absent. It does not
-// check whether the guard on the leader key failed instead: this term has then ended, and the outcome of
-// its writes no longer matters.
+// check whether the guard on the leader key failed instead: in that case the term has ended, and the
+// outcome of its writes no longer matters.
 func (l *leadership) readVersion(ctx context.Context, key string) (known bool, version uint64) {
 	item, err := l.node.state.Get(ctx, key)
 	if err != nil {
--- a/internal/node/teams.go
+++ b/internal/node/teams.go
@@ -22,8 +22,8 @@
 
 func teamKey(name string) string { return teamPrefix + url.PathEscape(name) }
 
-// teamAuditName returns the name that stands for a team in the audit log. It differs from all plans'
-// names, which contain no space.
+// teamAuditName returns the name that stands for a team in the audit log. It can't be a plan's name,
+// because those contain no space.
 func teamAuditName(name string) string { return "team " + name }
 
 // storedTeam is the stored change of one team.
@@ -33,8 +33,8 @@
 	version uint64
 }
 
-// readTeams lists the stored changes of teams. Those of teams that are no longer in the platform
-// file are ignored, and stay stored.
+// readTeams lists the stored changes of teams. It ignores those of teams that are no longer in the
+// platform file, but leaves them stored.
 func (dm *drainManager) readTeams(ctx context.Context) (out []storedTeam, err error) {
 	_, err = dm.lead.node.state.List(ctx, teamPrefix, func(item *wire.Item) error {
 		name, err := url.PathUnescape(strings.TrimPrefix(item.Key, teamPrefix))
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -180,7 +180,7 @@
 		switch {
 		case answer.RateLimited:
 			return Reply{Status: http.StatusServiceUnavailable, OverRate: true,
-				Err: "the state service is asked for more than it serves"}
+				Err: "the state service's request rate is exhausted"}
 		case answer.Status == http.StatusServiceUnavailable:
 			return unavailable("the state service does not answer")
 		case answer.Status == http.StatusUnprocessableEntity:
@@ -222,8 +222,7 @@
 }
 
 // mayReportQueued reports whether an open job may be reported to users as queued. For a job that
-// waits for dependencies, none of which may have been cancelled too long ago, that has to be
-// confirmed.
+// waits for dependencies it must first be confirmed that none of them was cancelled too long ago.
 func (n *Node) mayReportQueued(id model.JobID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -234,14 +233,14 @@
 	return !onHold || n.queuedConfirmed(n.now(), id)
 }
 
-// answerInDoubt answers for a waiting job that may not be reported as queued. If it is certainly
-// going to be cancelled it is reported as cancelled, else the request fails.
+// answerInDoubt answers for a waiting job that may not be reported as queued. If the job is certain to
+// be cancelled it is reported as cancelled, else the request fails.
 func (n *Node) answerInDoubt(id model.JobID) Reply {
 	n.mu.Lock()
 	cancelled := n.cancelledConfirmed(n.now(), id)
 	n.mu.Unlock()
 	if !cancelled {
-		// A dependency may have been cancelled longer ago than reports to users may lag.
+		// A dependency may have been cancelled longer ago than a reported state may lag behind.
 		return unavailable("no leader has reported cancellations for too long")
 	}
 	n.addFinal(id, jobs.Cancelled)
