--- a/internal/node/dispatchloop.go
+++ b/internal/node/dispatchloop.go
@@ -84,8 +84,8 @@
 	dl.dispatchDuration = dl.lead.node.now() - began
 }
 
-// exchangeMessages passes the dispatcher's orders to the shards, and the own shard's events to the
-// dispatcher, until there are no more.
+// exchangeMessages passes the dispatcher's orders to the shards, and the events of the leader's own shard
+// to the dispatcher, until there are no more.
 func (dl *dispatchLoop) exchangeMessages(now time.Duration) {
 	local := dl.lead.node.local.shard
 	for {
--- a/internal/node/leadership.go
+++ b/internal/node/leadership.go
@@ -275,8 +275,8 @@
 }
 
 // tick is called a few times a second. It resigns leadership if another controller would serve better.
-// Otherwise it extends the own shard's grant, and once the stored state has been read it ticks the
-// components and stores their writes.
+// Otherwise it extends the grant of the leader's own shard, and once the stored state has been read it
+// ticks the components and starts their writes.
 func (l *leadership) tick(now time.Duration) {
 	if l.loaded {
 		l.dispatchLoop.updateOpenJobsView(now)
--- a/internal/node/localshard.go
+++ b/internal/node/localshard.go
@@ -32,7 +32,7 @@
 	leaderQueue       *peer.Queue // nil on the leader itself, and when the link is lost
 	codec             *peer.Codec
 	lastTick          time.Duration
-	statusDue         bool                     // the next tick sends the shard's status to the leader
+	statusDue         bool                     // the next tick of a member sends the shard's status to the leader
 	grantRequestsSent map[uint64]time.Duration // when each unanswered grant request was sent, by its number
 	// loggedGrant is whether the shard had a grant when that was last logged.
 	loggedGrant        bool
@@ -155,7 +155,7 @@
 }
 
 // tickMember is called a few times a second on a member. Every statusInterval it advances the shard,
-// requests a grant from the leader if that is due, and reports the shard's status if that is due.
+// requests a grant from the leader when that is due, and reports the shard's status when it is due.
 func (n *Node) tickMember(now time.Duration) {
 	local := n.local
 	if now-local.lastTick < statusInterval {
--- a/internal/node/openchecker.go
+++ b/internal/node/openchecker.go
@@ -300,7 +300,8 @@
 		g := jobs.Guard{Job: model.JobID(question.GetJob()), Version: question.GetVersion()}
 		if l.node.cachedFinals[g.Job] == jobs.Done {
 			answer := answerToPeer(question.GetId(), jobs.Result{Outcome: jobs.Conflict, Stage: jobs.Done})
-			memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
+			memberLink.queue.Send(&peerpb.Down{Msg: &peerpb.Down_Answers{
+				Answers: &peerpb.Answers{Answers: []*peerpb.Answer{answer}}}})
 			continue
 		}
 		l.node.openChecker.compareForSibling(memberLink, question.GetId(), g)
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -25,6 +25,7 @@
 	begunShare, longest *prometheus.Desc
 }
 
+// newStarvationMetrics returns the collector of the node's starvation metrics.
 func newStarvationMetrics(n *Node) *starvationMetrics {
 	return &starvationMetrics{n, prometheus.NewDesc("honeylock_begun_share",
 		"Part of the jobs that have begun, of those that have or should have, by what they have in common.",
--- a/internal/node/users_test.go
+++ b/internal/node/users_test.go
@@ -10,7 +10,8 @@
 )
 
 // An answer that was determined before this controller reported the job's end to another user, and is
-// sent after that, also reports the end. Otherwise the later answer would have the older state.
+// sent after that, also reports the end. Otherwise the later of two answers, on different connections,
+// would have the older state.
 func TestAnswerNotOlderThanReportedEnd(t *testing.T) {
 	const job = model.JobID(412)
 	for _, end := range []jobs.Stage{jobs.Done, jobs.Cancelled} {
