--- a/internal/node/jobops.go
+++ b/internal/node/jobops.go
@@ -118,21 +118,22 @@
 func (n *Node) cacheOpenRecord(id model.JobID, version uint64, hasDependencies bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.openRecords) >= maxCachedFinals {
+	if len(n.openRecords) >= maxCachedJobs {
 		clear(n.openRecords) // the records are read again when needed
 	}
 	n.openRecords[id] = openRecordInfo{version, hasDependencies}
 }
 
 // cacheRemovedRecords remembers the open records of jobs that the leader reported before but no
-// longer reports. Their users will poll once more, and for a job that the leader has completed it
-// then answers without a request to the state service. Called under the lock.
+// longer reports. Their users will poll once more. With the cached version this controller can then ask
+// the leader, which answers for a job that it has completed without a request to the state service.
+// Called under the lock.
 func (n *Node) cacheRemovedRecords(previous map[model.JobID]jobProgress) {
 	for id, p := range previous {
 		if _, open := n.progress[id]; open || p.version == 0 {
 			continue
 		}
-		if _, ended := n.cachedFinals[id]; !ended && len(n.openRecords) < maxCachedFinals {
+		if _, ended := n.cachedFinals[id]; !ended && len(n.openRecords) < maxCachedJobs {
 			n.openRecords[id] = openRecordInfo{p.version, p.onHold}
 		}
 	}
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -18,13 +18,14 @@
 	}
 }
 
-// starvationMetrics export, on the leader, the share of jobs of each class, team and size that have begun
-// and their longest wait.
+// starvationMetrics exports, on the leader, for each class, team and size of jobs the share that have
+// begun and their longest wait.
 type starvationMetrics struct {
 	node                *Node
 	begunShare, longest *prometheus.Desc
 }
 
+// newStarvationMetrics returns the collector of the node's starvation metrics.
 func newStarvationMetrics(n *Node) *starvationMetrics {
 	return &starvationMetrics{n, prometheus.NewDesc("honeylock_begun_share",
 		"Part of the jobs that have begun, of those that have or should have, by what they have in common.",
