--- a/internal/core/cancellog/cancellog.go
+++ b/internal/core/cancellog/cancellog.go
@@ -1,11 +1,11 @@
 // Package cancellog keeps the leader's view of the open jobs recent while the state service is out.
-// Once a user has been told that a job is cancelled, the leader must not treat it as open. So each
-// controller logs the cancellations that it has acknowledged, and sends the leader that log.
-// Once all controllers have, the leader knows every cancellation acknowledged up to some time, and its
-// view is as recent as the oldest of these logs.
+// After a cancellation has been acknowledged to a user, the leader must not treat the job as open. So
+// each controller logs the cancellations that it has acknowledged, and sends the log to the leader.
+// With the logs of all controllers the leader knows every cancellation acknowledged up to some time,
+// and its view is as recent as the oldest of these logs.
 //
-// Only acknowledged cancellations matter. A job that is stored as cancelled may run on until a user
-// is told so.
+// Only acknowledged cancellations matter. A job that is stored as cancelled may continue to run until
+// a user is informed.
 //
 // The types are state machines without input or output; times are those of the monotonic clock.
 package cancellog
@@ -43,8 +43,8 @@
 	return &Log{completeSince: now, acknowledged: map[model.JobID]bool{}}
 }
 
-// Acknowledge records that a user is about to be told that a job is cancelled. It removes entries that
-// are too old or too many.
+// Acknowledge records that the cancellation of a job is about to be acknowledged to a user. It removes
+// entries that are too old, and the oldest if there are too many.
 func (l *Log) Acknowledge(now time.Duration, job model.JobID) {
 	if !l.acknowledged[job] {
 		l.acknowledged[job] = true
--- a/internal/core/disruption/disruption.go
+++ b/internal/core/disruption/disruption.go
@@ -1,12 +1,11 @@
 // Package disruption limits how much of each team's running work the scheduler disrupts. A budget
-// bounds how many tasks are interrupted at once and how much work is lost in a window of time.
-// Whatever moves a running task voluntarily must be granted the move by all budgets of the task first.
-// Evictions and failures are not asked, but count against the same budgets, so that voluntary moves
-// yield to them.
+// bounds how many tasks are interrupted at once and how much work is lost in a window of time. A
+// voluntary move of a running task needs a grant from all budgets that cover the task. Evictions and
+// failures need none, but count against the same budgets, so that voluntary moves yield to them.
 //
 // It is a state machine that runs on the leader, without input or output; its times are those of the
-// monotonic clock. Nothing of it is stored: a new leader counts as interrupted every task that it
-// can't show to be running, which can only be too many (docs/disruption.md).
+// monotonic clock. Nothing of it is stored. A new leader counts every task as interrupted that it does
+// not know to be running, so its count is never too low (docs/disruption.md).
 package disruption
 
 import (
@@ -45,7 +44,7 @@
 const (
 	PlanDrain  Cause = iota // an operator's drain plan moves it
 	PriceDrain              // its machine is drained for its price
-	Evicted                 // it gave way to work of a higher price
+	Evicted                 // evicted for a task with a higher price
 	Lost                    // its machine failed, was reclaimed, or is unreachable
 	Unknown                 // from before this leader's term, when the cause is not known
 	NumCauses               // number of causes
@@ -60,8 +59,8 @@
 // Label returns the cause's label in metrics.
 func (c Cause) Label() string { return [...]string{"plan", "price", "evicted", "lost", "unsure"}[c] }
 
-// interruption is the state of a task that is interrupted, or has not yet made up for the run time that
-// it lost.
+// interruption is the state of a task that is interrupted, or that runs again but has not yet repeated
+// the run time that it lost.
 type interruption struct {
 	spec        *model.Spec
 	cause       Cause
@@ -112,7 +111,7 @@
 		TeamName: func(model.Name) string { return "its team" }}
 }
 
-// Enabled reports whether there is any budget. Without one it needs no events.
+// Enabled reports whether there is any budget. Without one the tracker needs no events.
 func (tracker *Tracker) Enabled() bool { return tracker != nil && len(tracker.budgets) > 0 }
 
 // teamCounts returns the team's counts, and adds them if there are none.
@@ -252,8 +251,8 @@
 	return usage
 }
 
-// describe completes a message with the number of interrupted tasks by cause, and when the first of
-// them has recovered.
+// describe returns a message that begins with what, followed by the number of interrupted tasks by
+// cause and the time until the first of them has recovered.
 func (u *usage) describe(now time.Duration, what string) string {
 	s := what + " out of work ("
 	first := true
@@ -318,8 +317,8 @@
 // TaskResumed records that a task runs again. It counts as interrupted until it has repeated the run
 // time that it lost.
 func (tracker *Tracker) TaskResumed(now time.Duration, task model.Task) {
-	if o := tracker.interruptions[task]; o != nil && o.recoveredAt == 0 {
-		o.recoveredAt = now + o.lostRunTime
+	if current := tracker.interruptions[task]; current != nil && current.recoveredAt == 0 {
+		current.recoveredAt = now + current.lostRunTime
 	}
 }
 
@@ -336,10 +335,11 @@
 	maps.DeleteFunc(tracker.moveCounts, func(t model.Task, _ int) bool { return over(t) })
 }
 
-// expire forgets tasks that have made up for what they lost, and losses older than the longest window.
+// expire forgets tasks that have repeated the run time that they lost, and losses older than the
+// longest window.
 func (tracker *Tracker) expire(now time.Duration) {
-	for t, o := range tracker.interruptions {
-		if o.recoveredAt > 0 && now >= o.recoveredAt {
+	for t, current := range tracker.interruptions {
+		if current.recoveredAt > 0 && now >= current.recoveredAt {
 			delete(tracker.interruptions, t)
 		}
 	}
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -8,7 +8,7 @@
 	"honeylock/internal/core/model"
 )
 
-// taskListMaxReports is how many report intervals a machine's task list counts as current.
+// taskListMaxReports is the number of report intervals for which a machine's task list is current.
 const taskListMaxReports = 5
 
 // requestTaskList asks the machine's owner which tasks are on it, at most once in two report
@@ -51,7 +51,7 @@
 func (e *Engine) blockedReason(v *View, p *Plan, id model.MachineID, capacity *freeCapacity) string {
 	m := v.Machines[id]
 	if !m.Reported {
-		return "no controller has told how it is"
+		return "no controller has reported its state"
 	}
 	if reason := freeCapacityBlocker(v, p, capacity, id); reason != "" {
 		return reason
@@ -62,7 +62,7 @@
 	if len(p.Windows) > 0 {
 		list, fresh := e.freshTaskList(v.Now, id)
 		if !fresh {
-			return "its controller has not told what runs there"
+			return "its controller has not listed its tasks"
 		}
 		for i := range list.tasks {
 			if !p.movesTasksOf(list.tasks[i].spec) {
@@ -106,15 +106,14 @@
 	return ""
 }
 
-// Quantiles of run times: the fraction of a class's tasks that take no longer than the time reckoned
-// with.
+// Quantiles of run times: the fraction of a class's tasks that take no longer than the estimate.
 const (
 	pessimisticQuantile = 0.9
 	medianQuantile      = 0.5
 )
 
-// windowBlocker returns a reason if a task that is stopped here and continues elsewhere would end past
-// a window that it would meet where it is.
+// windowBlocker returns a reason if a task would meet a window where it runs now, but miss it if it
+// moved to another machine.
 func windowBlocker(v *View, p *Plan, task *runningTask) string {
 	movedEnd := v.Wall.Add(v.runTimeElsewhere(task, pessimisticQuantile))
 	w, limit := p.missedWindow(v.Wall, task.spec, v.Wall.Add(v.remainingRunTime(task, medianQuantile)), movedEnd)
@@ -133,9 +132,9 @@
 	return t.Format("15:04:05")
 }
 
-// waitingTasksBlocker returns a reason if the waiting tasks of a job would end past a window without
-// the machine's capacity, though not with it. It assumes that they have the whole remaining capacity
-// to themselves, so it blocks only what would be late even in the best case.
+// waitingTasksBlocker returns a reason if the waiting tasks of a job would meet a window with the
+// machine's capacity, but miss it without. It assumes that no other job uses the remaining capacity,
+// so it blocks a drain only if the tasks would be late even in the best case.
 func waitingTasksBlocker(v *View, p *Plan, capacity *freeCapacity, id model.MachineID) string {
 	for _, job := range v.Jobs {
 		waiting := int64(job.UnfinishedTasks - job.RunningTasks)
@@ -146,14 +145,14 @@
 		w, limit := p.missedWindow(v.Wall, job.Spec, estimateEnd(v, job.Spec, waiting, capacity.maxTasks(job.Spec, 0)),
 			endWithout)
 		if w != nil {
-			return fmt.Sprintf("%s has %d tasks waiting and would end at %s without its room, past %s at %s",
+			return fmt.Sprintf("%s has %d tasks waiting and would end at %s without this machine, past %s at %s",
 				v.JobName(job.Spec.ID), waiting, formatClock(endWithout, w), w.Name, formatClock(limit, w))
 		}
 	}
 	return ""
 }
 
-// estimateEnd estimates when a number of tasks end, if atOnce of them run at a time.
+// estimateEnd estimates when the last of a number of tasks ends if atOnce of them run at a time.
 func estimateEnd(v *View, spec *model.Spec, tasks, atOnce int64) time.Time {
 	rounds := (tasks + max(1, atOnce) - 1) / max(1, atOnce)
 	return v.Wall.Add(time.Duration(rounds) * v.totalRunTime(spec, pessimisticQuantile))
@@ -164,7 +163,7 @@
 	step, status := &p.Steps[i], &p.runtime[i]
 	m := v.Machines[step.Machine]
 	if !m.Reported {
-		status.blockedReason = "no controller has told how it is"
+		status.blockedReason = "no controller has reported its state"
 		return
 	}
 	if p.Phase == Paused {
@@ -194,9 +193,9 @@
 	return e.moveCapacity
 }
 
-// moveTasks recalls the tasks that the plan moves, if they fit elsewhere, miss no window by it, and
-// their disruption budget grants it. Replicas of a service move one at a time, and only while all of
-// them run. The reasons for tasks that stay become the step's blocker.
+// moveTasks recalls the tasks that the plan moves, if they fit on another machine, miss no window
+// because of the move, and their disruption budgets grant it. Replicas of a service move one at a time,
+// and only while all of them run. The reasons for tasks that stay become the step's blocker.
 func (e *Engine) moveTasks(v *View, p *Plan, i int, tasks []runningTask) {
 	id, capacity := p.Steps[i].Machine, e.capacityForMoves(v)
 	var blockers []string
@@ -227,7 +226,7 @@
 			}
 			continue
 		}
-		moving[task.spec.ID], task.Stopping = true, true // until the next task list
+		moving[task.spec.ID], task.Stopping = true, true // the next task list replaces the latter
 		if task.spec.Daemon {
 			e.lastReplicaMove[task.spec.ID] = v.Now
 		}
--- a/internal/core/drain/plan.go
+++ b/internal/core/drain/plan.go
@@ -102,15 +102,15 @@
 func (s *Spec) Limit(spec *model.Spec) (limit time.Time, window string, ok bool) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
-		if at, is := w.limitFor(spec); is && w.appliesTo(spec) && (!ok || at.Before(limit)) {
+		if at, hasLimit := w.limitFor(spec); hasLimit && w.appliesTo(spec) && (!ok || at.Before(limit)) {
 			limit, window, ok = at, w.Name, true
 		}
 	}
 	return limit, window, ok
 }
 
-// missedWindow returns a window that is still to come and that the job meets if it ends at kept, but
-// misses if it ends at missed; nil if there is none.
+// missedWindow returns a window whose limit has not passed yet, and that limit. The job meets the
+// window if it ends at kept, but misses it if it ends at missed. The result is nil if there is none.
 func (s *Spec) missedWindow(now time.Time, spec *model.Spec, kept, missed time.Time) (*Window, time.Time) {
 	for i := range s.Windows {
 		w := &s.Windows[i]
@@ -138,8 +138,8 @@
 
 // movesTasksOf reports whether the plan moves the job's running tasks.
 func (s *Spec) movesTasksOf(spec *model.Spec) bool {
-	h := s.leaveMode(spec)
-	return h == Move || h == MoveSaved && spec.CheckpointInterval > 0
+	mode := s.leaveMode(spec)
+	return mode == Move || mode == MoveSaved && spec.CheckpointInterval > 0
 }
 
 // Phase is a plan's overall state. Its values are stored.
@@ -203,9 +203,9 @@
 	generation        uint64        // incremented with every change of what is stored
 	storedGeneration  uint64        // the newest generation that is known to be stored
 	writingGeneration uint64        // the generation being written, 0: none
-	unsupportedReason string        // why this release leaves the plan alone; "": it doesn't
+	unsupportedReason string        // why this release can't change the plan; "" if it can
 	runtime           []stepRuntime // of each step
-	soakingSince      time.Duration // when the first wave not passed was done; 0: it is not
+	soakingSince      time.Duration // when the steps of the first wave not passed ended; 0: not yet
 }
 
 // stepRuntime is what this leader knows of a step. It is not stored.
@@ -233,7 +233,7 @@
 	return true
 }
 
-// setState changes a step's state. All that is known of the step except its replacement starts over.
+// setState changes a step's state and clears what is known of the step except its replacement.
 func (p *Plan) setState(now time.Duration, i int, s State) {
 	p.Steps[i].State = s
 	p.runtime[i] = stepRuntime{stateSince: now, replacement: p.runtime[i].replacement}
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -79,12 +79,12 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(record.Z)), 1<<20))
 	if err != nil {
-		return nil, fmt.Errorf("its packed record is unreadable: %w", err)
+		return nil, fmt.Errorf("its compressed record is unreadable: %w", err)
 	}
 	return b, nil
 }
 
-// maxRecordSize estimates the largest compressed record that a plan may come to have. It encodes the
+// maxRecordSize estimates the size of the largest compressed record that a plan may need. It encodes the
 // plan with random step states, which compress worst, and with long texts.
 func maxRecordSize(spec *Spec, source []byte) int {
 	p := Plan{Spec: *spec, UID: "18446744073709551615-1", Source: source, By: "somebody-with-a-name",
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// Export returns a plan under way as it would be stored now, for a forecast.
+// Export returns a plan that has not ended as it would be stored now, for a forecast.
 func (e *Engine) Export(name string) (StoredPlan, *Spec, error) {
 	p, err := e.editablePlan(name)
 	if err != nil {
--- a/internal/core/drain/status.go
+++ b/internal/core/drain/status.go
@@ -12,11 +12,11 @@
 	Phase         Phase
 	By            string
 	At            time.Time
-	Note          string         // why this release leaves the plan alone, why a gate closed, or that a write is pending
+	Note          string         // why the plan can't be changed here, why a gate closed, or that a write is pending
 	Counts        map[string]int // number of steps by state
 	BlockedReason string         // of the first step that is blocked
 	// SlowestMachine is the machine that has been in its present state for longest, if for more than
-	// slowestAfter: it probably holds the plan up.
+	// slowestAfter. It probably delays the plan.
 	SlowestMachine model.MachineID
 	SlowestFor     time.Duration
 	Steps          []StepStatus
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// advancePriceDrains advances the drains of machines that cost too much: empty machines are returned
-// to the cloud, tasks are moved off the others, and machines that are gone are forgotten.
+// advancePriceDrains advances the drains of machines that cost too much. It returns empty machines to
+// the cloud, moves tasks off the others, and forgets machines that no longer exist.
 func (e *Engine) advancePriceDrains(v *View) {
 	for _, id := range sortedIDs(e.priceDrains) {
 		m, ok := v.Machines[id]
@@ -120,7 +120,7 @@
 		}
 	}
 	if !p.synced() {
-		return // the state must be stored before anything is done on it
+		return
 	}
 	e.startSteps(v, p)
 	for i := range p.Steps {
@@ -222,7 +222,7 @@
 	if status.replacement != 0 {
 		replacement, ok := v.Machines[status.replacement]
 		switch {
-		case p.Phase != Active:
+		case p.Phase != Active: // a paused plan starts no drain
 		case ok && replacement.Reported && replacement.Ready:
 			if reason := e.blockedReason(v, p, step.Machine, v.freeCapacity(e.plannedCordons())); reason != "" {
 				status.blockedReason = reason
@@ -246,20 +246,20 @@
 	}
 }
 
-// advanceReturning asks the cloud to take an empty machine back until it has done so. A new leader may
-// have placed tasks there before it read the plan. So the machine is checked for tasks again: if it
-// has any, it is drained again, or abandoned if the plan was cancelled.
+// advanceReturning asks the cloud to take an empty machine back until it has done so. It checks the
+// machine for tasks again, because a new leader may have placed some there before it read the plan. A
+// machine with tasks is drained again, or abandoned if the plan was cancelled.
 func (e *Engine) advanceReturning(v *View, p *Plan, i int) {
 	status := &p.runtime[i]
 	m := v.Machines[p.Steps[i].Machine]
 	switch {
-	case status.requestPending:
+	case status.requestPending: // the cloud has not answered yet
 	case m.Reported && m.Slots > 0 && p.Phase == Cancelled:
 		p.setState(v.Now, i, Abandoned)
 	case m.Reported && m.Slots > 0:
 		p.setState(v.Now, i, Draining)
 	case !e.isEmpty(v.Now, &m):
-		status.blockedReason = "its controller has not told that it is empty"
+		status.blockedReason = "its controller has not confirmed that it is empty"
 	case status.lastAnswerAt == 0 || v.Now-status.lastAnswerAt >= time.Second:
 		status.requestPending = true
 		e.emit(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
--- a/internal/core/drain/view.go
+++ b/internal/core/drain/view.go
@@ -27,7 +27,7 @@
 	// be, else the reason. nil: there are no budgets.
 	RequestMove func(request MoveRequest) string
 	// EvaluateGate compares the machines that a plan has replaced or patched with all others; nil:
-	// there is no evidence yet.
+	// there are no statistics yet.
 	EvaluateGate func(g rollout.Gate, ids []model.MachineID) rollout.Verdict
 	// JobName returns a job's name for messages.
 	JobName func(model.JobID) string
@@ -77,18 +77,18 @@
 	tasks      []runningTask // without tasks whose job is unknown
 }
 
-// remainingRunTime is how much longer a task runs where it is, at a quantile.
+// remainingRunTime estimates how much longer a task runs where it is, at a quantile of run times.
 func (v *View) remainingRunTime(task *runningTask, quantile float64) time.Duration {
 	return max(0, v.totalRunTime(task.spec, quantile)-task.RunTime)
 }
 
-// totalRunTime is how long a task of the job runs in all, at a quantile.
+// totalRunTime estimates how long a task of the job runs in all, at a quantile of run times.
 func (v *View) totalRunTime(spec *model.Spec, quantile float64) time.Duration {
 	return time.Duration(float64(spec.Estimate) * v.RunTimeFactor(spec.Class, quantile))
 }
 
-// runTimeElsewhere is how long a task runs on another machine after it has been moved there, at a
-// quantile.
+// runTimeElsewhere estimates how long a task that is moved still runs on the other machine, at a
+// quantile of run times.
 func (v *View) runTimeElsewhere(task *runningTask, quantile float64) time.Duration {
 	if task.spec.CheckpointInterval > 0 { // it saves its progress when it is stopped
 		return v.remainingRunTime(task, quantile) + task.spec.CheckpointTime
@@ -103,8 +103,8 @@
 	total             model.Resources
 }
 
-// freeCapacity is the free capacity of the machines that may get tasks. It is computed once for all
-// questions of a tick.
+// freeCapacity is the free capacity of the machines that may get tasks. Computing it visits all
+// machines, so one value is used for many checks of a tick.
 type freeCapacity struct {
 	free           map[model.MachineID]model.Resources
 	order          []model.MachineID // IDs in ascending order; nil: not needed yet
@@ -168,8 +168,8 @@
 	return false
 }
 
-// maxTasks counts the job's tasks that fit on all machines at a time if these were empty, without the
-// excluded machine (0: none is excluded).
+// maxTasks returns how many of the job's tasks could run at a time if all machines except the excluded
+// one (0: none is excluded) were empty.
 func (c *freeCapacity) maxTasks(spec *model.Spec, excluded model.MachineID) int64 {
 	var n int64
 	for kind, count := range c.machinesByKind {
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -32,7 +32,7 @@
 			return limit, reason
 		}
 		p.passWave(w)
-		return limit, "" // passing the wave must be stored first
+		return limit, "" // the passed wave must be stored first
 	}
 	return len(p.Steps), ""
 }
@@ -55,7 +55,7 @@
 // gateBlocker returns why the gate keeps the plan from its next wave, "" if it does not. It closes the
 // gate, which pauses the plan, if at least a quarter of the new or patched machines are missing, if
 // at least 3 replacements never came up and these are at least half as many as the new machines, or if
-// the tasks on the new or patched machines fare worse than elsewhere.
+// tasks on the new or patched machines do worse than tasks on other machines, by the plan's gate.
 func (e *Engine) gateBlocker(v *View, p *Plan) string {
 	if p.Gate == nil {
 		return ""
@@ -65,7 +65,7 @@
 	}
 	machines := p.renewedMachines(v)
 	if n := countMissing(v, machines); n > 0 && 4*n >= len(machines) {
-		p.closeGate(fmt.Sprintf("%d of %d renewed machines don't report, or are held to be faulty", n, len(machines)))
+		p.closeGate(fmt.Sprintf("%d of %d renewed machines don't report, or are considered faulty", n, len(machines)))
 		return p.GateClosedReason
 	}
 	if n := p.failedRentals(); n >= 3 && 2*n >= len(machines) {
@@ -126,7 +126,7 @@
 	return n
 }
 
-// HasGate reports whether a plan under way has a gate, so that evidence about tasks must be collected.
+// HasGate reports whether a plan that has not ended has a gate, which needs statistics about tasks.
 func (e *Engine) HasGate() bool {
 	for _, p := range e.plans {
 		if p.unsupportedReason == "" && p.Gate != nil && !p.ended() {
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -72,17 +72,18 @@
 	nextRenewalAt    time.Duration // when the next renewal is due
 	leasesToRevoke   []uint64      // leases of this controller that must be ended
 
-	// ownPromiseUntil: this controller must not take leadership before, because a leader relies on
-	// its promise. A process that has just started may have promised in its previous run, so it
-	// waits for the length of a promise.
+	// ownPromiseUntil is the time before which this controller must not take leadership, because a
+	// leader relies on its promise. A process that has just started may have promised in its previous
+	// run, so it waits for the length of a promise.
 	ownPromiseUntil       time.Duration
 	promisedThisRun       bool          // has promised since the process started
 	siblingsPromisedUntil time.Duration // all siblings have promised not to take leadership before
 }
 
-// New returns the election of a follower. ttl is the length of the lease; stagger, which differs
-// between controllers, delays this one when a watch shows that the key is free; promise is the
-// length of promises, and now is the start of the process.
+// New returns the election of a follower. ttl is the length of the lease. stagger delays this
+// controller when a watch shows that the key is free; it differs between controllers, so that those
+// that see the free key at the same moment don't compete for it. promise is the length of promises,
+// and now is the start of the process.
 func New(host string, ttl, stagger, promise, now time.Duration) *Election {
 	return &Election{
 		host:                 host,
@@ -266,8 +267,7 @@
 		return []Op{{Verb: Acquire, Lease: r.Lease, Term: r.Op.Term, TermVersion: r.Op.TermVersion, SentAt: r.Op.SentAt}}
 	case Acquire:
 		if !r.OK || now < e.ownPromiseUntil {
-			// The transaction may still be applied later. Ending its lease makes it fail for
-			// ever.
+			// The transaction may still be applied later. It fails once its lease has ended.
 			e.leasesToRevoke = append(e.leasesToRevoke, e.lease)
 			e.lease = 0
 			break
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -122,8 +122,8 @@
 // Err returns why the plan can't be simulated.
 func (f *Forecast) Err() error { return f.err }
 
-// randomQuantile returns a random number from 0 to 1 for a task in the present run. It is the same
-// without and with the plan, so that the two differ by the plan alone.
+// randomQuantile returns a random number from 0 to 1 for a task in the present run: the quantile of its
+// run time. It is the same without and with the plan, so that the two differ by the plan alone.
 func (f *Forecast) randomQuantile(t model.Task) float64 {
 	rng := rand.New(rand.NewPCG(f.params.Seed+uint64(f.runIndex)*7919, uint64(t.Job)<<20^uint64(t.Index)))
 	return rng.Float64()
@@ -135,8 +135,8 @@
 	lost, refetch time.Duration // run time lost, and time to fetch images again
 }
 
-// DelayedJob is a job that the plan delays. Of its end and its delay it has the minimum, the median
-// and the maximum over all runs.
+// DelayedJob is a job that the plan delays. End and Delay hold the minimum, median and maximum over
+// all runs.
 type DelayedJob struct {
 	Spec           *model.Spec
 	End            [3]time.Duration // with the plan, from the start of the forecast
--- a/internal/core/forecast/run.go
+++ b/internal/core/forecast/run.go
@@ -36,7 +36,7 @@
 	return x
 }
 
-// job is a job in a simulated run.
+// job is the state of an open job in a simulated run.
 type job struct {
 	*Job
 	unfinished      int     // tasks not done
@@ -69,7 +69,7 @@
 	loadedMachines int                               // number of the snapshot's machines loaded into the simulation
 	loadedTasks    map[model.JobID]map[int32]bool    // tasks that run at the start, while machines are loaded
 
-	jobEnds        map[model.JobID]time.Duration // when jobs ended, from the start of the forecast
+	jobEnds        map[model.JobID]time.Duration // when jobs ended, since the start of the forecast
 	costs          map[model.JobID]cost
 	guaranteeWaits []time.Duration // longest wait for capacity within the guarantee, by team
 	planDuration   time.Duration   // 0: the plan has not ended yet
@@ -113,7 +113,7 @@
 // the largest known deployment, with 40,000 tasks, takes 100 ms, which is too long for one step.
 const machinesPerStep = 200
 
-// loadMachines loads some of the snapshot's machines with their tasks. It returns false if all were
+// loadMachines loads the next machines of the snapshot with their tasks. It returns false if all were
 // loaded before.
 func (r *run) loadMachines() bool {
 	all := r.forecast.snapshot.Machines
@@ -158,7 +158,7 @@
 	}
 }
 
-// queueWaiting makes all unfinished tasks wait that run on no machine.
+// queueWaiting adds the unfinished tasks that run on no machine to those that wait to be dispatched.
 func (r *run) queueWaiting() {
 	for _, j := range r.jobs {
 		remaining := j.unfinished - len(r.loadedTasks[j.Spec.ID])
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -1,5 +1,5 @@
 // Package jobs answers users' requests about jobs from the state service's records. A request is a
-// small state machine: it asks for one store operation after the other until it has an answer.
+// small state machine: it returns one store operation after the other until it has an answer.
 //
 // A job has an open record from its acceptance until it ends, and a final record ever after; one
 // transaction replaces the former by the latter. So reading the open record and then the final one
@@ -67,7 +67,7 @@
 	Missing          // read: there is no such record
 	Conflict         // transaction or comparison: a guard failed
 	Failed           // refused, or it is not known whether it took effect
-	Busy             // not sent, because the state service is over its rate
+	Busy             // not sent, because the state service's rate is exhausted
 )
 
 // Result is the result of an operation.
@@ -195,8 +195,8 @@
 			return Op{}, &Answer{Status: http.StatusOK, Stage: res.Stage}
 		}
 		if r.believedEnded {
-			// Either it has not ended, or it ends just now: then its open record is missing and the
-			// final one is read again.
+			// The job has not ended, or it ended after this read. In the latter case its open record is
+			// missing, and the final one is read again.
 			r.believedEnded = false
 			return Op{Kind: ReadOpen, Job: r.job}, nil
 		}
@@ -208,7 +208,7 @@
 			return r.dependencies.restart(r.job), nil
 		}
 		if r.kind == Submit || r.seenOpen {
-			// Neither record exists now, though one did a moment ago: the user must try again.
+			// Neither record was found, though one existed a moment ago: the user must try again.
 			return Op{}, unavailable
 		}
 		return Op{}, &Answer{Status: http.StatusNotFound}
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -112,7 +112,7 @@
 }
 
 // If a job was wrongly believed to have ended, the answer still follows its records.
-func TestWrongBeliefInAnEndIsCorrected(t *testing.T) {
+func TestRequestFallsBackIfJobHasNotEnded(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   Kind
 		steps  []Result // after the read of the final record, which is missing
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -40,7 +40,7 @@
 	recordedAt time.Duration
 }
 
-// RecordDelay records how late a timer fired that fired now.
+// RecordDelay records the delay of a timer that fired at now.
 func (d *Detector) RecordDelay(now, delay time.Duration) {
 	d.peakLag = min(maxLag, max(delay, d.Lag(now)))
 	d.recordedAt = now
@@ -60,8 +60,8 @@
 	return d.Lag(now) < refuseChangesAt
 }
 
-// RetryAfter returns after what time the caller of a refused request should retry: the larger the lag,
-// the later. spread, from 0 to 1, distributes the retries of several callers.
+// RetryAfter returns how long the caller of a refused request should wait before it retries. The wait
+// grows with the lag. spread, from 0 to 1, distributes the retries of several callers.
 func (d *Detector) RetryAfter(now time.Duration, spread float64) time.Duration {
 	lag := d.Lag(now)
 	return time.Second + time.Duration(float64(3*lag)*(0.5+spread))
--- a/internal/core/pipeline/freshness.go
+++ b/internal/core/pipeline/freshness.go
@@ -7,9 +7,9 @@
 )
 
 // InDoubt returns the open jobs that must be cancelled, and those with a direct or indirect dependency
-// whose final state is not known yet. Of all other waiting jobs it is known that none of their
-// dependencies was cancelled, as far as the graph's open jobs are up to date. The cost depends on the
-// number of dependents of these jobs.
+// whose final state is not known yet. No dependency of any other waiting job was cancelled, as far as
+// the graph's open jobs are up to date. The cost depends on the number of jobs returned and of their
+// dependents, not on the number of open jobs.
 func (g *Graph) InDoubt() map[model.JobID]bool {
 	out := map[model.JobID]bool{}
 	var todo []*node
@@ -61,13 +61,14 @@
 	f.inDoubtKnownUntil = max(f.inDoubtKnownUntil, at)
 }
 
-// MayReportQueued reports whether a waiting job may be reported as queued. known says that the list of
-// jobs in doubt covers the job, and that the job is not on it.
-func (f *StatusFreshness) MayReportQueued(now time.Duration, known bool) bool {
-	return now-f.propagatedUntil < f.MaxAge || known && now-f.inDoubtKnownUntil < f.MaxAge
+// MayReportQueued reports whether a waiting job may be reported as queued. notInDoubt says that the
+// list of jobs in doubt covers the job, and that the job is not on it.
+func (f *StatusFreshness) MayReportQueued(now time.Duration, notInDoubt bool) bool {
+	return now-f.propagatedUntil < f.MaxAge || notInDoubt && now-f.inDoubtKnownUntil < f.MaxAge
 }
 
-// InDoubtJobs are the jobs that a leader reports as in doubt, each with the time since when it does.
+// InDoubtJobs are the jobs that a leader reports as in doubt, each with the time of the first such
+// report.
 type InDoubtJobs struct {
 	since map[model.JobID]time.Duration
 }
@@ -91,10 +92,10 @@
 const clockDriftMargin = time.Second
 
 // CertainlyCancelled reports whether a job may be reported as cancelled before its own record says so.
-// A dependency must be stored as cancelled, so that the job can never begin, and no controller may
-// still report it as queued. A controller that did so knew of no cancellation, so its information is
-// older than this leader's report that the job is in doubt; it expires after maxAge. The leader
-// therefore waits for maxAge with a margin for clock drift after that report.
+// There are two conditions. A dependency is stored as cancelled, so the job can never begin. And no
+// controller can still report the job as queued: one that does has information from before this
+// leader first reported the job as in doubt, and that information expires after maxAge. So the leader
+// waits for maxAge after that report, plus a margin for clock drift.
 func (d *InDoubtJobs) CertainlyCancelled(now time.Duration, maxAge time.Duration, g *Graph, id model.JobID) bool {
 	at, ok := d.since[id]
 	return ok && g.CancelPending(id) && now-at > maxAge+maxAge/500+clockDriftMargin
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -18,7 +18,7 @@
 	"honeylock/internal/core/model"
 )
 
-// FinalState is how a job ended that is no longer open.
+// FinalState says how a job that is no longer open ended.
 type FinalState uint8
 
 // Final states.
@@ -43,8 +43,8 @@
 // Release says that all dependencies of a job are done.
 type Release struct {
 	ID model.JobID
-	// LastEndMS is the time of day at which the last dependency ended, as far as the final records
-	// say; 0: none says.
+	// LastEndMS is the time of day at which the last dependency ended, by the final records that were
+	// read; 0: not known.
 	LastEndMS int64
 	// NeverStarted is set if this graph saw one of the dependencies open, so that no earlier leader
 	// can have started the job.
@@ -73,7 +73,7 @@
 	cancelPending       bool                  // it must be cancelled, or has been
 	inFlight            bool                  // a lookup or cancellation is under way
 	notBefore           time.Duration         // earliest time of the next lookup or cancellation
-	behindSince         time.Duration         // when its end, or that of a dependency, may first have been reported
+	behindSince         time.Duration         // earliest time at which its or a dependency's end may be reported
 	lastEndMS           int64                 // see Release
 	neverStarted        bool                  // see Release
 }
@@ -268,7 +268,7 @@
 	return out
 }
 
-// TakeReleased returns and clears the jobs that have become free to begin. Jobs that have ended or
+// TakeReleased returns and clears the jobs that may begin now. Jobs that have ended or
 // must be cancelled meanwhile are left out.
 func (g *Graph) TakeReleased() []Release {
 	out := g.released
@@ -279,8 +279,9 @@
 	})
 }
 
-// PropagatedUntil is the time until which all reported ends have been applied to all dependents: the
-// earliest time at which an end may have been reported that has not; now if there is none.
+// PropagatedUntil returns the time until which all reported ends of jobs have been applied to all
+// dependents. If some have not been applied, it is the earliest time at which one of these may have
+// been reported; otherwise it is now.
 func (g *Graph) PropagatedUntil(now time.Duration) time.Duration {
 	at := now
 	for _, set := range []map[model.JobID]*node{g.unresolved, g.pendingCancellations} {
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -109,6 +109,7 @@
 // RefusedError is why a change can't be made.
 type RefusedError struct{ Reason string }
 
+// Error returns the reason.
 func (r *RefusedError) Error() string { return r.Reason }
 
 // refuse returns a RefusedError.
@@ -220,7 +221,7 @@
 	change     Change
 }
 
-// Writes returns at most n changes to be stored, which are then in progress.
+// Writes returns at most n changes to be stored, and marks them as in progress.
 func (o *Overrides) Writes(n int) []Write {
 	var out []Write
 	for team, e := range o.byTeam {
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -2,10 +2,10 @@
 // rate limit all controllers share. It is a state machine without input or output; times are those
 // of the monotonic clock.
 //
-// If the leader allocates a share of the rate to a controller (see package rateshare), it uses
-// that. Otherwise it uses a share of its own that grows slowly, and shrinks at once when the service
-// refuses a request for its rate (additive increase, multiplicative decrease). So the shares follow
-// demand, and converge to equal ones if all controllers need more.
+// A controller uses the share of the rate that the leader allocates to it (see package rateshare).
+// Without an allocation it uses a share of its own, which grows slowly and shrinks at once when the
+// service refuses a request because of its rate limit (additive increase, multiplicative decrease).
+// So the shares follow demand, and converge to equal ones if all controllers need more.
 //
 // Urgent classes may overdraw the share, and the others then wait longer. A request that could not
 // be sent before its deadline is refused at once: its caller will have given up and retried by then,
@@ -57,7 +57,7 @@
 	class  Class
 	writes float64
 	until  time.Duration
-	// Decided is closed once the request may be sent, or is refused; then Refused tells which.
+	// Decided is closed once the request may be sent or is refused. Refused is valid from then on.
 	Decided chan struct{}
 	Refused bool
 }
@@ -190,8 +190,8 @@
 	l.setShares(now)
 }
 
-// Demand returns the recent and the waiting requests, as fractions of the service's rates. It leaves
-// out Background, which only uses what others leave.
+// Demand returns the rates of recent and waiting requests, as fractions of the service's rates. It
+// leaves out Background, which only uses the rate that others leave.
 func (l *Limiter) Demand(now time.Duration) Allocation {
 	requests, writes := l.requests.demand.perSecond(now), l.writes.demand.perSecond(now)
 	for c := range classes {
@@ -274,8 +274,8 @@
 	l.writes.tokens = min(l.writes.tokens, 0)
 }
 
-// Request requests to send one request with a number of writes, by until at the latest. The
-// ticket is decided at once if the request may be sent now, or could not be sent in time.
+// Request asks for permission to send one request with a number of writes, at the latest at until.
+// The ticket is decided at once if the request may be sent now, or could not be sent in time.
 func (l *Limiter) Request(now time.Duration, c Class, writes int, until time.Duration) *Ticket {
 	l.refill(now)
 	if c != Background { // Background only uses what is left
@@ -328,12 +328,12 @@
 func (l *Limiter) estimateWait(t *Ticket) time.Duration {
 	requests, writes := 1.0, t.writes
 	for c := range t.class + 1 {
-		for _, other := range l.queue[c] {
-			if t.writes == 0 && other.writes > 0 {
+		for _, queued := range l.queue[c] {
+			if t.writes == 0 && queued.writes > 0 {
 				continue
 			}
 			requests++
-			writes += other.writes
+			writes += queued.writes
 		}
 	}
 	seconds := l.requests.waitSeconds(t.class, requests)
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -2,7 +2,7 @@
 // answers many of them in one comparison: a transaction of guards that changes nothing. It is a
 // state machine without input or output; times are those of the monotonic clock.
 //
-// A comparison is as good as a read that began after each of its checks arrived. So a check that
+// A comparison must be as current as a read that begins after its checks have arrived. So a check that
 // arrives while a comparison is in flight waits for the next one. When the service's rate is
 // exhausted, checks wait until their deadlines, and the job that has been without an answer for
 // longest goes first.
@@ -44,7 +44,7 @@
 	askedAt, deadline time.Duration
 }
 
-// unanswered is since when the checks of a job have had no answer, and when the last one arrived.
+// unanswered records since when the checks of a job have had no answer, and when the last one arrived.
 type unanswered struct{ since, last time.Duration }
 
 // Batch is a comparison to be sent to the state service.
@@ -70,7 +70,7 @@
 	queue       []check // in order of arrival; may contain checks that no longer wait
 	unanswered  map[model.JobID]unanswered
 	lastCleanup time.Duration
-	notBefore   time.Duration // no comparison before then, because the last one was refused for the rate
+	notBefore   time.Duration // earliest time of the next comparison after one was refused for the rate
 	// Checks and Comparisons count the checks and the comparisons made for them.
 	Checks, Comparisons uint64
 }
--- a/internal/core/readbatch/route.go
+++ b/internal/core/readbatch/route.go
@@ -18,6 +18,6 @@
 // UseLeader reports whether checks should go to the leader now.
 func (r *Route) UseLeader(now time.Duration) bool { return r.leaderCompares && now >= r.avoidUntil }
 
-// LeaderFailed records that the leader did not answer a check or could not reach the state service.
-// It may be the only controller that is cut off from the service.
+// LeaderFailed records that the leader did not answer a check or could not reach the state service. The
+// leader may be the only controller that can't reach the service.
 func (r *Route) LeaderFailed(now time.Duration) { r.avoidUntil = now + avoidLeaderFor }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout compares the machines that a plan has replaced or patched with all other machines,
-// by the run times and failures of the tasks on them in the same time. It is a state machine that runs
-// on the leader. Its evidence is not stored: each leader starts without any, so that a change of
-// leader can only delay a verdict.
+// by the run times and failures of the tasks on them in the same period. It is a state machine that
+// runs on the leader. Its evidence is not stored: each leader starts without any, so a change of leader
+// can only delay a verdict.
 package rollout
 
 import (
@@ -145,8 +145,8 @@
 	if others > 0 {
 		otherRate = (e.all.failed - wave.failed) / others
 	}
-	// One more failed task is counted elsewhere than there was. Otherwise, with no failures elsewhere,
-	// almost any difference would be significant.
+	// The pooled rate counts one additional failed task elsewhere. Otherwise, with no failures
+	// elsewhere, almost any difference would be significant.
 	pooledRate := (e.all.failed + 1) / (total + others + 1)
 	deviations := (waveRate - otherRate) / math.Sqrt(pooledRate*(1-pooledRate)*(1/total+1/max(1, others)))
 	if waveRate-otherRate <= gate.MaxErrorIncrease || deviations < minDeviations {
--- a/internal/core/runtimes/runtimes.go
+++ b/internal/core/runtimes/runtimes.go
@@ -18,7 +18,7 @@
 	maxRatio   = 100 * ratioScale
 )
 
-// The prior, used with too few samples: run times are often half again as long as estimated.
+// The prior, used with too few samples: owners' estimates are often wrong by half.
 const (
 	priorMedian = 1.0
 	priorP90    = 1.6
--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -1,7 +1,7 @@
 // Package starvation detects jobs and groups of jobs that starve. It checks whether the first task of
 // each job begins in time, and which fraction of the jobs of each class, of each team, and of each
-// class's largest jobs has begun. Placement by priority alone lets low priorities starve, which
-// users do not accept. It is a state machine without input or output; times are those of the
+// class's largest jobs has begun. Placement by priority alone lets low priorities starve, which the
+// guarantees to users do not allow. It is a state machine without input or output; times are those of the
 // monotonic clock.
 package starvation
 
--- a/internal/core/storehealth/storehealth.go
+++ b/internal/core/storehealth/storehealth.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// UnreachableAfter is how long no request must have reached the service before a controller
-	// forwards users' requests instead of trying the service first.
+	// UnreachableAfter is the time without a request that reached the service after which a
+	// controller forwards users' requests instead of trying the service first.
 	UnreachableAfter = 2200 * time.Millisecond
 	// A controller is refused alone if none of its requests has reached the service for
 	// refusedAloneAfter, while one that a sibling sent at least minSiblingLead later was served.
@@ -38,9 +38,10 @@
 	servedLately  = 3 * time.Second
 	// confirmationTTL is how long a sibling's confirmation that it is served is valid.
 	confirmationTTL = 400 * time.Millisecond
-	// renewalTimeout: if the network is cut, a renewal fails only after the whole lease.
+	// renewalTimeout is how long a renewal may take to fail: the whole lease if the network is cut.
 	renewalTimeout = 4 * time.Second
-	// minFailures is how many requests must have failed: a single failure may have other reasons.
+	// minFailures is the number of requests that must have failed; a single failure may have other
+	// reasons.
 	minFailures = 3
 	// minTimerDelay is how late a timer must fire to show that missing answers may be due to
 	// this process itself.
@@ -54,9 +55,9 @@
 	lastReached          time.Duration // newest request that reached the service
 	failures             int           // requests sent after lastReached that were refused or not answered
 	lastFailed           time.Duration // newest of these
-	nextSiblingServed    time.Duration // a sibling was served then; a request sent here after it is awaited
-	siblingServedBetween time.Duration // newest such time after which a request sent here has failed
-	lastDelayed          time.Duration // this process was delayed then: missing answers before it do not count
+	nextSiblingServed    time.Duration // a sibling was served then; no request sent here since has failed yet
+	siblingServedBetween time.Duration // newest time of a sibling's served request before one that failed here
+	lastDelayed          time.Duration // this process was delayed then: requests sent before may go unanswered
 	everServed           bool          // a request was served at least once
 
 	confirmedAt time.Duration // when a sibling, asked by this controller, confirmed that it is served
@@ -116,11 +117,11 @@
 		siblingServed > h.lastReached+minSiblingLead
 }
 
-// ShouldYield reports whether a leader should yield because it is refused alone. The sibling must
-// have been served lately, and a request of this controller must have failed after that. For if the
-// service is out for all by now, nobody can lead until it is back, and all running tasks would be
-// lost when their leases end; and when the service comes back for all, the sibling's request may
-// only have been the first.
+// ShouldYield reports whether a leader should yield because it is refused alone. There are two
+// conditions. The sibling was served lately: if the service is out for all by now, nobody can lead
+// until it is back, and all running tasks would be lost when their leases end. And a request of this
+// controller failed after one of the sibling's was served: when the service comes back for all, the
+// sibling may merely be the first to be served.
 func (h *Health) ShouldYield(now, siblingServed time.Duration) bool {
 	if h.nextSiblingServed <= h.lastReached {
 		h.nextSiblingServed = siblingServed
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -91,7 +91,7 @@
 
 // A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
 // that.
-func TestOwnSlownessIsNoRefusal(t *testing.T) {
+func TestDelaysOfThisProcessAreNoRefusals(t *testing.T) {
 	var h Health
 	recordOutcomes(&h, 0, 10*time.Second, Served)
 	recordOutcomes(&h, 10*time.Second, 13*time.Second, NoAnswer)
@@ -159,7 +159,7 @@
 }
 
 // A controller that sends no requests for a while is not cut off: only a failed request shows that.
-func TestNoRequestsAreNotUnreachable(t *testing.T) {
+func TestControllerWithoutRequestsIsNotUnreachable(t *testing.T) {
 	var h Health
 	if !h.Unreachable(3 * time.Second) {
 		t.Error("reachable though never served")
--- a/internal/core/writequota/writequota.go
+++ b/internal/core/writequota/writequota.go
@@ -67,8 +67,8 @@
 	return max(0, int(left))
 }
 
-// Spend uses n changes of a class. They may be more than are available: later writes wait longer in
-// turn. Changes are counted, not writes, because a write may contain many changes. With writes counted
+// Spend uses a number of changes for a class. They may be more than are available; later writes then
+// wait longer. Changes are counted, not writes, because a write may contain many changes. With writes counted
 // instead, final records and progress together exceeded the service's rate, and final records waited
 // behind progress in the client's queue.
 func (q *Quota) Spend(now time.Duration, class Class, changes int) {
@@ -83,7 +83,8 @@
 	}
 }
 
-// BlockedFor returns for how long a class has had something to write that it could not write.
+// BlockedFor returns how long a class has been blocked: it has had records to write, but too few changes
+// available.
 func (q *Quota) BlockedFor(now time.Duration, class Class) time.Duration {
 	if q.blockedSince[class] == 0 {
 		return 0
