--- a/internal/core/sim/concurrent_requests_test.go
+++ b/internal/core/sim/concurrent_requests_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// requestConcurrently has all controllers asked twice within 60 ms of an answer that changed what the
-// user knows, and submits the job once more. A quarter of the users cancel the job at once.
+// requestConcurrently sends every controller two requests within 60 ms of an answer that changed what
+// the user knows, and submits the job once more. A quarter of the users cancel the job at once.
 func (w *world) requestConcurrently(u *user) {
 	if !w.params.concurrentRequests || w.now > w.params.duration {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// startWithin is the time within which a job should start, as the dispatcher's settings have it; 0
-// means never expedited.
+// startWithin is the dispatcher's setting for the time within which a job should start; 0 means that no
+// job is expedited.
 func (p *params) startWithin() time.Duration {
 	if p.noExpediting {
 		return 0
--- a/internal/core/sim/controller_test.go
+++ b/internal/core/sim/controller_test.go
@@ -28,7 +28,7 @@
 	election  *election.Election
 	// State as leader; nil on a member.
 	leadership *leadership
-	// Last term that it led; it resigns a term that it would lead a second time.
+	// Last term that it led. It must not lead a term twice, and resigns in that case.
 	lastTermLed uint64
 	// Its shard; nil while it has none.
 	local *localShard
@@ -103,7 +103,7 @@
 	})
 }
 
-// promiseDuration is for how long after a grant a member promises not to become leader itself.
+// promiseDuration is how long after a grant a member promises not to become leader itself.
 const promiseDuration = 2500 * time.Millisecond
 
 // memberLink is the leader's side of a connection to a member.
@@ -117,7 +117,7 @@
 	lastReceived time.Duration
 	// When the member sent its last request that the state service served.
 	lastServed time.Duration
-	// For what time the member has reported the cancellations that it acknowledged.
+	// Period for which the member has reported the cancellations that it acknowledged.
 	coverage             cancellog.Coverage
 	reportsCancellations bool
 	closed               bool
--- a/internal/core/sim/dependencies_test.go
+++ b/internal/core/sim/dependencies_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// propagatedUntil is up to when cancellations have reached all jobs that depend on the cancelled ones.
+// propagatedUntil returns the time up to which cancellations have been applied to all dependent jobs.
 func (t *dependencyTracker) propagatedUntil(now time.Duration) time.Duration {
 	return min(t.l.readAt, t.graph.PropagatedUntil(now))
 }
@@ -145,7 +145,8 @@
 	}
 }
 
-// smallBlock is the size of the blocks after the change of layout, see params.resizeBlocksAt.
+// smallBlock is the size of the blocks after the change of layout (see params.resizeBlocksAt), which
+// leaders make before the state service's limits get lower.
 const smallBlock = 3
 
 // addDependencies makes a job depend on up to three recently accepted jobs, whatever state they are in
@@ -171,9 +172,9 @@
 	}
 }
 
-// newRequest starts a user's request as a controller does. Which versions of dependencies the
-// controller has seen, and whether it knows that the job has ended, is partly random, because both may
-// be outdated in practice.
+// newRequest starts a user's request as a controller does. It is partly random which versions of
+// dependencies the controller has seen, and whether it believes that the job has ended, because this
+// knowledge may be outdated in practice.
 func (c *controller) newRequest(u *user, k jobs.Kind) (*jobs.Request, jobs.Op) {
 	if k == jobs.Submit && len(u.dependsOn) > 0 {
 		open := map[model.JobID]uint64{}
@@ -204,8 +205,8 @@
 	return out
 }
 
-// checkFreshness replaces the answer that a job is queued if the controller does not know enough: by
-// cancelled if the leader is certain of that, otherwise by a 503.
+// checkFreshness replaces the answer that a job is queued if the controller's information is too old:
+// by cancelled if the leader is certain that the job is, otherwise by a 503.
 func (c *controller) checkFreshness(u *user, a *jobs.Answer) *jobs.Answer {
 	if a.Stage != jobs.Queued || a.Created || len(u.dependsOn) == 0 || c.w.params.alwaysReportQueued {
 		return a
@@ -266,8 +267,8 @@
 	}
 }
 
-// longOutages takes the store down for longer than a cancellation may take, repeatedly. The next
-// leader must not let waiting jobs be reported as queued before it has read the store.
+// longOutages repeatedly takes the store down for longer than a cancellation may take. Waiting jobs
+// must not be reported as queued before the next leader has read the store.
 func (w *world) longOutages() {
 	w.after(w.params.cancelBound+15*time.Second, func() {
 		if w.now > w.params.duration {
@@ -356,8 +357,8 @@
 	}
 }
 
-// slowCancellationParams has jobs cancelled faster than the records of their dependents can be
-// written.
+// slowCancellationParams returns settings with which jobs are cancelled faster than the records of
+// their dependents can be written.
 func slowCancellationParams() params {
 	p := dependencyParams()
 	p.cancellationInterval, p.quietPeriod = 6*time.Second, 10*time.Minute // outages take most of such a run
--- a/internal/core/sim/extra_faults_test.go
+++ b/internal/core/sim/extra_faults_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// extraFaultsParams adds to the random faults: machines that nothing reaches while their reports
+// extraFaultsParams adds faults to the random ones: machines that receive nothing while their reports
 // arrive, late duplicates of reports, and controllers that restart within a second.
 func extraFaultsParams() params {
 	p := shortLeaseParams()
@@ -148,7 +148,7 @@
 	w.after(w.randomDuration(2*time.Second, 20*time.Second), w.machineQuickRestarts)
 }
 
-// maxUnanswered is for how long requests about a job may go unanswered after the last fault.
+// maxUnanswered is how long requests about a job may go unanswered after the last fault.
 const maxUnanswered = 75 * time.Second
 
 // checkAnswerDelay checks that requests about an accepted job are answered in time after the last
@@ -238,8 +238,8 @@
 	return w
 }
 
-// TestJobsCompleteDespiteUnreachableMachines guards against tasks on machines that nothing reaches
-// waiting forever, together with all jobs from before a change of leader.
+// TestJobsCompleteDespiteUnreachableMachines guards against a failure in which tasks on machines that
+// receive nothing waited forever, and so did all jobs from before a change of leader.
 func TestJobsCompleteDespiteUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
--- a/internal/core/sim/fault_pairs_test.go
+++ b/internal/core/sim/fault_pairs_test.go
@@ -130,7 +130,7 @@
 	w.cutFromSiblings(w.currentLeader(), 4*time.Second)
 }
 
-// fiveControllers makes it a deployment of five controllers.
+// fiveControllers sets the number of controllers to five.
 func fiveControllers(p *params) { p.controllers = 5 }
 
 // faultPairs are the pairs that are tried. The boundaries reach from the first fault over the change
--- a/internal/core/sim/machine_test.go
+++ b/internal/core/sim/machine_test.go
@@ -14,7 +14,7 @@
 	model.AttemptStatus
 	// When its image is there, and when it ends.
 	readyAt, endAt time.Duration
-	// It has its image and has not ended: the rules count it as running.
+	// It has its image and has not ended. Only then the rules count it as running.
 	active bool
 }
 
@@ -45,7 +45,7 @@
 	doneTasks map[model.Task]bool
 	// Returned to the cloud.
 	returned bool
-	// Until then its reports are lost; its answers to commands are not.
+	// End of the period in which its reports are lost, but not its answers to commands.
 	reportsLostUntil time.Duration
 	// When it was added; 0 if it was there from the start.
 	addedAt time.Duration
--- a/internal/core/sim/scenarios_test.go
+++ b/internal/core/sim/scenarios_test.go
@@ -17,8 +17,8 @@
 // scenario injects its faults and returns how long they last.
 type scenario func(w *world) time.Duration
 
-// withScenario repeats a scenario in place of random faults. Jobs have few tasks that end far apart,
-// and many are cancelled during the scenarios.
+// withScenario returns the settings of runs that repeat a scenario in place of random faults. Jobs
+// have few tasks that end far apart, and many are cancelled during the scenarios.
 func withScenario(p params, s scenario) params {
 	p.faults, p.scenario, p.staggeredTasks, p.quietPeriod = false, s, true, 6*time.Minute
 	p.jobs = 40
@@ -303,8 +303,8 @@
 }
 
 // TestRulesHoldInScenarios runs each scenario with short and long leases. No rule may be violated,
-// each job is answered about and ends, and each situation that the scenario is about must have been
-// observed.
+// requests about each job must be answered, each job must end, and each situation that the scenario is
+// about must have been observed.
 func TestRulesHoldInScenarios(t *testing.T) {
 	t.Parallel()
 	for name, scenario := range scenarios {
--- a/internal/core/sim/store_test.go
+++ b/internal/core/sim/store_test.go
@@ -47,11 +47,11 @@
 	finalStages  map[model.JobID]jobs.Stage
 	records      map[dispatcher.BlockID]record
 	plans        map[string]drain.StoredPlan
-	// Controllers that the store refuses until then while it serves all others.
+	// By host, the end of the period in which the store refuses only this controller.
 	refusedUntil map[string]time.Duration
-	// Until then some transactions are carried out late.
+	// End of the period in which some transactions are carried out late.
 	lateUntil time.Duration
-	// Until then some transactions are carried out, but not answered.
+	// End of the period in which some transactions are carried out, but not answered.
 	answersLostUntil time.Duration
 	// Jobs that an unanswered transaction changed and no controller has read since, with the
 	// controller that sent it.
--- a/internal/core/sim/world_test.go
+++ b/internal/core/sim/world_test.go
@@ -16,7 +16,7 @@
 	// Interval of workers' reports, lease of a worker, time within which a cancelled job's tasks must
 	// have ended, and lease of the leader in the state service.
 	reportInterval, lease, cancelBound, leaderTTL time.Duration
-	// How old the leader's view of the open jobs may be for it to act on it.
+	// Maximum age of the leader's view of the open jobs with which it may act.
 	maxStaleness time.Duration
 	// Jobs are submitted and faults begin before duration. The run then goes on for quietPeriod.
 	duration, quietPeriod time.Duration
@@ -44,13 +44,14 @@
 	ignoreRecords bool
 	// Broken guard: a new leader considers earlier terms' grants over at once.
 	ignoreOldGrants bool
-	// Machines whose messages arrive while nothing reaches them.
+	// Some machines send messages that arrive, but receive none.
 	oneWayCuts bool
 	// Copies of reports and commands arrive late.
 	duplicateReports bool
 	// Time between cancellations of jobs that depend on a cancelled one; 0 means two per tick.
 	cancellationInterval time.Duration
-	// As release 0.5.0: one delayed cancellation leaves polls of all waiting jobs unanswered.
+	// Broken guard, as in release 0.5.0: one delayed cancellation leaves polls of all waiting jobs
+	// unanswered.
 	globalFreshness bool
 	// Broken guard: jobs in doubt are reported as queued.
 	reportInDoubtAsQueued bool
@@ -82,7 +83,7 @@
 	zoneBoundJobs bool
 	// Four single-task jobs per second, a quarter of which are cancelled.
 	singleTaskJobs bool
-	// Every controller is asked right after an answer that changed what a user knows.
+	// Every controller gets requests right after an answer that changed what a user knows.
 	concurrentRequests bool
 	// Users cancel, poll and resubmit a job around its end.
 	requestsAtEnd bool
@@ -155,7 +156,7 @@
 	users        map[model.JobID]*user
 	violations   []string
 	startedTasks int
-	// Until then the store answers slowly.
+	// End of the period in which the store answers slowly.
 	storeSlowUntil time.Duration
 	// End of the last fault.
 	faultsOverAt time.Duration
@@ -166,7 +167,7 @@
 	secondFault    func()
 	// Longest time from when a user knew of a cancellation until a task of the job was gone.
 	maxCancelDelay time.Duration
-	// Messages in this direction are delayed for seconds until then.
+	// By direction, the end of the period in which messages are delayed for seconds.
 	delayedUntil map[hostPair]time.Duration
 	// Number of times that each situation was observed, see observe.
 	observed map[string]int
