--- a/internal/core/cancellog/cancellog_test.go
+++ b/internal/core/cancellog/cancellog_test.go
@@ -10,14 +10,16 @@
 
 const s = time.Second
 
+// The view becomes as recent as the coverage that ends first. It stays as it is if a coverage leaves a
+// gap after the view.
 func TestViewIsAsRecentAsOldestCoverage(t *testing.T) {
 	for name, c := range map[string]struct {
 		coverages []Coverage
 		want      time.Duration
 	}{
 		"all are known":            {[]Coverage{{0, 30 * s}, {5 * s, 28 * s}}, 28 * s},
-		"alone":                    {nil, 40 * s},
-		"one is not known since":   {[]Coverage{{0, 30 * s}, {0, 12 * s}}, 20 * s},
+		"no other controllers":     {nil, 40 * s},
+		"one ends before the view": {[]Coverage{{0, 30 * s}, {0, 12 * s}}, 20 * s},
 		"one began after the view": {[]Coverage{{0, 30 * s}, {21 * s, 30 * s}}, 20 * s},
 		"one began with the view":  {[]Coverage{{20 * s, 30 * s}}, 30 * s},
 		"one is not known at all":  {[]Coverage{{}, {0, 30 * s}}, 20 * s},
@@ -50,6 +52,7 @@
 	}
 }
 
+// A log returns each acknowledged job once, and drops old entries, which moves its start.
 func TestLogReturnsEntriesOnceAndItsStart(t *testing.T) {
 	l := NewLog(3 * s)
 	for i, job := range []model.JobID{7, 8, 7} {
@@ -71,6 +74,7 @@
 	}
 }
 
+// A job that was reported as cancelled stays so until a read that was sent after the report.
 func TestCancelledJobIsKeptUntilLaterRead(t *testing.T) {
 	var v OpenJobsView
 	v.Read(10 * s)
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -25,11 +25,12 @@
 	e.HandleResult(now+2*time.Second, Result{Op: ops[0], OK: true, Version: 9})
 }
 
+// Authority is counted from the time at which the grant or the renewal was sent, not from its answer.
 func TestAuthorityCountsFromSending(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	makeLeader(t, e, 0)
 	if !e.Leading(2*time.Second) || e.Leading(ttl) {
-		t.Fatal("authority must end a lease's length after requesting it, not after the answer")
+		t.Fatal("authority must end a lease's length after the request was sent, not after the answer")
 	}
 	// A renewal sent at 2.5 s and answered at 3.5 s counts from 2.5 s.
 	ops := e.Step(2500 * time.Millisecond)
@@ -38,10 +39,12 @@
 	}
 	e.HandleResult(3500*time.Millisecond, Result{Op: ops[0], OK: true})
 	if !e.Leading(6*time.Second) || e.Leading(6500*time.Millisecond) {
-		t.Fatal("a renewal counts from its sending, less drift")
+		t.Fatal("a renewal must count from when it was sent, less the margin for clock drift")
 	}
 }
 
+// A transaction without an answer may be applied later. Its lease is ended, so that it can no longer
+// make this controller the leader.
 func TestAcquireInDoubtRevokesLease(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	ops := e.Step(0)
@@ -58,6 +61,8 @@
 	}
 }
 
+// A process that finds its own host in the leader's key ends the lease of its previous run, and may
+// become leader at once.
 func TestOwnEarlierLeaseIsRevoked(t *testing.T) {
 	e := New("a", ttl, 0, time.Minute, 0)
 	ops := e.Step(0)
@@ -70,6 +75,8 @@
 	makeLeader(t, e, 0) // at once: the previous run led, so no leader relies on its promise
 }
 
+// A controller does not run for leadership before its promise is over, nor, after its start, before a
+// promise of its previous run can be over.
 func TestPromiseIsKept(t *testing.T) {
 	e := New("a", ttl, 0, time.Second, 0)
 	acquires := func(now time.Duration) bool {
@@ -91,6 +98,8 @@
 	}
 }
 
+// The promises of all siblings extend the leader's authority beyond its lease, unless the lease has
+// certainly ended.
 func TestSiblingPromisesExtendAuthority(t *testing.T) {
 	e := New("a", ttl, 0, 0, 0)
 	makeLeader(t, e, 0)
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -11,10 +11,12 @@
 
 var wall = time.Date(2026, 11, 26, 12, 0, 0, 0, time.UTC)
 
+// teams returns the platform's teams.
 func teams() []dispatcher.Team {
 	return []dispatcher.Team{{Limit: model.Capacity(100, 0, 0), Guarantee: model.Capacity(40, 0, 0)}, {}}
 }
 
+// cpus returns an amount of CPUs in thousandths.
 func cpus(n float64) *int64 { v := int64(n * 1000); return &v }
 
 // A change takes effect once it is stored, even if answers are lost. The next leader applies it, until
@@ -64,6 +66,8 @@
 	}
 }
 
+// Limits above the platform's, guarantees above limits, times in the past and changes of a newer release's
+// record are refused.
 func TestInvalidChangesAreRefused(t *testing.T) {
 	for why, c := range map[string]Change{
 		"limit_cpus: 101 is above the platform's limit of 100": {LimitCPU: cpus(101)},
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -27,6 +27,7 @@
 	served, busy int
 }
 
+// serve reports whether the service serves a request now.
 func (s *service) serve(now time.Duration) bool {
 	s.tokens = min(s.rate, s.tokens+s.rate*(now-s.at).Seconds())
 	s.at = now
--- a/internal/core/readbatch/cluster_test.go
+++ b/internal/core/readbatch/cluster_test.go
@@ -90,6 +90,7 @@
 	return n
 }
 
+// randomMember returns a random controller.
 func (c *cluster) randomMember() *member { return c.members[c.rng.IntN(c.controllers)] }
 
 // request asks a member's limiter for a request.
@@ -260,6 +261,7 @@
 	}
 }
 
+// String summarizes the outcome of a run.
 func (c *cluster) String() string {
 	return fmt.Sprintf("%d controllers: %d served, %d refused; %d answered, %d not; %d ends, %d late; longest without %v",
 		c.controllers, c.served, c.refused, c.answered, c.unanswered, c.jobEnds, c.lateJobEnds, c.longestUnanswered)
--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -10,6 +10,7 @@
 
 const ms = time.Millisecond
 
+// guard returns a guard of the job with that ID.
 func guard(id int) jobs.Guard { return jobs.Guard{Job: model.JobID(id), Version: 3} }
 
 // always returns the same outcome for each guard.
--- a/internal/core/runtimes/runtimes_test.go
+++ b/internal/core/runtimes/runtimes_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A class with too few samples has the prior's factors, others those of their completed tasks. Tasks
+// without an estimate are ignored.
 func TestFactorsAreEstimated(t *testing.T) {
 	estimator := New()
 	wantNear := func(what string, got, want float64) {
--- a/internal/core/storehealth/storehealth.go
+++ b/internal/core/storehealth/storehealth.go
@@ -57,7 +57,7 @@
 	lastFailed           time.Duration // newest of these
 	nextSiblingServed    time.Duration // a sibling was served then; no request sent here since has failed yet
 	siblingServedBetween time.Duration // newest time of a sibling's served request before one that failed here
-	lastDelayed          time.Duration // this process was delayed then: requests sent before may go unanswered
+	lastDelayed          time.Duration // latest delay of this process: missing answers to earlier requests do not count
 	everServed           bool          // a request was served at least once
 
 	confirmedAt time.Duration // when a sibling, asked by this controller, confirmed that it is served
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -14,6 +14,8 @@
 	}
 }
 
+// A controller is refused alone only if its requests fail while a sibling is served. Refusals for the
+// rate are no failures.
 func TestRefusedAloneNeedsAServedSibling(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome Outcome
