--- a/internal/core/cancellog/cancellog.go
+++ b/internal/core/cancellog/cancellog.go
@@ -1,8 +1,8 @@
-// Package cancellog keeps the leader's view of the open jobs recent while the state service is out.
-// After a cancellation has been acknowledged to a user, the leader must not treat the job as open. So
-// each controller logs the cancellations that it has acknowledged, and sends the log to the leader.
-// With the logs of all controllers the leader knows every cancellation acknowledged up to some time,
-// and its view is as recent as the oldest of these logs.
+// Package cancellog keeps the leader's view of the open jobs recent while the state service is
+// unavailable. After a cancellation has been acknowledged to a user, the leader must not treat the
+// job as open. So each controller logs the cancellations that it has acknowledged, and sends the
+// log to the leader. With the logs of all controllers the leader knows every cancellation
+// acknowledged up to some time, and its view is as recent as the oldest of these logs.
 //
 // Only acknowledged cancellations matter. A job that is stored as cancelled may continue to run until
 // a user is informed.
--- a/internal/core/ratelimit/ratelimit.go
+++ b/internal/core/ratelimit/ratelimit.go
@@ -168,7 +168,7 @@
 	writes           bucket
 	queue            [classes][]*Ticket
 	// Shed counts the requests refused here, by class; ServiceRefusals those that the service
-	// refused for its rate.
+	// refused because of its rate limit.
 	Shed            [classes]uint64
 	ServiceRefusals uint64
 }
--- a/internal/core/readbatch/readbatch.go
+++ b/internal/core/readbatch/readbatch.go
@@ -70,7 +70,7 @@
 	queue       []check // in order of arrival; may contain checks that no longer wait
 	unanswered  map[model.JobID]unanswered
 	lastCleanup time.Duration
-	notBefore   time.Duration // earliest time of the next comparison after one was refused for the rate
+	notBefore   time.Duration // earliest time of the next comparison after one was refused by the rate limit
 	// Checks and Comparisons count the checks and the comparisons made for them.
 	Checks, Comparisons uint64
 }
@@ -204,7 +204,7 @@
 }
 
 // HandleOutcome takes a comparison's outcome for each guard and returns the answers. Checks that were
-// refused for the rate wait for the next comparison.
+// refused by the rate limit wait for the next comparison.
 func (b *Batcher) HandleOutcome(now time.Duration, batch Batch,
 	outcome func(jobs.Guard) jobs.Outcome) (answers []Answer) {
 	sent := b.inFlight[batch.id]
--- a/internal/core/sim/overload_test.go
+++ b/internal/core/sim/overload_test.go
@@ -217,7 +217,7 @@
 }
 
 // TestOverloadKeepsLeader guards against leaders that give up under overload: with twice the machines,
-// renewals were refused for the rate and every leader resigned after a few seconds. There were
+// renewals were refused by the rate limit and every leader resigned after a few seconds. There were
 // fourteen terms, five of them resigned by mistake.
 func TestOverloadKeepsLeader(t *testing.T) {
 	t.Parallel()
--- a/internal/core/storehealth/storehealth.go
+++ b/internal/core/storehealth/storehealth.go
@@ -2,7 +2,7 @@
 // outcomes of its own requests and from what its siblings report about theirs. It is a state machine
 // without input or output; times are those of the monotonic clock.
 //
-// Three failures look alike if only missing answers are seen: the service is out for all
+// Three failures look alike if only missing answers are seen: the service is unavailable to all
 // controllers, it refuses only this one, or this controller (or all of them) exceeds the service's
 // rate. Only the second is a reason for a leader to yield. If the third were mistaken for it, it
 // would get worse, because each new leader reads the whole store again.
@@ -17,7 +17,7 @@
 const (
 	Served   Outcome = iota // executed, or not executed because of its own guard
 	Busy                    // not executed: the service's rate is exhausted
-	Refused                 // not executed: the service is out, or refuses this controller
+	Refused                 // not executed: the service is unavailable, or refuses this controller
 	NoAnswer                // no answer in time
 )
 
@@ -49,7 +49,7 @@
 )
 
 // Health is the state machine of one controller. A request "reached" the service if it was served, or
-// refused only for the rate. Requests are identified by when they were sent.
+// refused only because of the rate limit. Requests are identified by when they were sent.
 type Health struct {
 	lastServed           time.Duration // newest request that was served
 	lastReached          time.Duration // newest request that reached the service
@@ -118,9 +118,9 @@
 }
 
 // ShouldYield reports whether a leader should yield because it is refused alone. There are two
-// conditions. The sibling was served lately: if the service is out for all by now, nobody can lead
-// until it is back, and all running tasks would be lost when their leases end. And a request of this
-// controller failed after one of the sibling's was served: when the service comes back for all, the
+// conditions. The sibling was served lately: if the service is unavailable to all by now, nobody
+// can lead until it is back, and all running tasks would be lost when their leases end. And a request of
+// this controller failed after one of the sibling's was served: when the service comes back for all, the
 // sibling may merely be the first to be served.
 func (h *Health) ShouldYield(now, siblingServed time.Duration) bool {
 	if h.nextSiblingServed <= h.lastReached {
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -43,8 +43,8 @@
 }
 
 // A leader that is refused alone, or gets no answers, should yield while a sibling is served. It must
-// not if the service then goes out for all, nor when it comes back for all. ShouldYield is called
-// every 100 ms, and each failure is known some time after the request was sent.
+// not if the service then becomes unavailable to all, nor when it comes back for all. ShouldYield is
+// called every 100 ms, and each failure is known some time after the request was sent.
 func TestLeaderYieldsOnlyToServedSibling(t *testing.T) {
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
@@ -126,8 +126,8 @@
 	}
 }
 
-// When the service goes out for all as the leader's lease ends, siblings were served until just
-// before. The leader must not yield without a fresh confirmation by a sibling.
+// When the service becomes unavailable to all as the leader's lease ends, siblings were served until
+// just before. The leader must not yield without a fresh confirmation by a sibling.
 func TestLeaderYieldsOnceSiblingIsConfirmed(t *testing.T) {
 	const cut, out = 10 * time.Second, 12900 * ms
 	for name, c := range map[string]struct {
