--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -14,6 +14,8 @@
 	}
 }
 
+// A controller is refused alone only if its requests fail while a sibling is served. Refusals for the
+// rate are no failures.
 func TestRefusedAloneNeedsAServedSibling(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome Outcome
@@ -41,8 +43,8 @@
 }
 
 // A leader that is refused alone, or gets no answers, should yield while a sibling is served. It must
-// not if the service then goes out for all, nor when it comes back for all. ShouldYield is called
-// every 100 ms, and each failure is known some time after the request was sent.
+// not if the service then becomes unavailable to all, nor when it comes back for all. ShouldYield is
+// called every 100 ms, and each failure is known some time after the request was sent.
 func TestLeaderYieldsOnlyToServedSibling(t *testing.T) {
 	const cut, sec = 10 * time.Second, time.Second
 	justServed := func(now time.Duration) time.Duration { return now - 100*ms }
@@ -91,7 +93,7 @@
 
 // A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
 // that.
-func TestOwnSlownessIsNoRefusal(t *testing.T) {
+func TestDelaysOfThisProcessAreNoRefusals(t *testing.T) {
 	var h Health
 	recordOutcomes(&h, 0, 10*time.Second, Served)
 	recordOutcomes(&h, 10*time.Second, 13*time.Second, NoAnswer)
@@ -124,8 +126,8 @@
 	}
 }
 
-// When the service goes out for all as the leader's lease ends, siblings were served until just
-// before. The leader must not yield without a fresh confirmation by a sibling.
+// When the service becomes unavailable to all as the leader's lease ends, siblings were served until
+// just before. The leader must not yield without a fresh confirmation by a sibling.
 func TestLeaderYieldsOnceSiblingIsConfirmed(t *testing.T) {
 	const cut, out = 10 * time.Second, 12900 * ms
 	for name, c := range map[string]struct {
@@ -159,7 +161,7 @@
 }
 
 // A controller that sends no requests for a while is not cut off: only a failed request shows that.
-func TestNoRequestsAreNotUnreachable(t *testing.T) {
+func TestControllerWithoutRequestsIsNotUnreachable(t *testing.T) {
 	var h Health
 	if !h.Unreachable(3 * time.Second) {
 		t.Error("reachable though never served")
