--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -51,7 +51,7 @@
 func (e *Engine) blockedReason(v *View, p *Plan, id model.MachineID, capacity *freeCapacity) string {
 	m := v.Machines[id]
 	if !m.Reported {
-		return "no controller has reported its state"
+		return "no controller has told how it is"
 	}
 	if reason := freeCapacityBlocker(v, p, capacity, id); reason != "" {
 		return reason
@@ -62,7 +62,7 @@
 	if len(p.Windows) > 0 {
 		list, fresh := e.freshTaskList(v.Now, id)
 		if !fresh {
-			return "its controller has not listed its tasks"
+			return "its controller has not told what runs there"
 		}
 		for i := range list.tasks {
 			if !p.movesTasksOf(list.tasks[i].spec) {
@@ -145,7 +145,7 @@
 		w, limit := p.missedWindow(v.Wall, job.Spec, estimateEnd(v, job.Spec, waiting, capacity.maxTasks(job.Spec, 0)),
 			endWithout)
 		if w != nil {
-			return fmt.Sprintf("%s has %d tasks waiting and would end at %s without this machine, past %s at %s",
+			return fmt.Sprintf("%s has %d tasks waiting and would end at %s without its room, past %s at %s",
 				v.JobName(job.Spec.ID), waiting, formatClock(endWithout, w), w.Name, formatClock(limit, w))
 		}
 	}
@@ -163,7 +163,7 @@
 	step, status := &p.Steps[i], &p.runtime[i]
 	m := v.Machines[step.Machine]
 	if !m.Reported {
-		status.blockedReason = "no controller has reported its state"
+		status.blockedReason = "no controller has told how it is"
 		return
 	}
 	if p.Phase == Paused {
--- a/internal/core/drain/record.go
+++ b/internal/core/drain/record.go
@@ -79,7 +79,7 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(record.Z)), 1<<20))
 	if err != nil {
-		return nil, fmt.Errorf("its compressed record is unreadable: %w", err)
+		return nil, fmt.Errorf("its packed record is unreadable: %w", err)
 	}
 	return b, nil
 }
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -259,7 +259,7 @@
 	case m.Reported && m.Slots > 0:
 		p.setState(v.Now, i, Draining)
 	case !e.isEmpty(v.Now, &m):
-		status.blockedReason = "its controller has not confirmed that it is empty"
+		status.blockedReason = "its controller has not told that it is empty"
 	case status.lastAnswerAt == 0 || v.Now-status.lastAnswerAt >= time.Second:
 		status.requestPending = true
 		e.emit(Action{Kind: ReturnMachine, Machine: p.Steps[i].Machine})
--- a/internal/core/drain/waves.go
+++ b/internal/core/drain/waves.go
@@ -65,7 +65,7 @@
 	}
 	machines := p.renewedMachines(v)
 	if n := countMissing(v, machines); n > 0 && 4*n >= len(machines) {
-		p.closeGate(fmt.Sprintf("%d of %d renewed machines don't report, or are considered faulty", n, len(machines)))
+		p.closeGate(fmt.Sprintf("%d of %d renewed machines don't report, or are held to be faulty", n, len(machines)))
 		return p.GateClosedReason
 	}
 	if n := p.failedRentals(); n >= 3 && 2*n >= len(machines) {
@@ -108,7 +108,7 @@
 	return out
 }
 
-// countMissing counts the machines that do not report or are considered faulty.
+// countMissing counts the machines that do not report or are held to be faulty.
 func countMissing(v *View, ids []model.MachineID) (count int) {
 	for _, id := range ids {
 		if m, ok := v.Machines[id]; !ok || !m.Reported || m.Faulty {
--- a/internal/core/forecast/plan.go
+++ b/internal/core/forecast/plan.go
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	return "it takes longer than the simulated time"
+	return "it takes longer than was played"
 }
 
 // StepInterval returns the simulated time between decisions for a cluster of so many machines: as
