--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -235,7 +235,7 @@
 	for _, b := range *budgets {
 		rows = append(rows, []string{b.Team, b.Class, fmt.Sprint(b.Running), fmt.Sprint(b.Interrupted),
 			formatLimit(float64(b.MaxTasks)),
-			fmt.Sprintf("%g", b.InterruptedCPUs), formatLimit(b.CPUs), fmt.Sprintf("%.0f", b.LostCPUS),
+			fmt.Sprintf("%g", b.InterruptedCPUs), formatLimit(b.MaxCPUs), fmt.Sprintf("%.0f", b.LostCPUS),
 			formatLimit(b.MaxLostCPUS),
 			counts(b.InterruptedByCause)})
 	}
--- a/internal/core/dispatcher/starvation.go
+++ b/internal/core/dispatcher/starvation.go
@@ -37,7 +37,7 @@
 		j.started = j.started || j.doneCount > 0 || len(j.assignments) > 0 && d.TaskCounts(j.spec.ID).Running > 0
 		unfinished = append(unfinished, starvation.Job{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team,
 			Tasks:        j.spec.Tasks,
-			WaitingSince: j.waitingSince, Begun: j.started})
+			WaitingSince: j.waitingSince, Started: j.started})
 	}
 	d.starvation.Update(now, unfinished)
 	for _, id := range d.starvation.Overdue() {
--- a/internal/core/drain/blockers.go
+++ b/internal/core/drain/blockers.go
@@ -31,7 +31,7 @@
 // no tasks after the machine was cordoned.
 func (e *Engine) isEmpty(now time.Duration, m *Machine) bool {
 	id := m.Machine.ID
-	if !m.Reported || m.Slots > 0 || !e.cordoned[id] {
+	if !m.Reported || m.AttemptCount > 0 || !e.cordoned[id] {
 		return false
 	}
 	list, fresh := e.freshTaskList(now, id)
--- a/internal/core/drain/harness_test.go
+++ b/internal/core/drain/harness_test.go
@@ -113,7 +113,7 @@
 		EvaluateGate: h.evaluateGate}
 	for id, m := range h.machines {
 		st := model.MachineStatus{Machine: m.Machine, Avail: m.free(h), Ready: !m.cordoned && m.bootTicks == 0,
-			Slots: len(m.tasks)}
+			AttemptCount: len(m.tasks)}
 		v.Machines[id] = Machine{MachineStatus: st, Reported: m.bootTicks == 0 && !m.unreported, KnownSince: m.knownSince}
 	}
 	for _, j := range h.jobs {
--- a/internal/core/drain/steps.go
+++ b/internal/core/drain/steps.go
@@ -78,7 +78,7 @@
 		case ok && !e.priceReturns[id] && e.isEmpty(v.Now, &m):
 			e.priceReturns[id] = true
 			e.emit(Action{Kind: ReturnMachine, Machine: id})
-		case ok && m.Reported && m.Slots > 0 && e.cordoned[id]:
+		case ok && m.Reported && m.AttemptCount > 0 && e.cordoned[id]:
 			e.consolidate(v, id)
 		}
 	}
@@ -254,9 +254,9 @@
 	m := v.Machines[p.Steps[i].Machine]
 	switch {
 	case status.requestPending: // the cloud has not answered yet
-	case m.Reported && m.Slots > 0 && p.Phase == Cancelled:
+	case m.Reported && m.AttemptCount > 0 && p.Phase == Cancelled:
 		p.setState(v.Now, i, Abandoned)
-	case m.Reported && m.Slots > 0:
+	case m.Reported && m.AttemptCount > 0:
 		p.setState(v.Now, i, Draining)
 	case !e.isEmpty(v.Now, &m):
 		status.blockedReason = "its controller has not told that it is empty"
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -186,7 +186,7 @@
 	for id := range model.MachineID(10) {
 		status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Spot: id < 5,
 			Cap: model.Capacity(8, 0, 32)},
-			Avail: model.Capacity(4, 0, 16), Slots: 1, Ready: true})
+			Avail: model.Capacity(4, 0, 16), AttemptCount: 1, Ready: true})
 	}
 	f.Observe(0, status, func(model.MachineID) bool { return false })
 	drainsAndUndrains := func(actions []Action) (drained, undrained []model.MachineID) {
@@ -227,7 +227,7 @@
 		t.Errorf("%+v: machines that plans drain count as capacity", actions)
 	}
 	for i := range status {
-		status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
+		status[i].Avail, status[i].AttemptCount = status[i].Machine.Cap, 0
 	}
 	actions = f.Step(time.Hour, status, nil, noLimit)
 	if d, _ := drainsAndUndrains(actions); d != nil || slices.ContainsFunc(actions,
@@ -245,7 +245,7 @@
 		s := model.MachineStatus{Machine: model.Machine{ID: id, Cap: model.Capacity(8, 0, 32)},
 			Avail: model.Capacity(8, 0, 32), Ready: true}
 		if id < drained {
-			s.Avail, s.Slots = model.Capacity(0, 0, 0), 4
+			s.Avail, s.AttemptCount = model.Capacity(0, 0, 0), 4
 		}
 		status = append(status, s)
 	}
@@ -268,7 +268,7 @@
 			t.Errorf("%d of %d idle machines returned once there is nothing to move", len(gone), free)
 		}
 		for i := range drained { // the tasks have ended
-			status[i].Avail, status[i].Slots = status[i].Machine.Cap, 0
+			status[i].Avail, status[i].AttemptCount = status[i].Machine.Cap, 0
 		}
 	}
 }
--- a/internal/core/fleet/plans.go
+++ b/internal/core/fleet/plans.go
@@ -23,7 +23,7 @@
 	var cpu int64
 	for i := range status {
 		s := &status[i]
-		if state := f.machines[s.Machine.ID]; state != nil && state.planDraining && s.Slots > 0 {
+		if state := f.machines[s.Machine.ID]; state != nil && state.planDraining && s.AttemptCount > 0 {
 			cpu += max(0, s.Machine.Cap.CPU-s.Avail.CPU)
 		}
 	}
--- a/internal/core/fleet/surplus.go
+++ b/internal/core/fleet/surplus.go
@@ -26,7 +26,7 @@
 	for i := range status {
 		s := &status[i]
 		if state := f.machines[s.Machine.ID]; state != nil && !state.returning && !state.planDraining && s.Faulty &&
-			s.Slots == 0 {
+			s.AttemptCount == 0 {
 			returns = append(returns, s.Machine.ID)
 		}
 	}
@@ -68,7 +68,7 @@
 	free := freeCPU(machines)
 	for i := range machines {
 		candidate := &machines[i]
-		if candidate.status == nil || candidate.usedByDemand || candidate.status.Slots > 0 {
+		if candidate.status == nil || candidate.usedByDemand || candidate.status.AttemptCount > 0 {
 			continue
 		}
 		if limit := f.idleLimit(&candidate.machine, lowDemand); now-candidate.status.IdleSince < limit ||
--- a/internal/core/fleet/unreachable_test.go
+++ b/internal/core/fleet/unreachable_test.go
@@ -20,7 +20,7 @@
 			var status []model.MachineStatus
 			for id := range model.MachineID(100) {
 				status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Cap: model.Capacity(8, 0, 32)},
-					Ready: true, Slots: 1})
+					Ready: true, AttemptCount: 1})
 			}
 			notExpired := func(model.MachineID) bool { return false }
 			f.Observe(0, status, notExpired)
@@ -55,7 +55,7 @@
 		var status []model.MachineStatus
 		for id := range model.MachineID(10) {
 			status = append(status, model.MachineStatus{Machine: model.Machine{ID: id, Cap: model.Capacity(8, 0, 32)},
-				Ready: true, Slots: 1})
+				Ready: true, AttemptCount: 1})
 		}
 		f.Observe(0, status, func(model.MachineID) bool { return false })
 		f.Observe(time.Second, status, func(id model.MachineID) bool { return int(id) < c.expired })
--- a/internal/core/model/messages.go
+++ b/internal/core/model/messages.go
@@ -164,13 +164,13 @@
 
 // MachineStatus is a shard's summary of a machine.
 type MachineStatus struct {
-	Machine   Machine
-	Avail     Resources
-	Ready     bool          // tasks may be placed there now
-	Draining  bool          // it gets no new tasks: a preemption notice, or the worker may not receive messages
-	Slots     int           // attempts on the machine, without those that only wait to be cleared
-	IdleSince time.Duration // when the number of attempts last became zero
-	Faulty    bool          // considered faulty: tasks keep failing there
+	Machine      Machine
+	Avail        Resources
+	Ready        bool          // tasks may be placed there now
+	Draining     bool          // it gets no new tasks: a preemption notice, or the worker may not receive messages
+	AttemptCount int           // attempts on the machine, without those that only wait to be cleared
+	IdleSince    time.Duration // when the number of attempts last became zero
+	Faulty       bool          // considered faulty: tasks keep failing there
 }
 
 // BrokenJobMachines is the number of machines on which a job without a completed task must fail
--- a/internal/core/shard/status.go
+++ b/internal/core/shard/status.go
@@ -69,7 +69,7 @@
 // status returns the machine's status for the dispatcher.
 func (m *machine) status(summary machineSummary) model.MachineStatus {
 	return model.MachineStatus{Machine: m.Machine, Avail: summary.avail, Ready: summary.ready,
-		Draining: summary.draining, Slots: summary.attempts, IdleSince: summary.idleSince, Faulty: summary.faulty}
+		Draining: summary.draining, AttemptCount: summary.attempts, IdleSince: summary.idleSince, Faulty: summary.faulty}
 }
 
 // WaitingCount returns how many tasks wait for a machine.
--- a/internal/core/starvation/starvation.go
+++ b/internal/core/starvation/starvation.go
@@ -22,7 +22,7 @@
 	Team         model.Name
 	Tasks        int32
 	WaitingSince time.Duration // when it began to wait
-	Begun        bool          // a task of it has run or is running
+	Started      bool          // a task of it has run or is running
 }
 
 // Kind is the kind of a group of jobs.
@@ -44,25 +44,25 @@
 // GroupStats counts the jobs of a group that have begun, and those that have not but should have.
 type GroupStats struct {
 	Group
-	Begun, Overdue int
-	LongestWait    time.Duration // to begin, including jobs that still wait
+	Started, Overdue int
+	LongestWait      time.Duration // to begin, including jobs that still wait
 }
 
-// BegunFraction returns the fraction of the due jobs that has begun; 1 if none is due.
-func (s *GroupStats) BegunFraction() float64 {
-	if s.Begun+s.Overdue == 0 {
+// StartedFraction returns the fraction of the due jobs that has begun; 1 if none is due.
+func (s *GroupStats) StartedFraction() float64 {
+	if s.Started+s.Overdue == 0 {
 		return 1
 	}
-	return float64(s.Begun) / float64(s.Begun+s.Overdue)
+	return float64(s.Started) / float64(s.Started+s.Overdue)
 }
 
 const (
-	// MinBegunFraction is the fraction below which a group is reported as starved. The guarantee to
+	// MinStartedFraction is the fraction below which a group is reported as starved. The guarantee to
 	// users is one half.
-	MinBegunFraction  = 0.7
-	minDueJobs        = 4 // number of due jobs below which a fraction is not significant
-	largestPercentile = 90
-	maxTasks          = 100_000 // of a job, by the protocol
+	MinStartedFraction = 0.7
+	minDueJobs         = 4 // number of due jobs below which a fraction is not significant
+	largestPercentile  = 90
+	maxTasks           = 100_000 // of a job, by the protocol
 )
 
 // Detector is the state machine of a leader.
@@ -90,17 +90,17 @@
 		if !known {
 			_ = d.sizeHistogram(j.Class).RecordValue(int64(max(1, j.Tasks))) // always in range
 		}
-		if j.Begun && !previous.Begun {
+		if j.Started && !previous.Started {
 			for _, group := range d.groupsOf(&j) {
 				s := d.statsFor(group)
-				s.Begun++
+				s.Started++
 				if known {
 					s.LongestWait = max(s.LongestWait, now-j.WaitingSince)
 				}
 			}
 		}
-		j.Begun = j.Begun || previous.Begun
-		if !j.Begun && now-j.WaitingSince > d.beginWithin {
+		j.Started = j.Started || previous.Started
+		if !j.Started && now-j.WaitingSince > d.beginWithin {
 			d.overdue = append(d.overdue, j.ID)
 		}
 		current[j.ID] = j
@@ -173,7 +173,7 @@
 func Starved(stats []GroupStats) []GroupStats {
 	var starved []GroupStats
 	for _, s := range stats {
-		if s.Begun+s.Overdue >= minDueJobs && s.BegunFraction() < MinBegunFraction {
+		if s.Started+s.Overdue >= minDueJobs && s.StartedFraction() < MinStartedFraction {
 			starved = append(starved, s)
 		}
 	}
--- a/internal/core/starvation/starvation_test.go
+++ b/internal/core/starvation/starvation_test.go
@@ -26,7 +26,7 @@
 		t.Fatal("overdue after 10 s")
 	}
 	for i := range jobs {
-		jobs[i].Begun = jobs[i].Class == 0 && i != 18
+		jobs[i].Started = jobs[i].Class == 0 && i != 18
 	}
 	detector.Update(61*s, jobs)
 	overdue := detector.Overdue()
@@ -37,10 +37,10 @@
 	for _, stats := range detector.GroupStats(61 * s) {
 		got[stats.Group] = stats
 	}
-	if stats := got[Group{Class, 0}]; stats.Begun != 9 || stats.Overdue != 1 || stats.BegunFraction() != 0.9 {
+	if stats := got[Group{Class, 0}]; stats.Started != 9 || stats.Overdue != 1 || stats.StartedFraction() != 0.9 {
 		t.Errorf("class 0: %+v", stats)
 	}
-	if stats := got[Group{Largest, 0}]; stats.Begun != 0 || stats.Overdue != 1 || stats.LongestWait != 61*s {
+	if stats := got[Group{Largest, 0}]; stats.Started != 0 || stats.Overdue != 1 || stats.LongestWait != 61*s {
 		t.Errorf("largest of class 0: %+v", stats)
 	}
 	starved := Starved(detector.GroupStats(61 * s))
--- a/internal/node/disruption.go
+++ b/internal/node/disruption.go
@@ -83,7 +83,7 @@
 	Interrupted        int            `json:"out"`  // tasks
 	MaxTasks           int            `json:"most"` // limit of Interrupted; -1: none
 	InterruptedCPUs    float64        `json:"out_cpus"`
-	CPUs               float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
+	MaxCPUs            float64        `json:"cpus,omitempty"`            // limit of InterruptedCPUs; 0: none
 	LostCPUS           float64        `json:"lost_cpu_s"`                // CPU seconds lost in the budget's window
 	MaxLostCPUS        float64        `json:"most_lost_cpu_s,omitempty"` // limit of LostCPUS; 0: none
 	InterruptedByCause map[string]int `json:"by"`                        // interrupted tasks by cause
@@ -98,7 +98,7 @@
 	for _, s := range dm.disruptions.Status(now) {
 		b := BudgetStatus{Team: dm.lead.node.names.Teams.Name(s.Team), Running: s.Running, Interrupted: s.Tasks,
 			MaxTasks:        s.TaskLimit,
-			InterruptedCPUs: float64(s.CPU) / 1000, CPUs: float64(s.Budget.MaxCPU) / 1000, LostCPUS: s.LostCPU,
+			InterruptedCPUs: float64(s.CPU) / 1000, MaxCPUs: float64(s.Budget.MaxCPU) / 1000, LostCPUS: s.LostCPU,
 			MaxLostCPUS:        s.Budget.MaxLostCPU,
 			InterruptedByCause: map[string]int{}}
 		if s.Class != model.None {
--- a/internal/node/loadlog.go
+++ b/internal/node/loadlog.go
@@ -58,7 +58,7 @@
 		"cpus", cpus/1000, "free", free/1000)
 	for _, group := range starvation.Starved(dl.dispatcher.Starvation(dl.lead.node.now())) {
 		dl.lead.node.log.Warn("jobs have waited too long to begin", "of", dl.lead.node.groupName(group.Group),
-			"begun", group.Begun, "late", group.Overdue, "longest", group.LongestWait)
+			"begun", group.Started, "late", group.Overdue, "longest", group.LongestWait)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		c := classes[name]
--- a/internal/node/starvation.go
+++ b/internal/node/starvation.go
@@ -49,7 +49,7 @@
 	}
 	for _, s := range m.node.lead.dispatcher.Starvation(m.node.now()) {
 		of := m.node.groupName(s.Group)
-		metrics <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.BegunFraction(), of)
+		metrics <- prometheus.MustNewConstMetric(m.begunShare, prometheus.GaugeValue, s.StartedFraction(), of)
 		metrics <- prometheus.MustNewConstMetric(m.longest, prometheus.GaugeValue, s.LongestWait.Seconds(), of)
 	}
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -90,7 +90,7 @@
 		m := &machines[i]
 		p.Machines = append(p.Machines, &peerpb.MachineStatus{Id: uint64(m.Machine.ID), Cpu: m.Avail.CPU, Gpu: m.Avail.GPU,
 			Mem:   m.Avail.Mem,
-			Ready: m.Ready, Draining: m.Draining, Slots: int32(m.Slots), IdleUs: (now - m.IdleSince).Microseconds(),
+			Ready: m.Ready, Draining: m.Draining, Slots: int32(m.AttemptCount), IdleUs: (now - m.IdleSince).Microseconds(),
 			Bad: m.Faulty})
 	}
 	for id, n := range jobs {
@@ -107,8 +107,8 @@
 	for _, m := range p.GetMachines() {
 		machines = append(machines, model.MachineStatus{Machine: model.Machine{ID: model.MachineID(m.GetId())},
 			Avail: model.Resources{CPU: m.GetCpu(), GPU: m.GetGpu(), Mem: m.GetMem()}, Ready: m.GetReady(),
-			Draining: m.GetDraining(),
-			Slots:    int(m.GetSlots()), IdleSince: now - microseconds(m.GetIdleUs()), Faulty: m.GetBad()})
+			Draining:     m.GetDraining(),
+			AttemptCount: int(m.GetSlots()), IdleSince: now - microseconds(m.GetIdleUs()), Faulty: m.GetBad()})
 	}
 	jobs := make(map[model.JobID]model.TaskCounts, len(p.GetJobs()))
 	for _, j := range p.GetJobs() {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -70,8 +70,9 @@
 	if diff := cmp.Diff(e, got); diff != "" {
 		t.Fatal(diff)
 	}
-	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2,
-		IdleSince: 8 * time.Second}}
+	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true,
+		AttemptCount: 2,
+		IdleSince:    8 * time.Second}}
 	jobs := map[model.JobID]model.TaskCounts{7: {Waiting: 1, Running: 2}}
 	up := NewCodec(a).Status(10*time.Second, ms, jobs, 5).GetStatus()
 	gotMS, gotJobs := NewCodec(b).FromStatus(20*time.Second, up)
