--- a/cmd/honeylock/dev.go
+++ b/cmd/honeylock/dev.go
@@ -92,15 +92,15 @@
 	}
 	token := rand.Text() // of the operators' servers
 	o.Settings = func(string) (*config.Settings, error) { return dev.OperatorSettings(token) }
-	cl, err := dev.Start(o)
+	cluster, err := dev.Start(o)
 	if err != nil {
 		return failed(err)
 	}
-	defer cl.Close()
+	defer cluster.Close()
 	out := c.OutOrStdout()
-	fmt.Fprintf(out, "users        %s\n", strings.Join(cl.Addrs(), ","))
-	fmt.Fprintf(out, "operators    %s\ntoken        %s\n", strings.Join(cl.OpsAddrs(), ","), token)
-	users := dev.NewUsers(cl.Addrs(), classes, f.speed, f.seed)
+	fmt.Fprintf(out, "users        %s\n", strings.Join(cluster.Addrs(), ","))
+	fmt.Fprintf(out, "operators    %s\ntoken        %s\n", strings.Join(cluster.OpsAddrs(), ","), token)
+	users := dev.NewUsers(cluster.Addrs(), classes, f.speed, f.seed)
 	arrive, wait, stop := f.bounds(c.Context(), len(classes) > 0)
 	defer stop()
 	ended := make(chan struct{})
@@ -113,13 +113,13 @@
 	}()
 	f.follow(c, users, ended)
 	counts := users.Counts()
-	broken := cl.Tasks.Violations()
-	for _, s := range append(counts.Losses, broken...) {
+	violations := cluster.Tasks.Violations()
+	for _, s := range append(counts.Losses, violations...) {
 		fmt.Fprintln(c.ErrOrStderr(), s)
 	}
 	fmt.Fprintf(out, "jobs: %d accepted, %d done, %d cancelled, %d open, %d refused, %d lost; tasks run twice: %d\n",
-		counts.Accepted, counts.Done, counts.Cancelled, counts.Open, counts.Refused, counts.Lost, len(broken))
-	if counts.Lost > 0 || len(broken) > 0 {
+		counts.Accepted, counts.Done, counts.Cancelled, counts.Open, counts.Refused, counts.Lost, len(violations))
+	if counts.Lost > 0 || len(violations) > 0 {
 		return failed(errors.New("jobs were lost, or tasks ran twice"))
 	}
 	return nil
--- a/cmd/honeylock/drain.go
+++ b/cmd/honeylock/drain.go
@@ -26,30 +26,30 @@
 	asJSON        bool
 }
 
-func (d *operatorFlags) flags(c *cobra.Command) {
-	addrFlag(c, &d.addrs, "HONEYLOCK_OPS_ADDR", "addresses of the controllers' operators' endpoints")
-	c.PersistentFlags().StringVar(&d.tokenFile, "token-file", "",
+func (f *operatorFlags) addTo(c *cobra.Command) {
+	addrFlag(c, &f.addrs, "HONEYLOCK_OPS_ADDR", "addresses of the controllers' operators' endpoints")
+	c.PersistentFlags().StringVar(&f.tokenFile, "token-file", "",
 		"file with your token (default: $HONEYLOCK_TOKEN)")
-	c.PersistentFlags().StringVar(&d.ca, "ca", "",
+	c.PersistentFlags().StringVar(&f.ca, "ca", "",
 		"file with the CA (PEM) of the controllers' certificates; if given, calls use TLS")
-	c.PersistentFlags().BoolVar(&d.asJSON, "json", false, "print JSON")
+	c.PersistentFlags().BoolVar(&f.asJSON, "json", false, "print JSON")
 }
 
-func (d *operatorFlags) dial() (*client.Operators, error) {
+func (f *operatorFlags) dial() (*client.Operators, error) {
 	token := os.Getenv("HONEYLOCK_TOKEN")
-	if d.tokenFile != "" {
-		b, err := os.ReadFile(d.tokenFile)
+	if f.tokenFile != "" {
+		b, err := os.ReadFile(f.tokenFile)
 		if err != nil {
 			return nil, fmt.Errorf("--token-file: %w", err)
 		}
 		token = strings.TrimSpace(string(b))
 	}
-	return client.NewOperators(d.addrs, token, d.ca)
+	return client.NewOperators(f.addrs, token, f.ca)
 }
 
 // get makes a call that changes nothing and prints the answer.
-func get[T any](c *cobra.Command, d *operatorFlags, path string, show func(io.Writer, *T) error) error {
-	o, err := d.dial()
+func get[T any](c *cobra.Command, flags *operatorFlags, path string, show func(io.Writer, *T) error) error {
+	o, err := flags.dial()
 	if err != nil {
 		return err
 	}
@@ -57,15 +57,15 @@
 	if err := o.Get(c.Context(), path, &v); err != nil {
 		return failed(err)
 	}
-	if d.asJSON {
+	if flags.asJSON {
 		return showJSON(c.OutOrStdout(), v)
 	}
 	return show(c.OutOrStdout(), &v)
 }
 
 // change makes a change and prints its outcome.
-func (d *operatorFlags) change(c *cobra.Command, path string, body []byte) error {
-	o, err := d.dial()
+func (f *operatorFlags) change(c *cobra.Command, path string, body []byte) error {
+	o, err := f.dial()
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		func(why string) { fmt.Fprintln(c.ErrOrStderr(), why) }); err != nil {
 		return failed(err)
 	}
-	if d.asJSON {
+	if f.asJSON {
 		return showJSON(c.OutOrStdout(), out)
 	}
 	_, err = fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", out.Name, out.Outcome)
@@ -82,25 +82,25 @@
 }
 
 func drainCommand() *cobra.Command {
-	var d operatorFlags
+	var flags operatorFlags
 	c := &cobra.Command{Use: "drain",
 		Short: "Drain machines according to a plan, to patch them or return them to the cloud"}
-	d.flags(c)
+	flags.addTo(c)
 	planAction := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return d.change(c, "drains/"+url.PathEscape(args[0])+"/"+use, nil)
+				return flags.change(c, "drains/"+url.PathEscape(args[0])+"/"+use, nil)
 			}}
 	}
-	c.AddCommand(checkPlanCommand(), forecastCommand(&d), forecastRestCommand(&d), applyCommand(&d),
-		drainStatusCommand(&d),
+	c.AddCommand(checkPlanCommand(), forecastCommand(&flags), forecastRestCommand(&flags), applyCommand(&flags),
+		drainStatusCommand(&flags),
 		&cobra.Command{Use: "list", Short: "List the plans", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return get(c, &d, "drains", showPlans)
+				return get(c, &flags, "drains", showPlans)
 			}},
 		&cobra.Command{Use: "budgets", Short: "Show teams' disruption budgets, and the work that is interrupted now",
 			Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-				return get(c, &d, "budgets", showBudgets)
+				return get(c, &flags, "budgets", showBudgets)
 			}},
 		planAction("pause", "Pause a plan: no more machines are drained and no tasks are moved"),
 		planAction("resume", "Resume a paused plan"),
@@ -108,7 +108,7 @@
 		&cobra.Command{Use: "patched NAME MACHINE", Short: "Report that a machine of a plan is patched: it gets tasks again",
 			Args: cobra.ExactArgs(2),
 			RunE: func(c *cobra.Command, args []string) error {
-				return d.change(c, "drains/"+url.PathEscape(args[0])+"/machines/"+url.PathEscape(args[1])+"/patched", nil)
+				return flags.change(c, "drains/"+url.PathEscape(args[0])+"/machines/"+url.PathEscape(args[1])+"/patched", nil)
 			}})
 	return c
 }
@@ -144,13 +144,13 @@
 	return b, nil
 }
 
-func applyCommand(d *operatorFlags) *cobra.Command {
+func applyCommand(flags *operatorFlags) *cobra.Command {
 	return planCommand("apply", "Start a plan", func(c *cobra.Command, plan []byte) error {
-		return d.change(c, "drains", plan)
+		return flags.change(c, "drains", plan)
 	})
 }
 
-func drainStatusCommand(d *operatorFlags) *cobra.Command {
+func drainStatusCommand(flags *operatorFlags) *cobra.Command {
 	var watch bool
 	c := &cobra.Command{Use: "status NAME", Short: "Show the state of a plan, machine by machine",
 		Args: cobra.ExactArgs(1)}
@@ -158,16 +158,16 @@
 	c.RunE = func(c *cobra.Command, args []string) error {
 		path := "drains/" + url.PathEscape(args[0])
 		if !watch {
-			return get(c, d, path, showPlan)
+			return get(c, flags, path, showPlan)
 		}
-		return d.watch(c, path)
+		return flags.watch(c, path)
 	}
 	return c
 }
 
 // watch prints a plan's state whenever it changes, until the plan has ended.
-func (d *operatorFlags) watch(c *cobra.Command, path string) error {
-	o, err := d.dial()
+func (f *operatorFlags) watch(c *cobra.Command, path string) error {
+	o, err := f.dial()
 	if err != nil {
 		return err
 	}
@@ -256,11 +256,11 @@
 }
 
 func auditCommand() *cobra.Command {
-	var d operatorFlags
+	var flags operatorFlags
 	c := &cobra.Command{Use: "audit", Short: "Show operators' changes"}
-	d.flags(c)
+	flags.addTo(c)
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List the latest changes, made or refused", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "audit", showAudit) }})
+		RunE: func(c *cobra.Command, _ []string) error { return get(c, &flags, "audit", showAudit) }})
 	return c
 }
 
--- a/cmd/honeylock/forecast.go
+++ b/cmd/honeylock/forecast.go
@@ -11,21 +11,21 @@
 	"honeylock/internal/node"
 )
 
-func forecastCommand(d *operatorFlags) *cobra.Command {
+func forecastCommand(flags *operatorFlags) *cobra.Command {
 	return planCommand("plan", "Forecast which jobs a plan would delay, by how long and why; changes nothing",
-		func(c *cobra.Command, plan []byte) error { return d.forecast(c, "forecasts", plan) })
+		func(c *cobra.Command, plan []byte) error { return flags.forecast(c, "forecasts", plan) })
 }
 
-func forecastRestCommand(d *operatorFlags) *cobra.Command {
+func forecastRestCommand(flags *operatorFlags) *cobra.Command {
 	return &cobra.Command{Use: "forecast NAME", Short: "Forecast the rest of a plan in progress",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return d.forecast(c, "drains/"+url.PathEscape(args[0])+"/forecast", nil)
+			return flags.forecast(c, "drains/"+url.PathEscape(args[0])+"/forecast", nil)
 		}}
 }
 
-func (d *operatorFlags) forecast(c *cobra.Command, path string, body []byte) error {
-	o, err := d.dial()
+func (f *operatorFlags) forecast(c *cobra.Command, path string, body []byte) error {
+	o, err := f.dial()
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	if d.asJSON {
+	if f.asJSON {
 		return showJSON(c.OutOrStdout(), r)
 	}
 	return showForecast(c.OutOrStdout(), &r)
--- a/cmd/honeylock/member.go
+++ b/cmd/honeylock/member.go
@@ -10,11 +10,11 @@
 )
 
 func memberCommand() *cobra.Command {
-	var d operatorFlags
+	var flags operatorFlags
 	c := &cobra.Command{Use: "member", Short: "Show the controllers and the release of each"}
-	d.flags(c)
+	flags.addTo(c)
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List the controllers", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "members", showMembers) }})
+		RunE: func(c *cobra.Command, _ []string) error { return get(c, &flags, "members", showMembers) }})
 	return c
 }
 
--- a/cmd/honeylock/team.go
+++ b/cmd/honeylock/team.go
@@ -15,36 +15,36 @@
 )
 
 func teamCommand() *cobra.Command {
-	var d operatorFlags
+	var flags operatorFlags
 	c := &cobra.Command{Use: "team", Short: "Show and change teams' limits and guarantees"}
-	d.flags(c)
+	flags.addTo(c)
 	c.AddCommand(
 		&cobra.Command{Use: "list", Short: "List the teams", Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return get(c, &d, "teams", showTeams) }},
+			RunE: func(c *cobra.Command, _ []string) error { return get(c, &flags, "teams", showTeams) }},
 		&cobra.Command{Use: "show NAME", Short: "Show the state of a team", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return get(c, &d, "teams/"+url.PathEscape(args[0]), showTeam)
+				return get(c, &flags, "teams/"+url.PathEscape(args[0]), showTeam)
 			}},
-		setTeamCommand(&d),
+		setTeamCommand(&flags),
 		&cobra.Command{Use: "unset NAME", Short: "Undo all changes of a team: the platform's settings apply again",
 			Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return d.change(c, "teams/"+url.PathEscape(args[0])+"/unset", nil)
+				return flags.change(c, "teams/"+url.PathEscape(args[0])+"/unset", nil)
 			}})
 	return c
 }
 
-func setTeamCommand(d *operatorFlags) *cobra.Command {
+func setTeamCommand(flags *operatorFlags) *cobra.Command {
 	var limit, limitGPUs, guarantee, guaranteeGPUs float64
 	var until string
 	c := &cobra.Command{Use: "set NAME", Args: cobra.ExactArgs(1),
 		Short: "Change a team's limit or guarantee at once, until it is unset or until a given time"}
-	f := c.Flags()
-	f.Float64Var(&limit, "limit-cpus", 0, "maximum CPUs; not above the platform's limit")
-	f.Float64Var(&limitGPUs, "limit-gpus", 0, "maximum accelerators")
-	f.Float64Var(&guarantee, "guarantee-cpus", 0, "guaranteed CPUs; not above the limit")
-	f.Float64Var(&guaranteeGPUs, "guarantee-gpus", 0, "guaranteed accelerators")
-	f.StringVar(&until, "until", "", "when the change ends: a time (2026-12-31T18:00:00+04:00) or a duration (90m)")
+	flagSet := c.Flags()
+	flagSet.Float64Var(&limit, "limit-cpus", 0, "maximum CPUs; not above the platform's limit")
+	flagSet.Float64Var(&limitGPUs, "limit-gpus", 0, "maximum accelerators")
+	flagSet.Float64Var(&guarantee, "guarantee-cpus", 0, "guaranteed CPUs; not above the limit")
+	flagSet.Float64Var(&guaranteeGPUs, "guarantee-gpus", 0, "guaranteed accelerators")
+	flagSet.StringVar(&until, "until", "", "when the change ends: a time (2026-12-31T18:00:00+04:00) or a duration (90m)")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		p := &settingspb.TeamChange{Until: until}
 		if span, err := time.ParseDuration(until); err == nil {
@@ -52,8 +52,8 @@
 		}
 		for name, to := range map[string]**float64{"limit-cpus": &p.LimitCpus, "limit-gpus": &p.LimitGpus,
 			"guarantee-cpus": &p.GuaranteeCpus, "guarantee-gpus": &p.GuaranteeGpus} {
-			if f.Changed(name) {
-				v, err := f.GetFloat64(name)
+			if flagSet.Changed(name) {
+				v, err := flagSet.GetFloat64(name)
 				if err != nil {
 					return err
 				}
@@ -67,7 +67,7 @@
 		if _, err := config.ParseTeamChange(text); err != nil {
 			return err
 		}
-		return d.change(c, "teams/"+url.PathEscape(args[0]), text)
+		return flags.change(c, "teams/"+url.PathEscape(args[0]), text)
 	}
 	return c
 }
--- a/internal/e2e/consistency_test.go
+++ b/internal/e2e/consistency_test.go
@@ -20,45 +20,46 @@
 }
 
 // request sends one request and compares its answer with what was acknowledged before it.
-func (w *answerChecker) request(c *dev.Controller, method, path, job string, body any) (status int, stage string) {
-	w.mu.Lock()
-	before := w.acknowledged[job]
-	w.mu.Unlock()
+func (checker *answerChecker) request(c *dev.Controller, method, path, job string,
+	body any) (status int, stage string) {
+	checker.mu.Lock()
+	before := checker.acknowledged[job]
+	checker.mu.Unlock()
 	status, v := call(c, method, path, body)
 	stage, _ = v["Stage"].(string)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	if before != "" && (status == http.StatusOK || status == http.StatusCreated || status == http.StatusNotFound) {
-		w.compared++
+		checker.compared++
 		ended := before == "done" || before == "aborted"
 		if status != http.StatusOK || ended && stage != before {
-			w.t.Errorf("%s %s: status %d, stage %q after %q was acknowledged", method, path, status, stage, before)
+			checker.t.Errorf("%s %s: status %d, stage %q after %q was acknowledged", method, path, status, stage, before)
 		}
 	}
 	switch {
 	case stage == "done" || stage == "aborted":
-		w.acknowledged[job] = stage
-	case stage != "" && w.acknowledged[job] == "":
-		w.acknowledged[job] = "accepted"
+		checker.acknowledged[job] = stage
+	case stage != "" && checker.acknowledged[job] == "":
+		checker.acknowledged[job] = "accepted"
 	}
 	return status, stage
 }
 
 // checkAll polls all controllers concurrently, twice each, and submits the job once more.
-func (w *answerChecker) checkAll(cluster *dev.Cluster, job object) {
+func (checker *answerChecker) checkAll(cluster *dev.Cluster, job object) {
 	id := job["NameId"].(string)
 	var requests sync.WaitGroup
 	for range 2 {
 		for _, c := range cluster.Controllers {
-			requests.Go(func() { w.request(c, http.MethodGet, "/v1/jobs/"+id, id, nil) })
+			requests.Go(func() { checker.request(c, http.MethodGet, "/v1/jobs/"+id, id, nil) })
 		}
 	}
-	requests.Go(func() { w.request(cluster.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
+	requests.Go(func() { checker.request(cluster.Controllers[len(id)%3], http.MethodPost, "/v1/jobs", id, job) })
 	requests.Wait()
 }
 
 // retryUntilAnswered repeats a request until it succeeds, then checks all controllers' answers.
-func (w *answerChecker) retryUntilAnswered(cluster *dev.Cluster, firstController int, path string, job object) {
+func (checker *answerChecker) retryUntilAnswered(cluster *dev.Cluster, firstController int, path string, job object) {
 	id := job["NameId"].(string)
 	var body any
 	if path == "/v1/jobs" {
@@ -66,13 +67,13 @@
 	}
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		firstController++
-		status, _ := w.request(cluster.Controllers[firstController%3], http.MethodPost, path, id, body)
+		status, _ := checker.request(cluster.Controllers[firstController%3], http.MethodPost, path, id, body)
 		if status == http.StatusOK || status == http.StatusCreated {
-			w.checkAll(cluster, job)
+			checker.checkAll(cluster, job)
 			return
 		}
 	}
-	w.t.Errorf("%s: not answered within 30 s", path)
+	checker.t.Errorf("%s: not answered within 30 s", path)
 }
 
 // TestAnswersAreConsistentAcrossControllers: users poll all controllers within milliseconds of an
@@ -135,7 +136,7 @@
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the job", func() bool { return jobStage(leader, "job-000001") == "done" })
+	waitUntil(t, "the job is done", func() bool { return jobStage(leader, "job-000001") == "done" })
 	killed := 0
 	for _, r := range cluster.Tasks.Runs() {
 		if r.Cause == "killed" && (r.Machine == isolated[0].Name || r.Machine == isolated[1].Name) {
@@ -157,7 +158,7 @@
 	cluster := startFaultCluster(t, 2)
 	controller := cluster.Controllers[0]
 	submitAccepted(t, controller, submission("job-000001", 1))
-	waitUntil(t, "the job", func() bool { return jobStage(controller, "job-000001") == "done" })
+	waitUntil(t, "the job is done", func() bool { return jobStage(controller, "job-000001") == "done" })
 	invalid := map[string]struct {
 		field string
 		value any // nil: the field is left out
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -92,7 +92,7 @@
 	waitUntil(t, "tasks run", func() bool { return cluster.Tasks.RunningTasks("job-000001") >= 10 })
 	workers[0].Kill()
 	began := time.Now()
-	waitUntil(t, "the job", func() bool { return jobStage(cluster.Controllers[1], "job-000001") == "done" })
+	waitUntil(t, "the job is done", func() bool { return jobStage(cluster.Controllers[1], "job-000001") == "done" })
 	if d := time.Since(began); d > 25*time.Second {
 		t.Errorf("the job took %v after the machine failed, want at most 25 s", d)
 	}
@@ -138,12 +138,12 @@
 func TestFastControllerRestarts(t *testing.T) {
 	cluster := startFaultCluster(t, 6)
 	restart := func(controllers ...*dev.Controller) {
-		for _, leader := range controllers {
-			leader.Stop()
+		for _, controller := range controllers {
+			controller.Stop()
 		}
 		time.Sleep(80 * time.Millisecond)
-		for _, leader := range controllers {
-			if err := leader.Start(); err != nil {
+		for _, controller := range controllers {
+			if err := controller.Start(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/ops/auth.go
+++ b/internal/ops/auth.go
@@ -28,12 +28,12 @@
 
 // lookup returns the access entry of a token, nil if there is none. It compares all
 // hashes in constant time, so that its duration reveals nothing about them.
-func (g *tokenChecker) lookup(token string) *config.Access {
+func (t *tokenChecker) lookup(token string) *config.Access {
 	hash := sha256.Sum256([]byte(token))
 	var found *config.Access
-	for i := range g.access {
-		if subtle.ConstantTimeCompare(hash[:], g.access[i].Hash[:]) == 1 {
-			found = &g.access[i]
+	for i := range t.access {
+		if subtle.ConstantTimeCompare(hash[:], t.access[i].Hash[:]) == 1 {
+			found = &t.access[i]
 		}
 	}
 	return found
--- a/internal/planfile/planfile.go
+++ b/internal/planfile/planfile.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	// Windows name time zones, and controllers have no time zone files on disk.
+	// Windows name time zones, and controllers have no disk with time zone files.
 	_ "time/tzdata"
 
 	"google.golang.org/protobuf/encoding/prototext"
@@ -50,8 +50,8 @@
 
 type fieldErrors []error
 
-func (m *fieldErrors) add(field, format string, args ...any) {
-	*m = append(*m, fmt.Errorf(field+": "+format, args...))
+func (e *fieldErrors) add(field, format string, args ...any) {
+	*e = append(*e, fmt.Errorf(field+": "+format, args...))
 }
 
 func check(p *planpb.Plan) error {
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -25,10 +25,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("proxy to %s: %w", target, err)
 	}
-	r := &Proxy{target: target, listener: listener, connections: map[net.Conn]bool{}}
-	r.cond = sync.NewCond(&r.mu)
-	go r.acceptLoop()
-	return r, nil
+	proxy := &Proxy{target: target, listener: listener, connections: map[net.Conn]bool{}}
+	proxy.cond = sync.NewCond(&proxy.mu)
+	go proxy.acceptLoop()
+	return proxy, nil
 }
 
 // Addr returns the address at which the proxy listens.
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -220,8 +220,8 @@
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.servers {
-		d.close()
+	for _, server := range s.servers {
+		server.close()
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -279,18 +279,18 @@
 	if body.PreemptionNoticeS != nil {
 		out.PreemptionNotice = Duration(max(0, *body.PreemptionNoticeS))
 	}
-	for _, c := range body.Attempts {
-		t, err := parseTask(c.Task)
+	for _, attempt := range body.Attempts {
+		t, err := parseTask(attempt.Task)
 		if err != nil {
 			return nil, err
 		}
-		stage, ok := stages[c.Stage]
+		stage, ok := stages[attempt.Stage]
 		if !ok {
 			// An attempt in a stage unknown to this release occupies the machine too.
 			stage = model.Running
 		}
-		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: c.Attempt, Stage: stage,
-			Cause: causes[c.Cause], Saved: c.Saved})
+		out.Attempts = append(out.Attempts, model.AttemptStatus{Task: t, Attempt: attempt.Attempt, Stage: stage,
+			Cause: causes[attempt.Cause], Saved: attempt.Saved})
 	}
 	return out, nil
 }
@@ -325,17 +325,17 @@
 func encodeCommands(cmds []model.Command) []commandJSON {
 	out := make([]commandJSON, 0, len(cmds))
 	for _, c := range cmds {
-		d := commandJSON{Task: TaskName(c.Task), Attempt: c.Attempt}
+		encoded := commandJSON{Task: TaskName(c.Task), Attempt: c.Attempt}
 		switch c.Verb {
 		case model.Launch:
-			d.Verb = "launch"
+			encoded.Verb = "launch"
 		case model.Kill:
 			g := c.Grace.Seconds()
-			d.Verb, d.GraceS = "kill", &g
+			encoded.Verb, encoded.GraceS = "kill", &g
 		case model.Clear:
-			d.Verb = "clear"
+			encoded.Verb = "clear"
 		}
-		out = append(out, d)
+		out = append(out, encoded)
 	}
 	return out
 }
