--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -78,7 +78,7 @@
 		return fields
 	}
 	submitAccepted(t, controller, job("job-000001", 20, 3))
-	waitUntil(t, "the first job", func() bool { return jobStage(controller, "job-000001") == "done" })
+	waitUntil(t, "the first job is done", func() bool { return jobStage(controller, "job-000001") == "done" })
 	submitAccepted(t, controller, job("job-000002", 20, 9))
 	waitUntil(t, "the second job runs", func() bool { return cluster.Tasks.RunningTasks("job-000002") == 20 })
 	submitAccepted(t, controller, job("job-000003", 30, 6))
@@ -147,9 +147,7 @@
 				t.Errorf("job-000002 was delayed by %.1f s; the forecast was no delay", delay)
 			}
 			t.Logf("job-000003: forecast to end after %v s, delayed by %v s; ended after %.1f s, without the plan %.1f s",
-				delayed.EndS,
-				delayed.DelayS,
-				withPlan["job-000003"], baseline["job-000003"])
+				delayed.EndS, delayed.DelayS, withPlan["job-000003"], baseline["job-000003"])
 		})
 	}
 }
--- a/internal/e2e/jobs_test.go
+++ b/internal/e2e/jobs_test.go
@@ -18,7 +18,7 @@
 
 type object = map[string]any
 
-// defaultOptions are the options of a cluster with three controllers and no machines.
+// defaultOptions returns the options of a cluster with three controllers and no machines.
 func defaultOptions() dev.Options {
 	return dev.Options{
 		Controllers: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 24}},
@@ -112,7 +112,7 @@
 // submitAccepted submits a job until it is accepted.
 func submitAccepted(t *testing.T, c *dev.Controller, job object) {
 	t.Helper()
-	waitUntil(t, "submission", func() bool {
+	waitUntil(t, "the submission is accepted", func() bool {
 		status, _ := call(c, http.MethodPost, "/v1/jobs", job)
 		return status == http.StatusCreated || status == http.StatusOK
 	})
@@ -130,7 +130,7 @@
 	cluster := startCluster(t, 4)
 	controllers := cluster.Controllers
 	submitAccepted(t, controllers[0], submission("job-000001", 20))
-	waitUntil(t, "first job", func() bool { return jobStage(controllers[1], "job-000001") == "done" })
+	waitUntil(t, "the first job is done", func() bool { return jobStage(controllers[1], "job-000001") == "done" })
 	if status, v := call(controllers[2], http.MethodPost, "/v1/jobs",
 		submission("job-000001", 20)); status != http.StatusOK || v["Stage"] != "done" {
 		t.Errorf("repeated submission: status %d, answer %v", status, v)
@@ -147,8 +147,7 @@
 			t.Fatal(err)
 		}
 		waitUntil(t, "the restarted controller is healthy", func() bool {
-			status,
-				_ := call(c, http.MethodGet, "/healthz", nil)
+			status, _ := call(c, http.MethodGet, "/healthz", nil)
 			return status == http.StatusOK
 		})
 	}
@@ -165,14 +164,14 @@
 	together := submission("job-000030", 6)
 	together["Together"] = true
 	submitAccepted(t, controllers[2], together)
-	waitUntil(t, "the job in one zone", func() bool { return jobStage(controllers[1], "job-000030") == "done" })
+	waitUntil(t, "the job in one zone is done", func() bool { return jobStage(controllers[1], "job-000030") == "done" })
 
 	// A service is cancelled through another controller than the one that accepted it.
 	service := submission("job-000020", 2)
 	service["Shape"] = "daemon"
 	submitAccepted(t, controllers[0], service)
 	waitUntil(t, "the service starts", func() bool { return cluster.Tasks.RunningTasks("job-000020") == 2 })
-	waitUntil(t, "cancel", func() bool {
+	waitUntil(t, "the job is cancelled", func() bool {
 		status, v := call(controllers[1], http.MethodPost, "/v1/jobs/job-000020/withdraw", nil)
 		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
@@ -235,7 +234,7 @@
 	for i, c := range controllers { // one of them is the leader
 		c.StoreEndpoint.SetRefusing(true)
 		id := fmt.Sprintf("job-%06d", 10+i)
-		waitUntil(t, "submission", func() bool {
+		waitUntil(t, "the submission is accepted", func() bool {
 			status, _ := call(c, http.MethodPost, "/v1/jobs", submission(id, 1))
 			return status == http.StatusCreated || status == http.StatusOK
 		})
--- a/internal/e2e/limits_test.go
+++ b/internal/e2e/limits_test.go
@@ -107,7 +107,8 @@
 		submitAccepted(t, cluster.Controllers[i], fields)
 	}
 	running := func() int {
-		return cluster.Tasks.RunningTasks("job-000001") + cluster.Tasks.RunningTasks("job-000002") + cluster.Tasks.RunningTasks("job-000003")
+		return cluster.Tasks.RunningTasks("job-000001") + cluster.Tasks.RunningTasks("job-000002") +
+			cluster.Tasks.RunningTasks("job-000003")
 	}
 	waitUntil(t, "the limit is used", func() bool { return running() == 12 })
 	team := func() (r node.TeamReply) {
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -32,7 +32,7 @@
 		other = cluster.Controllers[1]
 	}
 	leader.StoreEndpoint.SetRefusing(true)
-	waitUntil(t, "cancelled", func() bool {
+	waitUntil(t, "the job is cancelled", func() bool {
 		status, v := call(other, http.MethodPost, "/v1/jobs/job-000001/withdraw", nil)
 		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
@@ -54,5 +54,5 @@
 	cluster.Store.SetOutage(false)
 	leader.StoreEndpoint.SetRefusing(false)
 	submitAccepted(t, other, submission("job-000003", 6))
-	waitUntil(t, "the next job", func() bool { return jobStage(leader, "job-000003") == "done" })
+	waitUntil(t, "the next job is done", func() bool { return jobStage(leader, "job-000003") == "done" })
 }
--- a/internal/e2e/pipeline_test.go
+++ b/internal/e2e/pipeline_test.go
@@ -39,8 +39,7 @@
 	}
 	waitUntil(t, "the first job runs", func() bool { return cluster.Tasks.RunningTasks("job-000001") > 0 })
 	waitUntil(t, "a job with an open dependency is reported as queued", func() bool {
-		return jobStage(controllers[1],
-			"job-000002") == "queued"
+		return jobStage(controllers[1], "job-000002") == "queued"
 	})
 	for _, controller := range controllers {
 		if isLeader(controller) {
@@ -56,7 +55,7 @@
 		}
 		return controllers[0]
 	}
-	waitUntil(t, "the cancellation", func() bool {
+	waitUntil(t, "the cancellation is confirmed", func() bool {
 		status, v := call(healthy(), http.MethodPost, "/v1/jobs/job-000004/withdraw", nil)
 		return status == http.StatusOK && v["Stage"] == "aborted"
 	})
@@ -172,7 +171,7 @@
 	if interrupted := maxInterrupted(cluster.Tasks.Runs()); interrupted > budget || interrupted == 0 {
 		t.Errorf("at most %d tasks were interrupted at a time; the budget is %d", interrupted, budget)
 	}
-	waitUntil(t, "the job", func() bool {
+	waitUntil(t, "the job is done", func() bool {
 		return slices.ContainsFunc(cluster.Controllers, func(controller *dev.Controller) bool {
 			return jobStage(controller,
 				"job-000001") == "done"
--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -24,14 +24,14 @@
 // maxProcesses is the maximum number of processes of a run.
 const maxProcesses = 300
 
-// estimateMemoryMB is the estimated memory of all processes of the run.
+// estimateMemoryMB returns the estimated memory of all processes of the run.
 func (o *Options) estimateMemoryMB() float64 {
 	workers := float64(o.Workers)
 	return parentMB + float64(o.Controllers)*controllerMB + workers*controllerWorkerMB +
 		float64(o.Regions)*(hollowMB+worldMB) + workers*(hollowWorkerMB+float64(o.TasksPerWorker)*worldTaskMB)
 }
 
-// maxWorkers is the largest number of workers that fits into so many MB if all other options stay the same.
+// maxWorkers returns the largest number of workers that fits into the memory if all other options stay the same.
 func (o *Options) maxWorkers(memoryMB float64) int {
 	noWorkers, oneWorker := *o, *o
 	noWorkers.Workers, oneWorker.Workers = 0, 1
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// MeanTask is the mean run time of a task.
+// MeanTask returns the mean run time of a task.
 func (o *Options) MeanTask() time.Duration {
 	switch {
 	case o.TaskTime > 0:
@@ -95,7 +95,7 @@
 	return peakTaskTime
 }
 
-// StartsPerSecond is the rate of task starts that keeps TasksPerWorker tasks running on each worker.
+// StartsPerSecond returns the rate of task starts that keeps TasksPerWorker tasks running on each worker.
 func (o *Options) StartsPerSecond() float64 {
 	return float64(o.Workers*o.TasksPerWorker) / o.MeanTask().Seconds()
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -110,7 +110,7 @@
 	close(p.exited)
 }
 
-// pid is the child's process ID.
+// pid returns the child's process ID.
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
 // kill sends SIGKILL and waits for the process to exit.
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -44,17 +44,17 @@
 	headroom  = 1.25
 )
 
-// workerCPUs is the CPU capacity of a worker.
+// workerCPUs returns the CPU capacity of a worker.
 func (s *RegionSpec) workerCPUs() float64 {
 	return float64(int(float64(s.TasksPerWorker)*headroom)) * taskCPUs
 }
 
-// startsPerSecond is the rate of task starts that keeps TasksPerWorker tasks running on each of the region's workers.
+// startsPerSecond returns the rate of task starts that keeps TasksPerWorker tasks running on each of the region's workers.
 func (s *RegionSpec) startsPerSecond() float64 {
 	return float64(s.Workers*s.TasksPerWorker) / s.MeanTask.Seconds()
 }
 
-// evenShare is the size of the ith of n nearly equal integer shares of total.
+// evenShare returns the size of the ith of n nearly equal integer shares of total.
 func evenShare(total, n, i int) int { return total*(i+1)/n - total*i/n }
 
 // regionSpecs divides the fleet into regions. Workers, controllers and zones are distributed evenly; the first
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -19,10 +19,10 @@
 func (r *observation) workers() WorkersStats { return r.window.Regions[r.region].Workers }
 func (r *observation) world() WorldStats     { return r.window.Regions[r.region].World }
 
-// perSecond is a count of the window as a rate.
+// perSecond converts a count of the window to a rate.
 func (r *observation) perSecond(n int64) float64 { return float64(n) / r.window.Seconds }
 
-// meanUsage is the mean of a usage value over the region's processes of a role. For controllers, leader selects
+// meanUsage returns the mean of a usage value over the region's processes of a role. For controllers, leader selects
 // either the leader or the others. It returns NaN if there is no such process.
 func (r *observation) meanUsage(role Role, leader bool, value func(Usage) float64) float64 {
 	sum, n := 0.0, 0
@@ -38,7 +38,7 @@
 	return sum / float64(n)
 }
 
-// controllers is the number of controllers of the region.
+// controllers returns the number of controllers of the region.
 func (r *observation) controllers() float64 {
 	n := 0
 	for _, p := range r.window.Processes {
@@ -207,7 +207,7 @@
 }
 
 // Predict returns the predicted and measured figures of a run's steady window, as means over its regions. The slopes
-// must come from Slopes.
+// must come from FitSlopes.
 func Predict(slopes []Slope, run *Report) ([]Prediction, error) {
 	observations := steadyObservations([]*Report{run})
 	if len(observations) == 0 {
--- a/internal/scale/world.go
+++ b/internal/scale/world.go
@@ -44,8 +44,8 @@
 	_ = callControl(r.ctx, http.MethodPost, r.addr, pathEnd, NameRequest{name}, nil)
 }
 
-// spareMachines is the number of machines that the cloud can add in a zone with so many machines: 5 %, plus 4 for
-// small zones.
+// spareMachines returns the number of machines that the cloud can add in a zone with the given number of machines:
+// 5 %, plus 4 for small zones.
 func spareMachines(machines int) int { return machines/20 + 4 }
 
 // ServeWorld simulates the users, state service and cloud of a region until the context ends or the parent process
--- a/internal/server/conns.go
+++ b/internal/server/conns.go
@@ -8,7 +8,7 @@
 )
 
 // connTracker counts the server's connections and shares the sockets between users and
-// workers. Both use the same port and can't be told apart before a request arrives.
+// workers. Both use the same port and can't be distinguished before a request arrives.
 // Users never get more than maxUsers connections, and once evictThreshold connections
 // are open each new one closes the user connection that has been idle for longest. While
 // workers hold more than maxOthers, their connections are closed after each answer.
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// reservedSockets is the number of sockets that a controller reserves for connections it
+// reservedSockets returns the number of sockets that a controller reserves for connections it
 // opens itself: to the state service, the cloud, other controllers, and workers that get
 // direct commands.
 func reservedSockets(fdLimit, directConns int) int { return min(fdLimit/3, 64+directConns) }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,7 +19,7 @@
 	"honeylock/internal/wire"
 )
 
-// Errors by which callers tell the outcomes of a request apart.
+// Errors by which callers distinguish the outcomes of a request.
 var (
 	// ErrRefused means that the request was certainly not executed (429, 503).
 	ErrRefused = errors.New("state service refused the request")
