--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -29,21 +29,21 @@
 
 type recordingHandler struct{ calls []node.Call }
 
-func (e *recordingHandler) Operate(_ context.Context, c node.Call) node.CallReply {
-	e.calls = append(e.calls, c)
+func (h *recordingHandler) Operate(_ context.Context, c node.Call) node.CallReply {
+	h.calls = append(h.calls, c)
 	return node.CallReply{Status: http.StatusOK, Body: []byte(`{}`)}
 }
 
 func newTestServer(t *testing.T) (*Server, *recordingHandler) {
 	t.Helper()
-	e := &recordingHandler{}
-	s, err := New(e, &config.Operator{Access: []config.Access{{Name: "reader", Hash: sha256.Sum256([]byte("r"))},
+	handler := &recordingHandler{}
+	s, err := New(handler, &config.Operator{Access: []config.Access{{Name: "reader", Hash: sha256.Sum256([]byte("r"))},
 		{Name: "boss", Hash: sha256.Sum256([]byte("o")),
 			Operate: true}}}, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, e
+	return s, handler
 }
 
 func (s *Server) request(method, path, token string) int {
@@ -56,7 +56,7 @@
 
 // Role read allows reads and forecasts, which change nothing; role operate allows all calls.
 func TestRoles(t *testing.T) {
-	s, e := newTestServer(t)
+	s, handler := newTestServer(t)
 	for _, c := range []struct {
 		method, path, token string
 		want                int
@@ -70,8 +70,8 @@
 			t.Errorf("%s %s as %s: %d, want %d", c.method, c.path, c.token, got, c.want)
 		}
 	}
-	if last := e.calls[len(e.calls)-2]; last.Who != "boss" || last.Verb != node.DrainCancel || last.Name != "p" ||
-		last.Request == "" {
+	if last := handler.calls[len(handler.calls)-2]; last.Who != "boss" || last.Verb != node.DrainCancel ||
+		last.Name != "p" || last.Request == "" {
 		t.Errorf("%+v", last)
 	}
 }
@@ -99,9 +99,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tpl := &x509.Certificate{SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour), IsCA: true,
+	template := &x509.Certificate{SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour), IsCA: true,
 		BasicConstraintsValid: true, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
-	der, err := x509.CreateCertificate(rand.Reader, tpl, tpl, &k.PublicKey, k)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &k.PublicKey, k)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -29,13 +29,13 @@
 func TestOrdersCarryNames(t *testing.T) {
 	a, b := newNames(0), newNames(1)
 	from, to := NewCodec(a), NewCodec(b)
-	sp := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"),
+	spec := &model.Spec{ID: 5, Class: a.Classes.ID("c"), Team: a.Teams.ID("t"), Image: a.Images.ID("img"),
 		Rank: model.Urgent, Tasks: 3,
 		PerTask: model.Request(2, 1, 4), Types: []model.Name{a.Types.ID("g8")}, Zone: a.Zones.ID("z"), Spread: true,
 		Spot:     true,
 		Estimate: time.Minute, CheckpointInterval: time.Second, CheckpointTime: 2 * time.Second, Deadline: time.Hour,
 		SubmittedMS: 9}
-	assignment := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: sp, Price: 300, Zone: sp.Zone,
+	assignment := model.Assignment{Task: model.Task{Job: 5, Index: 2}, Spec: spec, Price: 300, Zone: spec.Zone,
 		WaitingSince: 10 * time.Second, Machine: 8, Attempt: 99}
 	for i := range 2 { // the job's description goes with its first task only
 		p := from.Order(15*time.Second, &model.Order{Kind: model.AssignTask, Assignment: assignment}).GetOrder()
@@ -48,10 +48,10 @@
 		}
 		want := assignment
 		want.WaitingSince = 95 * time.Second // it has waited 5 s by either clock
-		ws := *sp
-		ws.Class, ws.Team, ws.Image = b.Classes.ID("c"), b.Teams.ID("t"), b.Images.ID("img")
-		ws.Types, ws.Zone = []model.Name{b.Types.ID("g8")}, b.Zones.ID("z")
-		want.Spec, want.Zone = &ws, ws.Zone
+		wantSpec := *spec
+		wantSpec.Class, wantSpec.Team, wantSpec.Image = b.Classes.ID("c"), b.Teams.ID("t"), b.Images.ID("img")
+		wantSpec.Types, wantSpec.Zone = []model.Name{b.Types.ID("g8")}, b.Zones.ID("z")
+		want.Spec, want.Zone = &wantSpec, wantSpec.Zone
 		if diff := cmp.Diff(want, got.Assignment); diff != "" {
 			t.Fatal(diff)
 		}
@@ -70,13 +70,13 @@
 	if diff := cmp.Diff(e, got); diff != "" {
 		t.Fatal(diff)
 	}
-	ms := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2,
+	machines := []model.MachineStatus{{Machine: model.Machine{ID: 4}, Avail: model.Capacity(1, 2, 3), Ready: true, Slots: 2,
 		IdleSince: 8 * time.Second}}
 	jobs := map[model.JobID]model.TaskCounts{7: {Waiting: 1, Running: 2}}
-	up := NewCodec(a).Status(10*time.Second, ms, jobs, 5).GetStatus()
-	gotMS, gotJobs := NewCodec(b).FromStatus(20*time.Second, up)
-	ms[0].IdleSince = 18 * time.Second
-	if diff := cmp.Diff(ms, gotMS); diff != "" {
+	up := NewCodec(a).Status(10*time.Second, machines, jobs, 5).GetStatus()
+	gotMachines, gotJobs := NewCodec(b).FromStatus(20*time.Second, up)
+	machines[0].IdleSince = 18 * time.Second
+	if diff := cmp.Diff(machines, gotMachines); diff != "" {
 		t.Fatal(diff)
 	}
 	if diff := cmp.Diff(jobs, gotJobs); diff != "" {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -83,10 +83,10 @@
 	return announceReady(ctx, in, out, ReadyMessage{Control: addr})
 }
 
-// runTimeFactor returns the ratio of a task's run time to the mean. It is uniform between 0.5 and 1.5 and depends only on
-// the seed and the task, so it is the same for every attempt. The tasks of a residual job count as already running:
-// their factor has the distribution of the remaining run time at a random moment, so the run starts in its steady
-// state.
+// runTimeFactor returns the ratio of a task's run time to the mean. It is uniform between 0.5 and 1.5 and depends
+// only on the seed and the task, so it is the same for every attempt. The tasks of a residual job count as already
+// running: their factor has the distribution of the remaining run time at a random moment, so the run starts in its
+// steady state.
 func runTimeFactor(seed uint64, job *standin.Job, task string) float64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s", seed, task)
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -68,8 +68,9 @@
 	FDs   int // open files
 }
 
-// DefaultOptions returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
-// are those of a large deployment in the users' bench, repeated here so that the package does not depend on it.
+// DefaultOptions returns the options for the target's peak load, in one region of an eighth of the target's size. The
+// limits are those of a large deployment in the users' bench, repeated here so that the package does not depend on
+// it.
 func DefaultOptions() Options {
 	return Options{
 		Workers: 392, Controllers: 7, Regions: 1, Zones: 2, Teams: 170,
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -49,7 +49,8 @@
 	return float64(int(float64(s.TasksPerWorker)*headroom)) * taskCPUs
 }
 
-// startsPerSecond returns the rate of task starts that keeps TasksPerWorker tasks running on each of the region's workers.
+// startsPerSecond returns the rate of task starts that keeps TasksPerWorker tasks running on each of the region's
+// workers.
 func (s *RegionSpec) startsPerSecond() float64 {
 	return float64(s.Workers*s.TasksPerWorker) / s.MeanTask.Seconds()
 }
