--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -68,8 +68,9 @@
 	FDs   int // open files
 }
 
-// DefaultOptions returns the options for the target's peak load, in one region of an eighth of the target's size. The limits
-// are those of a large deployment in the users' bench, repeated here so that the package does not depend on it.
+// DefaultOptions returns the options for the target's peak load, in one region of an eighth of the target's size. The
+// limits are those of a large deployment in the users' bench, repeated here so that the package does not depend on
+// it.
 func DefaultOptions() Options {
 	return Options{
 		Workers: 392, Controllers: 7, Regions: 1, Zones: 2, Teams: 170,
@@ -84,7 +85,7 @@
 	}
 }
 
-// MeanTask is the mean run time of a task.
+// MeanTask returns the mean run time of a task.
 func (o *Options) MeanTask() time.Duration {
 	switch {
 	case o.TaskTime > 0:
@@ -95,7 +96,7 @@
 	return peakTaskTime
 }
 
-// StartsPerSecond is the rate of task starts that keeps TasksPerWorker tasks running on each worker.
+// StartsPerSecond returns the rate of task starts that keeps TasksPerWorker tasks running on each worker.
 func (o *Options) StartsPerSecond() float64 {
 	return float64(o.Workers*o.TasksPerWorker) / o.MeanTask().Seconds()
 }
