--- a/internal/core/readbatch/readbatch_test.go
+++ b/internal/core/readbatch/readbatch_test.go
@@ -71,7 +71,7 @@
 }
 
 // A cancelled waiter gets no answer and causes no comparison.
-func TestCancelledWaiterIsForgotten(t *testing.T) {
+func TestCancelledWaiterIsRemoved(t *testing.T) {
 	b := New(Params{Interval: 100 * ms, MaxBatch: 10})
 	waiter := b.AddCheck(0, guard(1), time.Second)
 	b.Cancel(guard(1), waiter)
--- a/internal/core/starvation/starvation_test.go
+++ b/internal/core/starvation/starvation_test.go
@@ -11,7 +11,7 @@
 
 // Jobs that wait too long are overdue until they begin or are cancelled, and each group counts the
 // jobs that have begun and those that should have.
-func TestGroupsCountBegunAndOverdueJobs(t *testing.T) {
+func TestGroupsCountStartedAndOverdueJobs(t *testing.T) {
 	detector := New(60 * s)
 	var jobs []Job
 	for i := range 20 { // the last two have many tasks
--- a/internal/core/storehealth/storehealth_test.go
+++ b/internal/core/storehealth/storehealth_test.go
@@ -93,7 +93,7 @@
 
 // A process that gets hardly any CPU time reads answers too late. It must not give up leadership for
 // that.
-func TestDelaysOfThisProcessAreNoRefusals(t *testing.T) {
+func TestDelaysOfThisProcessAreNotRefusals(t *testing.T) {
 	var h Health
 	recordOutcomes(&h, 0, 10*time.Second, Served)
 	recordOutcomes(&h, 10*time.Second, 13*time.Second, NoAnswer)
