--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -65,10 +65,10 @@
 	Plan    string // of DrainPlan, DrainApply and TeamSet: protobuf text
 	Who     string // name of the operator's access entry in the settings
 	Request string // the caller's request ID; a change repeated under it is made once
-	// Seal is the signature of a forwarded call, keyed with the hash of the token that the
-	// operator presented to the forwarding controller. It prevents calls on the controllers'
+	// Signature authenticates a forwarded call. Its key is the hash of the token that the operator
+	// presented to the forwarding controller. It prevents calls on the controllers'
 	// own port from bypassing the tokens.
-	Seal []byte `json:",omitempty"`
+	Signature []byte `json:"Seal,omitempty"`
 }
 
 // digest returns a hash of what the call asks for, to detect that a request ID is reused for a
@@ -140,7 +140,7 @@
 	if access == nil {
 		return errorReply(http.StatusForbidden, errBadSignature)
 	}
-	c.Seal = c.sign(access)
+	c.Signature = c.sign(access)
 	if err := n.dialer.Forward(ctx, addr, peer.OpsPath, c, &r); err != nil {
 		n.log.Debug("operator's call not forwarded to the leader", "verb", c.Verb, "err", err)
 		return errorReply(http.StatusServiceUnavailable, errNoLeader)
@@ -161,7 +161,7 @@
 	reply := errorReply(http.StatusServiceUnavailable, errNoLeader)
 	access := n.operatorAccess(c.Who)
 	switch {
-	case access == nil || !hmac.Equal(c.Seal, c.sign(access)) || c.Verb.Changes() && !access.Operate:
+	case access == nil || !hmac.Equal(c.Signature, c.sign(access)) || c.Verb.Changes() && !access.Operate:
 		n.log.Error("forwarded operator's call refused: operator unknown, signature invalid, or change not permitted",
 			"who", c.Who, "verb", c.Verb)
 		reply = errorReply(http.StatusForbidden, errBadSignature)
--- a/internal/node/operatorcalls_test.go
+++ b/internal/node/operatorcalls_test.go
@@ -32,7 +32,7 @@
 		return r.Status
 	}
 	signed := func(c Call, access *config.Access) Call {
-		c.Seal = c.sign(access)
+		c.Signature = c.sign(access)
 		return c
 	}
 	pause, list := Call{Verb: DrainPause, Name: "p", Who: "boss"}, Call{Verb: DrainList, Who: "reader"}
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -18,9 +18,9 @@
 	Status int
 	State  *wire.JobState
 	Err    string
-	// OverRate is set on a 503 whose only cause is that the state service's request rate is
+	// RateLimited is set on a 503 whose only cause is that the state service's request rate is
 	// exhausted.
-	OverRate bool `json:",omitempty"`
+	RateLimited bool `json:"OverRate,omitempty"`
 }
 
 // unavailable returns a 503 with the reason.
@@ -146,7 +146,7 @@
 		}
 	}
 	r := n.answerHere(ctx, kind, id, sub)
-	if r.Status != http.StatusServiceUnavailable || kind == jobs.Poll && r.OverRate {
+	if r.Status != http.StatusServiceUnavailable || kind == jobs.Poll && r.RateLimited {
 		return r // the rate is shared: a poll would be refused there too
 	}
 	if sibling == "" || preferred {
@@ -179,7 +179,7 @@
 		}
 		switch {
 		case answer.RateLimited:
-			return Reply{Status: http.StatusServiceUnavailable, OverRate: true,
+			return Reply{Status: http.StatusServiceUnavailable, RateLimited: true,
 				Err: "the state service's request rate is exhausted"}
 		case answer.Status == http.StatusServiceUnavailable:
 			return unavailable("the state service does not answer")
