--- a/internal/node/dependencies.go
+++ b/internal/node/dependencies.go
@@ -109,7 +109,7 @@
 func (dt *dependencyTracker) readEnd(id model.JobID) (pipeline.FinalState, int64) {
 	item, err := dt.lead.node.state.Get(state.WithClass(dt.lead.ctx, ratelimit.Leader), finalPrefix+wire.JobName(id))
 	if errors.Is(err, state.ErrNotFound) {
-		dt.lead.node.log.Debug("a dependency has not ended and is not known to be open", "job", wire.JobName(id))
+		dt.lead.node.log.Debug("a dependency has no final record and is not among the open jobs", "job", wire.JobName(id))
 		return pipeline.Absent, 0
 	}
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	var final wire.Final
 	if err := json.Unmarshal(item.Value, &final); err != nil {
-		dt.lead.node.log.Error("final record unreadable", "job", wire.JobName(id), "err", err)
+		dt.lead.node.log.Error("failed to decode a final record", "job", wire.JobName(id), "err", err)
 		return pipeline.Unknown, 0
 	}
 	switch jobs.Stage(final.Stage) {
@@ -126,7 +126,7 @@
 	case jobs.Cancelled:
 		return pipeline.Cancelled, final.AtMS
 	}
-	dt.lead.node.log.Error("final record unreadable", "job", wire.JobName(id), "stage", final.Stage)
+	dt.lead.node.log.Error("failed to decode a final record: unknown stage", "job", wire.JobName(id), "stage", final.Stage)
 	return pipeline.Unknown, 0
 }
 
--- a/internal/node/drains.go
+++ b/internal/node/drains.go
@@ -85,7 +85,7 @@
 		if _, err := dm.lead.node.state.List(ctx, auditPrefix, func(item *wire.Item) error {
 			var e audit.Entry
 			if err := json.Unmarshal(item.Value, &e); err != nil {
-				dm.lead.node.log.Error("audit record unreadable", "key", item.Key, "err", err)
+				dm.lead.node.log.Error("failed to decode an audit record", "key", item.Key, "err", err)
 				return nil
 			}
 			entries = append(entries, e)
--- a/internal/node/openjobs.go
+++ b/internal/node/openjobs.go
@@ -208,7 +208,7 @@
 	for _, key := range keys {
 		if _, err := dl.lead.node.state.Txn(dl.lead.ctx, wire.Txn{Guards: []wire.Guard{dl.lead.guard},
 			Then: []wire.Op{{Delete: key}}}); err != nil {
-			dl.lead.node.log.Debug("failed to delete orphaned progress", "key", key, "err", err)
+			dl.lead.node.log.Debug("failed to delete stored progress of an ended job", "key", key, "err", err)
 		}
 	}
 }
