--- a/internal/core/dispatcher/dispatcher.go
+++ b/internal/core/dispatcher/dispatcher.go
@@ -88,7 +88,7 @@
 	roundRobin          int                        // selects the shard that gets the next machine without an owner
 	avoidedUntil        map[zoneHost]time.Duration // until when a zone is not redirected to a host it failed to reach
 	cordoned            map[model.MachineID]bool
-	machineCounts       map[model.ShardID]int // machines of each shard as of countedAt
+	machineCounts       map[model.ShardID]int // machines of each shard as of machinesCountedAt
 	machinesCountedAt   time.Duration
 	starvation          *starvation.Detector
 	starvationUpdatedAt time.Duration
