--- a/internal/core/sim/dependencies_test.go
+++ b/internal/core/sim/dependencies_test.go
@@ -253,7 +253,8 @@
 	}
 	for _, id := range u.dependsOn {
 		if o := w.users[id]; o.finalStage == jobs.Cancelled && askedAt > max(o.endedAt, u.acceptedAt)+w.params.cancelBound {
-			w.fail("dependent_not_cancelled", "job %d is %s, %d was cancelled at %v", u.spec.ID, st, id, o.endedAt)
+			// orphaned: the dependents of a cancelled job must not stay open.
+			w.fail("orphaned", "job %d is %s, %d was cancelled at %v", u.spec.ID, st, id, o.endedAt)
 		}
 	}
 }
--- a/internal/core/sim/extra_faults_test.go
+++ b/internal/core/sim/extra_faults_test.go
@@ -152,11 +152,11 @@
 const maxUnanswered = 75 * time.Second
 
 // checkAnswerDelay checks that requests about an accepted job are answered in time after the last
-// fault. Faults begin before the end of params.duration.
+// fault. Faults begin before the end of params.duration. The rule forgotten forbids longer delays.
 func (w *world) checkAnswerDelay(u *user) {
 	if from := max(u.lastAnsweredAt, w.faultsOverAt, w.params.duration); u.accepted &&
 		w.params.quietPeriod > maxUnanswered && w.now-from > maxUnanswered {
-		w.fail("unanswered", "requests about job %d were not answered for %v", u.spec.ID, w.now-from)
+		w.fail("forgotten", "requests about job %d were not answered for %v", u.spec.ID, w.now-from)
 	}
 }
 
@@ -171,7 +171,7 @@
 			continue
 		}
 		if unanswered := w.now - max(u.lastAnsweredAt, w.faultsOverAt); unanswered > maxUnanswered {
-			w.fail("unanswered", "requests about job %d were not answered for %v", id, unanswered)
+			w.fail("forgotten", "requests about job %d were not answered for %v", id, unanswered)
 		}
 		if u.finalStage == "" {
 			w.fail("unfinished", "job %d (%+v): %d of %d tasks done", id, u.spec, len(u.doneTasks), u.spec.Tasks)
--- a/internal/core/sim/rules_test.go
+++ b/internal/core/sim/rules_test.go
@@ -153,7 +153,8 @@
 }
 
 // checkAnswer checks an answer against what the user knew before the request was sent, and repeats a
-// request that was refused for now.
+// request that was refused for now. The rule went_back forbids answers that contradict earlier
+// ones, or cancel a job without cause; forgotten forbids losing an accepted job.
 func (w *world) checkAnswer(u *user, k jobs.Kind, askedAt time.Duration, before *user, a *jobs.Answer) {
 	switch a.Status {
 	case http.StatusServiceUnavailable:
@@ -163,7 +164,7 @@
 		return
 	case http.StatusNotFound:
 		if before.accepted {
-			w.fail("job_unknown", "job %d was accepted and is reported as unknown", u.spec.ID)
+			w.fail("forgotten", "job %d was accepted and is reported as unknown", u.spec.ID)
 		}
 		if k == jobs.Withdraw {
 			w.after(time.Second, func() { w.sendRequest(u, k) })
@@ -171,7 +172,7 @@
 		return
 	}
 	if before.accepted && a.Created {
-		w.fail("state_regressed", "job %d was accepted before and is created again", u.spec.ID)
+		w.fail("went_back", "job %d was accepted before and is created again", u.spec.ID)
 	}
 	w.checkAnswerDelay(u)
 	u.lastAnsweredAt = w.now
@@ -181,7 +182,7 @@
 	}
 	w.checkDependentCancelled(u, askedAt, a.Stage)
 	if before.finalStage != "" && a.Stage != before.finalStage {
-		w.fail("state_regressed", "job %d was reported as %s and now as %s", u.spec.ID, before.finalStage, a.Stage)
+		w.fail("went_back", "job %d was reported as %s and now as %s", u.spec.ID, before.finalStage, a.Stage)
 	}
 	switch a.Stage {
 	case jobs.Done:
@@ -190,7 +191,7 @@
 		}
 	case jobs.Cancelled:
 		if !u.cancelRequested && !w.dependsOnCancelled(u) {
-			w.fail("state_regressed", "job %d is reported as cancelled, which its user never asked for", u.spec.ID)
+			w.fail("went_back", "job %d is reported as cancelled, which its user never asked for", u.spec.ID)
 		}
 	}
 	if a.Stage.Ended() && u.finalStage == "" {
